--- /dev/null
+++ b/tests/decision_replay_test.cpp
@@ -0,0 +1,363 @@
+// Replays seeded event sequences against the decision module and compares a digest of every action with the
+// recorded one: a change of the code that was meant to keep all decisions shows here if it did not.
+//
+// The recorded digests are in decision_replay_digests.txt, one line a sequence: seed, number of events,
+// XXH3-64. With WINGSLIP_REPLAY=record the digests are printed in the file's format instead of being
+// compared.
+#include <gtest/gtest.h>
+
+#define XXH_INLINE_ALL
+#include <xxhash.h>
+
+#include <array>
+#include <cmath>
+#include <cstdint>
+#include <cstdlib>
+#include <cstring>
+#include <fstream>
+#include <map>
+#include <sstream>
+#include <string>
+#include <vector>
+
+#include "irisring/decide.hpp"
+
+namespace irisring::test {
+namespace {
+
+constexpr std::uint64_t kSeeds = 40;
+constexpr unsigned kShortEvents = 4000;
+constexpr unsigned kLongEvents = 40000;
+
+/// splitmix64, so that the sequences are the same with every standard library.
+class Generator {
+ public:
+  explicit Generator(std::uint64_t seed) : state_(seed * 0x9e3779b97f4a7c15ULL + 1) {}
+  std::uint64_t bits() {
+    std::uint64_t value = state_ += 0x9e3779b97f4a7c15ULL;
+    value = (value ^ (value >> 30)) * 0xbf58476d1ce4e5b9ULL;
+    value = (value ^ (value >> 27)) * 0x94d049bb133111ebULL;
+    return value ^ (value >> 31);
+  }
+  double uniform() { return static_cast<double>(bits() >> 11) * 0x1.0p-53; }
+  double between(double low, double high) { return low + (high - low) * uniform(); }
+  unsigned below(unsigned bound) { return static_cast<unsigned>(bits() % bound); }
+  bool chance(double probability) { return uniform() < probability; }
+  double exponential(double mean) { return -mean * std::log(1 - uniform()); }
+
+ private:
+  std::uint64_t state_;
+};
+
+/// Settings of the first kind of site: quotas on the rate with readings, keyed classes bound to a zone.
+Settings quotaSite(Generator& random) {
+  Settings out;
+  out.gateways = 1 + random.below(120);
+  out.self = random.below(out.gateways);
+  out.zone = random.below(3);
+  out.maxAttempts = 2 + random.below(4);
+  out.maxRetryAfter = 2000;
+  out.meterPeriod = random.chance(0.8) ? 1000 : 0;
+  out.settlesUnits = random.chance(0.5);
+  out.mostUnits = 8;
+  out.drainGrace = 1000;
+  out.coldFrom = random.between(0.05, 0.4);
+  out.warmUp = random.chance(0.9) ? random.between(2000, 15000) : 0;
+  out.fallMultiple = 2;
+  out.fallSpan = 1000;
+  out.crossZonePrice = random.between(0, 0.3);
+  out.reportFields = {"inflight", "queue", "cpu"};
+  const std::array<Repeat, 3> repeats{Repeat::safe, Repeat::keyed, Repeat::unsafe};
+  const std::array<Scope, 3> scopes{Scope::zone, Scope::cell, Scope::all};
+  for (unsigned i = 0; i < 4; ++i) {
+    ClassSettings item;
+    item.name = "class-" + std::to_string(i);
+    item.aim = random.between(150, 900);
+    item.deadline = item.aim * random.between(1.5, 4);
+    item.repeat = repeats[i % repeats.size()];
+    item.scope = scopes[random.below(3)];
+    item.window = random.between(500, 3000);
+    item.worth = random.between(0.5, 4);
+    item.lateWorth = random.chance(0.7) ? random.between(0, 0.6) : 0;
+    out.classes.push_back(item);
+  }
+  for (unsigned i = 0; i < 4; ++i) {
+    PlanSettings item;
+    item.name = "plan-" + std::to_string(i);
+    item.rate = random.between(2, 40);
+    item.burst = item.rate * random.between(1, 6);
+    item.price = random.between(0.5, 2);
+    item.overWorth = random.between(0, 0.4);
+    item.overCost = random.between(0, 1.5);
+    out.plans.push_back(item);
+  }
+  return out;
+}
+
+/// Settings of the second kind of site: hard ceilings, caps on open requests, a list that has to be asked
+/// for.
+Settings ceilingSite(Generator& random) {
+  Settings out = quotaSite(random);
+  out.askDiscovery = random.chance(0.5);
+  out.askWithin = 500;
+  out.plans[0].ceilingRate = out.plans[0].rate * 2;
+  out.plans[0].ceilingBurst = out.plans[0].burst * 2;
+  out.plans[0].ceilingSlack = 0.1;
+  out.plans[1].rate = 0;
+  out.plans[1].openLimit = 2 + random.below(12);
+  out.plans[2].openLimit = 4 + random.below(12);
+  out.plans[3].ceilingRate = 5;
+  out.plans[3].ceilingBurst = 20;
+  return out;
+}
+
+/// Drives one gateway with random events and hashes every action that it asks for.
+class Replay : private Actions {
+ public:
+  Replay(std::uint64_t seed, unsigned events)
+      : random_(seed),
+        settings_(seed % 2 == 0 ? quotaSite(random_) : ceilingSite(random_)),
+        customers_(random_.chance(0.2) ? 6000 : 60),
+        gateway_(settings_, seed, now_, *this) {
+    XXH3_64bits_reset(&hash_);
+    startWorkers();
+    for (unsigned i = 0; i < events; ++i) step();
+    finish();
+  }
+
+  std::uint64_t digest() const { return XXH3_64bits_digest(&hash_); }
+
+ private:
+  struct Attempt {
+    RequestId request = 0;
+    unsigned number = 0;
+    WorkerId worker = 0;
+    Time startedAt = 0;
+    Time timeout = 0;
+  };
+
+  template <class Value>
+  void hash(const Value& value) {
+    XXH3_64bits_update(&hash_, &value, sizeof value);
+  }
+
+  void send(RequestId id, WorkerId worker, Time timeout) override {
+    hash('s'), hash(id), hash(worker), hash(timeout);
+    open_.push_back({id, attempts_[id]++, worker, now_, timeout});
+  }
+  void refuse(RequestId id, Time retryAfter) override { hash('r'), hash(id), hash(retryAfter); }
+  void fail(RequestId id) override { hash('f'), hash(id); }
+  void setTimer(Time wait, std::uint64_t tag) override {
+    hash('t'), hash(wait), hash(tag);
+    timers_.emplace(now_ + wait, tag);
+  }
+  void subscribe() override { hash('w'); }
+  void log(const std::string&) override { hash('l'); }
+
+  void startWorkers() {
+    const unsigned count = 3 + random_.below(60);
+    for (unsigned i = 0; i < count; ++i) addWorker(random_.chance(0.2) ? now_ : 0);
+    gateway_.members(now_, ListKind::full, workers_);
+  }
+
+  void addWorker(Time started) {
+    Member item;
+    item.worker = ++lastWorker_ * 0x9e3779b97f4a7c15ULL;
+    item.zone = random_.below(3);
+    item.kind = random_.below(3);
+    item.cell = random_.below(6);
+    item.started = started;
+    workers_.push_back(item);
+  }
+
+  void step() {
+    // Quiet times between bursts, so that everything that fades with time is seen to.
+    now_ += random_.exponential(random_.chance(0.001) ? 20000 : 3);
+    while (!timers_.empty() && timers_.begin()->first <= now_) {
+      const std::uint64_t tag = timers_.begin()->second;
+      timers_.erase(timers_.begin());
+      gateway_.timer(now_, tag);
+    }
+    const double kind = random_.uniform();
+    if (kind < 0.45)
+      arrive();
+    else if (kind < 0.93)
+      endAttempt();
+    else if (kind < 0.95)
+      touchRequest();
+    else if (kind < 0.985)
+      changeWorkers();
+    else if (kind < 0.99)
+      changeExclusions();
+    else if (kind < 0.997)
+      changePressure();
+    else if (kind < 0.998)
+      changeSettings();
+    else
+      observe();
+  }
+
+  void arrive() {
+    Request request;
+    request.id = ++lastRequest_;
+    request.klass = random_.below(static_cast<unsigned>(settings_.classes.size()));
+    request.customer = 1 + random_.below(random_.chance(0.5) ? 5 : customers_);
+    request.plan = static_cast<unsigned>(request.customer % settings_.plans.size());
+    if (random_.chance(0.002))
+      request.plan = random_.below(static_cast<unsigned>(settings_.plans.size() + 1));
+    request.expires = now_ + settings_.classes[request.klass].deadline * random_.between(0.3, 1.1);
+    request.units = random_.chance(0.6) ? 1 : random_.between(0, settings_.mostUnits);
+    request.setSize = 1 + random_.below(settings_.gateways);
+    request.bytes = random_.chance(0.9) ? 2000 : random_.between(0, 4e6);
+    gateway_.request(now_, request);
+  }
+
+  void endAttempt() {
+    if (open_.empty()) return;
+    const std::size_t at = random_.chance(0.7) ? 0 : random_.below(static_cast<unsigned>(open_.size()));
+    const Attempt attempt = open_[at];
+    open_.erase(open_.begin() + static_cast<std::ptrdiff_t>(at));
+    constexpr std::array<Result, 7> failures{Result::error,         Result::full,  Result::timeout,
+                                             Result::connectFailed, Result::reset, Result::cancelled,
+                                             Result::moot};
+    Outcome outcome;
+    outcome.id = attempt.request;
+    outcome.attempt = attempt.number;
+    outcome.worker = attempt.worker;
+    outcome.result = random_.chance(0.8) ? Result::ok : failures[random_.below(failures.size())];
+    outcome.elapsed = random_.chance(0.1) ? now_ - attempt.startedAt : random_.exponential(120);
+    if (outcome.result == Result::ok) outcome.trueUnits = random_.chance(0.5) ? random_.between(0, 6) : 0;
+    if (random_.chance(0.6)) outcome.usePercent = static_cast<int>(random_.below(220));
+    outcome.finished = random_.chance(0.02);
+    if (random_.chance(0.5))
+      outcome.report = {random_.between(0, 20), random_.between(0, 20), random_.uniform()};
+    gateway_.outcome(now_, outcome);
+    if (random_.chance(0.01)) gateway_.outcome(now_, outcome);
+  }
+
+  void touchRequest() {
+    const RequestId id = lastRequest_ > 30 ? lastRequest_ - random_.below(30) : lastRequest_;
+    const unsigned kind = random_.below(3);
+    if (kind == 0) gateway_.clientLeft(now_, id);
+    if (kind == 1) gateway_.answering(now_, id);
+    if (kind == 2) gateway_.whole(now_, id, now_ + random_.between(50, 2000));
+  }
+
+  void changeWorkers() {
+    const unsigned kind = random_.below(8);
+    if (kind == 0) return gateway_.members(now_, ListKind::failed, {});
+    if (kind == 1) return gateway_.members(now_, ListKind::full, workers_);
+    if (kind == 2) return gateway_.members(now_, ListKind::cached, workers_);
+    if (workers_.empty() || (kind == 3 && workers_.size() < 80)) {
+      addWorker(now_);
+      return gateway_.members(now_, ListKind::delta, {workers_.back()});
+    }
+    const unsigned at = random_.below(static_cast<unsigned>(workers_.size()));
+    Member& worker = workers_[at];
+    if (kind == 4) worker.started = now_;
+    if (kind >= 5) worker.phase = random_.chance(0.3) ? Phase::draining : Phase::ready;
+    if (kind == 7 && workers_.size() > 3 && random_.chance(0.4)) worker.phase = Phase::gone;
+    gateway_.members(now_, ListKind::delta, {worker});
+    if (worker.phase == Phase::gone) workers_.erase(workers_.begin() + at);
+  }
+
+  void changeExclusions() {
+    if (workers_.empty()) return;
+    const WorkerId worker = workers_[random_.below(static_cast<unsigned>(workers_.size()))].worker;
+    if (random_.chance(0.4))
+      gateway_.exclude(now_, worker);
+    else
+      gateway_.include(now_, worker);
+  }
+
+  void changePressure() {
+    Pressure pressure;
+    pressure.on = random_.chance(0.3);
+    if (pressure.on) {
+      pressure.memory = random_.chance(0.5);
+      pressure.share = random_.chance(0.5) ? random_.uniform() : 0;
+      pressure.excess = random_.chance(0.3) ? random_.between(0, 1e6) : 0;
+      pressure.lasts = random_.between(0, 3000);
+    }
+    gateway_.pressure(now_, pressure);
+  }
+
+  void changeSettings() {
+    Settings to = settings_;
+    to.maxAttempts = 1 + random_.below(5);
+    for (ClassSettings& item : to.classes) item.aim *= random_.between(0.9, 1.1);
+    for (PlanSettings& item : to.plans) item.rate *= random_.between(0.8, 1.2);
+    if (random_.chance(0.3)) std::swap(to.plans.front(), to.plans.back());
+    if (random_.chance(0.3)) std::swap(to.classes.front(), to.classes.back());
+    if (random_.chance(0.2)) to.plans.back().name += "'";
+    if (random_.chance(0.2)) to.gateways = to.self + 1 + random_.below(120);
+    if (random_.chance(0.1)) to.meterPeriod = to.meterPeriod > 0 ? 0 : 1000;
+    settings_ = to;
+    gateway_.settings(now_, to);
+  }
+
+  void observe() {
+    const Census census = gateway_.census(now_);
+    hash(static_cast<std::uint64_t>(census.listed)), hash(static_cast<std::uint64_t>(census.avoided));
+    hash(gateway_.warmRate(now_));
+    if (random_.chance(0.1)) gateway_.knowWarmRate(now_, random_.between(0, 0.2));
+  }
+
+  void finish() {
+    observe();
+    const RefusalCounts counts = gateway_.refusals();
+    hash(counts.bucket), hash(counts.store), hash(counts.stranger);
+    hash(counts.worker), hash(counts.room), hash(counts.pressed);
+    hash(static_cast<std::uint64_t>(gateway_.customersHeld()));
+    hash(static_cast<std::uint64_t>(gateway_.requestsHeld()));
+  }
+
+  Generator random_;
+  Time now_ = 0;
+  Settings settings_;
+  unsigned customers_;
+  XXH3_state_t hash_{};
+  std::vector<Member> workers_;
+  std::vector<Attempt> open_;
+  std::map<RequestId, unsigned> attempts_;
+  std::multimap<Time, std::uint64_t> timers_;
+  RequestId lastRequest_ = 0;
+  WorkerId lastWorker_ = 0;
+  Gateway gateway_;
+};
+
+bool isRecording() {
+  const char* mode = std::getenv("WINGSLIP_REPLAY");
+  return mode && std::strcmp(mode, "record") == 0;
+}
+
+/// The recorded digest of each sequence, by seed and number of events.
+std::map<std::pair<std::uint64_t, unsigned>, std::uint64_t> recordedDigests() {
+  std::map<std::pair<std::uint64_t, unsigned>, std::uint64_t> out;
+  std::ifstream file(DECISION_REPLAY_DIGESTS);
+  std::uint64_t seed = 0, digest = 0;
+  unsigned events = 0;
+  while (file >> std::dec >> seed >> events >> std::hex >> digest) out[{seed, events}] = digest;
+  return out;
+}
+
+void replayAll(unsigned events) {
+  const auto recorded = recordedDigests();
+  for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
+    const std::uint64_t digest = Replay(seed, events).digest();
+    if (isRecording()) {
+      std::printf("%llu %u %016llx\n", static_cast<unsigned long long>(seed), events,
+                  static_cast<unsigned long long>(digest));
+      continue;
+    }
+    ASSERT_TRUE(recorded.contains({seed, events})) << "no digest of seed " << seed;
+    EXPECT_EQ(digest, recorded.at({seed, events})) << "seed " << seed << ", " << events << " events";
+  }
+}
+
+TEST(DecisionReplay, ShortSequencesGiveTheRecordedActions) { replayAll(kShortEvents); }
+
+TEST(DecisionReplay, LongSequencesGiveTheRecordedActions) { replayAll(kLongEvents); }
+
+}  // namespace
+}  // namespace irisring::test
