--- a/include/irisring/decide.hpp
+++ b/include/wingslip/decision/gateway.hpp
@@ -1,4 +1,4 @@
-// irisring: the interface of the decision module (implemented in src/decide.cpp).
+// The interface of the decision module (implemented in src/decision/gateway.cpp).
 //
 // A host feeds events to one Gateway object per gateway and carries out the actions it is handed. All times
 // are milliseconds of the host's clock; the module reads no other clock and no other source of randomness
@@ -10,7 +10,7 @@
 #include <string>
 #include <vector>
 
-namespace irisring {
+namespace wingslip::decision {
 
 using Time = double;
 using RequestId = std::uint32_t;
@@ -180,4 +180,4 @@
   std::unique_ptr<Core> core_;
 };
 
-}  // namespace irisring
+}  // namespace wingslip::decision
--- a/src/codec/cbor.hpp
+++ b/src/codec/cbor.hpp
@@ -6,7 +6,7 @@
 #include <nlohmann/json.hpp>
 #include <stdexcept>
 
-namespace burlwind {
+namespace wingslip {
 
 /// Bytes that are no CBOR, or nested deeper than `kMaxCborDepth`.
 class CborError : public std::runtime_error {
@@ -58,4 +58,4 @@
   return json::from_cbor(bytes, bytes + size);
 }
 
-}  // namespace burlwind
+}  // namespace wingslip
--- a/src/node/config.cpp
+++ b/src/config/config.cpp
@@ -1,4 +1,4 @@
-#include "node/config.hpp"
+#include "config/config.hpp"
 
 #include <algorithm>
 #include <cctype>
@@ -11,7 +11,7 @@
 #include <set>
 #include <stdexcept>
 
-namespace burlwind {
+namespace wingslip {
 namespace {
 
 using nlohmann::json;
@@ -233,8 +233,8 @@
   out.keys.assign(keys.begin(), keys.end());
   std::string lines;
   flatten(file["settings"], "", lines);
-  out.settings = irisring::parseSettings(lines);
-  out.host = irisring::parseHostSettings(lines);
+  out.settings = settings::parseSettings(lines);
+  out.host = settings::parseHostSettings(lines);
   return out;
 }
 
@@ -309,4 +309,4 @@
   return out;
 }
 
-}  // namespace burlwind
+}  // namespace wingslip
--- a/src/node/config.hpp
+++ b/src/config/config.hpp
@@ -10,9 +10,9 @@
 #include <string_view>
 #include <vector>
 
-#include "settings.hpp"
+#include "settings/settings_reader.hpp"
 
-namespace burlwind {
+namespace wingslip {
 
 // The store through which gatekeepers agree on who holds a duty (`docs/design.md`).
 struct Coordination {
@@ -47,8 +47,8 @@
   double memoryMb =
       32;             // what the process may hold; where nothing is told, the least that the platform grants
   std::string known;  // the list of workers as last had, in discovery's form; may be old
-  irisring::Settings settings;
-  irisring::HostSettings host;
+  decision::Settings settings;
+  settings::HostSettings host;
   std::optional<Coordination> coordination;  // nothing: no duties, and nothing of them runs
   std::optional<Replication> replication;    // nothing: it shares no state
   // Paths of all keys but `coordination`, `replica` and those within `known`; a changed file has them all.
@@ -67,4 +67,4 @@
 Config parseConfig(std::string_view json);
 boost::asio::ip::tcp::endpoint parseEndpoint(std::string_view hostPort);
 
-}  // namespace burlwind
+}  // namespace wingslip
--- a/src/decide.cpp
+++ b/src/decision/gateway.cpp
@@ -1,9 +1,9 @@
-// irisring: the decision module. Its interface (settings, events, actions) is include/irisring/decide.hpp.
+// The decision module. Its interface (settings, events, actions) is include/wingslip/decision/gateway.hpp.
 //
 // Reading order: the tuned values; Core's events at the end of its class (request, outcome, members, timer);
 // then the sections they call: 1 quota, 2 guards (ceiling, cold workers, drains), 3 server choice and
 // health, 4 attempts and final answers. Why each departs from the source design: docs/design.md.
-#include "irisring/decide.hpp"
+#include "wingslip/decision/gateway.hpp"
 
 #include <algorithm>
 #include <array>
@@ -18,7 +18,7 @@
 #include <tuple>
 #include <unordered_map>
 
-namespace irisring {
+namespace wingslip::decision {
 namespace {
 
 // --- Tuned values --------------------------------------------------------------------------------------
@@ -1255,4 +1255,4 @@
 std::size_t Gateway::customersHeld() const { return core_->customersHeld(); }
 std::size_t Gateway::requestsHeld() const { return core_->requestsHeld(); }
 
-}  // namespace irisring
+}  // namespace wingslip::decision
--- a/src/distribution/change_log.cpp
+++ b/src/distribution/change_log.cpp
@@ -1,6 +1,6 @@
 #include "distribution/change_log.hpp"
 
-namespace burlwind::distribution {
+namespace wingslip::distribution {
 
 void ChangeLog::reset(Version base, Term baseTerm) {
   base_ = base;
@@ -61,4 +61,4 @@
   if (found != requests_.end() && found->second == record.version) requests_.erase(found);
 }
 
-}  // namespace burlwind::distribution
+}  // namespace wingslip::distribution
--- a/src/distribution/change_log.hpp
+++ b/src/distribution/change_log.hpp
@@ -7,7 +7,7 @@
 
 #include "distribution/entry.hpp"
 
-namespace burlwind::distribution {
+namespace wingslip::distribution {
 
 class ChangeLog {
  public:
@@ -43,4 +43,4 @@
   std::unordered_map<std::string, Version> requests_;
 };
 
-}  // namespace burlwind::distribution
+}  // namespace wingslip::distribution
--- a/src/distribution/control_replica.cpp
+++ b/src/distribution/control_replica.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-namespace burlwind::distribution {
+namespace wingslip::distribution {
 
 ControlReplica::ControlReplica(const ReplicaLimits& limits, const std::string& name,
                                const std::vector<std::string>& peers, std::uint64_t seed, Outside& outside)
@@ -304,4 +304,4 @@
   log_.line(now, "event=message_unexpected from=" + from + " what=" + what);
 }
 
-}  // namespace burlwind::distribution
+}  // namespace wingslip::distribution
--- a/src/distribution/control_replica.hpp
+++ b/src/distribution/control_replica.hpp
@@ -9,7 +9,7 @@
 #include "distribution/subscriber_sessions.hpp"
 #include "distribution/writer.hpp"
 
-namespace burlwind::distribution {
+namespace wingslip::distribution {
 
 struct ReplicaLimits {
   SessionLimits sessions;
@@ -111,4 +111,4 @@
   ReplicaCounts counts_;
 };
 
-}  // namespace burlwind::distribution
+}  // namespace wingslip::distribution
--- a/src/distribution/entry.cpp
+++ b/src/distribution/entry.cpp
@@ -5,7 +5,7 @@
 
 #include <set>
 
-namespace burlwind::distribution {
+namespace wingslip::distribution {
 namespace {
 
 constexpr std::size_t kEntryOverheadBytes = 24;
@@ -58,4 +58,4 @@
   return std::nullopt;
 }
 
-}  // namespace burlwind::distribution
+}  // namespace wingslip::distribution
--- a/src/distribution/entry.hpp
+++ b/src/distribution/entry.hpp
@@ -10,7 +10,7 @@
 #include <string>
 #include <vector>
 
-namespace burlwind::distribution {
+namespace wingslip::distribution {
 
 using Version = std::uint64_t;      // position in the log; the first change is version 1
 using Term = std::uint64_t;         // fencing token of a writer; 0 is the term of the empty configuration
@@ -75,4 +75,4 @@
 // The reason why these edits are no change; nothing when they are one.
 std::optional<std::string> findFault(const std::vector<Edit>& edits);
 
-}  // namespace burlwind::distribution
+}  // namespace wingslip::distribution
--- a/src/distribution/entry_table.cpp
+++ b/src/distribution/entry_table.cpp
@@ -5,7 +5,7 @@
 
 #include <algorithm>
 
-namespace burlwind::distribution {
+namespace wingslip::distribution {
 namespace {
 
 bool keyLess(const EntryPointer& entry, const EntryKey& key) { return entry->key < key; }
@@ -109,4 +109,4 @@
   }
 }
 
-}  // namespace burlwind::distribution
+}  // namespace wingslip::distribution
--- a/src/distribution/entry_table.hpp
+++ b/src/distribution/entry_table.hpp
@@ -7,7 +7,7 @@
 
 #include "distribution/entry.hpp"
 
-namespace burlwind::distribution {
+namespace wingslip::distribution {
 
 // The entries of one range in the order of their keys. `hash`: the sum of their hashes.
 struct Range {
@@ -50,4 +50,4 @@
   std::size_t size_ = 0;
 };
 
-}  // namespace burlwind::distribution
+}  // namespace wingslip::distribution
--- a/src/distribution/limited_log.hpp
+++ b/src/distribution/limited_log.hpp
@@ -6,7 +6,7 @@
 
 #include "distribution/token_bucket.hpp"
 
-namespace burlwind::distribution {
+namespace wingslip::distribution {
 
 class LimitedLog {
  public:
@@ -30,4 +30,4 @@
   std::uint64_t suppressed_ = 0;
 };
 
-}  // namespace burlwind::distribution
+}  // namespace wingslip::distribution
--- a/src/distribution/message.cpp
+++ b/src/distribution/message.cpp
@@ -9,7 +9,7 @@
 
 #include "codec/cbor.hpp"
 
-namespace burlwind::distribution {
+namespace wingslip::distribution {
 namespace {
 
 using nlohmann::json;
@@ -433,4 +433,4 @@
   }
 }
 
-}  // namespace burlwind::distribution
+}  // namespace wingslip::distribution
--- a/src/distribution/message.hpp
+++ b/src/distribution/message.hpp
@@ -7,7 +7,7 @@
 
 #include "distribution/entry_table.hpp"
 
-namespace burlwind::distribution {
+namespace wingslip::distribution {
 
 inline constexpr std::size_t kMaxMessageBytes = 512 * 1024;
 inline constexpr std::size_t kMaxSnapshotBytes = 256 * 1024 * 1024;
@@ -169,4 +169,4 @@
 // Throws CodecError, also when the table does not have the root hash that was written with it.
 Snapshot decodeSnapshot(const std::string& bytes);
 
-}  // namespace burlwind::distribution
+}  // namespace wingslip::distribution
--- a/src/distribution/placement.cpp
+++ b/src/distribution/placement.cpp
@@ -7,7 +7,7 @@
 #include <cstdint>
 #include <tuple>
 
-namespace burlwind::distribution {
+namespace wingslip::distribution {
 namespace {
 
 enum class Distance : unsigned { same_zone, same_region, elsewhere };
@@ -38,4 +38,4 @@
   return names;
 }
 
-}  // namespace burlwind::distribution
+}  // namespace wingslip::distribution
--- a/src/distribution/placement.hpp
+++ b/src/distribution/placement.hpp
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-namespace burlwind::distribution {
+namespace wingslip::distribution {
 
 struct Location {
   std::string region, zone;
@@ -19,4 +19,4 @@
 std::vector<std::string> orderReplicas(const std::string& subscriber, const Location& location,
                                        const std::vector<ReplicaAddress>& replicas);
 
-}  // namespace burlwind::distribution
+}  // namespace wingslip::distribution
--- a/src/distribution/replica_state.cpp
+++ b/src/distribution/replica_state.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-namespace burlwind::distribution {
+namespace wingslip::distribution {
 
 RecordPointer ReplicaState::makeRecord(Term term, const std::string& requestId,
                                        const std::vector<Edit>& edits) const {
@@ -91,4 +91,4 @@
   return log_.lastVersion() > committed_ ? log_.at(log_.lastVersion())->rootHash : table_.rootHash();
 }
 
-}  // namespace burlwind::distribution
+}  // namespace wingslip::distribution
--- a/src/distribution/replica_state.hpp
+++ b/src/distribution/replica_state.hpp
@@ -5,7 +5,7 @@
 #include "distribution/change_log.hpp"
 #include "distribution/message.hpp"
 
-namespace burlwind::distribution {
+namespace wingslip::distribution {
 
 class ReplicaState {
  public:
@@ -56,4 +56,4 @@
   Milliseconds writerTime_ = 0;
 };
 
-}  // namespace burlwind::distribution
+}  // namespace wingslip::distribution
--- a/src/distribution/subscriber.cpp
+++ b/src/distribution/subscriber.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-namespace burlwind::distribution {
+namespace wingslip::distribution {
 namespace {
 
 constexpr unsigned kMaxDoublings = 10;
@@ -344,4 +344,4 @@
   if (refusals_.size() > kMaxRefusals) refusals_.erase(refusals_.begin());
 }
 
-}  // namespace burlwind::distribution
+}  // namespace wingslip::distribution
--- a/src/distribution/subscriber.hpp
+++ b/src/distribution/subscriber.hpp
@@ -11,7 +11,7 @@
 #include "distribution/message.hpp"
 #include "distribution/transfer.hpp"
 
-namespace burlwind::distribution {
+namespace wingslip::distribution {
 
 struct SubscriberLimits {
   Milliseconds connectTimeout = 2'000;  // no answer to Subscribe: the next replica is asked
@@ -148,4 +148,4 @@
   SubscriberCounts counts_;
 };
 
-}  // namespace burlwind::distribution
+}  // namespace wingslip::distribution
--- a/src/distribution/subscriber_sessions.cpp
+++ b/src/distribution/subscriber_sessions.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-namespace burlwind::distribution {
+namespace wingslip::distribution {
 namespace {
 
 constexpr double kHeartbeatBytes = 64;
@@ -232,4 +232,4 @@
   return changes;
 }
 
-}  // namespace burlwind::distribution
+}  // namespace wingslip::distribution
--- a/src/distribution/subscriber_sessions.hpp
+++ b/src/distribution/subscriber_sessions.hpp
@@ -10,7 +10,7 @@
 #include "distribution/token_bucket.hpp"
 #include "distribution/transfer.hpp"
 
-namespace burlwind::distribution {
+namespace wingslip::distribution {
 
 struct SessionLimits {
   double bytesPerSecond = 15'500;  // to a subscriber
@@ -92,4 +92,4 @@
   SessionCounts counts_;
 };
 
-}  // namespace burlwind::distribution
+}  // namespace wingslip::distribution
--- a/src/distribution/token_bucket.hpp
+++ b/src/distribution/token_bucket.hpp
@@ -6,7 +6,7 @@
 
 #include "distribution/entry.hpp"
 
-namespace burlwind::distribution {
+namespace wingslip::distribution {
 
 class TokenBucket {
  public:
@@ -34,4 +34,4 @@
   Milliseconds filledAt_ = 0;
 };
 
-}  // namespace burlwind::distribution
+}  // namespace wingslip::distribution
--- a/src/distribution/transfer.cpp
+++ b/src/distribution/transfer.cpp
@@ -1,6 +1,6 @@
 #include "distribution/transfer.hpp"
 
-namespace burlwind::distribution {
+namespace wingslip::distribution {
 namespace {
 
 // A part is full when it has this many bytes; a range is never divided.
@@ -61,4 +61,4 @@
   return table_.rootHash() == rootHash_ ? TransferStep::complete : TransferStep::damaged;
 }
 
-}  // namespace burlwind::distribution
+}  // namespace wingslip::distribution
--- a/src/distribution/transfer.hpp
+++ b/src/distribution/transfer.hpp
@@ -5,7 +5,7 @@
 
 #include "distribution/message.hpp"
 
-namespace burlwind::distribution {
+namespace wingslip::distribution {
 
 // The sender's side: the parts of one transfer. The table is as it was at the request, so that the transfer
 // is of one version while the replica's own table goes on; it shares the ranges that did not change since.
@@ -57,4 +57,4 @@
   Hash rootHash_ = 0;
 };
 
-}  // namespace burlwind::distribution
+}  // namespace wingslip::distribution
--- a/src/distribution/writer.cpp
+++ b/src/distribution/writer.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <tuple>
 
-namespace burlwind::distribution {
+namespace wingslip::distribution {
 
 Writer::Writer(Milliseconds now, Term term, const std::vector<std::string>& peers, std::size_t maxUncommitted,
                ReplicaState& state, Send send)
@@ -181,4 +181,4 @@
   return values[values.size() / 2];
 }
 
-}  // namespace burlwind::distribution
+}  // namespace wingslip::distribution
--- a/src/distribution/writer.hpp
+++ b/src/distribution/writer.hpp
@@ -9,7 +9,7 @@
 
 #include "distribution/replica_state.hpp"
 
-namespace burlwind::distribution {
+namespace wingslip::distribution {
 
 enum class PublishStatus {
   committed,   // a majority holds the change
@@ -83,4 +83,4 @@
   Milliseconds majorityHeardAt_ = 0;
 };
 
-}  // namespace burlwind::distribution
+}  // namespace wingslip::distribution
--- a/src/watch/list.hpp
+++ b/src/endpoint_watch/endpoint_list.hpp
@@ -12,16 +12,16 @@
 #include <utility>
 #include <vector>
 
-#include "irisring/decide.hpp"
+#include "wingslip/decision/gateway.hpp"
 
-namespace burlwind {
+namespace wingslip {
 
 struct Instance {
   std::string id;
   boost::asio::ip::tcp::endpoint address;
   std::string zone, kind;
   unsigned cell = 0;
-  irisring::Phase phase = irisring::Phase::ready;
+  decision::Phase phase = decision::Phase::ready;
   double startedAtMs = 0;  // Unix time; 0: long ago
 };
 
@@ -89,4 +89,4 @@
   std::set<std::pair<long long, std::string_view>> byGeneration_;  // the same, the oldest first
 };
 
-}  // namespace burlwind
+}  // namespace wingslip
--- a/src/watch/watch.cpp
+++ b/src/endpoint_watch/endpoint_watch.cpp
@@ -1,8 +1,8 @@
-#include "watch/watch.hpp"
+#include "endpoint_watch/endpoint_watch.hpp"
 
 #include <algorithm>
 
-namespace burlwind {
+namespace wingslip {
 namespace {
 
 // An empty line comes every 2 s: one is 0.4 s late. What an agent has when it begins to talk again
@@ -104,4 +104,4 @@
   return Act::close;
 }
 
-}  // namespace burlwind
+}  // namespace wingslip
--- a/src/watch/watch.hpp
+++ b/src/endpoint_watch/endpoint_watch.hpp
@@ -11,7 +11,7 @@
 #include <cstdint>
 #include <random>
 
-namespace burlwind {
+namespace wingslip {
 
 class Watch {
  public:
@@ -80,4 +80,4 @@
   std::uint64_t calls_ = 0;
 };
 
-}  // namespace burlwind
+}  // namespace wingslip
--- a/src/watch/start_times.cpp
+++ b/src/endpoint_watch/start_times.cpp
@@ -1,14 +1,14 @@
-#include "watch/start_times.hpp"
+#include "endpoint_watch/start_times.hpp"
 
 #include <algorithm>
 
-namespace burlwind {
+namespace wingslip {
 
 void StartTimes::hear(double startedAtMs, Time told) {
   if (startedAtMs > 0) offset_ = std::min(offset_, told - startedAtMs);
 }
 
-WorkerStart StartTimes::startOf(irisring::WorkerId worker, double startedAtMs, Time told, bool live) {
+WorkerStart StartTimes::startOf(decision::WorkerId worker, double startedAtMs, Time told, bool live) {
   const auto found = known_.find(worker);
   if (found != known_.end() && found->second.startedAtMs == startedAtMs) return found->second.start;
   WorkerStart start;
@@ -21,9 +21,9 @@
   return start;
 }
 
-void StartTimes::trim(const std::function<bool(irisring::WorkerId)>& listed) {
+void StartTimes::trim(const std::function<bool(decision::WorkerId)>& listed) {
   if (known_.size() <= kMostHeld) return;
   std::erase_if(known_, [&](const auto& entry) { return !listed(entry.first); });
 }
 
-}  // namespace burlwind
+}  // namespace wingslip
--- a/src/watch/start_times.hpp
+++ b/src/endpoint_watch/start_times.hpp
@@ -11,14 +11,14 @@
 #include <functional>
 #include <unordered_map>
 
-#include "irisring/decide.hpp"
+#include "wingslip/decision/gateway.hpp"
 
-namespace burlwind {
+namespace wingslip {
 
 /// One start of a worker, in ms of the monotonic clock.
 struct WorkerStart {
-  irisring::Time warmFrom = 0;     ///< slow start counts from here; 0: it started long ago
-  irisring::Time processFrom = 0;  ///< connections opened before this went to an earlier process; 0: none did
+  decision::Time warmFrom = 0;     ///< slow start counts from here; 0: it started long ago
+  decision::Time processFrom = 0;  ///< connections opened before this went to an earlier process; 0: none did
 };
 
 /// The rule:
@@ -32,7 +32,7 @@
 /// - The same start of a worker always gives the same answer, whatever the hint has become.
 class StartTimes {
  public:
-  using Time = irisring::Time;
+  using Time = decision::Time;
   /// From a worker's start until its list reaches a gatekeeper: the longest that is plausible, in ms.
   static constexpr Time kMostDelay = 10000;
   /// Workers remembered; past it those that are not listed are forgotten.
@@ -44,9 +44,9 @@
   /// A list names this start; called for all of its entries before `startOf`.
   void hear(double startedAtMs, Time told);
   /// `startedAtMs` in Unix time, 0: long ago; `told` on the monotonic clock.
-  WorkerStart startOf(irisring::WorkerId worker, double startedAtMs, Time told, bool live);
+  WorkerStart startOf(decision::WorkerId worker, double startedAtMs, Time told, bool live);
   /// Forgets workers for which `listed` is false, if there are more than `kMostHeld`.
-  void trim(const std::function<bool(irisring::WorkerId)>& listed);
+  void trim(const std::function<bool(decision::WorkerId)>& listed);
 
   /// The hint as corrected so far: the monotonic clock less the true Unix time, in ms.
   Time offset() const { return offset_; }
@@ -59,7 +59,7 @@
   };
 
   Time offset_;
-  std::unordered_map<irisring::WorkerId, Known> known_;
+  std::unordered_map<decision::WorkerId, Known> known_;
 };
 
-}  // namespace burlwind
+}  // namespace wingslip
--- a/src/node/client_connection.cpp
+++ b/src/gatekeeper/client_connection.cpp
@@ -1,4 +1,4 @@
-#include "node/client_connection.hpp"
+#include "gatekeeper/client_connection.hpp"
 
 #include <algorithm>
 #include <boost/asio/post.hpp>
@@ -6,9 +6,9 @@
 #include <utility>
 #include <variant>
 
-#include "node/socket_io.hpp"
+#include "net/socket_io.hpp"
 
-namespace burlwind {
+namespace wingslip {
 namespace {
 
 using asio::ip::tcp;
@@ -20,7 +20,7 @@
 
 const Rejection kNoRoom{http::status::service_unavailable, "refused: no room, try again later"};
 
-std::string seconds(irisring::Time ms) {
+std::string seconds(decision::Time ms) {
   char text[32];
   const auto end = std::to_chars(text, text + sizeof text, ms / 1000, std::chars_format::fixed, 3).ptr;
   return std::string(text, end);
@@ -97,7 +97,7 @@
   if (writing_.empty()) asio::post(socket_.get_executor(), guard0([this] { written(); }));
 }
 
-void ClientServer::Connection::keep(Ledger::Charge&& room) {
+void ClientServer::Connection::keep(MemoryBudget::Charge&& room) {
   if (state_ != State::closed) answerRoom_ = std::move(room);
 }
 
@@ -410,7 +410,7 @@
 
 // What it waited in the machine's queue for its connection to be accepted counts against its client's time.
 // Later ones are read as they come.
-irisring::Time ClientServer::Connection::waitedUnread() {
+decision::Time ClientServer::Connection::waitedUnread() {
   if (!first_ || !tcpTells_) return 0;
   const double waited = static_cast<double>(sinceLastData(socket_).count());
   server_.stats_.mostWaited = std::max(server_.stats_.mostWaited, waited);
@@ -436,7 +436,7 @@
 }
 
 void ClientServer::Connection::handle(ClientMessage&& message) {
-  const irisring::Time waited = waitedUnread();
+  const decision::Time waited = waitedUnread();
   first_ = false;
   inBody_ = false;
   bodyDone_ = true;
@@ -476,7 +476,7 @@
   reject({ready ? http::status::ok : http::status::service_unavailable, ready ? "ready" : "not ready"});
 }
 
-void ClientServer::Connection::reject(const Rejection& why, irisring::Time retryAfter) {
+void ClientServer::Connection::reject(const Rejection& why, decision::Time retryAfter) {
   server_.stats_.rejected += why.status != http::status::ok;
   if (why.status == http::status::request_timeout) bodyDone_ = last_ = true;
   if (!bodyDone_ && !parser_->is_header_done()) bodyDone_ = true;
@@ -554,4 +554,4 @@
   return false;
 }
 
-}  // namespace burlwind
+}  // namespace wingslip
--- a/src/node/client_connection.hpp
+++ b/src/gatekeeper/client_connection.hpp
@@ -12,10 +12,10 @@
 #include <string>
 #include <utility>
 
-#include "node/client_server.hpp"
-#include "node/connection_order.hpp"
+#include "gatekeeper/client_server.hpp"
+#include "gatekeeper/connection_order.hpp"
 
-namespace burlwind {
+namespace wingslip {
 
 /// Bytes that a connection is charged with: its parser, a first buffer, a request of 2 KiB and a short
 /// answer. Once it is accepted, a small request never waits for room.
@@ -44,7 +44,7 @@
 
  public:
   /// With `overflow` its header is heard, and it is turned away.
-  Connection(ClientServer& server, Socket socket, Ledger::Charge room, bool overflow)
+  Connection(ClientServer& server, Socket socket, MemoryBudget::Charge room, bool overflow)
       : server_(server),
         room_(std::move(room)),
         overflow_(overflow),
@@ -55,7 +55,7 @@
   void answer(Answer&& answer) override;
   void begin(const AnswerHead& head) override;
   void pass(std::string&& piece, bool last, std::function<void()> room) override;
-  void keep(Ledger::Charge&& room) override;
+  void keep(MemoryBudget::Charge&& room) override;
 
   // Without its end where it states one; else a reset tells.
   void cut() override;
@@ -92,7 +92,7 @@
   enum class State { reading, held, streaming, answering, skipping, lingering, closed };
   bool begun() const { return begun_ || in_.size() > 0; }
 
-  void wait(WaitAt place) { waiting_.enter(server_.pressure_.places(), place, BackPressure::now()); }
+  void wait(WaitAt place) { waiting_.enter(server_.pressure_.places(), place, OverloadManager::now()); }
   void turnAway(WaitAt place) { server_.pressure_.places().turnAway(place); }
 
   bool owesAnswer() const;
@@ -142,7 +142,7 @@
   void sendContinue();
 
   // Of a connection's first request: how long its last byte has waited to be read.
-  irisring::Time waitedUnread();
+  decision::Time waitedUnread();
 
   // A body too long to be held: judged by its header, and what has come of it goes along.
   void handleStream();
@@ -154,7 +154,7 @@
   void sayReady(http::verb method);
 
   // An answer from here: the request never reaches the handler.
-  void reject(const Rejection& why, irisring::Time retryAfter = 0);
+  void reject(const Rejection& why, decision::Time retryAfter = 0);
   void write();
   void written();
 
@@ -169,10 +169,10 @@
   bool discard();
 
   ClientServer& server_;
-  Ledger::Charge room_;        // of this connection and of the request on it
-  Ledger::Charge answerRoom_;  // of an answer that is being written
-  Places::Waiting waiting_;
-  BackPressure::Paused paused_;
+  MemoryBudget::Charge room_;        // of this connection and of the request on it
+  MemoryBudget::Charge answerRoom_;  // of an answer that is being written
+  WaitQueues::Waiting waiting_;
+  OverloadManager::Paused paused_;
   std::size_t requestBytes_ = 0;  // come of the request and not yet given away
   std::size_t passed_ = 0;        // of these, at the worker's side and not yet written
   bool overflow_;
@@ -186,7 +186,7 @@
   std::string out_, writing_;
   State state_ = State::reading;
   Clock::time_point idleSince_;
-  irisring::RequestId id_ = 0;
+  decision::RequestId id_ = 0;
   std::size_t discarded_ = 0;
   bool first_ = true;       // no whole request has come yet
   bool begun_ = false;      // a request's first byte has come
@@ -203,4 +203,4 @@
   Clock::time_point readAt_;
 };
 
-}  // namespace burlwind
+}  // namespace wingslip
--- a/src/node/call.cpp
+++ b/src/gatekeeper/client_request.cpp
@@ -1,14 +1,14 @@
-#include "node/call.hpp"
+#include "gatekeeper/client_request.hpp"
 
 #include <algorithm>
 #include <charconv>
 #include <cmath>
 #include <optional>
 
-namespace burlwind {
+namespace wingslip {
 namespace {
 
-constexpr irisring::CustomerId kCustomers = irisring::CustomerId{1} << 33;
+constexpr decision::CustomerId kCustomers = decision::CustomerId{1} << 33;
 constexpr double kMostPatience = 10 * 60 * 1000;
 
 // The whole of a text as a number, or nothing.
@@ -61,7 +61,7 @@
   return static_cast<unsigned>(found - names.begin());
 }
 
-bool readTerms(std::string_view terms, const irisring::Settings& settings, Call& call) {
+bool readTerms(std::string_view terms, const decision::Settings& settings, Call& call) {
   const auto units = number<double>(valueOf(terms, ',', "units"));
   const auto spread = number<unsigned>(valueOf(terms, ',', "spread"));
   const auto first = number<unsigned>(valueOf(terms, ',', "first"));
@@ -73,10 +73,10 @@
   return true;
 }
 
-bool methodFits(const ClientMessage& message, irisring::Repeat repeat) {
-  if (repeat == irisring::Repeat::safe) return message.method() == http::verb::get && message.body().empty();
+bool methodFits(const ClientMessage& message, decision::Repeat repeat) {
+  if (repeat == decision::Repeat::safe) return message.method() == http::verb::get && message.body().empty();
   return message.method() == http::verb::post &&
-         (repeat == irisring::Repeat::unsafe || !header(message, "Idempotency-Key").empty());
+         (repeat == decision::Repeat::unsafe || !header(message, "Idempotency-Key").empty());
 }
 
 }  // namespace
@@ -113,7 +113,7 @@
   if (!plan) return Rejection{bad, "unknown plan"};
   call.plan = *plan;
   const std::string_view key = valueOf(target, '&', "client");
-  const auto customer = number<irisring::CustomerId>(key, 16);
+  const auto customer = number<decision::CustomerId>(key, 16);
   if (key.size() != 16 || !customer || *customer >= kCustomers) return Rejection{bad, "bad customer"};
   call.customer = *customer;
   const auto patience = number<std::uint64_t>(header(message, "Req-Deadline-Ms"));
@@ -125,4 +125,4 @@
   return call;
 }
 
-}  // namespace burlwind
+}  // namespace wingslip
--- a/src/node/call.hpp
+++ b/src/gatekeeper/client_request.hpp
@@ -5,18 +5,18 @@
 #include <optional>
 #include <variant>
 
-#include "node/config.hpp"
-#include "node/http.hpp"
+#include "config/config.hpp"
+#include "net/http.hpp"
 
-namespace burlwind {
+namespace wingslip {
 
 using ClientMessage = http::request<WindowBody>;
 
 struct Call {
   unsigned klass = 0;
   unsigned plan = 0;
-  irisring::CustomerId customer = 0;
-  irisring::Time patience = 0;  // how long the client waits from when it sent the request
+  decision::CustomerId customer = 0;
+  decision::Time patience = 0;  // how long the client waits from when it sent the request
   double units = 1;
   unsigned setSize = 1;
   bool whole = true;                    // the body is all there; else its rest is pulled from the responder
@@ -32,4 +32,4 @@
 std::string_view originForm(std::string_view target);
 std::variant<Call, Rejection> readCall(const ClientMessage& message, const Config& config);
 
-}  // namespace burlwind
+}  // namespace wingslip
--- a/src/node/client_server.cpp
+++ b/src/gatekeeper/client_server.cpp
@@ -1,4 +1,4 @@
-#include "node/client_server.hpp"
+#include "gatekeeper/client_server.hpp"
 
 #include <algorithm>
 #include <random>
@@ -6,10 +6,10 @@
 #include <utility>
 #include <vector>
 
-#include "node/client_connection.hpp"
-#include "node/listener.hpp"
+#include "gatekeeper/client_connection.hpp"
+#include "net/listener.hpp"
 
-namespace burlwind {
+namespace wingslip {
 namespace {
 
 using asio::ip::tcp;
@@ -30,7 +30,7 @@
 }  // namespace
 
 ClientServer::ClientServer(asio::io_context& io, const Config& config, const Limits& limits,
-                           RequestHandler& handler, BackPressure& pressure)
+                           RequestHandler& handler, OverloadManager& pressure)
     : config_(config),
       limits_(limits),
       handler_(handler),
@@ -40,7 +40,7 @@
       pressure_(pressure),
       chance_(config.seed ^ 0x5bd1e995) {
   pressure_.places().read(WaitAt::acceptQueue, [this](double now) {
-    Places::Figures out;
+    WaitQueues::Figures out;
     out.waiting = queuedAt(acceptor_);
     if (out.waiting > 0 && noRoom_.in(WaitAt::noRoom)) out.oldest = now - noRoom_.since();
     return out;
@@ -167,7 +167,7 @@
 // All are busy. What comes waits in the kernel for a while, since most requests end soon.
 void ClientServer::openOverflow() {
   if (noRoom_.in(WaitAt::noRoom)) return;
-  noRoom_.enter(pressure_.places(), WaitAt::noRoom, BackPressure::now());
+  noRoom_.enter(pressure_.places(), WaitAt::noRoom, OverloadManager::now());
   if (limits_.overflowPlaces() == 0) return;
   overflowTimer_.expires_after(limits_.overflowAfter);
   overflowTimer_.async_wait([this](const Error& error) {
@@ -216,9 +216,9 @@
 }
 
 // By chance, so that those turned away together do not come back together.
-irisring::Time ClientServer::turnedAwayFor() const {
+decision::Time ClientServer::turnedAwayFor() const {
   const double most = config_.settings.maxRetryAfter;
-  const double lasts = std::max(pressure_.pressure().lasts(BackPressure::now()), kLeastAway);
+  const double lasts = std::max(pressure_.pressure().lasts(OverloadManager::now()), kLeastAway);
   return (most > 0 ? std::min(most, lasts) : lasts) * std::uniform_real_distribution<>(0.5, 1.0)(chance_);
 }
 
@@ -327,4 +327,4 @@
   if (connections_.empty() && !acceptor_.is_open()) done_();
 }
 
-}  // namespace burlwind
+}  // namespace wingslip
--- a/src/node/client_server.hpp
+++ b/src/gatekeeper/client_server.hpp
@@ -15,20 +15,20 @@
 #include <utility>
 #include <vector>
 
-#include "node/back_pressure.hpp"
-#include "node/call.hpp"
-#include "node/close_reason.hpp"
-#include "node/connection_order.hpp"
-#include "node/http.hpp"
+#include "net/overload_manager.hpp"
+#include "gatekeeper/client_request.hpp"
+#include "gatekeeper/close_reason.hpp"
+#include "gatekeeper/connection_order.hpp"
+#include "net/http.hpp"
 
-namespace burlwind {
+namespace wingslip {
 
 struct Answer {
   http::status status = http::status::ok;
   std::string body;
   std::string contentType = "text/plain";
-  irisring::Time retryAfter = 0;  // ms; 0: no advice
-  Ledger::Charge room;            // of the body, until it is written
+  decision::Time retryAfter = 0;  // ms; 0: no advice
+  MemoryBudget::Charge room;            // of the body, until it is written
 };
 
 // An answer that is passed on as it comes.
@@ -49,7 +49,7 @@
   virtual void begin(const AnswerHead& head) = 0;
   virtual void pass(std::string&& piece, bool last, std::function<void()> room) = 0;
   // The last piece comes with what holds it, until it is written.
-  virtual void keep(Ledger::Charge&& room) = 0;
+  virtual void keep(MemoryBudget::Charge&& room) = 0;
   // What was begun cannot be finished, and the client can tell.
   virtual void cut() = 0;
   // The next of a body that is not held whole, later; never, if the client leaves.
@@ -65,11 +65,11 @@
   virtual ~RequestHandler() = default;
   virtual bool ready() const = 0;
   // The responder is answered once, maybe before this returns.
-  virtual irisring::RequestId nextId() = 0;
-  virtual void take(irisring::RequestId id, const Call& call, ClientMessage&& message,
+  virtual decision::RequestId nextId() = 0;
+  virtual void take(decision::RequestId id, const Call& call, ClientMessage&& message,
                     const std::shared_ptr<Responder>& responder) = 0;
   // The client has gone; no answer is wanted.
-  virtual void left(irisring::RequestId id) = 0;
+  virtual void left(decision::RequestId id) = 0;
   // One of this class was refused before it could be held.
   virtual void turnedAway(unsigned klass) = 0;
   // A connection was closed over a request that was read and not answered, and its client was still there.
@@ -111,7 +111,7 @@
   };
 
   ClientServer(boost::asio::io_context& io, const Config& config, const Limits& limits,
-               RequestHandler& handler, BackPressure& pressure);
+               RequestHandler& handler, OverloadManager& pressure);
   ~ClientServer();
   ClientServer(const ClientServer&) = delete;
   ClientServer& operator=(const ClientServer&) = delete;
@@ -152,7 +152,7 @@
   void refillOverflowRooms();
   void acceptToOverflow();
   bool makeOverflowRoom();
-  irisring::Time turnedAwayFor() const;
+  decision::Time turnedAwayFor() const;
   void acceptLater();
   void admitWaiting();
   void add(boost::asio::ip::tcp::socket socket);
@@ -171,15 +171,15 @@
   RequestHandler& handler_;
   boost::asio::ip::tcp::acceptor acceptor_;
   boost::asio::steady_timer pause_, overflowTimer_;
-  BackPressure& pressure_;
+  OverloadManager& pressure_;
   std::unordered_set<std::shared_ptr<Connection>> connections_;
   ConnectionOrder idle_;    // without a request, least recently used first
   ConnectionOrder ending_;  // told their end while they were idle; closed first where room is needed
   ConnectionOrder overflowOrder_;
   std::optional<boost::asio::ip::tcp::socket> waiting_;  // accepted, and no room yet
-  Places::Waiting noRoom_;                               // since when there is none
+  WaitQueues::Waiting noRoom_;                               // since when there is none
   std::size_t overflowCount_ = 0;
-  std::vector<Ledger::Charge> overflowRooms_;  // one for each overflow place that is free
+  std::vector<MemoryBudget::Charge> overflowRooms_;  // one for each overflow place that is free
   bool overflowOpen_ = false;
   std::function<void()> done_;
   Stats stats_;
@@ -190,4 +190,4 @@
   bool draining_ = false;
 };
 
-}  // namespace burlwind
+}  // namespace wingslip
--- a/src/node/close_reason.hpp
+++ b/src/gatekeeper/close_reason.hpp
@@ -6,9 +6,9 @@
 #include <cstdint>
 #include <string_view>
 
-#include "node/reason_counts.hpp"
+#include "gatekeeper/reason_counts.hpp"
 
-namespace burlwind {
+namespace wingslip {
 
 enum class CloseReason : std::uint8_t {
   peer_ended,      ///< the client closed it or ended its sending
@@ -39,4 +39,4 @@
 
 using CloseCounts = ReasonCounts<CloseReason, kCloseReasonNames>;
 
-}  // namespace burlwind
+}  // namespace wingslip
--- a/src/node/connection_order.hpp
+++ b/src/gatekeeper/connection_order.hpp
@@ -3,7 +3,7 @@
 
 #include <boost/intrusive/list.hpp>
 
-namespace burlwind {
+namespace wingslip {
 
 /// Connections in the order in which they were appended. Owns none of them.
 class ConnectionOrder {
@@ -32,4 +32,4 @@
   boost::intrusive::list<Entry, boost::intrusive::constant_time_size<false>> entries_;
 };
 
-}  // namespace burlwind
+}  // namespace wingslip
--- a/src/node/discovery.cpp
+++ b/src/gatekeeper/discovery.cpp
@@ -1,4 +1,4 @@
-#include "node/discovery.hpp"
+#include "gatekeeper/discovery.hpp"
 
 #include <algorithm>
 #include <chrono>
@@ -7,11 +7,11 @@
 #include <stdexcept>
 #include <utility>
 
-#include "node/http.hpp"
-#include "node/quiet_log.hpp"
-#include "node/socket_io.hpp"
+#include "net/http.hpp"
+#include "net/rate_limited_log.hpp"
+#include "net/socket_io.hpp"
 
-namespace burlwind {
+namespace wingslip {
 namespace {
 
 using asio::ip::tcp;
@@ -44,7 +44,7 @@
 
  public:
   Link(asio::io_context& io, const tcp::endpoint& agent, Roster known, const Watch::Limits& limits,
-       std::uint64_t seed, Told told, BackPressure& pressure)
+       std::uint64_t seed, Told told, OverloadManager& pressure)
       : pressure_(pressure),
         room_(pressure.ledger().open(Account::discovery)),
         socket_(io),
@@ -55,14 +55,14 @@
     if (known.generation >= 0) history_.accept(known);
   }
 
-  void open() { act(watch_.open(BackPressure::now())); }
+  void open() { act(watch_.open(OverloadManager::now())); }
 
   void moveTo(const tcp::endpoint& agent, const Watch::Limits& limits) {
     if (stopped_) return;
     watch_.retune(limits);
     if (agent == agent_) return;
     agent_ = agent;
-    act(watch_.open(BackPressure::now()));
+    act(watch_.open(OverloadManager::now()));
   }
 
   Stats takeStats() {
@@ -93,7 +93,7 @@
         arm();
         return socket_.async_connect(agent_, guard([this](const Error& error, std::size_t) {
                                        if (error) return lost("cannot connect");
-                                       act(watch_.up(BackPressure::now()));
+                                       act(watch_.up(OverloadManager::now()));
                                      }));
       case Watch::Act::ask:
         return ask();
@@ -112,7 +112,7 @@
       if (error || turn != turn_ || stopped_) return;
       armed_ = false;
       const bool waited = parser_.has_value();
-      const Watch::Act what = watch_.look(BackPressure::now());
+      const Watch::Act what = watch_.look(OverloadManager::now());
       if (waited && what == Watch::Act::close) say("silent");
       act(what);
     });
@@ -184,7 +184,7 @@
     if (error || (!done && in_.size() > kMostHeader)) return lost("odd answer");
     if (parser_->is_header_done() && parser_->get().result() != http::status::ok) {
       say("turned away");
-      return act(watch_.turnedAway(BackPressure::now()));
+      return act(watch_.turnedAway(OverloadManager::now()));
     }
     line_ += parser_->get().body();
     parser_->get().body().clear();
@@ -199,7 +199,7 @@
     if (line_.empty())
       half_.leave();
     else if (!half_.in(WaitAt::discoveryLine))
-      half_.enter(pressure_.places(), WaitAt::discoveryLine, BackPressure::now());
+      half_.enter(pressure_.places(), WaitAt::discoveryLine, OverloadManager::now());
     if (line_.size() > kMostLine) pressure_.places().turnAway(WaitAt::discoveryLine);
     if (done || line_.size() > kMostLine) return lost("ended");
     arm();
@@ -217,7 +217,7 @@
       Roster list = parseRoster(*object);
       ++stats_.lists;
       if (!(good = history_.accept(list))) break;
-      watch_.line(BackPressure::now());
+      watch_.line(OverloadManager::now());
       if (piled)
         addTo(*piled, std::move(list));
       else
@@ -226,7 +226,7 @@
       told_(*std::exchange(piled, std::nullopt));
       if (stopped_) return true;
     }
-    if (objects_.heartbeats() > 0 && good) watch_.line(BackPressure::now());
+    if (objects_.heartbeats() > 0 && good) watch_.line(OverloadManager::now());
     if (piled) told_(*piled);
     if (good && !stopped_) line_.erase(0, objects_.drop());
     return good;
@@ -235,20 +235,20 @@
   // The whole list mends what this one would have changed.
   void turnDown(const char* why) {
     badLists_.say(std::string(why) + "; asking for the whole one");
-    act(watch_.lost(BackPressure::now()));
+    act(watch_.lost(OverloadManager::now()));
   }
 
   void lost(const char* why) {
     say(why);
-    act(watch_.lost(BackPressure::now()));
+    act(watch_.lost(OverloadManager::now()));
   }
 
   void say(const char* why) { log_.say(std::string(why) + ", trying again"); }
 
-  BackPressure& pressure_;
-  Ledger::Charge room_;
-  Places::Waiting half_;
-  BackPressure::Paused paused_;
+  OverloadManager& pressure_;
+  MemoryBudget::Charge room_;
+  WaitQueues::Waiting half_;
+  OverloadManager::Paused paused_;
   tcp::socket socket_;
   asio::steady_timer timer_;
   tcp::endpoint agent_;
@@ -259,7 +259,7 @@
   beast::flat_buffer in_;
   std::string out_, line_;
   std::optional<http::response_parser<http::string_body>> parser_;  // while there is a connection
-  QuietLog log_{"discovery", kSayEvery}, badLists_{"discovery", kSayEvery};
+  RateLimitedLog log_{"discovery", kSayEvery}, badLists_{"discovery", kSayEvery};
   Stats stats_;
   Watch::Time armedFor_ = 0;
   unsigned round_ = 0, turn_ = 0;
@@ -268,7 +268,7 @@
 };
 
 Discovery::Discovery(asio::io_context& io, const tcp::endpoint& agent, Roster known,
-                     const Watch::Limits& limits, std::uint64_t seed, Told told, BackPressure& pressure)
+                     const Watch::Limits& limits, std::uint64_t seed, Told told, OverloadManager& pressure)
     : link_(std::make_shared<Link>(io, agent, std::move(known), limits, seed, std::move(told), pressure)) {}
 Discovery::~Discovery() { stop(); }
 void Discovery::start() { link_->open(); }
@@ -278,4 +278,4 @@
 }
 void Discovery::stop() { link_->stop(); }
 
-}  // namespace burlwind
+}  // namespace wingslip
--- a/src/node/discovery.hpp
+++ b/src/gatekeeper/discovery.hpp
@@ -9,11 +9,11 @@
 #include <memory>
 #include <optional>
 
-#include "node/back_pressure.hpp"
-#include "watch/list.hpp"
-#include "watch/watch.hpp"
+#include "net/overload_manager.hpp"
+#include "endpoint_watch/endpoint_list.hpp"
+#include "endpoint_watch/endpoint_watch.hpp"
 
-namespace burlwind {
+namespace wingslip {
 
 class Discovery {
  public:
@@ -22,7 +22,7 @@
   // `known`: the list that is known already, or one of a generation below 0. `seed`: of its share of the
   // chance.
   Discovery(boost::asio::io_context& io, const boost::asio::ip::tcp::endpoint& agent, Roster known,
-            const Watch::Limits& limits, std::uint64_t seed, Told told, BackPressure& pressure);
+            const Watch::Limits& limits, std::uint64_t seed, Told told, OverloadManager& pressure);
   ~Discovery();
   // What happened since the last look, for the service log.
   struct Stats {
@@ -43,4 +43,4 @@
   std::shared_ptr<Link> link_;
 };
 
-}  // namespace burlwind
+}  // namespace wingslip
--- a/src/node/exclusions.cpp
+++ b/src/gatekeeper/exclusions.cpp
@@ -1,13 +1,13 @@
-#include "node/exclusions.hpp"
+#include "gatekeeper/exclusions.hpp"
 
 #include <nlohmann/json.hpp>
 #include <optional>
 #include <utility>
 
-#include "node/durable_file.hpp"
-#include "node/quiet_log.hpp"
+#include "net/durable_file.hpp"
+#include "net/rate_limited_log.hpp"
 
-namespace burlwind {
+namespace wingslip {
 namespace {
 
 using nlohmann::json;
@@ -15,8 +15,8 @@
 constexpr std::size_t kMostBytes = std::size_t{1} << 20;
 constexpr auto kLogEvery = std::chrono::seconds(5);
 
-QuietLog& problems() {
-  static QuietLog log("exclusions", kLogEvery);
+RateLimitedLog& problems() {
+  static RateLimitedLog log("exclusions", kLogEvery);
   return log;
 }
 
@@ -124,4 +124,4 @@
   applyChanges(unkept_, ids_);
 }
 
-}  // namespace burlwind
+}  // namespace wingslip
--- a/src/node/exclusions.hpp
+++ b/src/gatekeeper/exclusions.hpp
@@ -10,7 +10,7 @@
 #include <string>
 #include <system_error>
 
-namespace burlwind {
+namespace wingslip {
 
 class Exclusions {
  public:
@@ -49,4 +49,4 @@
   bool unsynced_ = false;  // the file may have been replaced without being on disk
 };
 
-}  // namespace burlwind
+}  // namespace wingslip
--- a/src/node/gatekeeper.cpp
+++ b/src/gatekeeper/gatekeeper.cpp
@@ -1,19 +1,19 @@
 // The gatekeeper's life: its parts, its start, changed settings, lists of workers, its end.
-#include "node/gatekeeper.hpp"
+#include "gatekeeper/gatekeeper.hpp"
 
 #include <algorithm>
 
-#include "node/gatekeeper_limits.hpp"
-#include "node/log.hpp"
+#include "gatekeeper/gatekeeper_limits.hpp"
+#include "net/log.hpp"
 
-namespace burlwind {
+namespace wingslip {
 namespace {
 
-using irisring::ListKind;
-using irisring::Member;
-using irisring::RequestId;
-using irisring::Time;
-using irisring::WorkerId;
+using decision::ListKind;
+using decision::Member;
+using decision::RequestId;
+using decision::Time;
+using decision::WorkerId;
 using namespace std::chrono_literals;
 
 constexpr auto kAcceptAfterTerm = 500ms;  // connections go on coming for up to 400 ms after SIGTERM
@@ -27,13 +27,13 @@
 constexpr Time kRetireWithin = 1000;  // for what is given back to a store that is used no more
 constexpr std::size_t kMostClasses = 512;
 
-invariant::WorkerRules workerRules(const irisring::Settings& settings) {
+invariant::WorkerRules workerRules(const decision::Settings& settings) {
   return {settings.drainGrace, settings.fallMultiple, settings.coldFrom, settings.fallSpan, settings.warmUp};
 }
 
 std::chrono::steady_clock::time_point processFrom(const WorkerStart& start) {
   if (start.processFrom <= 0) return std::chrono::steady_clock::time_point::min();
-  return ModuleClock::steady(start.processFrom);
+  return DecisionClock::steady(start.processFrom);
 }
 
 }  // namespace
@@ -99,15 +99,15 @@
 
 void Gatekeeper::share() {
   if (!config_.replication) return;
-  replica_ = std::make_unique<replica::ReplicaNode>(io_, *config_.replication, config_.name, config_.stateDir,
+  replica_ = std::make_unique<replication::ReplicaNode>(io_, *config_.replication, config_.name, config_.stateDir,
                                                     config_.seed, pressure_,
-                                                    [this](const replica::Row& row) { replicated(row); });
+                                                    [this](const replication::Row& row) { replicated(row); });
   replica_->start();
 }
 
 void Gatekeeper::coordinate() {
   if (!config_.coordination) return;
-  coordinator_ = std::make_unique<duty::Coordinator>(io_, *config_.coordination, config_.name,
+  coordinator_ = std::make_unique<leader_election::Coordinator>(io_, *config_.coordination, config_.name,
                                                      config_.settings.gateways, config_.seed, pressure_);
   coordinator_->start();
 }
@@ -119,12 +119,12 @@
   const Pressure& now = pressure_.pressure();
   if (pressure_.fewDescriptors()) server_.trimIdle();
   gateway_.pressure(clock_.now(), {now.stage() != Stage::none, pressure_.slow(), now.share(), excess,
-                                   now.lasts(BackPressure::now())});
+                                   now.lasts(OverloadManager::now())});
 }
 
 // What came before the first list is numbered as the settings were then. False: its class or plan is no more;
 // it is refused when its time ends.
-bool Gatekeeper::renumber(irisring::Request& request, const NameIndex& classes,
+bool Gatekeeper::renumber(decision::Request& request, const NameIndex& classes,
                           const NameIndex& plans) const {
   const unsigned klass = classes.of(config_.host.classes[request.klass]);
   const unsigned plan = plans.of(config_.host.plans[request.plan]);
@@ -135,16 +135,16 @@
 }
 
 void Gatekeeper::reload(const Config& config) {
-  irisring::Settings settings = config.settings;
-  irisring::HostSettings host = config.host;
+  decision::Settings settings = config.settings;
+  settings::HostSettings host = config.host;
   // Behind the names there were: whoever was told of a name by its number goes on to mean the same.
   host.zones = joinedNames(config_.host.zones, host.zones);
   host.kinds = joinedNames(config_.host.kinds, host.kinds);
   if (settings.zone < config.host.zones.size())
     settings.zone = NameIndex(host.zones).of(config.host.zones[settings.zone]);
   const NameIndex classes(config.host.classes), plans(config.host.plans);
-  std::vector<irisring::Request> early;
-  for (irisring::Request request : early_)
+  std::vector<decision::Request> early;
+  for (decision::Request request : early_)
     if (renumber(request, classes, plans)) early.push_back(request);
   gateway_.settings(clock_.now(), settings);
   early_ = std::move(early);
@@ -243,7 +243,7 @@
 }
 
 // Told to drain, or gone: nothing new to it.
-void Gatekeeper::leave(WorkerId worker, irisring::Phase phase, Time now) {
+void Gatekeeper::leave(WorkerId worker, decision::Phase phase, Time now) {
   listed_.erase(worker);
   monitor_.workerLeaves(worker, phase, now);
   pool_.retire(worker);
@@ -263,7 +263,7 @@
     members.push_back(memberOf(instance, start, zones, kinds));
     noteNamed(instance.id);
     unnamed.erase(worker);
-    if (instance.phase == irisring::Phase::ready) {
+    if (instance.phase == decision::Phase::ready) {
       listed_.insert(worker);
       monitor_.workerReady(worker, start.warmFrom);
       pool_.place(worker, {instance.address, processFrom(start)});
@@ -271,7 +271,7 @@
       leave(worker, instance.phase, now);
     }
   }
-  for (const WorkerId worker : unnamed) leave(worker, irisring::Phase::gone, now);
+  for (const WorkerId worker : unnamed) leave(worker, decision::Phase::gone, now);
   starts_.trim([this](WorkerId worker) { return listed_.contains(worker); });
   gateway_.members(now, kind, members);
   ready_ = ready_ || !listed_.empty();
@@ -298,8 +298,8 @@
 void Gatekeeper::settleOnce() {
   if (!listTold_ || std::exchange(settled_, true)) return;
   settle_.cancel();
-  for (const irisring::Request& request : std::exchange(early_, {}))
+  for (const decision::Request& request : std::exchange(early_, {}))
     if (held_.contains(request.id)) gateway_.request(clock_.now(), request);
 }
 
-}  // namespace burlwind
+}  // namespace wingslip
--- a/src/node/gatekeeper.hpp
+++ b/src/gatekeeper/gatekeeper.hpp
@@ -9,26 +9,26 @@
 #include <unordered_map>
 #include <unordered_set>
 
-#include "duty/coordinator.hpp"
+#include "leader_election/coordinator.hpp"
 #include "invariant/monitor.hpp"
-#include "irisring/decide.hpp"
-#include "node/back_pressure.hpp"
-#include "node/client_server.hpp"
-#include "node/config.hpp"
-#include "node/discovery.hpp"
-#include "node/exclusions.hpp"
-#include "node/metrics.hpp"
-#include "node/module_clock.hpp"
-#include "node/name_index.hpp"
-#include "node/ops_server.hpp"
-#include "node/send_guard.hpp"
-#include "node/worker_pool.hpp"
-#include "replica/replica_node.hpp"
-#include "watch/start_times.hpp"
+#include "wingslip/decision/gateway.hpp"
+#include "net/overload_manager.hpp"
+#include "gatekeeper/client_server.hpp"
+#include "config/config.hpp"
+#include "gatekeeper/discovery.hpp"
+#include "gatekeeper/exclusions.hpp"
+#include "gatekeeper/metrics.hpp"
+#include "gatekeeper/decision_clock.hpp"
+#include "gatekeeper/name_index.hpp"
+#include "gatekeeper/ops_server.hpp"
+#include "gatekeeper/send_guard.hpp"
+#include "gatekeeper/upstream_pool.hpp"
+#include "replication/replica_node.hpp"
+#include "endpoint_watch/start_times.hpp"
 
-namespace burlwind {
+namespace wingslip {
 
-class Gatekeeper : private irisring::Actions, private RequestHandler, private Operated {
+class Gatekeeper : private decision::Actions, private RequestHandler, private Operated {
  public:
   Gatekeeper(boost::asio::io_context& io, const Config& config);
   ~Gatekeeper() override;
@@ -48,32 +48,32 @@
   boost::asio::ip::tcp::endpoint opsAddress() const { return ops_->address(); }
   bool ready() const override { return ready_ && settled_; }
   std::size_t held() const { return held_.size(); }
-  BackPressure& pressure() { return pressure_; }
+  OverloadManager& pressure() { return pressure_; }
 
  private:
   struct Held {
     Held(boost::asio::io_context& io) : deadline(io) {}
     ClientMessage message;
     std::shared_ptr<Responder> responder;
-    irisring::Time expires = 0;
+    decision::Time expires = 0;
     boost::asio::steady_timer deadline;
     unsigned attempts = 0;
     ClassCounts* counts = nullptr;
-    irisring::Time patience = 0;
+    decision::Time patience = 0;
     std::optional<std::uint64_t> length;  // stated, of a body that is not held whole
     bool streamed = false;                // the body is not held whole
     bool pulled = false;                  // and what is held is no more its beginning and all that has come
     bool answering = false;               // the answer has begun to be passed on
-    irisring::Result lastResult = irisring::Result::ok;  // of its last attempt
-    irisring::Time attemptUntil = 0;                     // when the attempt that is out is given up
+    decision::Result lastResult = decision::Result::ok;  // of its last attempt
+    decision::Time attemptUntil = 0;                     // when the attempt that is out is given up
     invariant::RequestTrace trace;
   };
 
   // RequestHandler
-  irisring::RequestId nextId() override { return ++lastId_; }
-  void take(irisring::RequestId id, const Call& call, ClientMessage&& message,
+  decision::RequestId nextId() override { return ++lastId_; }
+  void take(decision::RequestId id, const Call& call, ClientMessage&& message,
             const std::shared_ptr<Responder>& responder) override;
-  void left(irisring::RequestId id) override;
+  void left(decision::RequestId id) override;
   void turnedAway(unsigned klass) override;
   void closedUnanswered(CloseReason reason) override;
 
@@ -88,33 +88,33 @@
   std::string replica() const override;
 
   // Actions
-  void send(irisring::RequestId id, irisring::WorkerId worker, irisring::Time timeout) override;
-  void refuse(irisring::RequestId id, irisring::Time retryAfter) override;
-  void fail(irisring::RequestId id) override;
-  void setTimer(irisring::Time wait, std::uint64_t tag) override;
+  void send(decision::RequestId id, decision::WorkerId worker, decision::Time timeout) override;
+  void refuse(decision::RequestId id, decision::Time retryAfter) override;
+  void fail(decision::RequestId id) override;
+  void setTimer(decision::Time wait, std::uint64_t tag) override;
   void subscribe() override {}  // the watch is always open
   void log(const std::string& line) override;
 
-  void told(const Roster& roster, irisring::ListKind kind);
-  void leave(irisring::WorkerId worker, irisring::Phase phase, irisring::Time now);
+  void told(const Roster& roster, decision::ListKind kind);
+  void leave(decision::WorkerId worker, decision::Phase phase, decision::Time now);
   void settle();
   void settleOnce();
-  bool renumber(irisring::Request& request, const NameIndex& classes, const NameIndex& plans) const;
-  irisring::Member memberOf(const Instance& instance, const WorkerStart& start, const NameIndex& zones,
+  bool renumber(decision::Request& request, const NameIndex& classes, const NameIndex& plans) const;
+  decision::Member memberOf(const Instance& instance, const WorkerStart& start, const NameIndex& zones,
                             const NameIndex& kinds) const;
   void ended(AttemptEnd&& end);
-  void expire(irisring::RequestId id);
+  void expire(decision::RequestId id);
   void giveUpAll();
-  void reportMoot(irisring::RequestId id, unsigned attempt, irisring::WorkerId worker);
-  void answer(irisring::RequestId id, Answer&& answer);
+  void reportMoot(decision::RequestId id, unsigned attempt, decision::WorkerId worker);
+  void answer(decision::RequestId id, Answer&& answer);
   ClassCounts& countsOf(unsigned klass);
   void pressed(double excess);
-  void dropAttempt(irisring::RequestId id);
+  void dropAttempt(decision::RequestId id);
   void acceptOnceReady();
   void followExclusions();
   void coordinate();
   void share();
-  void replicated(const replica::Row& row);
+  void replicated(const replication::Row& row);
   ByHand setByHand(const std::string& id, bool excluded);
   void applyExclusions(const std::set<std::string>& before);
   void noteNamed(const std::string& id);
@@ -122,43 +122,43 @@
   void takeHandover();
   void reportLater();
   void report();
-  AttemptRequest attemptRequest(irisring::RequestId id, const Held& held, irisring::WorkerId worker);
-  static std::string attemptBytes(const Held& held, irisring::Time passedOn);
-  std::optional<std::string> compose(irisring::RequestId id, irisring::WorkerId worker);
-  SendRefusal refusalOf(irisring::RequestId id, irisring::WorkerId worker, irisring::Time now) const;
-  std::shared_ptr<Responder> conclude(irisring::RequestId id, invariant::RequestState how);
-  void noteEnd(const irisring::Outcome& outcome);
+  AttemptRequest attemptRequest(decision::RequestId id, const Held& held, decision::WorkerId worker);
+  static std::string attemptBytes(const Held& held, decision::Time passedOn);
+  std::optional<std::string> compose(decision::RequestId id, decision::WorkerId worker);
+  SendRefusal refusalOf(decision::RequestId id, decision::WorkerId worker, decision::Time now) const;
+  std::shared_ptr<Responder> conclude(decision::RequestId id, invariant::RequestState how);
+  void noteEnd(const decision::Outcome& outcome);
   void finishDrain(const std::function<void()>& done);
-  void pull(irisring::RequestId id, AttemptRequest::Take take);
-  void becameWhole(irisring::RequestId id, Held& held);
-  void setDeadline(irisring::RequestId id, Held& held);
-  void began(irisring::RequestId id, const std::string& contentType, std::optional<std::uint64_t> length);
-  void passOn(irisring::RequestId id, std::string&& piece);
+  void pull(decision::RequestId id, AttemptRequest::Take take);
+  void becameWhole(decision::RequestId id, Held& held);
+  void setDeadline(decision::RequestId id, Held& held);
+  void began(decision::RequestId id, const std::string& contentType, std::optional<std::uint64_t> length);
+  void passOn(decision::RequestId id, std::string&& piece);
   void finishStream(AttemptEnd& end);
 
   boost::asio::io_context& io_;
   Config config_;
-  const ModuleClock clock_{};
+  const DecisionClock clock_{};
   StartTimes starts_{clock_.wallOffset()};
-  BackPressure pressure_;
-  WorkerPool pool_;
+  OverloadManager pressure_;
+  UpstreamPool pool_;
   ClientServer server_;
-  std::unordered_set<irisring::WorkerId> listed_;
-  std::unordered_map<irisring::RequestId, Held> held_;
-  irisring::RequestId lastId_ = 0;
-  irisring::Gateway gateway_;
+  std::unordered_set<decision::WorkerId> listed_;
+  std::unordered_map<decision::RequestId, Held> held_;
+  decision::RequestId lastId_ = 0;
+  decision::Gateway gateway_;
   invariant::Monitor monitor_;
   SendRefusals sendRefusals_;
-  std::unordered_set<irisring::WorkerId> excluded_;  // by hand
+  std::unordered_set<decision::WorkerId> excluded_;  // by hand
   std::unique_ptr<Discovery> discovery_;
   Metrics metrics_;
   ClassCounts uncounted_;  // of classes past the most that are counted
   Exclusions exclusions_;
   std::unordered_set<std::string> named_;  // ids that lists have named, of which operators may speak
   std::optional<OpsServer> ops_;
-  std::unique_ptr<replica::ReplicaNode> replica_, retiredReplica_;
-  std::unique_ptr<duty::Coordinator> coordinator_, retired_;  // retired_: gives back what it held
-  std::vector<irisring::Request> early_;  // came before the first list; a request that has gone is skipped
+  std::unique_ptr<replication::ReplicaNode> replica_, retiredReplica_;
+  std::unique_ptr<leader_election::Coordinator> coordinator_, retired_;  // retired_: gives back what it held
+  std::vector<decision::Request> early_;  // came before the first list; a request that has gone is skipped
   boost::asio::steady_timer settle_, drain_, report_, follow_, accept_, leave_;
   unsigned served_ = 0, refused_ = 0, failed_ = 0;  // final answers since the last report
   bool ready_ = false;
@@ -169,4 +169,4 @@
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);  // for what is posted
 };
 
-}  // namespace burlwind
+}  // namespace wingslip
--- a/src/node/gatekeeper_limits.cpp
+++ b/src/gatekeeper/gatekeeper_limits.cpp
@@ -1,11 +1,11 @@
-#include "node/gatekeeper_limits.hpp"
+#include "gatekeeper/gatekeeper_limits.hpp"
 
 #include <algorithm>
 #include <cmath>
 #include <functional>
 #include <stdexcept>
 
-namespace burlwind {
+namespace wingslip {
 namespace {
 
 constexpr unsigned kSparedSockets = 24;   // descriptors for the listener, discovery, timers, standard streams
@@ -28,13 +28,13 @@
 
 }  // namespace
 
-std::chrono::steady_clock::duration span(irisring::Time ms) {
+std::chrono::steady_clock::duration span(decision::Time ms) {
   return std::chrono::duration_cast<std::chrono::steady_clock::duration>(
       std::chrono::duration<double, std::milli>(ms));
 }
 
-WorkerPool::Limits poolLimits(const Config& config) {
-  WorkerPool::Limits out;
+UpstreamPool::Limits poolLimits(const Config& config) {
+  UpstreamPool::Limits out;
   out.connectTimeout = std::chrono::milliseconds(std::lround(std::max(1.0, config.host.connectTimeout)));
   out.idleFor = std::chrono::milliseconds(std::lround(kIdleShare * config.host.idleTimeout));
   out.total = shareOfSockets(config, kWorkerShare);
@@ -47,12 +47,12 @@
   return out;
 }
 
-Ledger::Shares memoryOf(const Config& config) {
+MemoryBudget::Shares memoryOf(const Config& config) {
   Room room;
   room.limit = static_cast<std::size_t>(config.memoryMb * 1024 * 1024);
   room.twoProcesses = config.acceptFd >= 0;
   room.files = !config.stateDir.empty();
-  const Ledger::Shares out = sharesOf(room);
+  const MemoryBudget::Shares out = sharesOf(room);
   if (out.total > 0) return out;
   const std::size_t least = leastLimit(room.twoProcesses, room.files);
   throw std::runtime_error("configuration: limits.memory_mb is too small: it takes " +
@@ -60,7 +60,7 @@
 }
 
 Pressure::Limits pressureLimits(const Config& config) {
-  irisring::Time aim = 0;
+  decision::Time aim = 0;
   for (const auto& klass : config.settings.classes)
     if (klass.aim > 0) aim = aim > 0 ? std::min(aim, klass.aim) : klass.aim;
   return Pressure::limitsFor(aim);
@@ -70,6 +70,6 @@
   return Watch::limitsFor(config.settings.drainGrace, config.settings.gateways);
 }
 
-irisring::WorkerId numberOf(const std::string& instanceId) { return std::hash<std::string>{}(instanceId); }
+decision::WorkerId numberOf(const std::string& instanceId) { return std::hash<std::string>{}(instanceId); }
 
-}  // namespace burlwind
+}  // namespace wingslip
--- a/src/node/gatekeeper_limits.hpp
+++ b/src/gatekeeper/gatekeeper_limits.hpp
@@ -4,29 +4,29 @@
 #include <chrono>
 #include <string>
 
-#include "irisring/decide.hpp"
-#include "node/client_server.hpp"
-#include "node/config.hpp"
-#include "node/worker_pool.hpp"
-#include "watch/watch.hpp"
+#include "wingslip/decision/gateway.hpp"
+#include "gatekeeper/client_server.hpp"
+#include "config/config.hpp"
+#include "gatekeeper/upstream_pool.hpp"
+#include "endpoint_watch/endpoint_watch.hpp"
 
-namespace burlwind {
+namespace wingslip {
 
 /// Milliseconds of the module's clock as a span of the steady one.
-std::chrono::steady_clock::duration span(irisring::Time ms);
+std::chrono::steady_clock::duration span(decision::Time ms);
 
 /// Connections to workers and of clients: their shares of the descriptors.
-WorkerPool::Limits poolLimits(const Config& config);
+UpstreamPool::Limits poolLimits(const Config& config);
 ClientServer::Limits serverLimits(const Config& config);
 
 /// Throws std::runtime_error where `limits.memory_mb` does not hold one process.
-Ledger::Shares memoryOf(const Config& config);
+MemoryBudget::Shares memoryOf(const Config& config);
 
 Pressure::Limits pressureLimits(const Config& config);
 Watch::Limits watchLimits(const Config& config);
 
 /// The module's number of a worker: the same at every gatekeeper, whatever the address, since they all run
 /// this program.
-irisring::WorkerId numberOf(const std::string& instanceId);
+decision::WorkerId numberOf(const std::string& instanceId);
 
-}  // namespace burlwind
+}  // namespace wingslip
--- a/src/node/gatekeeper_operators.cpp
+++ b/src/gatekeeper/gatekeeper_operators.cpp
@@ -2,18 +2,18 @@
 // left.
 #include <cmath>
 
-#include "node/gatekeeper.hpp"
-#include "node/gatekeeper_limits.hpp"
-#include "node/handover.hpp"
-#include "node/log.hpp"
+#include "gatekeeper/gatekeeper.hpp"
+#include "gatekeeper/gatekeeper_limits.hpp"
+#include "gatekeeper/handover.hpp"
+#include "net/log.hpp"
 
-namespace burlwind {
+namespace wingslip {
 namespace {
 
-using irisring::RequestId;
-using irisring::Result;
-using irisring::Time;
-using irisring::WorkerId;
+using decision::RequestId;
+using decision::Result;
+using decision::Time;
+using decision::WorkerId;
 using namespace std::chrono_literals;
 
 constexpr auto kReportEvery = 5s;       // between two lines on what was done
@@ -26,7 +26,7 @@
 }  // namespace
 
 // What another gatekeeper, or this one before its restart, was told.
-void Gatekeeper::replicated(const replica::Row& row) {
+void Gatekeeper::replicated(const replication::Row& row) {
   if (row.table != kExcluded || row.key.empty()) return;
   const bool excluded = exclusions_.ids().contains(row.key);
   if (row.gone != excluded || !exclusions_.hasRoomFor(row.key)) return;
@@ -39,7 +39,7 @@
 bool Gatekeeper::readyToServe() const { return ready() && !draining_; }
 
 std::string Gatekeeper::telemetry() const {
-  const irisring::Census census = gateway_.census(clock_.now());
+  const decision::Census census = gateway_.census(clock_.now());
   Metrics figures = metrics_;
   figures.attempts = pool_.attemptsWritten();
   figures.shortHere = pool_.shortHere();
@@ -134,7 +134,7 @@
   leave_.async_wait([this](const Error& error) {
     if (error || draining_) return;
     const Time now = clock_.now();
-    burlwind::leave(config_.stateDir, {now, gateway_.warmRate(now), starts_.offset()});
+    wingslip::leave(config_.stateDir, {now, gateway_.warmRate(now), starts_.offset()});
     handOverLater();
   });
 }
@@ -169,7 +169,7 @@
 }
 
 void Gatekeeper::report() {
-  const WorkerPool::Stats pool = pool_.takeStats();
+  const UpstreamPool::Stats pool = pool_.takeStats();
   const ClientServer::Stats server = server_.takeStats();
   const Discovery::Stats discovery = discovery_->takeStats();
   const auto ended = [&](Result result) { return pool.results[static_cast<std::size_t>(result)]; };
@@ -191,4 +191,4 @@
   pressure_.report();
 }
 
-}  // namespace burlwind
+}  // namespace wingslip
--- a/src/node/gatekeeper_requests.cpp
+++ b/src/gatekeeper/gatekeeper_requests.cpp
@@ -3,18 +3,18 @@
 #include <boost/asio/post.hpp>
 #include <cmath>
 
-#include "node/gatekeeper.hpp"
-#include "node/gatekeeper_limits.hpp"
-#include "node/log.hpp"
+#include "gatekeeper/gatekeeper.hpp"
+#include "gatekeeper/gatekeeper_limits.hpp"
+#include "net/log.hpp"
 
-namespace burlwind {
+namespace wingslip {
 namespace {
 
-using irisring::Outcome;
-using irisring::RequestId;
-using irisring::Result;
-using irisring::Time;
-using irisring::WorkerId;
+using decision::Outcome;
+using decision::RequestId;
+using decision::Result;
+using decision::Time;
+using decision::WorkerId;
 using namespace std::chrono_literals;
 
 constexpr Time kWayBack =
@@ -45,7 +45,7 @@
   held.responder = responder;
   held.patience = std::max(0.0, call.patience - kWayBack);
   held.streamed = !call.whole;
-  const irisring::ClassSettings& klass = config_.settings.classes[call.klass];
+  const decision::ClassSettings& klass = config_.settings.classes[call.klass];
   held.trace.name = std::string(view(held.message["Req-Id"]));
   held.trace.repeat = klass.repeat;
   held.trace.window = klass.window;
@@ -57,7 +57,7 @@
   held.expires = now + held.patience + (held.streamed ? kMostUpload : 0);
   if (!held.streamed) setDeadline(id, held);
   pressure_.activity();
-  const irisring::Request request{id,           call.klass, call.plan,    call.customer,
+  const decision::Request request{id,           call.klass, call.plan,    call.customer,
                                   held.expires, call.units, call.setSize, static_cast<double>(call.holds)};
   if (settled_) return gateway_.request(now, request);
   early_.push_back(request);
@@ -370,4 +370,4 @@
   });
 }
 
-}  // namespace burlwind
+}  // namespace wingslip
--- a/src/node/handover.cpp
+++ b/src/gatekeeper/handover.cpp
@@ -1,11 +1,11 @@
-#include "node/handover.hpp"
+#include "gatekeeper/handover.hpp"
 
 #include <cmath>
 #include <nlohmann/json.hpp>
 
-#include "node/durable_file.hpp"
+#include "net/durable_file.hpp"
 
-namespace burlwind {
+namespace wingslip {
 namespace {
 
 using nlohmann::json;
@@ -41,4 +41,4 @@
   return Handover{*at, *warmRate, *clockOffset};
 }
 
-}  // namespace burlwind
+}  // namespace wingslip
--- a/src/node/handover.hpp
+++ b/src/gatekeeper/handover.hpp
@@ -5,15 +5,15 @@
 #include <optional>
 #include <string>
 
-#include "irisring/decide.hpp"
+#include "wingslip/decision/gateway.hpp"
 
-namespace burlwind {
+namespace wingslip {
 
-/// Both processes read one monotonic clock (`ModuleClock`), whatever is done to the wall clock between them.
+/// Both processes read one monotonic clock (`DecisionClock`), whatever is done to the wall clock between them.
 struct Handover {
-  irisring::Time at = 0;           ///< of the writing, on the monotonic clock
+  decision::Time at = 0;           ///< of the writing, on the monotonic clock
   double warmRate = 0;             ///< good answers a ms of a warm worker
-  irisring::Time clockOffset = 0;  ///< the monotonic clock less the true Unix time, in ms (`StartTimes`)
+  decision::Time clockOffset = 0;  ///< the monotonic clock less the true Unix time, in ms (`StartTimes`)
 };
 
 /// Does nothing where no folder is given. The file is replaced whole; one that cannot be written is not
@@ -22,4 +22,4 @@
 /// What cannot be read, or makes no sense, is not there.
 std::optional<Handover> inherit(const std::string& folder);
 
-}  // namespace burlwind
+}  // namespace wingslip
--- a/src/node/main.cpp
+++ b/src/gatekeeper/main.cpp
@@ -1,4 +1,4 @@
-// burlwind: one gatekeeper on real sockets.
+// gatekeeper: one gatekeeper on real sockets.
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/steady_timer.hpp>
 #include <chrono>
@@ -6,9 +6,9 @@
 #include <exception>
 #include <utility>
 
-#include "node/gatekeeper.hpp"
-#include "node/log.hpp"
-#include "node/signal_watch.hpp"
+#include "gatekeeper/gatekeeper.hpp"
+#include "net/log.hpp"
+#include "gatekeeper/signal_watch.hpp"
 
 namespace {
 
@@ -20,7 +20,7 @@
 // SIGHUP reads the configuration again. One that cannot be read changes nothing and ends nothing.
 class Reloader {
  public:
-  Reloader(boost::asio::io_context& io, burlwind::Gatekeeper& gatekeeper)
+  Reloader(boost::asio::io_context& io, wingslip::Gatekeeper& gatekeeper)
       : gatekeeper_(gatekeeper), pause_(io) {}
 
   void changed() {
@@ -34,8 +34,8 @@
   void reload(int reads) {
     try {
       unread_ = false;
-      gatekeeper_.reload(burlwind::rereadConfig(gatekeeper_.config()));
-    } catch (const burlwind::HalfWritten& wrong) {
+      gatekeeper_.reload(wingslip::rereadConfig(gatekeeper_.config()));
+    } catch (const wingslip::HalfWritten& wrong) {
       if (reads > 1) return again(reads - 1);
       turnDown(wrong);
     } catch (const std::exception& wrong) {
@@ -45,7 +45,7 @@
 
   void turnDown(const std::exception& wrong) {
     gatekeeper_.reloadFailed();
-    burlwind::processLog().error("event=reload_failed text=\"kept as it was: {}\"", wrong.what());
+    wingslip::processLog().error("event=reload_failed text=\"kept as it was: {}\"", wrong.what());
   }
 
   void again(int reads) {
@@ -56,19 +56,19 @@
     });
   }
 
-  burlwind::Gatekeeper& gatekeeper_;
+  wingslip::Gatekeeper& gatekeeper_;
   boost::asio::steady_timer pause_;
   bool unread_ = false;  // a change that may be half written
 };
 
 int run() {
-  const burlwind::Config config = burlwind::readConfig();
+  const wingslip::Config config = wingslip::readConfig();
   std::signal(SIGPIPE, SIG_IGN);
   boost::asio::io_context io(1);
-  burlwind::Gatekeeper gatekeeper(io, config);
+  wingslip::Gatekeeper gatekeeper(io, config);
   Reloader reloader(io, gatekeeper);
   bool draining = false;
-  const burlwind::SignalWatch signals(io, {SIGTERM, SIGINT, SIGHUP}, [&](int number) {
+  const wingslip::SignalWatch signals(io, {SIGTERM, SIGINT, SIGHUP}, [&](int number) {
     if (number == SIGHUP) return reloader.changed();
     if (!std::exchange(draining, true)) gatekeeper.drain([&] { io.stop(); });
   });
@@ -83,7 +83,7 @@
   try {
     return run();
   } catch (const std::exception& error) {
-    burlwind::processLog().critical("event=ended text=\"{}\"", error.what());
+    wingslip::processLog().critical("event=ended text=\"{}\"", error.what());
     return 1;
   }
 }
--- a/src/node/metrics.hpp
+++ b/src/gatekeeper/metrics.hpp
@@ -7,21 +7,21 @@
 #include <map>
 #include <string>
 
-#include "irisring/decide.hpp"
+#include "wingslip/decision/gateway.hpp"
 
-namespace burlwind {
+namespace wingslip {
 
 struct ClassCounts {
   std::uint64_t success = 0, busy = 0, failure = 0;  // final answers
 };
 
-// Attempts after the first of their request, by how the one before had ended (irisring::Result).
+// Attempts after the first of their request, by how the one before had ended (decision::Result).
 struct RetryCounts {
   static constexpr std::array<const char*, 8> kNames{"ok",          "error", "declined",  "timeout",
                                                      "unconnected", "reset", "cancelled", "never_sent"};
   std::array<std::uint64_t, kNames.size()> after{};
 
-  void add(irisring::Result before) { ++after[static_cast<std::size_t>(before)]; }
+  void add(decision::Result before) { ++after[static_cast<std::size_t>(before)]; }
 };
 
 // By the class's name: one that a reload drops keeps its counts.
@@ -31,7 +31,7 @@
   std::uint64_t shortHere = 0;  // not begun for want of descriptors or memory here
   std::uint64_t reconfigOk = 0, reconfigFailed = 0;
   RetryCounts retries;
-  irisring::RefusalCounts refusals;
+  decision::RefusalCounts refusals;
 };
 
 struct Gauges {
@@ -68,4 +68,4 @@
   return out + more + "EOF\n";
 }
 
-}  // namespace burlwind
+}  // namespace wingslip
--- a/src/node/name_index.hpp
+++ b/src/gatekeeper/name_index.hpp
@@ -7,7 +7,7 @@
 #include <unordered_set>
 #include <vector>
 
-namespace burlwind {
+namespace wingslip {
 
 // The place of each name in a list; of one that is there twice, the first. Holds copies of the names.
 class NameIndex {
@@ -37,4 +37,4 @@
   return names;
 }
 
-}  // namespace burlwind
+}  // namespace wingslip
--- a/src/node/ops_server.cpp
+++ b/src/gatekeeper/ops_server.cpp
@@ -1,4 +1,4 @@
-#include "node/ops_server.hpp"
+#include "gatekeeper/ops_server.hpp"
 
 #include <algorithm>
 #include <boost/asio/buffer.hpp>
@@ -6,11 +6,11 @@
 #include <stdexcept>
 #include <utility>
 
-#include "node/guarded_connection.hpp"
-#include "node/listener.hpp"
-#include "node/socket_io.hpp"
+#include "net/guarded_connection.hpp"
+#include "net/listener.hpp"
+#include "net/socket_io.hpp"
 
-namespace burlwind {
+namespace wingslip {
 namespace {
 
 namespace asio = boost::asio;
@@ -28,14 +28,14 @@
 // One caller: its line, its answer, its end.
 class OpsServer::Caller : public GuardedConnection<Caller> {
  public:
-  Caller(OpsServer& server, tcp::socket socket, Ledger::Charge room)
+  Caller(OpsServer& server, tcp::socket socket, MemoryBudget::Charge room)
       : server_(server),
         room_(std::move(room)),
         socket_(std::move(socket)),
         timer_(socket_.get_executor(), server.limits_.callWithin) {}
 
   void start() {
-    waiting_.enter(server_.pressure_.places(), WaitAt::opsCaller, BackPressure::now());
+    waiting_.enter(server_.pressure_.places(), WaitAt::opsCaller, OverloadManager::now());
     timer_.async_wait(guard([this](const Error& error, std::size_t) {
       if (!error) finish();
     }));
@@ -79,14 +79,14 @@
   }
 
   OpsServer& server_;
-  Ledger::Charge room_;
-  Places::Waiting waiting_;
+  MemoryBudget::Charge room_;
+  WaitQueues::Waiting waiting_;
   tcp::socket socket_;
   asio::steady_timer timer_;
   std::string line_, out_;
 };
 
-OpsServer::OpsServer(asio::io_context& io, const Limits& limits, Operated& operated, BackPressure& pressure)
+OpsServer::OpsServer(asio::io_context& io, const Limits& limits, Operated& operated, OverloadManager& pressure)
     : limits_(limits), operated_(operated), pressure_(pressure), acceptor_(io), pause_(io) {}
 
 OpsServer::~OpsServer() {
@@ -159,8 +159,8 @@
   const std::string id = space == std::string::npos ? "" : line.substr(space + 1);
   if ((verb != "exclude" && verb != "include") || id.empty() || id.find_first_of(" \t") != std::string::npos)
     return "400 no such call\n";
-  return burlwind::answerTo(verb == "exclude" ? operated_.exclude(id) : operated_.include(id),
+  return wingslip::answerTo(verb == "exclude" ? operated_.exclude(id) : operated_.include(id),
                             verb + "d " + id);
 }
 
-}  // namespace burlwind
+}  // namespace wingslip
--- a/src/node/ops_server.hpp
+++ b/src/gatekeeper/ops_server.hpp
@@ -11,9 +11,9 @@
 #include <string>
 #include <system_error>
 
-#include "node/back_pressure.hpp"
+#include "net/overload_manager.hpp"
 
-namespace burlwind {
+namespace wingslip {
 
 // What carries the calls out.
 /// How a call that puts a worker out, or lets it in again, has ended.
@@ -52,7 +52,7 @@
     std::chrono::milliseconds callWithin{5000};
   };
 
-  OpsServer(boost::asio::io_context& io, const Limits& limits, Operated& operated, BackPressure& pressure);
+  OpsServer(boost::asio::io_context& io, const Limits& limits, Operated& operated, OverloadManager& pressure);
   ~OpsServer();
   OpsServer(const OpsServer&) = delete;
   OpsServer& operator=(const OpsServer&) = delete;
@@ -69,10 +69,10 @@
 
   const Limits limits_;
   Operated& operated_;
-  BackPressure& pressure_;
+  OverloadManager& pressure_;
   boost::asio::ip::tcp::acceptor acceptor_;
   boost::asio::steady_timer pause_;
   std::deque<std::shared_ptr<Caller>> callers_;  // the oldest first
 };
 
-}  // namespace burlwind
+}  // namespace wingslip
--- a/src/node/reason_counts.hpp
+++ b/src/gatekeeper/reason_counts.hpp
@@ -7,7 +7,7 @@
 #include <string>
 #include <string_view>
 
-namespace burlwind {
+namespace wingslip {
 
 /// `Reason`: an enumeration from 0 whose values `Names` names in their order.
 template <class Reason, const auto& Names>
@@ -29,4 +29,4 @@
   std::array<std::uint64_t, Names.size()> counts_{};
 };
 
-}  // namespace burlwind
+}  // namespace wingslip
--- a/src/node/send_guard.hpp
+++ b/src/gatekeeper/send_guard.hpp
@@ -6,9 +6,9 @@
 #include <cstdint>
 #include <string_view>
 
-#include "node/reason_counts.hpp"
+#include "gatekeeper/reason_counts.hpp"
 
-namespace burlwind {
+namespace wingslip {
 
 /// Asked in the moment in which an attempt's first byte could be written: between the decision and that
 /// moment a connection may have had to come up.
@@ -29,4 +29,4 @@
 
 using SendRefusals = ReasonCounts<SendRefusal, kSendRefusalNames>;
 
-}  // namespace burlwind
+}  // namespace wingslip
--- a/src/node/signal_watch.cpp
+++ b/src/gatekeeper/signal_watch.cpp
@@ -1,4 +1,4 @@
-#include "node/signal_watch.hpp"
+#include "gatekeeper/signal_watch.hpp"
 
 #include <fcntl.h>
 #include <signal.h>
@@ -10,7 +10,7 @@
 #include <stdexcept>
 #include <utility>
 
-namespace burlwind {
+namespace wingslip {
 namespace {
 
 constexpr int kMostNumber = 64;
@@ -74,4 +74,4 @@
     if (pending[static_cast<std::size_t>(number)].exchange(false)) told_(number);
 }
 
-}  // namespace burlwind
+}  // namespace wingslip
--- a/src/node/signal_watch.hpp
+++ b/src/gatekeeper/signal_watch.hpp
@@ -10,7 +10,7 @@
 #include <functional>
 #include <initializer_list>
 
-namespace burlwind {
+namespace wingslip {
 
 /// One for a process, while it lives: the handlers are the process's.
 class SignalWatch {
@@ -31,4 +31,4 @@
   boost::asio::posix::stream_descriptor wake_;
 };
 
-}  // namespace burlwind
+}  // namespace wingslip
--- a/src/node/worker_pool.cpp
+++ b/src/gatekeeper/upstream_pool.cpp
@@ -1,4 +1,4 @@
-#include "node/worker_pool.hpp"
+#include "gatekeeper/upstream_pool.hpp"
 
 #include <netinet/in.h>
 #include <netinet/tcp.h>
@@ -8,17 +8,17 @@
 #include <charconv>
 #include <cmath>
 
-#include "node/guarded_connection.hpp"
-#include "node/socket_io.hpp"
+#include "net/guarded_connection.hpp"
+#include "net/socket_io.hpp"
 
-namespace burlwind {
+namespace wingslip {
 namespace {
 
 using asio::ip::tcp;
-using irisring::Outcome;
-using irisring::RequestId;
-using irisring::Result;
-using irisring::WorkerId;
+using decision::Outcome;
+using decision::RequestId;
+using decision::Result;
+using decision::WorkerId;
 using Clock = std::chrono::steady_clock;
 
 constexpr std::size_t kConnection = 10752;  // a connection with its parser, a first buffer and what it brings
@@ -67,9 +67,9 @@
 // One connection. While an attempt is out a read is pending, which brings the answer. While none is, only the
 // readiness to read is waited for, and it ends the connection: what came stays in the kernel, where `spoiled`
 // sees it, so that bytes of an earlier exchange are never taken for an answer.
-class WorkerPool::Connection : public GuardedConnection<Connection> {
+class UpstreamPool::Connection : public GuardedConnection<Connection> {
  public:
-  Connection(WorkerPool& pool, WorkerId to, const tcp::endpoint& at)
+  Connection(UpstreamPool& pool, WorkerId to, const tcp::endpoint& at)
       : worker(to),
         address(at),
         pool_(pool),
@@ -89,7 +89,7 @@
       room_.fix();
     }
     outBytes_ = request.size + (request.pull ? kWindow : 0);
-    const Ledger& ledger = pool_.pressure_.ledger();
+    const MemoryBudget& ledger = pool_.pressure_.ledger();
     const double mark = pool_.pressure_.pressure().limits().memory.high;
     if (outBytes_ > kOrdinary && !ledger.staysUnder(mark, Account::workers, outBytes_)) return false;
     return room_.resize(cost(0));
@@ -168,7 +168,7 @@
   }
 
  private:
-  void wait(WaitAt place) { waiting_.enter(pool_.pressure_.places(), place, BackPressure::now()); }
+  void wait(WaitAt place) { waiting_.enter(pool_.pressure_.places(), place, OverloadManager::now()); }
 
   // What this connection takes, and what it takes with `more` bytes read.
   std::size_t cost(std::size_t more) const {
@@ -448,10 +448,10 @@
     pool_.finish(*this, std::move(whole));
   }
 
-  WorkerPool& pool_;
-  Ledger::Charge room_;
-  Places::Waiting waiting_;
-  BackPressure::Paused paused_;
+  UpstreamPool& pool_;
+  MemoryBudget::Charge room_;
+  WaitQueues::Waiting waiting_;
+  OverloadManager::Paused paused_;
   std::size_t outBytes_ = 0;  // of the attempt: what it sends, or one window of it
   tcp::socket socket_;
   asio::steady_timer timer_;
@@ -474,22 +474,22 @@
   bool reading_ = false;
 };
 
-WorkerPool::WorkerPool(asio::io_context& io, const Limits& limits, std::vector<std::string> reportFields,
-                       BackPressure& pressure, Ended ended)
+UpstreamPool::UpstreamPool(asio::io_context& io, const Limits& limits, std::vector<std::string> reportFields,
+                       OverloadManager& pressure, Ended ended)
     : io_(io),
       limits_(limits),
       reportFields_(std::move(reportFields)),
       pressure_(pressure),
       ended_(std::move(ended)) {}
 
-WorkerPool::~WorkerPool() {
+UpstreamPool::~UpstreamPool() {
   *alive_ = false;
   for (auto& [id, connection] : busy_) connection->close();
   for (auto& [id, worker] : workers_)
     for (auto& connection : worker.idle) connection->close();
 }
 
-void WorkerPool::place(WorkerId id, const Place& place) {
+void UpstreamPool::place(WorkerId id, const Place& place) {
   Worker& worker = workers_[id];
   const bool restarted = place.processFrom > worker.place.processFrom;
   if (restarted || place.address != worker.place.address) closeIdle(worker);
@@ -506,7 +506,7 @@
 }
 
 // Attempts that have written nothing end as connections that never came up; others as resets.
-void WorkerPool::endThose(const Worker& worker, const std::function<bool(const Connection&)>& meant) {
+void UpstreamPool::endThose(const Worker& worker, const std::function<bool(const Connection&)>& meant) {
   std::vector<Shared> ending;
   for (const Shared& connection : worker.busy)
     if (meant(*connection)) ending.push_back(connection);
@@ -517,19 +517,19 @@
   }
 }
 
-void WorkerPool::retire(WorkerId id) {
+void UpstreamPool::retire(WorkerId id) {
   const auto found = workers_.find(id);
   if (found == workers_.end()) return;
   found->second.retired = true;
   quiet(id);
 }
 
-void WorkerPool::retune(const Limits& limits, std::vector<std::string> reportFields) {
+void UpstreamPool::retune(const Limits& limits, std::vector<std::string> reportFields) {
   limits_ = limits;
   reportFields_ = std::move(reportFields);
 }
 
-void WorkerPool::quiet(WorkerId id) {
+void UpstreamPool::quiet(WorkerId id) {
   const auto found = workers_.find(id);
   if (found == workers_.end()) return;
   closeIdle(found->second);
@@ -537,14 +537,14 @@
   endThose(found->second, [](const Connection& connection) { return connection.waiting(); });
 }
 
-void WorkerPool::resume(RequestId id) {
+void UpstreamPool::resume(RequestId id) {
   const auto found = busy_.find(id);
   if (found == busy_.end()) return;
   const Shared connection = found->second;
   connection->resume();
 }
 
-void WorkerPool::start(RequestId id, unsigned attempt, WorkerId target, AttemptRequest request,
+void UpstreamPool::start(RequestId id, unsigned attempt, WorkerId target, AttemptRequest request,
                        std::optional<Clock::duration> timeout) {
   const auto worker = workers_.find(target);
   Shared connection;
@@ -584,7 +584,7 @@
   connection->begin(id, attempt, std::move(request), timeout);
 }
 
-std::optional<AttemptEnd> WorkerPool::giveUp(RequestId id, Result result) {
+std::optional<AttemptEnd> UpstreamPool::giveUp(RequestId id, Result result) {
   const auto found = busy_.find(id);
   if (found == busy_.end()) return std::nullopt;
   const Shared connection = found->second;
@@ -595,13 +595,13 @@
   return end;
 }
 
-void WorkerPool::addBusy(RequestId id, const Shared& connection) {
+void UpstreamPool::addBusy(RequestId id, const Shared& connection) {
   removeBusy(id);
   busy_[id] = connection;
   workers_.at(connection->worker).busy.push_back(connection);
 }
 
-void WorkerPool::removeBusy(RequestId id) {
+void UpstreamPool::removeBusy(RequestId id) {
   const auto found = busy_.find(id);
   if (found == busy_.end()) return;
   std::erase(workers_.at(found->second->worker).busy, found->second);
@@ -609,7 +609,7 @@
 }
 
 // The most recent that has settled, so that the surplus ages out; where none has, the one that will first.
-WorkerPool::Shared WorkerPool::takeIdle(Worker& worker) {
+UpstreamPool::Shared UpstreamPool::takeIdle(Worker& worker) {
   auto& idle = worker.idle;
   while (!idle.empty()) {
     const auto found =
@@ -627,9 +627,9 @@
 
 // At the limit the connection that has stood idle longest makes room, whichever worker's it is: the least
 // likely to be wanted again.
-bool WorkerPool::makeRoom() { return total_ < limits_.total || dropOldestIdle(); }
+bool UpstreamPool::makeRoom() { return total_ < limits_.total || dropOldestIdle(); }
 
-bool WorkerPool::dropOldestIdle() {
+bool UpstreamPool::dropOldestIdle() {
   if (idle_.empty()) return false;
   const Shared oldest = idle_.front();
   drop(*oldest);
@@ -637,7 +637,7 @@
 }
 
 // Reports an end from a handler of its own: the module is never told anything from within one of its actions.
-void WorkerPool::report(Outcome outcome) {
+void UpstreamPool::report(Outcome outcome) {
   asio::post(io_, [this, alive = alive_, outcome = std::move(outcome)]() mutable {
     if (!*alive) return;
     AttemptEnd end;
@@ -646,13 +646,13 @@
   });
 }
 
-void WorkerPool::finish(Connection& connection, AttemptEnd&& end) {
+void UpstreamPool::finish(Connection& connection, AttemptEnd&& end) {
   const auto found = busy_.find(end.outcome.id);
   if (found != busy_.end() && found->second.get() == &connection) removeBusy(end.outcome.id);
   ended_(std::move(end));
 }
 
-void WorkerPool::keep(const Shared& connection) {
+void UpstreamPool::keep(const Shared& connection) {
   const auto found = workers_.find(connection->worker);
   const bool wanted = found != workers_.end() && !found->second.retired &&
                       found->second.place.address == connection->address &&
@@ -664,7 +664,7 @@
   connection->rest();
 }
 
-void WorkerPool::drop(Connection& connection) {
+void UpstreamPool::drop(Connection& connection) {
   const Shared self = connection.shared_from_this();  // the lists may be all that holds it
   connection.close();
   --total_;
@@ -674,10 +674,10 @@
     std::erase_if(found->second.idle, [&](const Shared& other) { return other.get() == &connection; });
 }
 
-void WorkerPool::closeIdle(Worker& worker) {
+void UpstreamPool::closeIdle(Worker& worker) {
   const auto idle = std::move(worker.idle);
   worker.idle.clear();
   for (const Shared& connection : idle) drop(*connection);
 }
 
-}  // namespace burlwind
+}  // namespace wingslip
--- a/src/node/worker_pool.hpp
+++ b/src/gatekeeper/upstream_pool.hpp
@@ -16,20 +16,20 @@
 #include <utility>
 #include <vector>
 
-#include "irisring/decide.hpp"
-#include "node/back_pressure.hpp"
-#include "node/http.hpp"
+#include "wingslip/decision/gateway.hpp"
+#include "net/overload_manager.hpp"
+#include "net/http.hpp"
 
-namespace burlwind {
+namespace wingslip {
 
 // How an attempt ended, and the answer if it was served; of one that was passed on as it came, the last
 // piece.
 struct AttemptEnd {
-  irisring::Outcome outcome;
+  decision::Outcome outcome;
   std::string body;
   std::string contentType;
   bool streamed = false;
-  Ledger::Charge room;  // of the body
+  MemoryBudget::Charge room;  // of the body
 };
 
 /// What an attempt sends: its head with the body, or with the body's beginning and where the rest comes from.
@@ -44,7 +44,7 @@
   bool chunked = false;            ///< how the rest is framed
 };
 
-class WorkerPool {
+class UpstreamPool {
  public:
   struct Limits {
     std::chrono::milliseconds connectTimeout{250};
@@ -62,47 +62,47 @@
   // Of what is passed on as it comes.
   struct Streams {
     // A good answer goes on past what is held whole; its pieces follow.
-    std::function<void(irisring::RequestId, const std::string& contentType,
+    std::function<void(decision::RequestId, const std::string& contentType,
                        std::optional<std::uint64_t> length)>
         began;
     // The next piece; nothing more is read until `resume`.
-    std::function<void(irisring::RequestId, std::string&& piece)> piece;
+    std::function<void(decision::RequestId, std::string&& piece)> piece;
   };
   // What happened since the last look, for the service log.
   struct Stats {
-    std::array<unsigned, 8> results{};  // attempts ended, by irisring::Result
+    std::array<unsigned, 8> results{};  // attempts ended, by decision::Result
     unsigned unreadable = 0;            // answers that were no HTTP message within the limits
     unsigned resetReused = 0;           // connections that broke under an attempt and had carried one before
     unsigned resetInAnswer = 0;         // and that broke within an answer
     std::size_t mostBuffered = 0;       // bytes of one answer read and not yet understood
   };
 
-  WorkerPool(boost::asio::io_context& io, const Limits& limits, std::vector<std::string> reportFields,
-             BackPressure& pressure, Ended ended);
-  ~WorkerPool();
-  WorkerPool(const WorkerPool&) = delete;
-  WorkerPool& operator=(const WorkerPool&) = delete;
+  UpstreamPool(boost::asio::io_context& io, const Limits& limits, std::vector<std::string> reportFields,
+             OverloadManager& pressure, Ended ended);
+  ~UpstreamPool();
+  UpstreamPool(const UpstreamPool&) = delete;
+  UpstreamPool& operator=(const UpstreamPool&) = delete;
 
   // Where a worker is. Connections to an earlier address or process are dropped, and attempts whose
   // connection to an earlier address is not up end as ones that could not connect.
-  void place(irisring::WorkerId worker, const Place& place);
+  void place(decision::WorkerId worker, const Place& place);
   // Nothing new goes there; its idle connections are closed, and attempts of which nothing has been sent end
   // as ones that could not connect. Attempts that are out go on.
-  void retire(irisring::WorkerId worker);
+  void retire(decision::WorkerId worker);
 
   // Starts one attempt. `ended` is called once for it, never from within this call.
-  void start(irisring::RequestId id, unsigned attempt, irisring::WorkerId worker, AttemptRequest request,
+  void start(decision::RequestId id, unsigned attempt, decision::WorkerId worker, AttemptRequest request,
              std::optional<std::chrono::steady_clock::duration> timeout);
   // Gives the attempt of this request up and closes its connection; `ended` is not called for it.
-  std::optional<AttemptEnd> giveUp(irisring::RequestId id, irisring::Result result);
+  std::optional<AttemptEnd> giveUp(decision::RequestId id, decision::Result result);
 
   void streamTo(Streams streams) { streams_ = std::move(streams); }
   // There is room for the next piece of this request's answer.
-  void resume(irisring::RequestId id);
+  void resume(decision::RequestId id);
   // Changed settings, from the next connection or answer on.
   void retune(const Limits& limits, std::vector<std::string> reportFields);
   // Closes what stands idle at this worker, and ends attempts of which nothing has been sent.
-  void quiet(irisring::WorkerId id);
+  void quiet(decision::WorkerId id);
   // Attempts that could not be begun for want of descriptors or memory here, since the start.
   std::uint64_t shortHere() const { return short_; }
   // Attempts written whole since the start.
@@ -124,27 +124,27 @@
     std::vector<Shared> busy;  // those with an attempt
   };
 
-  void addBusy(irisring::RequestId id, const Shared& connection);
-  void removeBusy(irisring::RequestId id);
+  void addBusy(decision::RequestId id, const Shared& connection);
+  void removeBusy(decision::RequestId id);
   Shared takeIdle(Worker& worker);
   bool makeRoom();
   bool dropOldestIdle();
-  void report(irisring::Outcome outcome);
+  void report(decision::Outcome outcome);
   void finish(Connection& connection, AttemptEnd&& end);
   void keep(const Shared& connection);
   void drop(Connection& connection);
   void closeIdle(Worker& worker);
   void endThose(const Worker& worker, const std::function<bool(const Connection&)>& meant);
-  void count(irisring::Result result) { ++stats_.results[static_cast<std::size_t>(result)]; }
+  void count(decision::Result result) { ++stats_.results[static_cast<std::size_t>(result)]; }
 
   boost::asio::io_context& io_;
   Limits limits_;
   Streams streams_;
   std::vector<std::string> reportFields_;
-  BackPressure& pressure_;
+  OverloadManager& pressure_;
   const Ended ended_;
-  std::unordered_map<irisring::WorkerId, Worker> workers_;
-  std::unordered_map<irisring::RequestId, Shared> busy_;
+  std::unordered_map<decision::WorkerId, Worker> workers_;
+  std::unordered_map<decision::RequestId, Shared> busy_;
   std::list<Shared> idle_;  // of all workers, the one that has stood idle longest first
   std::size_t total_ = 0;
   std::uint64_t written_ = 0, short_ = 0;
@@ -152,4 +152,4 @@
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
-}  // namespace burlwind
+}  // namespace wingslip
--- a/src/invariant/invariant.hpp
+++ b/src/invariant/invariant.hpp
@@ -6,7 +6,7 @@
 #include <cstdint>
 #include <string_view>
 
-namespace burlwind::invariant {
+namespace wingslip::invariant {
 
 /// Each is one rule of the platform, checked where the gatekeeper acts and counted when it is broken.
 enum class Invariant : std::uint8_t {
@@ -52,4 +52,4 @@
   return kInvariantNames[static_cast<std::size_t>(invariant)];
 }
 
-}  // namespace burlwind::invariant
+}  // namespace wingslip::invariant
--- a/src/invariant/monitor.cpp
+++ b/src/invariant/monitor.cpp
@@ -5,13 +5,13 @@
 #include <cstdio>
 #include <numeric>
 
-namespace burlwind::invariant {
+namespace wingslip::invariant {
 namespace {
 
-using irisring::Phase;
-using irisring::Repeat;
-using irisring::Result;
-using irisring::WorkerId;
+using decision::Phase;
+using decision::Repeat;
+using decision::Result;
+using decision::WorkerId;
 
 constexpr std::array<std::string_view, 17> kStateNames{"taken",
                                                        "connecting",
@@ -249,4 +249,4 @@
        "): " + what);
 }
 
-}  // namespace burlwind::invariant
+}  // namespace wingslip::invariant
--- a/src/invariant/monitor.hpp
+++ b/src/invariant/monitor.hpp
@@ -15,11 +15,11 @@
 #include <unordered_map>
 
 #include "invariant/invariant.hpp"
-#include "irisring/decide.hpp"
+#include "wingslip/decision/gateway.hpp"
 
-namespace burlwind::invariant {
+namespace wingslip::invariant {
 
-using irisring::Time;
+using decision::Time;
 
 /// The steps of a request, as its trace names them.
 enum class RequestState : std::uint8_t {
@@ -49,14 +49,14 @@
   struct Step {
     Time at = 0;
     RequestState state = RequestState::taken;
-    irisring::WorkerId worker = 0;
+    decision::WorkerId worker = 0;
   };
   static constexpr std::size_t kSteps = 8;  // the last ones
 
   /// `name`: the client's id of the request, for the log.
   std::string name;
   Time deadline = 0;  ///< of its client; moves while a body is still to come
-  irisring::Repeat repeat = irisring::Repeat::unsafe;
+  decision::Repeat repeat = decision::Repeat::unsafe;
   Time window = 0;   ///< keyed: a repeat is dropped for so long after the first attempt that may have run
   unsigned cap = 1;  ///< attempts that the settings grant
 
@@ -65,7 +65,7 @@
 
  private:
   friend class Monitor;
-  void add(Time at, RequestState state, irisring::WorkerId worker = 0);
+  void add(Time at, RequestState state, decision::WorkerId worker = 0);
 
   std::array<Step, kSteps> steps_{};
   std::size_t count_ = 0;
@@ -102,18 +102,18 @@
   void rules(const WorkerRules& rules) { rules_ = rules; }
 
   // --- Workers ---
-  void workerReady(irisring::WorkerId worker, Time warmFrom);
-  void workerLeaves(irisring::WorkerId worker, irisring::Phase phase, Time now);
-  void workerExcluded(irisring::WorkerId worker, Time now);
-  void workerIncluded(irisring::WorkerId worker);
+  void workerReady(decision::WorkerId worker, Time warmFrom);
+  void workerLeaves(decision::WorkerId worker, decision::Phase phase, Time now);
+  void workerExcluded(decision::WorkerId worker, Time now);
+  void workerIncluded(decision::WorkerId worker);
 
   // --- Requests ---
   void taken(RequestTrace& trace, Time now);
-  void connecting(RequestTrace& trace, irisring::WorkerId worker, Time now);
+  void connecting(RequestTrace& trace, decision::WorkerId worker, Time now);
   /// The first byte of an attempt is about to be written, with this deadline passed on.
-  void sending(RequestTrace& trace, irisring::WorkerId worker, Time now, Time passedOn);
+  void sending(RequestTrace& trace, decision::WorkerId worker, Time now, Time passedOn);
   /// Of the attempt that was sent last, or that never was.
-  void ended(RequestTrace& trace, irisring::WorkerId worker, irisring::Result result, Time now);
+  void ended(RequestTrace& trace, decision::WorkerId worker, decision::Result result, Time now);
   void streaming(RequestTrace& trace, Time now);
   /// The final answer: answered, refused, failed or cut.
   void answered(RequestTrace& trace, RequestState how, Time now);
@@ -134,14 +134,14 @@
  private:
   struct Worker {
     std::optional<Time> leavesSince, excludedSince;
-    irisring::Phase phase = irisring::Phase::ready;
+    decision::Phase phase = decision::Phase::ready;
     Time warmFrom = 0;
     std::deque<Time> sent;  // while it is in slow start: within the last `fallSpan`
   };
 
   void violated(Invariant invariant, Time now, const std::string& what);
   void violated(Invariant invariant, Time now, const RequestTrace& trace, const std::string& what);
-  void checkWorker(const RequestTrace& trace, irisring::WorkerId worker, Time now);
+  void checkWorker(const RequestTrace& trace, decision::WorkerId worker, Time now);
   void checkSlowStart(const RequestTrace& trace, Worker& worker, Time now);
   void checkRepeat(const RequestTrace& trace, Time now);
   void trimWorkers();
@@ -149,9 +149,9 @@
   const Log log_;
   WorkerRules rules_;
   const std::function<double()> warmRate_;
-  std::unordered_map<irisring::WorkerId, Worker> workers_;
+  std::unordered_map<decision::WorkerId, Worker> workers_;
   std::array<std::uint64_t, kInvariants> counts_{};
   std::array<Time, kInvariants> loggedAt_{};
 };
 
-}  // namespace burlwind::invariant
+}  // namespace wingslip::invariant
--- a/src/duty/base64.hpp
+++ b/src/leader_election/base64.hpp
@@ -8,7 +8,7 @@
 #include <string>
 #include <string_view>
 
-namespace burlwind::duty {
+namespace wingslip::leader_election {
 
 inline std::string toBase64(std::string_view bytes) {
   using namespace boost::archive::iterators;
@@ -35,4 +35,4 @@
   }
 }
 
-}  // namespace burlwind::duty
+}  // namespace wingslip::leader_election
--- a/src/duty/coordinator.cpp
+++ b/src/leader_election/coordinator.cpp
@@ -1,4 +1,4 @@
-#include "duty/coordinator.hpp"
+#include "leader_election/coordinator.hpp"
 
 #include <algorithm>
 #include <chrono>
@@ -7,9 +7,9 @@
 #include <random>
 #include <utility>
 
-#include "node/answer_lines.hpp"
+#include "net/answer_lines.hpp"
 
-namespace burlwind::duty {
+namespace wingslip::leader_election {
 namespace {
 
 namespace asio = boost::asio;
@@ -18,19 +18,19 @@
 constexpr auto kLeaveWithin = std::chrono::milliseconds(100);
 constexpr Time kSeenWithin = 300;  // for the holder to see that this one drains before its registration goes
 
-Duties::Self selfOf(const Coordination& where, const std::string& name) {
+LeaderElection::Self selfOf(const Coordination& where, const std::string& name) {
   const auto unixNow =
       std::chrono::duration_cast<std::chrono::seconds>(std::chrono::system_clock::now().time_since_epoch());
   char instance[20];  // from the system's own chance: two processes of a gatekeeper share its seed
   std::random_device chance;
   std::snprintf(instance, sizeof instance, "%08x%08x", chance(), chance());
-  return {where.prefix, name, instance, BURLWIND_BUILD, unixNow.count()};
+  return {where.prefix, name, instance, WINGSLIP_GATEKEEPER_BUILD, unixNow.count()};
 }
 
 }  // namespace
 
 Coordinator::Coordinator(asio::io_context& io, const Coordination& where, const std::string& name,
-                         unsigned candidates, std::uint64_t seed, BackPressure& pressure)
+                         unsigned candidates, std::uint64_t seed, OverloadManager& pressure)
     : duties_(timingFor(where.ttlMs, where.lockDelayMs, candidates), selfOf(where, name),
               seed ^ std::random_device()(), *this),
       rosterDuty_(duties_, kRoster, where.ttlMs),
@@ -96,7 +96,7 @@
   const auto line = [&](const char* name, std::uint64_t value, const char* kind) {
     out += std::string("svc.duty.") + name + ":" + std::to_string(value) + "|" + kind + "\n";
   };
-  const Duties::Counts& c = duties_.counts();
+  const LeaderElection::Counts& c = duties_.counts();
   const auto status = duties_.status();
   line("held",
        static_cast<std::uint64_t>(std::count_if(status.begin(), status.end(),
@@ -141,7 +141,7 @@
   constexpr RowState kOrder[] = {RowState::missing, RowState::draining, RowState::left, RowState::here};
   for (const RowState state : kOrder)
     first += std::string(" ") + nameOf(state) + "=" + std::to_string(counts[state]);
-  AnswerLines out(first);
+  OperatorResponse out(first);
   for (const RowState state : kOrder)
     for (const auto& [name, row] : roster.rows())
       if (row.state == state)
@@ -151,4 +151,4 @@
   return out.end();
 }
 
-}  // namespace burlwind::duty
+}  // namespace wingslip::leader_election
--- a/src/duty/coordinator.hpp
+++ b/src/leader_election/coordinator.hpp
@@ -8,20 +8,20 @@
 #include <functional>
 #include <string>
 
-#include "duty/duties.hpp"
-#include "duty/roster.hpp"
-#include "duty/store_client.hpp"
-#include "node/back_pressure.hpp"
-#include "node/config.hpp"
-#include "node/quiet_log.hpp"
+#include "leader_election/leader_election.hpp"
+#include "leader_election/roster.hpp"
+#include "leader_election/store_client.hpp"
+#include "net/overload_manager.hpp"
+#include "config/config.hpp"
+#include "net/rate_limited_log.hpp"
 
-namespace burlwind::duty {
+namespace wingslip::leader_election {
 
 class Coordinator : private Outside {
  public:
   // `candidates`: how many gatekeepers there are, as the settings say.
   Coordinator(boost::asio::io_context& io, const Coordination& where, const std::string& name,
-              unsigned candidates, std::uint64_t seed, BackPressure& pressure);
+              unsigned candidates, std::uint64_t seed, OverloadManager& pressure);
 
   void start();
   void drain();  // SIGTERM, or another store from now on: acts stop, locks go back
@@ -40,7 +40,7 @@
   Time now() const;
   void turn();  // after every event: what is due, and when the next is
 
-  Duties duties_;
+  LeaderElection duties_;
   RosterDuty rosterDuty_;
   StoreClient client_;
   boost::asio::steady_timer timer_, end_;
@@ -48,7 +48,7 @@
   std::function<void()> done_;
   Time leaveBy_ = 0, drainedAt_ = 0;
   bool ending_ = false;
-  QuietLog log_{"duty"};
+  RateLimitedLog log_{"duty"};
 };
 
-}  // namespace burlwind::duty
+}  // namespace wingslip::leader_election
--- a/src/duty/duties.cpp
+++ b/src/leader_election/leader_election.cpp
@@ -1,4 +1,4 @@
-#include "duty/duties.hpp"
+#include "leader_election/leader_election.hpp"
 
 #include <algorithm>
 #include <limits>
@@ -6,7 +6,7 @@
 #include <stdexcept>
 #include <utility>
 
-namespace burlwind::duty {
+namespace wingslip::leader_election {
 namespace {
 
 using nlohmann::json;
@@ -61,16 +61,16 @@
   }
 }
 
-Duties::Duties(const Timing& timing, const Self& self, std::uint64_t seed, Outside& outside)
+LeaderElection::LeaderElection(const Timing& timing, const Self& self, std::uint64_t seed, Outside& outside)
     : timing_(timing), self_(self), outside_(outside), random_(seed) {}
 
-void Duties::add(const std::string& name, Duty& duty) {
+void LeaderElection::add(const std::string& name, Duty& duty) {
   Held held;
   held.name = name, held.work = &duty;
   duties_.push_back(std::move(held));
 }
 
-void Duties::start(Time now) {
+void LeaderElection::start(Time now) {
   started_ = true;
   sessionAt_ = now + chance(timing_.spread());
   for (Held& d : duties_) d.since = now, d.watchAt = sessionAt_;
@@ -79,7 +79,7 @@
 
 // --- Asks ------------------------------------------------------------------------------------------------
 
-std::uint64_t Duties::send(Time now, Ask ask, For what, std::size_t duty) {
+std::uint64_t LeaderElection::send(Time now, Ask ask, For what, std::size_t duty) {
   ask.id = ++lastAsk_;
   ask.within = timing_.callWithin;
   if (ask.call == Call::read && ask.index > 0) {
@@ -91,24 +91,24 @@
   return ask.id;
 }
 
-void Duties::ask(Time now, Held& d, Step step, Ask ask) {
+void LeaderElection::ask(Time now, Held& d, Step step, Ask ask) {
   d.doing = step;
   d.step = send(now, std::move(ask), For::step, indexOf(d));
 }
 
-void Duties::drop(std::uint64_t& id) {
+void LeaderElection::drop(std::uint64_t& id) {
   if (id == 0) return;
   pending_.erase(id);
   outside_.drop(std::exchange(id, 0));
 }
 
-Time Duties::chance(Time most) { return std::uniform_real_distribution<Time>(0, most)(random_); }
+Time LeaderElection::chance(Time most) { return std::uniform_real_distribution<Time>(0, most)(random_); }
 
-std::string Duties::key(const Held& d, const char* what) const {
+std::string LeaderElection::key(const Held& d, const char* what) const {
   return self_.prefix + "/duties/" + d.name + "/" + what;
 }
 
-void Duties::replied(Time now, std::uint64_t id, const Reply& reply) {
+void LeaderElection::replied(Time now, std::uint64_t id, const Reply& reply) {
   const auto found = pending_.find(id);
   if (found == pending_.end()) return;
   const Pending pending = found->second;
@@ -145,7 +145,7 @@
 
 // --- The session and the registration --------------------------------------------------------------------
 
-void Duties::onSession(Time now, const Reply& reply, Time sent) {
+void LeaderElection::onSession(Time now, const Reply& reply, Time sent) {
   const Time most = alive_ ? timing_.ttl / 6 : std::max(timing_.ttl, 2 * timing_.spread());
   const Time retry = chance(doubled(sessionBackoff_, kBackoffFirst, most));
   if (!alive_) {
@@ -172,7 +172,7 @@
 
 // The lease of a holder ran out. Its renewals may still come in and only their answers be lost: renewed for
 // ever, the lock would be held by one that may not act. So the session is asked to end, and renewed no more.
-void Duties::abandonSession(Time now) {
+void LeaderElection::abandonSession(Time now) {
   Ask end;
   end.call = Call::destroySession, end.session = session_;
   send(now, std::move(end), For::end);
@@ -184,7 +184,7 @@
   sessionAt_ = now + chance(timing_.spread());
 }
 
-void Duties::sessionLost(Time now) {
+void LeaderElection::sessionLost(Time now) {
   ++counts_.sessionsLost;
   alive_ = false;
   session_.clear();
@@ -197,20 +197,20 @@
   }
 }
 
-std::string Duties::registration() const {
+std::string LeaderElection::registration() const {
   Member m{self_.name, self_.instance, self_.build, self_.started, draining_, {}};
   for (const Held& d : duties_)
     if (d.seen > 0) m.seen[d.name] = d.seen;
   return memberText(m);
 }
 
-void Duties::onMember(Time now, const Reply& reply) {
+void LeaderElection::onMember(Time now, const Reply& reply) {
   if (reply.ok && reply.yes) return;
   dirty_ = true;
   memberAt_ = now + std::max(kBackoffFirst, chance(timing_.ttl / 6));
 }
 
-std::vector<Member> Duties::membersOf(const std::vector<Entry>& entries) {
+std::vector<Member> LeaderElection::membersOf(const std::vector<Entry>& entries) {
   std::vector<Member> out;
   for (const Entry& entry : entries) {
     if (entry.session.empty()) continue;  // left behind; nobody is behind it
@@ -225,13 +225,13 @@
 
 // --- What the store tells of a duty ----------------------------------------------------------------------
 
-const Entry* Duties::entryOf(const std::vector<Entry>& entries, const std::string& name) const {
+const Entry* LeaderElection::entryOf(const std::vector<Entry>& entries, const std::string& name) const {
   const auto found =
       std::find_if(entries.begin(), entries.end(), [&](const Entry& e) { return e.key == name; });
   return found == entries.end() ? nullptr : &*found;
 }
 
-Duties::Record Duties::recordOf(const Held& d, const std::vector<Entry>& entries) {
+LeaderElection::Record LeaderElection::recordOf(const Held& d, const std::vector<Entry>& entries) {
   Record out;
   const Entry* entry = entryOf(entries, key(d, "record"));
   if (!entry) return out;
@@ -249,7 +249,7 @@
   return out;
 }
 
-void Duties::see(Time now, Held& d, const Record& record) {
+void LeaderElection::see(Time now, Held& d, const Record& record) {
   if (!record.there && d.seen > 0) {
     if (!std::exchange(d.gone, true)) goneBack(now, d.name + ": its record is gone");
     return;
@@ -271,7 +271,7 @@
 }
 
 // The store may have forgotten tokens: everybody registers what it has seen, and nobody claims for a TTL.
-void Duties::goneBack(Time now, const std::string& what) {
+void LeaderElection::goneBack(Time now, const std::string& what) {
   dirty_ = true, memberAt_ = now;
   if (now < quietUntil_) return;
   ++counts_.wentBack;
@@ -279,7 +279,7 @@
   outside_.told("the store went back: " + what);
 }
 
-void Duties::onWatch(Time now, Held& d, const Reply& reply, Time sent) {
+void LeaderElection::onWatch(Time now, Held& d, const Reply& reply, Time sent) {
   if (!reply.ok || reply.index == 0) {
     const Time most = std::max(timing_.ttl, 2 * timing_.spread());
     d.watchAt = now + std::max(kBackoffFirst, chance(doubled(d.watchBackoff, kBackoffFirst, most)));
@@ -321,7 +321,7 @@
   }
 }
 
-void Duties::look(Time now, Held& d) {
+void LeaderElection::look(Time now, Held& d) {
   if (d.state == State::resting && now < d.at) return;
   if (draining_ || !alive_ || d.watchIndex == 0) {
     if (!draining_ && d.state != State::standby) setState(now, d, State::standby);
@@ -338,22 +338,22 @@
   }
 }
 
-void Duties::wait(Time now, Held& d, Time most) {
+void LeaderElection::wait(Time now, Held& d, Time most) {
   if (d.state != State::waiting) setState(now, d, State::waiting);
   d.at = now + chance(most);
 }
 
-void Duties::setState(Time now, Held& d, State state) {
+void LeaderElection::setState(Time now, Held& d, State state) {
   d.state = state, d.since = now;
   if (state != State::holding) drop(d.membersAsk);
 }
 
-void Duties::lookAnew(Time now, Held& d) {
+void LeaderElection::lookAnew(Time now, Held& d) {
   drop(d.watch);
   d.watchIndex = 0, d.watchAt = now;
 }
 
-void Duties::rest(Time now, Held& d) {
+void LeaderElection::rest(Time now, Held& d) {
   setState(now, d, State::resting);
   lookAnew(now, d);
   d.at = d.backToRest ? now + 2 * timing_.ttl : kNever;
@@ -361,7 +361,7 @@
 
 // --- Holding ---------------------------------------------------------------------------------------------
 
-void Duties::begin(Time now, Held& d) {
+void LeaderElection::begin(Time now, Held& d) {
   d.token = d.claim;
   if (d.token > d.seen) d.seen = d.token, dirty_ = true;
   ++counts_.acquired;
@@ -373,7 +373,7 @@
   d.work->begun(now, d.token, d.data);
 }
 
-void Duties::stopActs(Time now, Held& d, State next) {
+void LeaderElection::stopActs(Time now, Held& d, State next) {
   const bool held = d.state == State::holding;
   setState(now, d, next);
   d.writes = false;
@@ -385,7 +385,7 @@
   }
 }
 
-void Duties::lose(Time now, Held& d, const std::string& why) {
+void LeaderElection::lose(Time now, Held& d, const std::string& why) {
   if (d.state == State::holding) ++counts_.lost;
   failed(d, why);
   d.step = 0, d.doing = Step::none;
@@ -394,15 +394,15 @@
   lookAnew(now, d);
 }
 
-void Duties::failed(Held& d, const std::string& what) { d.lastError = what; }
+void LeaderElection::failed(Held& d, const std::string& what) { d.lastError = what; }
 
-bool Duties::mayAct(Time now, const std::string& name) const {
+bool LeaderElection::mayAct(Time now, const std::string& name) const {
   return std::any_of(duties_.begin(), duties_.end(), [&](const Held& d) {
     return d.name == name && d.state == State::holding && leased(now);
   });
 }
 
-bool Duties::write(Time now, const std::string& name, const std::string& data) {
+bool LeaderElection::write(Time now, const std::string& name, const std::string& data) {
   for (Held& d : duties_) {
     if (d.name != name || d.state != State::holding) continue;
     if (!d.writes && d.doing != Step::act) d.writesSince = now;
@@ -413,7 +413,7 @@
   return false;
 }
 
-void Duties::onMembers(Time now, Held& d, const Reply& reply) {
+void LeaderElection::onMembers(Time now, Held& d, const Reply& reply) {
   if (d.state != State::holding) return;
   if (!reply.ok || reply.index == 0) {
     d.membersIndex = 0;
@@ -437,7 +437,7 @@
   d.work->members(now, all);
 }
 
-void Duties::onClaimRead(Time now, Held& d, const Reply& reply) {
+void LeaderElection::onClaimRead(Time now, Held& d, const Reply& reply) {
   const Entry* lock = entryOf(reply.entries, key(d, "lock"));
   if (!lock || lock->session != session_) return lose(now, d, "the lock is another's");
   const Record record = recordOf(d, reply.entries);
@@ -463,7 +463,7 @@
 }
 
 // The fence: an act is made only on the record as it was read under our own token.
-void Duties::onActRead(Time now, Held& d, const Reply& reply) {
+void LeaderElection::onActRead(Time now, Held& d, const Reply& reply) {
   const Entry* lock = entryOf(reply.entries, key(d, "lock"));
   const Record record = recordOf(d, reply.entries);
   if (!lock || lock->session != session_ || record.token != d.token || record.holder != self_.instance) {
@@ -481,7 +481,7 @@
   ask(now, d, Step::act, std::move(act));
 }
 
-void Duties::onStep(Time now, Held& d, const Reply& reply) {
+void LeaderElection::onStep(Time now, Held& d, const Reply& reply) {
   const Step done = std::exchange(d.doing, Step::none);
   if (reply.ok)
     d.stepBackoff = 0;
@@ -552,14 +552,14 @@
 
 // --- Giving up -------------------------------------------------------------------------------------------
 
-void Duties::giveBack(Time now, Held& d) {
+void LeaderElection::giveBack(Time now, Held& d) {
   if (!alive_) return rest(now, d);
   Ask release;
   release.call = Call::release, release.key = key(d, "lock"), release.session = session_;
   ask(now, d, Step::release, std::move(release));
 }
 
-void Duties::unfit(Time now, const std::string& name, const std::string& why) {
+void LeaderElection::unfit(Time now, const std::string& name, const std::string& why) {
   for (Held& d : duties_) {
     if (d.name != name || d.state != State::holding) continue;
     ++counts_.givenUp;
@@ -570,7 +570,7 @@
   }
 }
 
-void Duties::drain(Time now) {
+void LeaderElection::drain(Time now) {
   if (!started_ || std::exchange(draining_, true)) return;
   dirty_ = true, memberAt_ = now;
   for (Held& d : duties_) {
@@ -596,14 +596,14 @@
   tick(now);
 }
 
-void Duties::leave(Time now) {
+void LeaderElection::leave(Time now) {
   if (!started_ || std::exchange(left_, true) || !alive_) return;
   Ask end;
   end.call = Call::destroySession, end.session = session_;
   send(now, std::move(end), For::end);
 }
 
-bool Duties::settled() const {
+bool LeaderElection::settled() const {
   return std::all_of(duties_.begin(), duties_.end(),
                      [](const Held& d) { return d.state == State::resting; }) &&
          memberAsk_ == 0 && !(dirty_ && alive_);
@@ -611,7 +611,7 @@
 
 // --- Time ------------------------------------------------------------------------------------------------
 
-void Duties::tick(Time now) {
+void LeaderElection::tick(Time now) {
   if (!started_ || left_) return;
   if (sessionAsk_ == 0 && now >= sessionAt_ && !(draining_ && !alive_)) {
     Ask ask;
@@ -630,7 +630,7 @@
   for (Held& d : duties_) run(now, d);
 }
 
-void Duties::run(Time now, Held& d) {
+void LeaderElection::run(Time now, Held& d) {
   if (d.watch == 0 && now >= d.watchAt && !(draining_ && d.state == State::resting)) {
     Ask read;
     read.key = key(d, ""), read.recurse = true, read.index = d.watchIndex;
@@ -674,7 +674,7 @@
   }
 }
 
-Time Duties::nextAt() const {
+Time LeaderElection::nextAt() const {
   if (!started_ || left_) return kNever;
   Time at = kNever;
   const auto also = [&](Time one) { at = std::min(at, one); };
@@ -692,7 +692,7 @@
   return at;
 }
 
-std::vector<Duties::Status> Duties::status() const {
+std::vector<LeaderElection::Status> LeaderElection::status() const {
   std::vector<Status> out;
   for (const Held& d : duties_)
     out.push_back(
@@ -700,4 +700,4 @@
   return out;
 }
 
-}  // namespace burlwind::duty
+}  // namespace wingslip::leader_election
--- a/src/duty/duties.hpp
+++ b/src/leader_election/leader_election.hpp
@@ -1,4 +1,4 @@
-// Duties that one process of the fleet holds at a time: leases, fencing tokens, registrations. The core:
+// LeaderElection that one process of the fleet holds at a time: leases, fencing tokens, registrations. The core:
 // events and monotonic time in, calls to a coordination store out. No I/O, no clock. `docs/design.md` has the
 // states, the argument for "never two at once" and its assumptions. One owner: whoever makes it, on one
 // thread.
@@ -11,7 +11,7 @@
 #include <unordered_map>
 #include <vector>
 
-namespace burlwind::duty {
+namespace wingslip::leader_election {
 
 using Time = double;          // ms of a monotonic clock
 using Token = std::uint64_t;  // only rises over all holders of a duty
@@ -67,7 +67,7 @@
   std::map<std::string, Token> seen;  // the highest token that it has seen of each duty
 };
 
-// What one duty is about. Calls may come from within any event of `Duties`.
+// What one duty is about. Calls may come from within any event of `LeaderElection`.
 class Duty {
  public:
   virtual ~Duty() = default;
@@ -91,7 +91,7 @@
 enum class State { standby, waiting, acquiring, proving, holding, uncertain, releasing, resting };
 const char* nameOf(State state);
 
-class Duties {
+class LeaderElection {
  public:
   struct Self {
     std::string prefix;          // of all keys
@@ -111,7 +111,7 @@
     Time since = 0;
   };
 
-  Duties(const Timing& timing, const Self& self, std::uint64_t seed, Outside& outside);
+  LeaderElection(const Timing& timing, const Self& self, std::uint64_t seed, Outside& outside);
 
   void add(const std::string& name, Duty& duty);  // before `start`
   void start(Time now);
@@ -223,4 +223,4 @@
 std::string memberText(const Member& member);
 Member parseMember(const std::string& text);
 
-}  // namespace burlwind::duty
+}  // namespace wingslip::leader_election
--- a/src/duty/roster.cpp
+++ b/src/leader_election/roster.cpp
@@ -1,4 +1,4 @@
-#include "duty/roster.hpp"
+#include "leader_election/roster.hpp"
 
 #include <algorithm>
 #include <array>
@@ -10,7 +10,7 @@
 #include <utility>
 #include <vector>
 
-namespace burlwind::duty {
+namespace wingslip::leader_election {
 namespace {
 
 using nlohmann::json;
@@ -162,4 +162,4 @@
   return holding_ && known_ && due_ ? writeAt_ : std::numeric_limits<Time>::infinity();
 }
 
-}  // namespace burlwind::duty
+}  // namespace wingslip::leader_election
--- a/src/duty/roster.hpp
+++ b/src/leader_election/roster.hpp
@@ -6,9 +6,9 @@
 #include <string>
 #include <vector>
 
-#include "duty/duties.hpp"
+#include "leader_election/leader_election.hpp"
 
-namespace burlwind::duty {
+namespace wingslip::leader_election {
 
 struct RosterRow {
   enum class State { here, draining, left, missing };
@@ -82,7 +82,7 @@
   static constexpr Time kGather = 500;
   // `grace`: a name gone without a word is missing only after this, since sessions that the store lost come
   // back within it.
-  RosterDuty(Duties& duties, std::string name, Time grace)
+  RosterDuty(LeaderElection& duties, std::string name, Time grace)
       : duties_(duties), name_(std::move(name)), grace_(grace) {}
 
   void begun(Time now, Token token, const std::string& data) override;
@@ -101,7 +101,7 @@
   void take(const std::string& data, Roster& into);
   void look(Time now);
 
-  Duties& duties_;
+  LeaderElection& duties_;
   const std::string name_;
   const Time grace_;
   Roster roster_, kept_;  // kept_: the holder's, ahead of what is recorded
@@ -114,4 +114,4 @@
   bool due_ = false;
 };
 
-}  // namespace burlwind::duty
+}  // namespace wingslip::leader_election
--- a/src/duty/store_client.cpp
+++ b/src/leader_election/store_client.cpp
@@ -1,4 +1,4 @@
-#include "duty/store_client.hpp"
+#include "leader_election/store_client.hpp"
 
 #include <boost/beast/http.hpp>
 #include <charconv>
@@ -8,10 +8,10 @@
 #include <stdexcept>
 #include <utility>
 
-#include "duty/base64.hpp"
-#include "node/http.hpp"
+#include "leader_election/base64.hpp"
+#include "net/http.hpp"
 
-namespace burlwind::duty {
+namespace wingslip::leader_election {
 namespace {
 
 using asio::ip::tcp;
@@ -123,18 +123,18 @@
   return out;
 }
 
-StoreClient::StoreClient(asio::io_context& io, const tcp::endpoint& store, BackPressure& pressure,
+StoreClient::StoreClient(asio::io_context& io, const tcp::endpoint& store, OverloadManager& pressure,
                          Replied replied)
     : store_(store),
       replied_(std::move(replied)),
       calls_(io, {kMostCalls, kMostBody}, pressure,
-             [this](std::uint64_t id, const HttpCalls::Response* response, const std::string& error) {
+             [this](std::uint64_t id, const HttpClient::Response* response, const std::string& error) {
                ended(id, response, error);
              }) {}
 
 void StoreClient::ask(const Ask& ask) {
   const HttpCall call = httpCallOf(ask);
-  HttpCalls::Request request(call.put ? http::verb::put : http::verb::get, call.target, 11);
+  HttpClient::Request request(call.put ? http::verb::put : http::verb::get, call.target, 11);
   request.set(http::field::host, "store");
   request.body() = call.body;
   if (call.put) request.prepare_payload();
@@ -147,7 +147,7 @@
   calls_.drop(ask);
 }
 
-void StoreClient::ended(std::uint64_t id, const HttpCalls::Response* response, const std::string& error) {
+void StoreClient::ended(std::uint64_t id, const HttpClient::Response* response, const std::string& error) {
   const Call kind = kinds_.at(id);
   kinds_.erase(id);
   if (!response) return replied_(id, {}, error);
@@ -161,4 +161,4 @@
   replied_(id, reply, wrong);
 }
 
-}  // namespace burlwind::duty
+}  // namespace wingslip::leader_election
--- a/src/duty/store_client.hpp
+++ b/src/leader_election/store_client.hpp
@@ -8,11 +8,11 @@
 #include <string_view>
 #include <unordered_map>
 
-#include "duty/duties.hpp"
-#include "node/back_pressure.hpp"
-#include "node/http_calls.hpp"
+#include "leader_election/leader_election.hpp"
+#include "net/overload_manager.hpp"
+#include "net/http_client.hpp"
 
-namespace burlwind::duty {
+namespace wingslip::leader_election {
 
 class StoreClient {
  public:
@@ -21,19 +21,19 @@
 
   using Replied = std::function<void(std::uint64_t ask, const Reply& reply, const std::string& error)>;
   StoreClient(boost::asio::io_context& io, const boost::asio::ip::tcp::endpoint& store,
-              BackPressure& pressure, Replied replied);
+              OverloadManager& pressure, Replied replied);
 
   // Answered once, from a handler of its own, never from within.
   void ask(const Ask& ask);
   void drop(std::uint64_t ask);  // ends the call; it is not answered
 
  private:
-  void ended(std::uint64_t id, const HttpCalls::Response* response, const std::string& error);
+  void ended(std::uint64_t id, const HttpClient::Response* response, const std::string& error);
 
   const boost::asio::ip::tcp::endpoint store_;
   const Replied replied_;
   std::unordered_map<std::uint64_t, Call> kinds_;
-  HttpCalls calls_;
+  HttpClient calls_;
 };
 
 // The method and target of a call, and its body; pure.
@@ -46,4 +46,4 @@
 // std::runtime_error with one plain line on anything that is not an answer to this call.
 Reply readReply(Call call, unsigned status, std::string_view index, const std::string& body);
 
-}  // namespace burlwind::duty
+}  // namespace wingslip::leader_election
--- a/src/node/answer_lines.hpp
+++ b/src/net/answer_lines.hpp
@@ -4,13 +4,13 @@
 #include <cstddef>
 #include <string>
 
-namespace burlwind {
+namespace wingslip {
 
-class AnswerLines {
+class OperatorResponse {
  public:
   static constexpr std::size_t kMost = 256 * 1024;  // bytes: 1,024 lines of the longest names
 
-  explicit AnswerLines(std::string first) : out_(std::move(first)) { out_ += '\n'; }
+  explicit OperatorResponse(std::string first) : out_(std::move(first)) { out_ += '\n'; }
   void add(const std::string& line) {
     if (out_.size() + line.size() + 1 > kMost)
       ++cut_;
@@ -26,4 +26,4 @@
   std::size_t cut_ = 0;
 };
 
-}  // namespace burlwind
+}  // namespace wingslip
--- a/src/node/durable_file.cpp
+++ b/src/net/durable_file.cpp
@@ -1,4 +1,4 @@
-#include "node/durable_file.hpp"
+#include "net/durable_file.hpp"
 
 #include <fcntl.h>
 #include <sys/file.h>
@@ -9,7 +9,7 @@
 #include <cstdio>
 #include <thread>
 
-namespace burlwind {
+namespace wingslip {
 namespace {
 
 constexpr int kLockTries = 20;
@@ -115,4 +115,4 @@
   if (descriptor_ >= 0) ::close(descriptor_);
 }
 
-}  // namespace burlwind
+}  // namespace wingslip
--- a/src/node/durable_file.hpp
+++ b/src/net/durable_file.hpp
@@ -9,7 +9,7 @@
 #include <string_view>
 #include <system_error>
 
-namespace burlwind {
+namespace wingslip {
 
 /// How far a replacement has gone when `replaceFile` returns without an error.
 enum class Durability {
@@ -41,4 +41,4 @@
   std::error_code error_;
 };
 
-}  // namespace burlwind
+}  // namespace wingslip
--- a/src/node/guarded_connection.hpp
+++ b/src/net/guarded_connection.hpp
@@ -6,7 +6,7 @@
 #include <memory>
 #include <utility>
 
-namespace burlwind {
+namespace wingslip {
 
 // `Connection` derives from GuardedConnection<Connection> and is held by a std::shared_ptr.
 template <class Connection>
@@ -32,4 +32,4 @@
   bool ended_ = false;
 };
 
-}  // namespace burlwind
+}  // namespace wingslip
--- a/src/node/http.hpp
+++ b/src/net/http.hpp
@@ -13,7 +13,7 @@
 #include <string>
 #include <string_view>
 
-namespace burlwind {
+namespace wingslip {
 
 namespace asio = boost::asio;
 namespace beast = boost::beast;
@@ -116,4 +116,4 @@
   if (last) out += "0\r\n\r\n";
 }
 
-}  // namespace burlwind
+}  // namespace wingslip
--- a/src/node/http_calls.cpp
+++ b/src/net/http_client.cpp
@@ -1,14 +1,14 @@
-#include "node/http_calls.hpp"
+#include "net/http_client.hpp"
 
 #include <boost/asio/post.hpp>
 #include <boost/asio/steady_timer.hpp>
 #include <utility>
 
-#include "node/guarded_connection.hpp"
-#include "node/http.hpp"
-#include "node/socket_io.hpp"
+#include "net/guarded_connection.hpp"
+#include "net/http.hpp"
+#include "net/socket_io.hpp"
 
-namespace burlwind {
+namespace wingslip {
 namespace {
 
 using asio::ip::tcp;
@@ -18,9 +18,9 @@
 }  // namespace
 
 // One call: connect, write, read the whole answer, close.
-class HttpCalls::Exchange : public GuardedConnection<Exchange> {
+class HttpClient::Exchange : public GuardedConnection<Exchange> {
  public:
-  Exchange(HttpCalls& calls, std::uint64_t id, const tcp::endpoint& to, Request&& request)
+  Exchange(HttpClient& calls, std::uint64_t id, const tcp::endpoint& to, Request&& request)
       : calls_(calls),
         id_(id),
         to_(to),
@@ -89,10 +89,10 @@
     calls_.ended_(id_, response, error);
   }
 
-  HttpCalls& calls_;
+  HttpClient& calls_;
   const std::uint64_t id_;
   const tcp::endpoint to_;
-  Ledger::Charge room_;
+  MemoryBudget::Charge room_;
   tcp::socket socket_;
   asio::steady_timer timer_;
   std::string out_;
@@ -100,14 +100,14 @@
   http::response_parser<http::string_body> parser_;
 };
 
-HttpCalls::HttpCalls(asio::io_context& io, const Limits& limits, BackPressure& pressure, Ended ended)
+HttpClient::HttpClient(asio::io_context& io, const Limits& limits, OverloadManager& pressure, Ended ended)
     : io_(io), limits_(limits), pressure_(pressure), ended_(std::move(ended)) {}
 
-HttpCalls::~HttpCalls() {
+HttpClient::~HttpClient() {
   for (const auto& [id, call] : calls_) call->abandon();
 }
 
-void HttpCalls::call(std::uint64_t id, const tcp::endpoint& to, Request&& request,
+void HttpClient::call(std::uint64_t id, const tcp::endpoint& to, Request&& request,
                      std::chrono::steady_clock::duration within) {
   const auto call = std::make_shared<Exchange>(*this, id, to, std::move(request));
   const bool full = calls_.size() >= limits_.calls;
@@ -118,11 +118,11 @@
     call->start(within);
 }
 
-void HttpCalls::drop(std::uint64_t id) {
+void HttpClient::drop(std::uint64_t id) {
   const auto found = calls_.find(id);
   if (found == calls_.end()) return;
   found->second->abandon();
   calls_.erase(found);
 }
 
-}  // namespace burlwind
+}  // namespace wingslip
--- a/src/node/http_calls.hpp
+++ b/src/net/http_client.hpp
@@ -13,11 +13,11 @@
 #include <string>
 #include <unordered_map>
 
-#include "node/back_pressure.hpp"
+#include "net/overload_manager.hpp"
 
-namespace burlwind {
+namespace wingslip {
 
-class HttpCalls {
+class HttpClient {
  public:
   using Request = boost::beast::http::request<boost::beast::http::string_body>;
   using Response = boost::beast::http::response<boost::beast::http::string_body>;
@@ -29,10 +29,10 @@
   // `response` is null where there is none, and `error` then says why in a few words.
   using Ended = std::function<void(std::uint64_t id, const Response* response, const std::string& error)>;
 
-  HttpCalls(boost::asio::io_context& io, const Limits& limits, BackPressure& pressure, Ended ended);
-  ~HttpCalls();
-  HttpCalls(const HttpCalls&) = delete;
-  HttpCalls& operator=(const HttpCalls&) = delete;
+  HttpClient(boost::asio::io_context& io, const Limits& limits, OverloadManager& pressure, Ended ended);
+  ~HttpClient();
+  HttpClient(const HttpClient&) = delete;
+  HttpClient& operator=(const HttpClient&) = delete;
 
   // Ends once, by a handler of its own, never from within. `id` is the caller's, unlike any that is out.
   void call(std::uint64_t id, const boost::asio::ip::tcp::endpoint& to, Request&& request,
@@ -44,9 +44,9 @@
   class Exchange;
   boost::asio::io_context& io_;
   const Limits limits_;
-  BackPressure& pressure_;
+  OverloadManager& pressure_;
   const Ended ended_;
   std::unordered_map<std::uint64_t, std::shared_ptr<Exchange>> calls_;
 };
 
-}  // namespace burlwind
+}  // namespace wingslip
--- a/src/node/listener.cpp
+++ b/src/net/listener.cpp
@@ -1,11 +1,11 @@
-#include "node/listener.hpp"
+#include "net/listener.hpp"
 
 #include <boost/asio/error.hpp>
 #include <boost/system/system_error.hpp>
 #include <chrono>
 #include <thread>
 
-namespace burlwind {
+namespace wingslip {
 namespace {
 
 namespace errors = boost::asio::error;
@@ -50,4 +50,4 @@
   acceptor.set_option(tcp::acceptor::enable_connection_aborted(true));
 }
 
-}  // namespace burlwind
+}  // namespace wingslip
--- a/src/node/listener.hpp
+++ b/src/net/listener.hpp
@@ -4,7 +4,7 @@
 #include <boost/asio/ip/tcp.hpp>
 #include <boost/system/error_code.hpp>
 
-namespace burlwind {
+namespace wingslip {
 
 /// Whether a call failed for want of something that this machine has to have free again first: descriptors of
 /// the process or of the machine, memory in the kernel.
@@ -18,4 +18,4 @@
 /// the loop, after one that was aborted in the queue.
 void tellOfAbortedConnections(boost::asio::ip::tcp::acceptor& acceptor);
 
-}  // namespace burlwind
+}  // namespace wingslip
--- a/src/node/log.hpp
+++ b/src/net/log.hpp
@@ -4,9 +4,9 @@
 
 #include <spdlog/spdlog.h>
 
-namespace burlwind {
+namespace wingslip {
 
 /// The one logger of the process.
 spdlog::logger& processLog();
 
-}  // namespace burlwind
+}  // namespace wingslip
--- a/src/node/back_pressure.cpp
+++ b/src/net/overload_manager.cpp
@@ -1,4 +1,4 @@
-#include "node/back_pressure.hpp"
+#include "net/overload_manager.hpp"
 
 #include <netinet/tcp.h>
 #include <poll.h>
@@ -11,9 +11,9 @@
 #include <utility>
 #include <vector>
 
-#include "node/log.hpp"
+#include "net/log.hpp"
 
-namespace burlwind {
+namespace wingslip {
 namespace {
 
 namespace asio = boost::asio;
@@ -64,12 +64,12 @@
   return told && info.tcpi_state == TCP_LISTEN ? info.tcpi_unacked : 0;
 }
 
-BackPressure::BackPressure(asio::io_context& io, const Ledger::Shares& shares, const Pressure::Limits& limits)
+OverloadManager::OverloadManager(asio::io_context& io, const MemoryBudget::Shares& shares, const Pressure::Limits& limits)
     : io_(io), ledger_(shares), pressure_(limits), tick_(io), lagTimer_(io) {
   ledger_.watch(
       limits.memory.low, limits.memory.high, [this] { evaluateSoon(); }, [this] { wakeSoon(); });
   places_.read(WaitAt::loop, [this](double) {
-    Places::Figures out;
+    WaitQueues::Figures out;
     out.waiting = measuring_;
     out.oldest = lag_;
     out.most = static_cast<std::size_t>(mostLag_);
@@ -77,26 +77,26 @@
   });
 }
 
-BackPressure::~BackPressure() { *alive_ = false; }
+OverloadManager::~OverloadManager() { *alive_ = false; }
 
-double BackPressure::now() {
+double OverloadManager::now() {
   return std::chrono::duration<double, std::milli>(std::chrono::steady_clock::now().time_since_epoch())
       .count();
 }
 
-void BackPressure::begin(Descriptors descriptors, Changed changed) {
+void OverloadManager::begin(Descriptors descriptors, Changed changed) {
   descriptors_ = std::move(descriptors);
   changed_ = std::move(changed);
 }
 
-void BackPressure::activity() {
+void OverloadManager::activity() {
   if (!measuring_ && now() - lagDueAt_ >= kLagEvery) measureLag();
 }
 
 // A timer that is due at once: when it runs, the handlers that were ready have run, and those of the sockets
 // that the loop then found ready as well. A handler that is only put behind the ready ones would not see what
 // the loop spends on new sockets.
-void BackPressure::measureLag() {
+void OverloadManager::measureLag() {
   measuring_ = true;
   lagDueAt_ = now();
   lagTimer_.expires_after(0ms);
@@ -108,7 +108,7 @@
   });
 }
 
-void BackPressure::takeLag(double at, double lag) {
+void OverloadManager::takeLag(double at, double lag) {
   lag_ = lag;
   mostLag_ = std::max(mostLag_, lag);
   const bool wasCalm = pressure_.calm();
@@ -116,23 +116,23 @@
   if (!wasCalm || !pressure_.calm()) evaluate();
 }
 
-void BackPressure::noteDescriptors() {
+void OverloadManager::noteDescriptors() {
   const bool full = descriptors_ && descriptors_() >= pressure_.limits().descriptors.high;
   if (full != fewDescriptors()) evaluateSoon();
 }
 
-void BackPressure::evaluateSoon() {
+void OverloadManager::evaluateSoon() {
   if (std::exchange(evaluating_, true)) return;
   asio::post(io_, [this, alive = alive_] {
     if (*alive) evaluate();
   });
 }
 
-void BackPressure::evaluate() {
+void OverloadManager::evaluate() {
   evaluating_ = false;
   const double at = now();
   const bool wasSlow = slow();
-  const Ledger::Fill fill = ledger_.fullest();
+  const MemoryBudget::Fill fill = ledger_.fullest();
   pressure_.level(at, Source::memory, static_cast<double>(fill.held), static_cast<double>(fill.reach));
   if (descriptors_) pressure_.level(at, Source::descriptors, descriptors_(), 1);
   const bool news = pressure_.stage() != toldStage_ || pressure_.share() != toldShare_;
@@ -144,7 +144,7 @@
   if (!pressure_.calm()) tickLater();
 }
 
-void BackPressure::waitForRoom(Paused& paused, Account account, std::weak_ptr<void> owner,
+void OverloadManager::waitForRoom(Paused& paused, Account account, std::weak_ptr<void> owner,
                                std::function<bool()> again, std::function<void()> look) {
   if (paused.waits() && paused.again_) return;  // it keeps its turn
   paused.clear();
@@ -156,7 +156,7 @@
   tickLater();
 }
 
-void BackPressure::watch(Paused& paused, std::weak_ptr<void> owner, std::function<void()> look) {
+void OverloadManager::watch(Paused& paused, std::weak_ptr<void> owner, std::function<void()> look) {
   if (paused.waits() && !paused.again_) return;
   paused.clear();
   paused.owner_ = std::move(owner);
@@ -166,11 +166,11 @@
   tickLater();
 }
 
-bool BackPressure::anyPaused() const {
+bool OverloadManager::anyPaused() const {
   return std::any_of(paused_.begin(), paused_.end(), [](const List& list) { return !list.empty(); });
 }
 
-void BackPressure::wakeSoon() {
+void OverloadManager::wakeSoon() {
   if (inWake_ || waking_ || (!anyPaused() && !room_)) return;
   if (!anyPaused() && ledger_.fullest().part() < 0.5) return;  // nobody can be short of room
   waking_ = true;
@@ -181,7 +181,7 @@
 
 // What is nearest to its end first: news of the workers, answers, requests. Within an account in the order of
 // coming; a few that find no room do not keep those behind them, who may need less.
-void BackPressure::wake() {
+void OverloadManager::wake() {
   waking_ = false;
   inWake_ = true;
   for (const Account account : {Account::discovery, Account::workers, Account::clients, Account::operators}) {
@@ -204,7 +204,7 @@
   if (room_) room_();
 }
 
-void BackPressure::lookAround(List& list) {
+void OverloadManager::lookAround(List& list) {
   std::vector<std::pair<std::shared_ptr<void>, Paused*>> waiting;
   for (Paused& paused : list) waiting.emplace_back(paused.owner_.lock(), &paused);
   for (const auto& [owner, paused] : waiting) {
@@ -214,7 +214,7 @@
   }
 }
 
-void BackPressure::tickLater() {
+void OverloadManager::tickLater() {
   if (std::exchange(ticking_, true)) return;
   tick_.expires_after(pressure_.calm() ? kLookTick : kTick);
   tick_.async_wait([this](const Error& error) {
@@ -234,7 +234,7 @@
   });
 }
 
-std::string BackPressure::telemetry() const {
+std::string OverloadManager::telemetry() const {
   std::string out;
   const auto line = [&](const std::string& name, std::uint64_t value, const char* kind) {
     out += "svc." + name + ":" + std::to_string(value) + "|" + kind + "\n";
@@ -256,7 +256,7 @@
   return out + places_.telemetry(now());
 }
 
-void BackPressure::report() {
+void OverloadManager::report() {
   static constexpr std::array<const char*, 3> kNames{"none", "slow", "shed"};
   const auto name = [](Stage stage) { return kNames[static_cast<std::size_t>(stage)]; };
   processLog().info(
@@ -267,4 +267,4 @@
       ledger_.total(), ledger_.most(), places_.logLine(now()));
 }
 
-}  // namespace burlwind
+}  // namespace wingslip
--- a/src/node/back_pressure.hpp
+++ b/src/net/overload_manager.hpp
@@ -12,11 +12,11 @@
 #include <memory>
 #include <string>
 
-#include "pressure/ledger.hpp"
-#include "pressure/places.hpp"
-#include "pressure/pressure.hpp"
+#include "overload/memory_budget.hpp"
+#include "overload/wait_queues.hpp"
+#include "overload/overload_state.hpp"
 
-namespace burlwind {
+namespace wingslip {
 
 // Whether the other side has ended the connection. Asked of TCP, so that nothing has to be read for it.
 bool hasLeft(boost::asio::ip::tcp::socket& socket);
@@ -27,7 +27,7 @@
 // Connections that wait in the kernel at this listener; 0 where it does not say.
 std::size_t queuedAt(boost::asio::ip::tcp::acceptor& acceptor);
 
-class BackPressure {
+class OverloadManager {
  public:
   // How full the descriptors are: busy connections of what there may be, the fuller side's.
   using Descriptors = std::function<double()>;
@@ -46,20 +46,20 @@
     bool waits() const { return is_linked(); }
 
    private:
-    friend class BackPressure;
+    friend class OverloadManager;
     std::weak_ptr<void> owner_;
     std::function<bool()> again_;  // true: it reads again, or needs no more to
     std::function<void()> look_;   // whether its peer has left
-    Places::Waiting place_;
+    WaitQueues::Waiting place_;
   };
 
-  BackPressure(boost::asio::io_context& io, const Ledger::Shares& shares, const Pressure::Limits& limits);
-  ~BackPressure();
-  BackPressure(const BackPressure&) = delete;
-  BackPressure& operator=(const BackPressure&) = delete;
+  OverloadManager(boost::asio::io_context& io, const MemoryBudget::Shares& shares, const Pressure::Limits& limits);
+  ~OverloadManager();
+  OverloadManager(const OverloadManager&) = delete;
+  OverloadManager& operator=(const OverloadManager&) = delete;
 
-  Ledger& ledger() { return ledger_; }
-  Places& places() { return places_; }
+  MemoryBudget& ledger() { return ledger_; }
+  WaitQueues& places() { return places_; }
   const Pressure& pressure() const { return pressure_; }
   static double now();  // ms of the steady clock
 
@@ -103,9 +103,9 @@
   void lookAround(List& list);
 
   boost::asio::io_context& io_;
-  Ledger ledger_;
+  MemoryBudget ledger_;
   Pressure pressure_;
-  Places places_;
+  WaitQueues places_;
   Descriptors descriptors_;
   Changed changed_;
   std::function<void()> room_;
@@ -120,4 +120,4 @@
   double toldShare_ = 0;
 };
 
-}  // namespace burlwind
+}  // namespace wingslip
--- a/src/node/quiet_log.hpp
+++ b/src/net/rate_limited_log.hpp
@@ -5,14 +5,14 @@
 #include <string>
 #include <utility>
 
-#include "node/log.hpp"
+#include "net/log.hpp"
 
-namespace burlwind {
+namespace wingslip {
 
-class QuietLog {
+class RateLimitedLog {
  public:
   /// `event`: the name of its lines.
-  explicit QuietLog(std::string event, std::chrono::milliseconds every = std::chrono::milliseconds(200))
+  explicit RateLimitedLog(std::string event, std::chrono::milliseconds every = std::chrono::milliseconds(200))
       : event_(std::move(event)), every_(every) {}
 
   void say(const std::string& text) {
@@ -29,4 +29,4 @@
   unsigned unsaid_ = 0;
 };
 
-}  // namespace burlwind
+}  // namespace wingslip
--- a/src/node/socket_io.hpp
+++ b/src/net/socket_io.hpp
@@ -11,7 +11,7 @@
 #include <cstddef>
 #include <utility>
 
-namespace burlwind {
+namespace wingslip {
 
 /// Whether the same call may succeed later on the same connection: interrupted, nothing to be had now, or no
 /// memory in the kernel (recv(2), send(2)).
@@ -96,4 +96,4 @@
                     });
 }
 
-}  // namespace burlwind
+}  // namespace wingslip
--- a/src/pressure/ledger.cpp
+++ b/src/overload/memory_budget.cpp
@@ -1,10 +1,10 @@
-#include "pressure/ledger.hpp"
+#include "overload/memory_budget.hpp"
 
 #include <algorithm>
 #include <stdexcept>
 #include <utility>
 
-namespace burlwind {
+namespace wingslip {
 namespace {
 
 constexpr std::size_t kMiB = std::size_t{1} << 20;
@@ -18,13 +18,13 @@
 
 }  // namespace
 
-Ledger::Charge::Charge(Charge&& other) noexcept
+MemoryBudget::Charge::Charge(Charge&& other) noexcept
     : ledger_(other.ledger_),
       account_(other.account_),
       bytes_(std::exchange(other.bytes_, 0)),
       fixed_(std::exchange(other.fixed_, 0)) {}
 
-Ledger::Charge& Ledger::Charge::operator=(Charge&& other) noexcept {
+MemoryBudget::Charge& MemoryBudget::Charge::operator=(Charge&& other) noexcept {
   if (this == &other) return *this;
   release();
   ledger_ = other.ledger_;
@@ -34,7 +34,7 @@
   return *this;
 }
 
-bool Ledger::Charge::resize(std::size_t bytes) {
+bool MemoryBudget::Charge::resize(std::size_t bytes) {
   if (bytes <= bytes_) {
     shrinkTo(bytes);
     return true;
@@ -44,7 +44,7 @@
   return true;
 }
 
-void Ledger::Charge::shrinkTo(std::size_t bytes) {
+void MemoryBudget::Charge::shrinkTo(std::size_t bytes) {
   if (bytes >= bytes_) return;
   if (bytes < fixed_) {
     ledger_->accounts_[index(account_)].fixed -= fixed_ - bytes;
@@ -54,37 +54,37 @@
   bytes_ = bytes;
 }
 
-void Ledger::Charge::fix() {
+void MemoryBudget::Charge::fix() {
   if (!ledger_) return;
   ledger_->accounts_[index(account_)].fixed += bytes_ - fixed_;
   fixed_ = bytes_;
 }
 
-Ledger::Charge Ledger::Charge::split(std::size_t bytes) {
+MemoryBudget::Charge MemoryBudget::Charge::split(std::size_t bytes) {
   Charge out(ledger_, account_);
   out.bytes_ = std::min(bytes, bytes_ - fixed_);
   bytes_ -= out.bytes_;
   return out;
 }
 
-Ledger::Ledger(const Shares& shares) : shares_(shares) {
+MemoryBudget::MemoryBudget(const Shares& shares) : shares_(shares) {
   std::size_t kept = 0;
   for (const std::size_t part : shares.kept) kept += part;
   if (kept > shares.total) throw std::invalid_argument("ledger: more is kept apart than there is");
 }
 
-std::size_t Ledger::unused(std::size_t account) const {
+std::size_t MemoryBudget::unused(std::size_t account) const {
   return shares_.kept[account] - std::min(shares_.kept[account], accounts_[account].held);
 }
 
-std::size_t Ledger::room(Account account) const {
+std::size_t MemoryBudget::room(Account account) const {
   std::size_t apart = 0;
   for (std::size_t other = 0; other < kAccounts; ++other)
     if (other != index(account)) apart += unused(other);
   return shares_.total - held_ - apart;  // never below 0: every growth leaves the others their part
 }
 
-bool Ledger::grow(Account account, std::size_t by) {
+bool MemoryBudget::grow(Account account, std::size_t by) {
   if (by > room(account)) {
     ++accounts_[index(account)].refused;
     return false;
@@ -99,7 +99,7 @@
   return true;
 }
 
-void Ledger::shrink(Account account, std::size_t by) {
+void MemoryBudget::shrink(Account account, std::size_t by) {
   accounts_[index(account)].held -= by;
   held_ -= by;
   if (over_ && fullest().part() <= low_) {
@@ -109,17 +109,17 @@
   if (freed_) freed_();
 }
 
-Ledger::Fill Ledger::fill(Account account) const {
+MemoryBudget::Fill MemoryBudget::fill(Account account) const {
   const std::size_t varies = held(account) - accounts_[index(account)].fixed;
   return {varies, varies + room(account)};
 }
 
-bool Ledger::staysUnder(double mark, Account account, std::size_t more) const {
+bool MemoryBudget::staysUnder(double mark, Account account, std::size_t more) const {
   const Fill now = fill(account);
   return static_cast<double>(now.held + more) <= mark * static_cast<double>(now.reach);
 }
 
-Ledger::Fill Ledger::fullest() const {
+MemoryBudget::Fill MemoryBudget::fullest() const {
   Fill out;
   for (const Account account : {Account::clients, Account::workers}) {
     const Fill one = fill(account);
@@ -128,7 +128,7 @@
   return out;
 }
 
-void Ledger::watch(double low, double high, std::function<void()> crossed, std::function<void()> freed) {
+void MemoryBudget::watch(double low, double high, std::function<void()> crossed, std::function<void()> freed) {
   low_ = low;
   high_ = high;
   crossed_ = std::move(crossed);
@@ -140,8 +140,8 @@
   return each * (twoProcesses ? 2 : 1) + (files ? kFiles : 0);
 }
 
-Ledger::Shares sharesOf(const Room& room) {
-  Ledger::Shares out;
+MemoryBudget::Shares sharesOf(const Room& room) {
+  MemoryBudget::Shares out;
   if (room.limit < leastLimit(room.twoProcesses, room.files)) return out;
   std::size_t mine = room.limit - (room.files ? kFiles : 0);
   if (room.twoProcesses) mine /= 2;
@@ -156,4 +156,4 @@
   return out;
 }
 
-}  // namespace burlwind
+}  // namespace wingslip
--- a/src/pressure/ledger.hpp
+++ b/src/overload/memory_budget.hpp
@@ -8,14 +8,14 @@
 #include <functional>
 #include <string_view>
 
-namespace burlwind {
+namespace wingslip {
 
 enum class Account : unsigned { clients, workers, discovery, operators };
 constexpr std::size_t kAccounts = 4;
 constexpr std::array<std::string_view, kAccounts> kAccountNames{"clients", "workers", "discovery",
                                                                 "operators"};
 
-class Ledger {
+class MemoryBudget {
  public:
   struct Shares {
     std::size_t total = 0;
@@ -41,17 +41,17 @@
     std::size_t bytes() const { return bytes_; }
 
    private:
-    friend class Ledger;
-    Charge(Ledger* ledger, Account account) : ledger_(ledger), account_(account) {}
-    Ledger* ledger_ = nullptr;
+    friend class MemoryBudget;
+    Charge(MemoryBudget* ledger, Account account) : ledger_(ledger), account_(account) {}
+    MemoryBudget* ledger_ = nullptr;
     Account account_ = Account::clients;
     std::size_t bytes_ = 0, fixed_ = 0;
   };
 
   // Throws std::invalid_argument if the kept parts are more than the total.
-  explicit Ledger(const Shares& shares);
-  Ledger(const Ledger&) = delete;
-  Ledger& operator=(const Ledger&) = delete;
+  explicit MemoryBudget(const Shares& shares);
+  MemoryBudget(const MemoryBudget&) = delete;
+  MemoryBudget& operator=(const MemoryBudget&) = delete;
 
   Charge open(Account account) { return {this, account}; }
   // How many bytes more an account could have now.
@@ -104,7 +104,7 @@
   bool twoProcesses = false;  // an upgrade's two share the limit
   bool files = false;         // $TMPDIR is used, and counts as memory
 };
-Ledger::Shares sharesOf(const Room& room);
+MemoryBudget::Shares sharesOf(const Room& room);
 std::size_t leastLimit(bool twoProcesses, bool files);
 
-}  // namespace burlwind
+}  // namespace wingslip
--- a/src/pressure/pressure.cpp
+++ b/src/overload/overload_state.cpp
@@ -1,9 +1,9 @@
-#include "pressure/pressure.hpp"
+#include "overload/overload_state.hpp"
 
 #include <algorithm>
 #include <cmath>
 
-namespace burlwind {
+namespace wingslip {
 namespace {
 
 using Time = Pressure::Time;
@@ -101,4 +101,4 @@
   return std::max({limits_.interval, usual_ - age, age});
 }
 
-}  // namespace burlwind
+}  // namespace wingslip
--- a/src/pressure/pressure.hpp
+++ b/src/overload/overload_state.hpp
@@ -6,7 +6,7 @@
 #include <cstddef>
 #include <cstdint>
 
-namespace burlwind {
+namespace wingslip {
 
 enum class Stage : unsigned { none, slow, shed };
 enum class Source : unsigned { memory, descriptors, loop };
@@ -76,4 +76,4 @@
   Time stepAt_ = 0, began_ = 0, usual_ = 0, shedAt_ = 0;
 };
 
-}  // namespace burlwind
+}  // namespace wingslip
--- a/src/pressure/places.cpp
+++ b/src/overload/wait_queues.cpp
@@ -1,11 +1,11 @@
-#include "pressure/places.hpp"
+#include "overload/wait_queues.hpp"
 
 #include <algorithm>
 #include <cstdio>
 
-namespace burlwind {
+namespace wingslip {
 
-void Places::Waiting::enter(Places& places, WaitAt place, Time now) {
+void WaitQueues::Waiting::enter(WaitQueues& places, WaitAt place, Time now) {
   leave();
   places_ = &places;
   place_ = place;
@@ -16,16 +16,16 @@
   record.entered = true;
 }
 
-void Places::Waiting::leave() {
+void WaitQueues::Waiting::leave() {
   if (!places_) return;
   unlink();
   --places_->of(place_).count;
   places_ = nullptr;
 }
 
-void Places::read(WaitAt place, std::function<Figures(Time)> reader) { of(place).reader = std::move(reader); }
+void WaitQueues::read(WaitAt place, std::function<Figures(Time)> reader) { of(place).reader = std::move(reader); }
 
-Places::Figures Places::figures(WaitAt place, Time now) const {
+WaitQueues::Figures WaitQueues::figures(WaitAt place, Time now) const {
   const Record& record = of(place);
   Figures out;
   if (record.reader) out = record.reader(now);
@@ -36,7 +36,7 @@
   return out;
 }
 
-std::string Places::telemetry(Time now) const {
+std::string WaitQueues::telemetry(Time now) const {
   std::string out;
   for (std::size_t i = 0; i < kPlaces; ++i) {
     const Figures figures = this->figures(static_cast<WaitAt>(i), now);
@@ -53,7 +53,7 @@
   return out;
 }
 
-std::string Places::logLine(Time now) const {
+std::string WaitQueues::logLine(Time now) const {
   std::string out;
   for (std::size_t i = 0; i < kPlaces; ++i) {
     const Figures figures = this->figures(static_cast<WaitAt>(i), now);
@@ -68,4 +68,4 @@
   return out;
 }
 
-}  // namespace burlwind
+}  // namespace wingslip
--- a/src/pressure/places.hpp
+++ b/src/overload/wait_queues.hpp
@@ -10,7 +10,7 @@
 #include <string>
 #include <string_view>
 
-namespace burlwind {
+namespace wingslip {
 
 enum class WaitAt : unsigned {
   acceptQueue,
@@ -35,7 +35,7 @@
     "ops_caller",   "discovery_line", "loop"};
 static_assert(!kPlaceNames.back().empty(), "every place has a name");
 
-class Places {
+class WaitQueues {
  public:
   using Time = double;  // ms of any steady clock
 
@@ -53,13 +53,13 @@
     Waiting(const Waiting&) = delete;
     Waiting& operator=(const Waiting&) = delete;
     ~Waiting() { leave(); }
-    void enter(Places& places, WaitAt place, Time now);
+    void enter(WaitQueues& places, WaitAt place, Time now);
     void leave();
     Time since() const { return since_; }
     bool in(WaitAt place) const { return places_ && place_ == place; }
 
    private:
-    Places* places_ = nullptr;
+    WaitQueues* places_ = nullptr;
     WaitAt place_ = WaitAt::held;
     Time since_ = 0;
   };
@@ -91,4 +91,4 @@
   std::array<Record, kPlaces> records_;
 };
 
-}  // namespace burlwind
+}  // namespace wingslip
--- a/src/replica/message.cpp
+++ b/src/replication/message.cpp
@@ -1,4 +1,4 @@
-#include "replica/message.hpp"
+#include "replication/message.hpp"
 
 #define XXH_INLINE_ALL
 #include <xxhash.h>
@@ -11,7 +11,7 @@
 
 #include "codec/cbor.hpp"
 
-namespace burlwind::replica {
+namespace wingslip::replication {
 namespace {
 
 using nlohmann::json;
@@ -172,4 +172,4 @@
   }
 }
 
-}  // namespace burlwind::replica
+}  // namespace wingslip::replication
--- a/src/replica/message.hpp
+++ b/src/replication/message.hpp
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-namespace burlwind::replica {
+namespace wingslip::replication {
 
 // A hybrid logical clock's reading: physical ms as far as known, a counter within them, and who read it.
 struct Stamp {
@@ -84,4 +84,4 @@
 // Throws std::runtime_error on another version, a wrong length or checksum, or anything that is no snapshot.
 Snapshot decodeSnapshot(const std::string& bytes);
 
-}  // namespace burlwind::replica
+}  // namespace wingslip::replication
--- a/src/replica/replica.cpp
+++ b/src/replication/replica.cpp
@@ -1,4 +1,4 @@
-#include "replica/replica.hpp"
+#include "replication/replica.hpp"
 
 #define XXH_INLINE_ALL
 #include <xxhash.h>
@@ -10,7 +10,7 @@
 #include <utility>
 #include <vector>
 
-namespace burlwind::replica {
+namespace wingslip::replication {
 namespace {
 
 constexpr std::size_t kMembersTold = 16;  // in a message that is no answer to sync
@@ -462,4 +462,4 @@
   left_ = true;
 }
 
-}  // namespace burlwind::replica
+}  // namespace wingslip::replication
--- a/src/replica/replica.hpp
+++ b/src/replication/replica.hpp
@@ -11,9 +11,9 @@
 #include <unordered_map>
 #include <vector>
 
-#include "replica/message.hpp"
+#include "replication/message.hpp"
 
-namespace burlwind::replica {
+namespace wingslip::replication {
 
 using Time = double;  // ms of a monotonic clock
 
@@ -152,4 +152,4 @@
   Counts counts_;
 };
 
-}  // namespace burlwind::replica
+}  // namespace wingslip::replication
--- a/src/replica/replica_node.cpp
+++ b/src/replication/replica_node.cpp
@@ -1,4 +1,4 @@
-#include "replica/replica_node.hpp"
+#include "replication/replica_node.hpp"
 
 #include <algorithm>
 #include <array>
@@ -10,14 +10,14 @@
 #include <optional>
 #include <utility>
 
-#include "node/answer_lines.hpp"
-#include "node/durable_file.hpp"
-#include "node/guarded_connection.hpp"
-#include "node/http.hpp"
-#include "node/listener.hpp"
-#include "node/socket_io.hpp"
+#include "net/answer_lines.hpp"
+#include "net/durable_file.hpp"
+#include "net/guarded_connection.hpp"
+#include "net/http.hpp"
+#include "net/listener.hpp"
+#include "net/socket_io.hpp"
 
-namespace burlwind::replica {
+namespace wingslip::replication {
 namespace {
 
 using asio::ip::tcp;
@@ -126,7 +126,7 @@
   }
 
   ReplicaNode& node_;
-  Ledger::Charge room_;
+  MemoryBudget::Charge room_;
   tcp::socket socket_;
   asio::steady_timer timer_;
   beast::flat_buffer in_;
@@ -135,7 +135,7 @@
 };
 
 ReplicaNode::ReplicaNode(asio::io_context& io, const Replication& where, const std::string& name,
-                         const std::string& stateDir, std::uint64_t seed, BackPressure& pressure,
+                         const std::string& stateDir, std::uint64_t seed, OverloadManager& pressure,
                          Changed changed)
     : io_(io),
       where_(where),
@@ -143,7 +143,7 @@
       pressure_(pressure),
       changed_(std::move(changed)),
       calls_(io, {kMostCalls, Message::kMostBytes, kParsed}, pressure,
-             [this](std::uint64_t id, const HttpCalls::Response* response, const std::string& error) {
+             [this](std::uint64_t id, const HttpClient::Response* response, const std::string& error) {
                ended(id, response, error);
              }),
       acceptor_(io),
@@ -241,7 +241,7 @@
 
 void ReplicaNode::send(const Replica::Send& one) {
   const std::vector<std::uint8_t> bytes = encode(one.message);
-  HttpCalls::Request request(http::verb::post, kTarget, 11);
+  HttpClient::Request request(http::verb::post, kTarget, 11);
   request.set(http::field::host, one.name);
   request.set(http::field::content_type, "application/cbor");
   request.body().assign(bytes.begin(), bytes.end());
@@ -256,7 +256,7 @@
   calls_.call(one.id, to, std::move(request), span(one.within));
 }
 
-void ReplicaNode::ended(std::uint64_t id, const HttpCalls::Response* response, const std::string&) {
+void ReplicaNode::ended(std::uint64_t id, const HttpClient::Response* response, const std::string&) {
   std::optional<Message> answer;
   if (response && response->result() == http::status::ok) {
     const std::string& body = response->body();
@@ -374,7 +374,7 @@
 }
 
 std::string ReplicaNode::members() const {
-  AnswerLines out("200 alive=" + std::to_string(core_->alive()) + " self=" + core_->self().name +
+  OperatorResponse out("200 alive=" + std::to_string(core_->alive()) + " self=" + core_->self().name +
                   " generation=" + std::to_string(core_->self().generation) +
                   " incarnation=" + std::to_string(core_->self().incarnation));
   for (const Health health : {Health::suspect, Health::dead, Health::left, Health::alive})
@@ -394,4 +394,4 @@
          "\nEOF\n";
 }
 
-}  // namespace burlwind::replica
+}  // namespace wingslip::replication
--- a/src/replica/replica_node.hpp
+++ b/src/replication/replica_node.hpp
@@ -12,13 +12,13 @@
 #include <thread>
 #include <unordered_set>
 
-#include "node/back_pressure.hpp"
-#include "node/config.hpp"
-#include "node/http_calls.hpp"
-#include "node/quiet_log.hpp"
-#include "replica/replica.hpp"
+#include "net/overload_manager.hpp"
+#include "config/config.hpp"
+#include "net/http_client.hpp"
+#include "net/rate_limited_log.hpp"
+#include "replication/replica.hpp"
 
-namespace burlwind::replica {
+namespace wingslip::replication {
 
 class ReplicaNode : private Replica::Outside {
  public:
@@ -26,7 +26,7 @@
 
   // `stateDir`: where the snapshot lies; empty: there is none.
   ReplicaNode(boost::asio::io_context& io, const Replication& where, const std::string& name,
-              const std::string& stateDir, std::uint64_t seed, BackPressure& pressure, Changed changed);
+              const std::string& stateDir, std::uint64_t seed, OverloadManager& pressure, Changed changed);
   ~ReplicaNode() override;
 
   // Listens, at once or as soon as the other process of an upgrade lets go of the address.
@@ -51,7 +51,7 @@
   void listen();
   void accept();
   std::optional<Message> hear(const std::string& body);
-  void ended(std::uint64_t id, const HttpCalls::Response* response, const std::string& error);
+  void ended(std::uint64_t id, const HttpClient::Response* response, const std::string& error);
   void turn();
   void saveLater();
   void save();
@@ -60,10 +60,10 @@
   boost::asio::io_context& io_;
   const Replication where_;
   const std::string file_;
-  BackPressure& pressure_;
+  OverloadManager& pressure_;
   const Changed changed_;
   std::unique_ptr<Replica> core_;
-  HttpCalls calls_;
+  HttpClient calls_;
   boost::asio::ip::tcp::acceptor acceptor_;
   boost::asio::steady_timer timer_, listen_, save_;
   std::unordered_set<std::shared_ptr<Session>> sessions_;
@@ -74,7 +74,7 @@
   std::uint64_t savedHash_ = 0, bytesIn_ = 0, bytesOut_ = 0, malformed_ = 0, turnedAway_ = 0;
   Time startedAt_ = 0, caughtUpAt_ = -1;
   bool draining_ = false;
-  QuietLog log_{"replica"};
+  RateLimitedLog log_{"replica"};
 };
 
-}  // namespace burlwind::replica
+}  // namespace wingslip::replication
--- a/src/settings.cpp
+++ b/src/settings/settings_reader.cpp
@@ -1,13 +1,19 @@
-#include "settings.hpp"
+#include "settings/settings_reader.hpp"
 
 #include <charconv>
 #include <functional>
 #include <map>
 #include <stdexcept>
 
-namespace irisring {
+namespace wingslip::settings {
 namespace {
 
+using decision::ClassSettings;
+using decision::PlanSettings;
+using decision::Repeat;
+using decision::Scope;
+using decision::Settings;
+
 constexpr unsigned kMostItems = 4096;  // a list longer than this is taken for a damaged frame
 
 [[noreturn]] void bad(std::string_view what, std::string_view text) {
@@ -185,4 +191,4 @@
   return out;
 }
 
-}  // namespace irisring
+}  // namespace wingslip::settings
--- a/src/drill.cpp
+++ b/src/simulator_adapter/main.cpp
@@ -5,21 +5,22 @@
 #include <map>
 #include <stdexcept>
 
-#include "settings.hpp"
-#include "wire.hpp"
+#include "settings/settings_reader.hpp"
+#include "simulator_adapter/wire.hpp"
 
+namespace wingslip::simulator_adapter {
 namespace {
 
-using namespace irisring;
+using decision::Gateway;
 
-class Host : public wire::Events {
+class Host : public Events {
  public:
-  void batch(const wire::Header& header, std::string_view body) {
+  void batch(const Header& header, std::string_view body) {
     clock_ = header.clock;
     current_ = nullptr;
     number_ = 0;
     reply.begin(header.number);
-    wire::readRecords(header, body, *this);
+    readRecords(header, body, *this);
   }
   void instance(unsigned number) override {
     number_ = number;
@@ -27,10 +28,10 @@
     current_ = found == gateways_.end() ? nullptr : &found->second;
     reply.by(number);
   }
-  void start(std::uint64_t salt, std::string_view settings) override {
+  void start(std::uint64_t salt, std::string_view text) override {
     gateways_.erase(number_);
     current_ =
-        &gateways_.emplace(number_, Gateway(parseSettings(settings), salt, clock_, reply)).first->second;
+        &gateways_.emplace(number_, Gateway(settings::parseSettings(text), salt, clock_, reply)).first->second;
   }
   void members(ListKind kind, const std::vector<Member>& list) override {
     live().members(clock_, kind, list);
@@ -44,7 +45,7 @@
     current_ = nullptr;
   }
 
-  wire::Reply reply;
+  Reply reply;
 
  private:
   Gateway& live() {
@@ -62,15 +63,15 @@
   Host host;
   std::string bytes;
   for (;;) {
-    bytes.resize(wire::kBatchHeader);
+    bytes.resize(kBatchHeaderBytes);
     const std::size_t got = std::fread(bytes.data(), 1, bytes.size(), stdin);
     if (got == 0) return 0;
     if (got < bytes.size()) throw std::runtime_error("wire: the input ends inside a frame's header");
-    const wire::Header header = wire::readHeader(bytes);
+    const Header header = readHeader(bytes);
     // Grown in steps, so that a damaged length cannot claim a huge block at once.
     constexpr std::size_t kStep = std::size_t{1} << 22;
     bytes.clear();
-    for (std::size_t left = header.size - wire::kBatchHeader; left > 0;) {
+    for (std::size_t left = header.size - kBatchHeaderBytes; left > 0;) {
       const std::size_t part = left < kStep ? left : kStep;
       const std::size_t at = bytes.size();
       bytes.resize(at + part);
@@ -86,12 +87,13 @@
 }
 
 }  // namespace
+}  // namespace wingslip::simulator_adapter
 
 int main() {
   try {
-    return serve();
+    return wingslip::simulator_adapter::serve();
   } catch (const std::exception& error) {
-    std::fprintf(stderr, "irisring_drill: %s\n", error.what());
+    std::fprintf(stderr, "wingslip-simulator-adapter: %s\n", error.what());
     return 1;
   }
 }
--- a/src/wire.cpp
+++ b/src/simulator_adapter/wire.cpp
@@ -1,11 +1,14 @@
-#include "wire.hpp"
+#include "simulator_adapter/wire.hpp"
 
 #include <bit>
 #include <stdexcept>
 
-namespace irisring::wire {
+namespace wingslip::simulator_adapter {
 namespace {
 
+using decision::Phase;
+using decision::Result;
+
 static_assert(std::endian::native == std::endian::little, "the wire is little-endian");
 
 class Cursor {
@@ -176,7 +179,7 @@
   out.clock = in.get<double>();
   out.size = in.get<std::uint32_t>();
   out.records = in.get<std::uint32_t>();
-  if (out.size < kBatchHeader || out.size > kMostFrame)
+  if (out.size < kBatchHeaderBytes || out.size > kMostFrame)
     throw std::runtime_error("wire: a frame of " + std::to_string(out.size) + " bytes");
   return out;
 }
@@ -255,4 +258,4 @@
   bytes_.append(line, 0, n);
 }
 
-}  // namespace irisring::wire
+}  // namespace wingslip::simulator_adapter
--- a/src/wire.hpp
+++ b/src/simulator_adapter/wire.hpp
@@ -8,12 +8,20 @@
 #include <string_view>
 #include <vector>
 
-#include "irisring/decide.hpp"
+#include "wingslip/decision/gateway.hpp"
 
-namespace irisring::wire {
+namespace wingslip::simulator_adapter {
 
-constexpr std::size_t kBatchHeader = 20;
-constexpr std::size_t kReplyHeader = 12;
+using decision::ListKind;
+using decision::Member;
+using decision::Outcome;
+using decision::Request;
+using decision::RequestId;
+using decision::Time;
+using decision::WorkerId;
+
+constexpr std::size_t kBatchHeaderBytes = 20;
+constexpr std::size_t kReplyHeaderBytes = 12;
 constexpr std::size_t kMostFrame = std::size_t{1} << 30;
 
 struct Header {
@@ -42,7 +50,7 @@
 void readRecords(const Header& header, std::string_view body, Events& events);
 
 // One reply under way. As an Actions it writes for the instance named last with `by`.
-class Reply : public Actions {
+class Reply : public decision::Actions {
  public:
   void begin(std::uint32_t number);
   void by(unsigned instance) { instance_ = instance; }
@@ -71,4 +79,4 @@
   long written_ = -1;
 };
 
-}  // namespace irisring::wire
+}  // namespace wingslip::simulator_adapter
--- a/tests/attempts_test.cpp
+++ b/tests/attempts_test.cpp
@@ -4,7 +4,7 @@
 
 #include "recorder.hpp"
 
-namespace irisring::test {
+namespace wingslip::decision::test {
 namespace {
 
 // An open request keeps its class over changed settings and may lose attempts; the next one has the new ones.
@@ -438,4 +438,4 @@
 }
 
 }  // namespace
-}  // namespace irisring::test
+}  // namespace wingslip::decision::test
--- a/tests/back_pressure_test.cpp
+++ b/tests/back_pressure_test.cpp
@@ -8,16 +8,16 @@
 #include <thread>
 
 #include "loopback.hpp"
-#include "node/discovery.hpp"
+#include "gatekeeper/discovery.hpp"
 
-namespace burlwind::test {
+namespace wingslip::test {
 namespace {
 
 using namespace std::chrono_literals;
 
 constexpr std::size_t kMiB = std::size_t{1} << 20;
 
-class BackPressured : public Loopback {
+class OverloadManagerd : public Loopback {
  protected:
   json file() {
     json workers = json::array();
@@ -68,10 +68,10 @@
     until([&] { return caller->ended; }, "the end of an operator's answer");
     return caller->got;
   }
-  Ledger& ledger() { return node->pressure().ledger(); }
+  MemoryBudget& ledger() { return node->pressure().ledger(); }
   std::size_t waits(WaitAt place) { return node->pressure().places().waiting(place); }
   std::uint64_t turnedAway(WaitAt place) {
-    return node->pressure().places().figures(place, BackPressure::now()).turnedAway;
+    return node->pressure().places().figures(place, OverloadManager::now()).turnedAway;
   }
   // Takes what is left of the budget, but for `rest`, as other clients would.
   void fill(std::size_t rest, bool stands = false) {
@@ -86,13 +86,13 @@
 
   Listener discovery{io}, worker{io};
   std::optional<Gatekeeper> node;
-  Ledger::Charge hog;
+  MemoryBudget::Charge hog;
   std::size_t overflow = 0;  // what is set aside for overflow connections
   void TearDown() override { hog.release(); }
 };
 
 // Many slow bodies that the worker does not take, far more than the budget, and small requests all along.
-TEST_F(BackPressured, SmallRequestsAreServedWhileLongBodiesWouldFillTheMemory) {
+TEST_F(OverloadManagerd, SmallRequestsAreServedWhileLongBodiesWouldFillTheMemory) {
   json config = file();
   config["limits"]["memory_mb"] = 20;  // a budget of 6 MiB
   open(config);
@@ -134,7 +134,7 @@
 }
 
 // Neither side is read ahead of the other.
-TEST_F(BackPressured, AClientThatStopsReadingStopsTheWorkerAndBothGoOn) {
+TEST_F(OverloadManagerd, AClientThatStopsReadingStopsTheWorkerAndBothGoOn) {
   open();
   const auto client = small("00000000000000a1");
   const auto from = at("00000000000000a1");
@@ -158,7 +158,7 @@
   EXPECT_LE(ledger().held(Account::workers), 11 * 1024u);
 }
 
-TEST_F(BackPressured, APausedReaderNoticesThatItsPeerHasLeft) {
+TEST_F(OverloadManagerd, APausedReaderNoticesThatItsPeerHasLeft) {
   open();
   const auto client = ask(longHead(8 * kMiB));
   client->stream(8 * kMiB);
@@ -182,7 +182,7 @@
 
 // Without room a request that is still coming is turned away in time, with advice, and the connection's own
 // part still serves small ones.
-TEST_F(BackPressured, ABodyThatFindsNoRoomIsTurnedAwayInTime) {
+TEST_F(OverloadManagerd, ABodyThatFindsNoRoomIsTurnedAwayInTime) {
   open();
   fill(14 * 1024, true);
   const auto client = ask(longHead(60000));
@@ -201,7 +201,7 @@
   until([&] { return other->has("served"); }, "a small request");
 }
 
-TEST_F(BackPressured, APausedBodyGoesOnWhenThereIsRoom) {
+TEST_F(OverloadManagerd, APausedBodyGoesOnWhenThereIsRoom) {
   open();
   fill(14 * 1024, true);
   const auto client = ask(longHead(60000));
@@ -214,7 +214,7 @@
 }
 
 // The attempt cannot be held: nothing goes out, the worker is not blamed, and the client may come again.
-TEST_F(BackPressured, AnAttemptWithoutRoomIsNoFaultOfTheWorker) {
+TEST_F(OverloadManagerd, AnAttemptWithoutRoomIsNoFaultOfTheWorker) {
   open();
   auto workers = ledger().open(Account::workers);
   ASSERT_TRUE(workers.resize(ledger().room(Account::workers) - 15 * 1024));
@@ -236,7 +236,7 @@
 }
 
 // A long attempt would take what is left over the high mark: it is not begun, and a small one still is.
-TEST_F(BackPressured, TheLastOfTheMemoryIsLeftToSmallAttempts) {
+TEST_F(OverloadManagerd, TheLastOfTheMemoryIsLeftToSmallAttempts) {
   open();
   auto workers = ledger().open(Account::workers);
   ASSERT_TRUE(workers.resize(ledger().room(Account::workers) * 74 / 100));
@@ -253,7 +253,7 @@
 }
 
 // An answer that finds no room is not read; its request's deadline fires all the same.
-TEST_F(BackPressured, ADeadlineFiresWhileTheAnswerIsPaused) {
+TEST_F(OverloadManagerd, ADeadlineFiresWhileTheAnswerIsPaused) {
   open();
   Ask what;
   what.deadline = "700";
@@ -270,7 +270,7 @@
   until([&] { return node->held() == 0 && waits(WaitAt::pausedRead) == 0; }, "its end");
 }
 
-TEST_F(BackPressured, StandingPressureShedsWhatHoldsMostAndTellsWhenToComeBack) {
+TEST_F(OverloadManagerd, StandingPressureShedsWhatHoldsMostAndTellsWhenToComeBack) {
   json config = file();
   for (auto& klass : config["settings"]["profiles"]) klass["aim"] = 100.0;  // the interval
   open(config);
@@ -294,7 +294,7 @@
   EXPECT_TRUE(held->has("served") || held->has("HTTP/1.1 429")) << held->got;
 }
 
-TEST_F(BackPressured, ADrainEndsAndReloadsHoldUnderPressure) {
+TEST_F(OverloadManagerd, ADrainEndsAndReloadsHoldUnderPressure) {
   open();
   const auto sender = ask(longHead(8 * kMiB));
   sender->stream(8 * kMiB);
@@ -309,7 +309,7 @@
 }
 
 // A place in which nothing ever shows is one that the program does not report.
-TEST_F(BackPressured, TheProgramReportsEveryPlace) {
+TEST_F(OverloadManagerd, TheProgramReportsEveryPlace) {
   open();
   until([&] { return !discovery.peers.empty() && discovery.peers[0]->has("\r\n\r\n"); }, "a watch");
   discovery.peers[0]->send("HTTP/1.1 200 OK\r\n\r\n{\"generation\":2,");
@@ -345,7 +345,7 @@
 
 // The next process starts while the old one is pressed; each has its half, and the old one's end frees
 // nobody's.
-TEST_F(BackPressured, AnUpgradeUnderPressureHandsOver) {
+TEST_F(OverloadManagerd, AnUpgradeUnderPressureHandsOver) {
   tcp::acceptor held(io, tcp::endpoint(asio::ip::address_v4::loopback(), 0));
   json config = file();
   config["limits"]["memory_mb"] = 28;
@@ -385,21 +385,21 @@
 }
 
 // All connections are busy; others come and say nothing, or nonsense.
-class Overflow : public BackPressured {
+class Overflow : public OverloadManagerd {
  protected:
   struct Silent : RequestHandler {
     bool ready() const override { return true; }
-    irisring::RequestId nextId() override { return ++last; }
-    void take(irisring::RequestId, const Call&, ClientMessage&&,
+    decision::RequestId nextId() override { return ++last; }
+    void take(decision::RequestId, const Call&, ClientMessage&&,
               const std::shared_ptr<Responder>& a) override {
       responders.push_back(a);
     }
-    void left(irisring::RequestId) override {}
+    void left(decision::RequestId) override {}
     void turnedAway(unsigned) override { ++turned; }
     void closedUnanswered(CloseReason reason) override {
       ADD_FAILURE() << "closed over a request: " << static_cast<int>(reason);
     }
-    irisring::RequestId last = 0;
+    decision::RequestId last = 0;
     int turned = 0;
     std::vector<std::shared_ptr<Responder>> responders;
   };
@@ -417,7 +417,7 @@
     }
     until([&] { return handler.responders.size() == 30; }, "all are busy");
   }
-  BackPressure pressure{io, sharesOf({64 * kMiB}), Pressure::Limits{}};
+  OverloadManager pressure{io, sharesOf({64 * kMiB}), Pressure::Limits{}};
   ClientServer::Limits limits;
   Config config;
   Silent handler;
@@ -474,18 +474,18 @@
         list(3, false, json::array({entry("a", "127.0.0.1:1", "Terminating"), entry("c", "127.0.0.1:3")})));
   ASSERT_EQ(sum.instances.size(), 3u);
   EXPECT_EQ(sum.generation, 3);
-  EXPECT_EQ(sum.instances[0].phase, irisring::Phase::draining);
+  EXPECT_EQ(sum.instances[0].phase, decision::Phase::draining);
   EXPECT_EQ(sum.instances[2].id, "c");
   addTo(sum, list(4, true, json::array({entry("d", "127.0.0.1:4")})));
   EXPECT_TRUE(sum.reset);
   ASSERT_EQ(sum.instances.size(), 1u);
   addTo(sum, list(5, false, json::array({entry("d", "127.0.0.1:4", "Gone")})));
   EXPECT_TRUE(sum.reset);  // still the whole list
-  EXPECT_EQ(sum.instances[0].phase, irisring::Phase::gone);
+  EXPECT_EQ(sum.instances[0].phase, decision::Phase::gone);
 }
 
 // A flood of news while it is pressed: a worker that drains in its last line gets nothing more.
-TEST_F(BackPressured, NewsThatPilesUpUnderPressureEndsInTheLatest) {
+TEST_F(OverloadManagerd, NewsThatPilesUpUnderPressureEndsInTheLatest) {
   json config = file();
   config["known"]["instances"] = json::array({entry("s-1", worker.text())});
   open(config);
@@ -542,7 +542,7 @@
 
 // The program itself, under a limit of 24 MB, with 600 MB on their way through clients and workers that
 // stall.
-TEST_F(BackPressured, TheProgramStaysWithinItsLimitWhateverSlowPeersHold) {
+TEST_F(OverloadManagerd, TheProgramStaysWithinItsLimitWhateverSlowPeersHold) {
   json config = file();
   config["limits"]["memory_mb"] = 24;
   tcp::acceptor free(io, tcp::endpoint(asio::ip::address_v4::loopback(), 0));
@@ -550,13 +550,13 @@
   free.close();
   config["listen"] = "127.0.0.1:" + std::to_string(listen.port());
   config.erase("ops");
-  const std::string path = ::testing::TempDir() + "burlwind-pressed-" + std::to_string(getpid()) + ".json";
+  const std::string path = ::testing::TempDir() + "wingslip-pressed-" + std::to_string(getpid()) + ".json";
   std::ofstream(path) << config.dump();
   const pid_t child = fork();
   ASSERT_GE(child, 0);
   if (child == 0) {
     setenv("BALANCER_CONFIG", path.c_str(), 1);
-    execl(BURLWIND_PROGRAM, BURLWIND_PROGRAM, static_cast<char*>(nullptr));
+    execl(WINGSLIP_GATEKEEPER_PROGRAM, WINGSLIP_GATEKEEPER_PROGRAM, static_cast<char*>(nullptr));
     _exit(127);
   }
   until([&] { return discovery.count("watch=1") == 1; }, "a watch");
@@ -600,4 +600,4 @@
 }
 
 }  // namespace
-}  // namespace burlwind::test
+}  // namespace wingslip::test
--- a/tests/config_said.hpp
+++ b/tests/config_said.hpp
@@ -4,9 +4,9 @@
 #include <stdexcept>
 #include <string>
 
-#include "node/config.hpp"
+#include "config/config.hpp"
 
-namespace burlwind {
+namespace wingslip {
 
 // "" where the part is taken, else the line that turns it down; the rest of the file is well.
 inline std::string saidOf(const std::string& key, const std::string& json) {
@@ -23,4 +23,4 @@
   return "";
 }
 
-}  // namespace burlwind
+}  // namespace wingslip
--- a/tests/crowd_test.cpp
+++ b/tests/crowd_test.cpp
@@ -38,7 +38,7 @@
 }
 }
 
-namespace burlwind::test {
+namespace wingslip::test {
 namespace {
 
 using namespace std::chrono_literals;
@@ -48,17 +48,17 @@
 
 struct SilentHandler : RequestHandler {
   bool ready() const override { return true; }
-  irisring::RequestId nextId() override { return ++last; }
-  void take(irisring::RequestId, const Call&, ClientMessage&&,
+  decision::RequestId nextId() override { return ++last; }
+  void take(decision::RequestId, const Call&, ClientMessage&&,
             const std::shared_ptr<Responder>& responder) override {
     responders.push_back(responder);
   }
-  void left(irisring::RequestId) override {}
+  void left(decision::RequestId) override {}
   void turnedAway(unsigned) override {}
   void closedUnanswered(CloseReason reason) override {
     ADD_FAILURE() << "closed over a request: " << static_cast<int>(reason);
   }
-  irisring::RequestId last = 0;
+  decision::RequestId last = 0;
   std::vector<std::shared_ptr<Responder>> responders;
 };
 
@@ -96,7 +96,7 @@
   }
   std::size_t accepted() { return total += server->takeStats().accepted; }
 
-  BackPressure pressure{io, sharesOf({512 * kMebibyte}), Pressure::Limits{}};
+  OverloadManager pressure{io, sharesOf({512 * kMebibyte}), Pressure::Limits{}};
   Config config;
   SilentHandler handler;
   std::optional<ClientServer> server;
@@ -226,4 +226,4 @@
 }
 
 }  // namespace
-}  // namespace burlwind::test
+}  // namespace wingslip::test
--- a/tests/decision_replay_test.cpp
+++ b/tests/decision_replay_test.cpp
@@ -20,9 +20,9 @@
 #include <string>
 #include <vector>
 
-#include "irisring/decide.hpp"
+#include "wingslip/decision/gateway.hpp"
 
-namespace irisring::test {
+namespace wingslip::decision::test {
 namespace {
 
 constexpr std::uint64_t kSeeds = 40;
@@ -360,4 +360,4 @@
 TEST(DecisionReplay, LongSequencesGiveTheRecordedActions) { replayAll(kLongEvents); }
 
 }  // namespace
-}  // namespace irisring::test
+}  // namespace wingslip::decision::test
--- a/tests/demo.sh
+++ b/tests/demo.sh
@@ -7,7 +7,7 @@
 packages_install
 
 cmake -S . -B build -DCMAKE_BUILD_TYPE=Release >/dev/null
-cmake --build build -j"$(nproc)" --target burlwind wingslip-lab
+cmake --build build -j"$(nproc)" --target wingslip-gatekeeper wingslip-lab
 
 out=$(mktemp -d)
 build/wingslip-lab run tests/lab/demo.toml --out "$out" 2>"$out/lab.log" >"$out/report" &
--- a/tests/distribution_fleet.hpp
+++ b/tests/distribution_fleet.hpp
@@ -13,7 +13,7 @@
 #include "distribution/placement.hpp"
 #include "distribution/subscriber.hpp"
 
-namespace burlwind::distribution {
+namespace wingslip::distribution {
 
 struct ScheduleOptions {
   std::uint64_t seed = 1;
@@ -396,4 +396,4 @@
   std::uint64_t published_ = 0;
 };
 
-}  // namespace burlwind::distribution
+}  // namespace wingslip::distribution
--- a/tests/distribution_test.cpp
+++ b/tests/distribution_test.cpp
@@ -11,7 +11,7 @@
 #include "distribution_fleet.hpp"
 #include "distribution_simulation.hpp"
 
-namespace burlwind::distribution {
+namespace wingslip::distribution {
 namespace {
 
 #ifdef __SANITIZE_ADDRESS__
@@ -1014,4 +1014,4 @@
 }
 
 }  // namespace
-}  // namespace burlwind::distribution
+}  // namespace wingslip::distribution
--- a/tests/duty_test.cpp
+++ b/tests/duty_test.cpp
@@ -1,4 +1,4 @@
-// Duties without processes: the core in virtual time against the stand-in store's state, under seeded
+// LeaderElection without processes: the core in virtual time against the stand-in store's state, under seeded
 // schedules of drifting clocks, pauses, delays, losses and a store that fails; then the roster, and what the
 // store or a file may say that is wrong.
 #include <gtest/gtest.h>
@@ -13,13 +13,13 @@
 #include <thread>
 
 #include "config_said.hpp"
-#include "duty/base64.hpp"
-#include "duty/coordinator.hpp"
+#include "leader_election/base64.hpp"
+#include "leader_election/coordinator.hpp"
 #include "event_queue.hpp"
 #include "growth.hpp"
 #include "store_state.hpp"
 
-namespace burlwind::duty {
+namespace wingslip::leader_election {
 namespace {
 
 #ifdef __SANITIZE_ADDRESS__
@@ -93,8 +93,8 @@
     Process(Sim& s, int i) : sim(s), index(i) {
       rate = 1 + s.between(-s.timing_.drift / 2, s.timing_.drift / 2);
       offset = s.between(0, 1e6);
-      core = std::make_unique<Duties>(
-          s.timing_, Duties::Self{"p", "g" + std::to_string(i), "i" + std::to_string(i), "1", 0}, s.random_(),
+      core = std::make_unique<LeaderElection>(
+          s.timing_, LeaderElection::Self{"p", "g" + std::to_string(i), "i" + std::to_string(i), "1", 0}, s.random_(),
           *this);
       core->add("roster", *this);
     }
@@ -157,7 +157,7 @@
     bool paused = false, dead = false;
     Token read = 0;
     std::uint64_t armed = 0;
-    std::unique_ptr<Duties> core;
+    std::unique_ptr<LeaderElection> core;
     std::vector<std::function<void()>> waiting;
     std::set<std::uint64_t> dropped, answered;
   };
@@ -487,9 +487,9 @@
 // Over a socket: silence, an end in the middle, an endless header, a body past the cap, a call past the most.
 TEST(DutyBadInput, AStoreThatMisbehavesCostsATimeOutAndNoMore) {
   boost::asio::io_context io;
-  Ledger::Shares shares;
+  MemoryBudget::Shares shares;
   shares.total = 64 << 20;
-  BackPressure pressure(io, shares, {});
+  OverloadManager pressure(io, shares, {});
   using boost::asio::ip::tcp;
   tcp::acceptor acceptor(io, {boost::asio::ip::address_v4::loopback(), 0});
   const std::string ok = "HTTP/1.1 200 OK\r\nX-Consul-Index: 5\r\n";
@@ -552,4 +552,4 @@
 }
 
 }  // namespace
-}  // namespace burlwind::duty
+}  // namespace wingslip::leader_election
--- a/tests/fault_test.cpp
+++ b/tests/fault_test.cpp
@@ -1,7 +1,7 @@
 // The program while system calls fail in the ways that Linux documents (tools/lab/faults).
 #include "program_under_faults.hpp"
 
-namespace burlwind::test {
+namespace wingslip::test {
 namespace {
 
 using namespace std::chrono_literals;
@@ -208,4 +208,4 @@
 }
 
 }  // namespace
-}  // namespace burlwind::test
+}  // namespace wingslip::test
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -8,7 +8,7 @@
 
 #include "recorder.hpp"
 
-namespace irisring::test {
+namespace wingslip::decision::test {
 namespace {
 
 Settings manyGateways() {
@@ -336,4 +336,4 @@
 }
 
 }  // namespace
-}  // namespace irisring::test
+}  // namespace wingslip::decision::test
--- a/tests/gatekeeper_test.cpp
+++ b/tests/gatekeeper_test.cpp
@@ -1,7 +1,7 @@
 // The whole gatekeeper over loopback sockets: one request from client to worker and back, in all its fates.
 #include "loopback.hpp"
 
-namespace burlwind::test {
+namespace wingslip::test {
 namespace {
 
 class Gate : public Loopback {
@@ -495,4 +495,4 @@
 }
 
 }  // namespace
-}  // namespace burlwind::test
+}  // namespace wingslip::test
--- a/tests/growth_test.cpp
+++ b/tests/growth_test.cpp
@@ -10,7 +10,7 @@
 
 #include "recorder.hpp"
 
-namespace irisring::test {
+namespace wingslip::decision::test {
 namespace {
 
 std::vector<Member> workers(std::size_t n) {
@@ -90,4 +90,4 @@
 }
 
 }  // namespace
-}  // namespace irisring::test
+}  // namespace wingslip::decision::test
--- a/tests/guards_test.cpp
+++ b/tests/guards_test.cpp
@@ -3,7 +3,7 @@
 
 #include "recorder.hpp"
 
-namespace irisring::test {
+namespace wingslip::decision::test {
 namespace {
 
 double ceilingUnits(Bench& b, Time span, CustomerId customer = 1) {
@@ -237,4 +237,4 @@
 }
 
 }  // namespace
-}  // namespace irisring::test
+}  // namespace wingslip::decision::test
--- a/tests/invariant_test.cpp
+++ b/tests/invariant_test.cpp
@@ -6,14 +6,14 @@
 
 #include "invariant/monitor.hpp"
 
-namespace burlwind::invariant {
+namespace wingslip::invariant {
 namespace {
 
-using irisring::Phase;
-using irisring::Repeat;
-using irisring::Result;
+using decision::Phase;
+using decision::Repeat;
+using decision::Result;
 
-constexpr irisring::WorkerId kWorker = 7, kOther = 8;
+constexpr decision::WorkerId kWorker = 7, kOther = 8;
 
 class Monitored : public ::testing::Test {
  protected:
@@ -200,4 +200,4 @@
 }
 
 }  // namespace
-}  // namespace burlwind::invariant
+}  // namespace wingslip::invariant
--- a/tests/lines_test.cpp
+++ b/tests/lines_test.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 TEST(Lines, TheModuleStaysSmall) {
-  std::ifstream in(std::string(IRISRING_ROOT) + "/src/decide.cpp");
+  std::ifstream in(std::string(WINGSLIP_ROOT) + "/src/decision/gateway.cpp");
   ASSERT_TRUE(in);
   int lines = 0;
   for (std::string line; std::getline(in, line);) {
@@ -19,13 +19,13 @@
 }
 
 TEST(Lines, TheModuleNamesItsInterfaceAndIsThePolicy) {
-  std::ifstream module(std::string(IRISRING_ROOT) + "/src/decide.cpp");
+  std::ifstream module(std::string(WINGSLIP_ROOT) + "/src/decision/gateway.cpp");
   std::string first;
   std::getline(module, first);
-  EXPECT_NE(first.find("include/irisring/decide.hpp"), std::string::npos);
-  std::ifstream deploy(std::string(IRISRING_ROOT) + "/deploy/balancer.toml");
+  EXPECT_NE(first.find("include/wingslip/decision/gateway.hpp"), std::string::npos);
+  std::ifstream deploy(std::string(WINGSLIP_ROOT) + "/deploy/balancer.toml");
   std::string text((std::istreambuf_iterator<char>(deploy)), {});
-  EXPECT_NE(text.find("policy = [\"src/decide.cpp\"]"), std::string::npos);
+  EXPECT_NE(text.find("policy = [\"src/decision\"]"), std::string::npos);
 }
 
 }  // namespace
--- a/tests/loopback.hpp
+++ b/tests/loopback.hpp
@@ -13,9 +13,9 @@
 #include <nlohmann/json.hpp>
 #include <utility>
 
-#include "node/gatekeeper.hpp"
+#include "gatekeeper/gatekeeper.hpp"
 
-namespace burlwind::test {
+namespace wingslip::test {
 
 using asio::ip::tcp;
 using nlohmann::json;
@@ -211,4 +211,4 @@
   asio::io_context io{1};
 };
 
-}  // namespace burlwind::test
+}  // namespace wingslip::test
--- a/tests/node_test.cpp
+++ b/tests/node_test.cpp
@@ -9,28 +9,28 @@
 
 #include "growth.hpp"
 #include "loopback.hpp"
-#include "node/discovery.hpp"
+#include "gatekeeper/discovery.hpp"
 #include "worker_pool_fixture.hpp"
 
-namespace burlwind::test {
+namespace wingslip::test {
 namespace {
 
-using irisring::Result;
+using decision::Result;
 using namespace std::chrono_literals;
 
 struct Silent : RequestHandler {  // never answers
   bool ready() const override { return true; }
-  irisring::RequestId nextId() override { return ++last; }
-  void take(irisring::RequestId, const Call&, ClientMessage&&, const std::shared_ptr<Responder>& a) override {
+  decision::RequestId nextId() override { return ++last; }
+  void take(decision::RequestId, const Call&, ClientMessage&&, const std::shared_ptr<Responder>& a) override {
     responder = a;
   }
-  void left(irisring::RequestId) override { ++gone; }
+  void left(decision::RequestId) override { ++gone; }
   void turnedAway(unsigned) override { ++turned; }
   void closedUnanswered(CloseReason reason) override {
     ADD_FAILURE() << "closed over a request: " << static_cast<int>(reason);
   }
   int turned = 0;
-  irisring::RequestId last = 0;
+  decision::RequestId last = 0;
   int gone = 0;
   std::shared_ptr<Responder> responder;
 };
@@ -44,7 +44,7 @@
   }
   Config config;
   Silent handler;
-  BackPressure pressure{io, sharesOf({std::size_t{64} << 20}), Pressure::Limits{}};
+  OverloadManager pressure{io, sharesOf({std::size_t{64} << 20}), Pressure::Limits{}};
   std::optional<ClientServer> server;
 };
 
@@ -156,7 +156,7 @@
   // comes again.
   std::chrono::milliseconds firstAgain(unsigned gatekeepers) {
     Listener agent(io);
-    BackPressure pressure(io, sharesOf({std::size_t{64} << 20}), Pressure::Limits{});
+    OverloadManager pressure(io, sharesOf({std::size_t{64} << 20}), Pressure::Limits{});
     std::vector<std::unique_ptr<Discovery>> all;
     for (unsigned i = 0; i < 10; ++i) {
       all.push_back(std::make_unique<Discovery>(
@@ -179,7 +179,7 @@
   EXPECT_GE(firstAgain(3).count(), 20);
 }
 
-class Pool : public WorkerPoolFixture {};
+class Pool : public UpstreamPoolFixture {};
 
 TEST_F(Pool, TellsTheReportAndTheMeterOfAnAnswer) {
   open({});
@@ -298,7 +298,7 @@
 
 // Retired before the worker ends it: a request written to it from then on would be lost.
 TEST_F(Pool, AnIdleConnectionIsRetiredInTime) {
-  WorkerPool::Limits limits;
+  UpstreamPool::Limits limits;
   limits.idleFor = 50ms;
   open(limits);
   start(1);
@@ -324,21 +324,21 @@
 
 // Whichever worker's it is, and whatever order the table has them in.
 TEST_F(Pool, TheConnectionThatHasStoodIdleLongestMakesRoom) {
-  WorkerPool::Limits limits;
+  UpstreamPool::Limits limits;
   limits.total = 8;
   open(limits);
   std::vector<std::unique_ptr<Listener>> others;
-  for (irisring::WorkerId id = 10; id < 18; ++id) {
+  for (decision::WorkerId id = 10; id < 18; ++id) {
     others.push_back(std::make_unique<Listener>(io));
     pool->place(id, {others.back()->address()});
-    pool->start(static_cast<irisring::RequestId>(id), 0, id, plain("GET / HTTP/1.1\r\n\r\n"), {});
+    pool->start(static_cast<decision::RequestId>(id), 0, id, plain("GET / HTTP/1.1\r\n\r\n"), {});
     until([&] { return others.back()->count("\r\n\r\n") == 1; }, "a request");
     others.back()->peers[0]->send(reply("200 OK", ""));
     untilEnds(others.size());
   }
   EXPECT_EQ(pool->connections(), 8u);
   for (std::size_t round = 0; round < 3; ++round) {
-    start(static_cast<irisring::RequestId>(100 + round));
+    start(static_cast<decision::RequestId>(100 + round));
     until([&] { return others[round]->peers[0]->ended; }, "the end of the oldest");
     for (std::size_t i = round + 1; i < others.size(); ++i) EXPECT_FALSE(others[i]->peers[0]->ended) << i;
   }
@@ -348,13 +348,13 @@
 
 // Where none may stand idle there is nothing to look for, however many workers there are.
 TEST_F(Pool, AnAttemptAtTheLimitIsNoWalkOfAllWorkers) {
-  WorkerPool::Limits limits;
+  UpstreamPool::Limits limits;
   limits.total = 0;
   const double factor = growth::between(500, [&](std::size_t n) {
     open(limits);
     for (std::size_t i = 0; i < n; ++i) pool->place(1000 + i, {worker.address()});
     const double before = growth::processorTime();
-    for (std::size_t i = 0; i < n; ++i) start(static_cast<irisring::RequestId>(i + 1));
+    for (std::size_t i = 0; i < n; ++i) start(static_cast<decision::RequestId>(i + 1));
     return growth::processorTime() - before;
   });
   EXPECT_LT(factor, growth::kMost);
@@ -380,7 +380,7 @@
 }
 
 TEST_F(Pool, HoldsNoMoreConnectionsThanItMay) {
-  WorkerPool::Limits limits;
+  UpstreamPool::Limits limits;
   limits.total = 1;
   open(limits);
   start(1);
@@ -407,7 +407,7 @@
   EXPECT_EQ(config.sockets, 256u);
   EXPECT_EQ(config.host.classes, (std::vector<std::string>{"look", "edit", "order"}));
   EXPECT_EQ(config.host.zones, (std::vector<std::string>{"a", "b"}));
-  EXPECT_EQ(config.settings.classes[1].repeat, irisring::Repeat::keyed);
+  EXPECT_EQ(config.settings.classes[1].repeat, decision::Repeat::keyed);
   EXPECT_EQ(config.settings.plans[1].rate, 1000);
   EXPECT_EQ(config.settings.reportFields, (std::vector<std::string>{"util", "queue"}));
   EXPECT_EQ(parseRoster(config.known).instances.at(0).id, "s");
@@ -425,7 +425,7 @@
 class Program : public Loopback {
  protected:
   void SetUp() override {
-    file = ::testing::TempDir() + "burlwind-config-" + std::to_string(getpid()) + ".json";
+    file = ::testing::TempDir() + "wingslip-config-" + std::to_string(getpid()) + ".json";
   }
   void TearDown() override {
     if (child > 0) kill(child, SIGKILL), waitpid(child, nullptr, 0);
@@ -438,7 +438,7 @@
     if (child > 0) return;
     setenv("BALANCER_CONFIG", file.c_str(), 1);
     setenv("BALANCER_DISCOVERY", discoveryVariable.c_str(), 1);
-    execl(BURLWIND_PROGRAM, BURLWIND_PROGRAM, static_cast<char*>(nullptr));
+    execl(WINGSLIP_GATEKEEPER_PROGRAM, WINGSLIP_GATEKEEPER_PROGRAM, static_cast<char*>(nullptr));
     _exit(127);
   }
   bool ended(int& status) const { return waitpid(child, &status, WNOHANG) == child; }
@@ -497,9 +497,9 @@
 }
 
 TEST(Configuration, TheProgramEndsWithOneLineOnABadOne) {
-  const std::string out = ::testing::TempDir() + "burlwind-bad-" + std::to_string(getpid());
+  const std::string out = ::testing::TempDir() + "wingslip-bad-" + std::to_string(getpid());
   const std::string command =
-      "BALANCER_CONFIG=/nonexistent " BURLWIND_PROGRAM " 2>" + out + " >/dev/null </dev/null";
+      "BALANCER_CONFIG=/nonexistent " WINGSLIP_GATEKEEPER_PROGRAM " 2>" + out + " >/dev/null </dev/null";
   const int status = std::system(command.c_str());
   EXPECT_EQ(WEXITSTATUS(status), 1);
   std::ifstream in(out);
@@ -510,4 +510,4 @@
 }
 
 }  // namespace
-}  // namespace burlwind::test
+}  // namespace wingslip::test
--- a/tests/ops_test.cpp
+++ b/tests/ops_test.cpp
@@ -6,17 +6,17 @@
 #include <fstream>
 
 #include "loopback.hpp"
-#include "node/answer_lines.hpp"
-#include "node/exclusions.hpp"
-#include "node/handover.hpp"
+#include "net/answer_lines.hpp"
+#include "gatekeeper/exclusions.hpp"
+#include "gatekeeper/handover.hpp"
 
-namespace burlwind::test {
+namespace wingslip::test {
 namespace {
 
 // A fleet's worth of lines: as many as the largest fleet has, or none where there is no memory for them.
 struct ManyLines : Operated {
   std::string sharers() const override {
-    AnswerLines out("200 alive=1024");
+    OperatorResponse out("200 alive=1024");
     for (int i = 0; i < 1024; ++i) out.add(std::string(200, 'm'));
     return out.end();
   }
@@ -30,7 +30,7 @@
 };
 
 TEST_F(Loopback, OperatorsAreToldOfAllMembersOfALargeFleetWhereThereIsMemory) {
-  BackPressure pressure{io, sharesOf({std::size_t{32} << 20}), Pressure::Limits{}};
+  OverloadManager pressure{io, sharesOf({std::size_t{32} << 20}), Pressure::Limits{}};
   ManyLines fleet;
   OpsServer server(io, OpsServer::Limits{}, fleet, pressure);
   server.start({asio::ip::address_v4::loopback(), 0});
@@ -47,16 +47,16 @@
   std::size_t taken = 0;
   while (hog.resize(taken + 64 * 1024)) taken += 64 * 1024;
   EXPECT_EQ(members(), "400 no memory for the answer now\n");
-  AnswerLines endless("200");
+  OperatorResponse endless("200");
   for (int i = 0; i < 100000; ++i) endless.add("a line that is one of many");
-  EXPECT_LT(endless.end().size(), AnswerLines::kMost + 100);
+  EXPECT_LT(endless.end().size(), OperatorResponse::kMost + 100);
   EXPECT_NE(endless.end().find(" more\nEOF\n"), std::string::npos);
 }
 
 class Ops : public Loopback {
  protected:
   void SetUp() override {
-    folder = ::testing::TempDir() + "burlwind-state-" + std::to_string(getpid());
+    folder = ::testing::TempDir() + "wingslip-state-" + std::to_string(getpid());
     std::filesystem::create_directory(folder);
   }
   void TearDown() override { std::filesystem::remove_all(folder); }
@@ -305,4 +305,4 @@
 }
 
 }  // namespace
-}  // namespace burlwind::test
+}  // namespace wingslip::test
