--- a/tests/package/one_request.cpp
+++ b/tests/package/one_request.cpp
@@ -1,18 +1,20 @@
 // A program outside the tree: drives one request through the installed library.
 #include <cstdio>
-#include <irisring/decide.hpp>
+#include <wingslip/decision/gateway.hpp>
+
+namespace decision = wingslip::decision;
 
 namespace {
 
-struct Printer : irisring::Actions {
-  irisring::WorkerId sentTo = 0;
-  void send(irisring::RequestId id, irisring::WorkerId worker, irisring::Time) override {
+struct Printer : decision::Actions {
+  decision::WorkerId sentTo = 0;
+  void send(decision::RequestId id, decision::WorkerId worker, decision::Time) override {
     std::printf("request %u goes to worker %llu\n", id, static_cast<unsigned long long>(worker));
     sentTo = worker;
   }
-  void refuse(irisring::RequestId, irisring::Time) override {}
-  void fail(irisring::RequestId) override {}
-  void setTimer(irisring::Time, std::uint64_t) override {}
+  void refuse(decision::RequestId, decision::Time) override {}
+  void fail(decision::RequestId) override {}
+  void setTimer(decision::Time, std::uint64_t) override {}
   void subscribe() override {}
   void log(const std::string&) override {}
 };
@@ -20,20 +22,20 @@
 }  // namespace
 
 int main() {
-  irisring::Settings settings;
-  irisring::ClassSettings klass;
-  klass.aim = 500, klass.deadline = 2000, klass.repeat = irisring::Repeat::safe;
-  irisring::PlanSettings plan;
+  decision::Settings settings;
+  decision::ClassSettings klass;
+  klass.aim = 500, klass.deadline = 2000, klass.repeat = decision::Repeat::safe;
+  decision::PlanSettings plan;
   plan.rate = 5, plan.burst = 10;
   settings.classes = {klass};
   settings.plans = {plan};
   Printer actions;
-  irisring::Gateway gateway(settings, 1, 0, actions);
-  irisring::Member worker;
+  decision::Gateway gateway(settings, 1, 0, actions);
+  decision::Member worker;
   worker.worker = 42;
-  gateway.members(0, irisring::ListKind::full, {worker});
+  gateway.members(0, decision::ListKind::full, {worker});
   gateway.request(1, {7, 0, 0, 99, 2001, 1, 1});
-  irisring::Outcome outcome;
+  decision::Outcome outcome;
   outcome.id = 7, outcome.worker = 42, outcome.elapsed = 20, outcome.finished = true;
   gateway.outcome(21, outcome);
   return actions.sentTo == 42 && gateway.requestsHeld() == 0 ? 0 : 1;
--- a/tests/pressure_test.cpp
+++ b/tests/pressure_test.cpp
@@ -1,6 +1,6 @@
 // The cores of back-pressure in virtual time: the ledger of memory, the stages, the figures of the places,
 // and whom the module sheds.
-#include "pressure/pressure.hpp"
+#include "overload/overload_state.hpp"
 
 #include <cmath>
 #include <fstream>
@@ -8,21 +8,21 @@
 #include <set>
 #include <sstream>
 
-#include "pressure/ledger.hpp"
-#include "pressure/places.hpp"
+#include "overload/memory_budget.hpp"
+#include "overload/wait_queues.hpp"
 #include "recorder.hpp"
 
-namespace burlwind {
+namespace wingslip {
 namespace {
 
 constexpr auto kNoOne = Account::clients;
 
-Ledger::Shares shares(std::size_t total, std::size_t clients = 0, std::size_t workers = 0) {
+MemoryBudget::Shares shares(std::size_t total, std::size_t clients = 0, std::size_t workers = 0) {
   return {total, {clients, workers, 0, 0}};
 }
 
-TEST(Ledger, RefusesRatherThanOverdraws) {
-  Ledger ledger(shares(100));
+TEST(MemoryBudget, RefusesRatherThanOverdraws) {
+  MemoryBudget ledger(shares(100));
   auto a = ledger.open(Account::clients), b = ledger.open(Account::workers);
   EXPECT_TRUE(a.resize(60));
   EXPECT_FALSE(b.resize(41));
@@ -34,13 +34,13 @@
   EXPECT_TRUE(a.resize(10));  // less is always granted
   EXPECT_EQ(ledger.held(), 50u);
   EXPECT_EQ(ledger.most(), 100u);
-  Ledger::Charge nobodys;
+  MemoryBudget::Charge nobodys;
   EXPECT_FALSE(nobodys.resize(1));
-  EXPECT_THROW(Ledger(shares(100, 60, 41)), std::invalid_argument);
+  EXPECT_THROW(MemoryBudget(shares(100, 60, 41)), std::invalid_argument);
 }
 
-TEST(Ledger, KeepsTheOthersPartApartAndTheOwnAtHand) {
-  Ledger ledger(shares(100, 30, 30));
+TEST(MemoryBudget, KeepsTheOthersPartApartAndTheOwnAtHand) {
+  MemoryBudget ledger(shares(100, 30, 30));
   auto clients = ledger.open(Account::clients), workers = ledger.open(Account::workers);
   EXPECT_EQ(ledger.room(Account::clients), 70u);
   EXPECT_FALSE(clients.resize(71));
@@ -51,8 +51,8 @@
 }
 
 // An account at its own end is pressed though others have room that is kept for them.
-TEST(Ledger, TellsOfTheAccountThatIsNearestToItsEnd) {
-  Ledger ledger(shares(100, 20, 50));
+TEST(MemoryBudget, TellsOfTheAccountThatIsNearestToItsEnd) {
+  MemoryBudget ledger(shares(100, 20, 50));
   std::size_t crossed = 0;
   ledger.watch(
       0.5, 0.8, [&] { ++crossed; }, [] {});
@@ -71,8 +71,8 @@
 }
 
 // What stands as long as its owner is no pressure: no request that is shed would give it back.
-TEST(Ledger, WhatStandsIsHeldButPressesNobody) {
-  Ledger ledger(shares(100));
+TEST(MemoryBudget, WhatStandsIsHeldButPressesNobody) {
+  MemoryBudget ledger(shares(100));
   auto standing = ledger.open(Account::clients), other = ledger.open(Account::clients);
   ASSERT_TRUE(standing.resize(90));
   EXPECT_GT(ledger.fullest().part(), 0.8);
@@ -94,12 +94,12 @@
   EXPECT_EQ(ledger.fullest().reach, 100u);
 }
 
-TEST(Ledger, GivesAChargeBackOnceHoweverItIsMoved) {
-  Ledger ledger(shares(100));
+TEST(MemoryBudget, GivesAChargeBackOnceHoweverItIsMoved) {
+  MemoryBudget ledger(shares(100));
   {
     auto a = ledger.open(kNoOne);
     ASSERT_TRUE(a.resize(50));
-    Ledger::Charge b = std::move(a);
+    MemoryBudget::Charge b = std::move(a);
     // NOLINTNEXTLINE(bugprone-use-after-move): the test is of what is left of it
     EXPECT_EQ(a.bytes(), 0u);
     b = std::move(b);
@@ -120,16 +120,16 @@
   EXPECT_EQ(ledger.held(), 0u);
 }
 
-TEST(Ledger, HoldsWhatItsChargesHoldOverAnySequence) {
+TEST(MemoryBudget, HoldsWhatItsChargesHoldOverAnySequence) {
   for (unsigned seed = 0; seed < 200; ++seed) {
     std::mt19937 random(seed);
     const auto below = [&](std::size_t n) {
       return std::uniform_int_distribution<std::size_t>(0, n - 1)(random);
     };
-    Ledger::Shares given{1000, {}};
+    MemoryBudget::Shares given{1000, {}};
     for (auto& part : given.kept) part = below(250);
-    Ledger ledger(given);
-    std::vector<std::pair<Account, Ledger::Charge>> all;
+    MemoryBudget ledger(given);
+    std::vector<std::pair<Account, MemoryBudget::Charge>> all;
     std::size_t crossings = 0, above = 0;
     bool high = false;
     ledger.watch(
@@ -188,7 +188,7 @@
   }
 }
 
-TEST(Ledger, TheBudgetLeavesRoomForTheProcessForBothOfAnUpgradeAndForFiles) {
+TEST(MemoryBudget, TheBudgetLeavesRoomForTheProcessForBothOfAnUpgradeAndForFiles) {
   constexpr std::size_t mib = std::size_t{1} << 20;
   const auto total = [](std::size_t limit, bool two, bool files) {
     return sharesOf({limit * mib, two, files}).total;
@@ -348,9 +348,9 @@
 }
 
 TEST(PlaceFigures, WhatWaitsLeavesByItselfAndTheFirstIsTheOldest) {
-  Places places;
+  WaitQueues places;
   {
-    Places::Waiting a, b;
+    WaitQueues::Waiting a, b;
     a.enter(places, WaitAt::held, 100);
     b.enter(places, WaitAt::held, 300);
     EXPECT_EQ(places.figures(WaitAt::held, 1000).waiting, 2u);
@@ -372,10 +372,10 @@
 // A place without a name, without its four figures or without a row in the map is one that nobody looks
 // after.
 TEST(PlaceFigures, EveryPlaceIsNamedReportedAndOnTheMap) {
-  std::ifstream page(std::string(IRISRING_ROOT) + "/docs/design.md");
+  std::ifstream page(std::string(WINGSLIP_ROOT) + "/docs/design.md");
   std::stringstream design;
   design << page.rdbuf();
-  const std::string text = Places().telemetry(0);
+  const std::string text = WaitQueues().telemetry(0);
   std::set<std::string_view> names;
   for (const std::string_view name : kPlaceNames) {
     ASSERT_FALSE(name.empty());
@@ -387,9 +387,9 @@
 }
 
 }  // namespace
-}  // namespace burlwind
+}  // namespace wingslip
 
-namespace irisring::test {
+namespace wingslip::decision::test {
 namespace {
 
 // Enough workers and quota that nothing but the pressure refuses.
@@ -522,4 +522,4 @@
 }
 
 }  // namespace
-}  // namespace irisring::test
+}  // namespace wingslip::decision::test
--- a/tests/program_under_faults.hpp
+++ b/tests/program_under_faults.hpp
@@ -15,7 +15,7 @@
 #include "faults/system_faults.hpp"
 #include "loopback.hpp"
 
-namespace burlwind::test {
+namespace wingslip::test {
 
 using wingslip::lab::CallFault;
 using wingslip::lab::FaultFile;
@@ -46,7 +46,7 @@
     setenv("ASAN_OPTIONS", (std::string(options ? options : "") + ":verify_asan_link_order=0").c_str(), 1);
     setenv("BALANCER_CONFIG", (folder_ + "/config.json").c_str(), 1);
     setenv("TMPDIR", (folder_ + "/state").c_str(), 1);
-    execl(BURLWIND_PROGRAM, BURLWIND_PROGRAM, static_cast<char*>(nullptr));
+    execl(WINGSLIP_GATEKEEPER_PROGRAM, WINGSLIP_GATEKEEPER_PROGRAM, static_cast<char*>(nullptr));
     _exit(127);
   }
   void signalNow(int number) const { kill(pid_, number); }
@@ -72,7 +72,7 @@
 class UnderFaults : public Loopback {
  protected:
   void SetUp() override {
-    folder = ::testing::TempDir() + "burlwind-faults-" + std::to_string(getpid());
+    folder = ::testing::TempDir() + "wingslip-faults-" + std::to_string(getpid());
     std::filesystem::remove_all(folder);
   }
   void TearDown() override { std::filesystem::remove_all(folder); }
@@ -115,4 +115,4 @@
   const tcp::endpoint clients = freePort(io), operators = freePort(io);
 };
 
-}  // namespace burlwind::test
+}  // namespace wingslip::test
--- a/tests/quota_test.cpp
+++ b/tests/quota_test.cpp
@@ -1,6 +1,6 @@
 #include "recorder.hpp"
 
-namespace irisring::test {
+namespace wingslip::decision::test {
 namespace {
 
 // Asks and, when sent, serves at once. Returns whether it was let in.
@@ -258,4 +258,4 @@
 }
 
 }  // namespace
-}  // namespace irisring::test
+}  // namespace wingslip::decision::test
--- a/tests/races_test.cpp
+++ b/tests/races_test.cpp
@@ -3,14 +3,14 @@
 // side has done its step.
 #include "worker_pool_fixture.hpp"
 
-namespace burlwind::test {
+namespace wingslip::test {
 namespace {
 
-using irisring::Result;
+using decision::Result;
 using namespace std::chrono_literals;
 using Steady = std::chrono::steady_clock;
 
-class PoolRaces : public WorkerPoolFixture {
+class PoolRaces : public UpstreamPoolFixture {
  protected:
   void SetUp() override { open({}); }
   // One connection stands idle, and what could come late on it has come.
@@ -83,8 +83,8 @@
 // machine, once a connection has carried some exchanges, acknowledges only after 40 ms or with what it sends:
 // the next request would let the second answer go.
 TEST_F(PoolRaces, ASecondAnswerThatTheWorkersMachineHeldBackIsNeverTheNextRequests) {
-  constexpr irisring::RequestId kExchanges = 40;
-  for (irisring::RequestId id = 1; id <= kExchanges; ++id) {
+  constexpr decision::RequestId kExchanges = 40;
+  for (decision::RequestId id = 1; id <= kExchanges; ++id) {
     start(id);
     until([&] { return seen() == id; }, "a request");
     if (id == kExchanges) onEnd = [this] { start(kExchanges + 1); };
@@ -136,17 +136,17 @@
  protected:
   struct Kept : RequestHandler {
     bool ready() const override { return true; }
-    irisring::RequestId nextId() override { return ++last; }
-    void take(irisring::RequestId, const Call&, ClientMessage&&,
+    decision::RequestId nextId() override { return ++last; }
+    void take(decision::RequestId, const Call&, ClientMessage&&,
               const std::shared_ptr<Responder>& a) override {
       responders.push_back(a);
     }
-    void left(irisring::RequestId) override { ++gone; }
+    void left(decision::RequestId) override { ++gone; }
     void turnedAway(unsigned) override {}
     void closedUnanswered(CloseReason reason) override {
       ADD_FAILURE() << "closed over a request: " << static_cast<int>(reason);
     }
-    irisring::RequestId last = 0;
+    decision::RequestId last = 0;
     int gone = 0;
     std::vector<std::shared_ptr<Responder>> responders;
   };
@@ -155,7 +155,7 @@
 
   Config config = parseConfig(configJson("127.0.0.1:1").dump());
   Kept handler;
-  BackPressure pressure{io, sharesOf({std::size_t{64} << 20}), Pressure::Limits{}};
+  OverloadManager pressure{io, sharesOf({std::size_t{64} << 20}), Pressure::Limits{}};
   ClientServer server{io, config, {}, handler, pressure};
 };
 
@@ -311,4 +311,4 @@
 }
 
 }  // namespace
-}  // namespace burlwind::test
+}  // namespace wingslip::test
--- a/tests/recorder.hpp
+++ b/tests/recorder.hpp
@@ -5,9 +5,9 @@
 
 #include <map>
 
-#include "irisring/decide.hpp"
+#include "wingslip/decision/gateway.hpp"
 
-namespace irisring::test {
+namespace wingslip::decision::test {
 
 struct Sent {
   RequestId id;
@@ -116,4 +116,4 @@
   Gateway gateway;
 };
 
-}  // namespace irisring::test
+}  // namespace wingslip::decision::test
--- a/tests/replica_test.cpp
+++ b/tests/replica_test.cpp
@@ -16,9 +16,9 @@
 #include "config_said.hpp"
 #include "event_queue.hpp"
 #include "growth.hpp"
-#include "replica/replica_node.hpp"
+#include "replication/replica_node.hpp"
 
-namespace burlwind::replica {
+namespace wingslip::replication {
 namespace {
 
 #ifdef __SANITIZE_ADDRESS__
@@ -401,9 +401,9 @@
 // them. Then the snapshot: a row written here is there for the next process, a damaged file is as none.
 TEST(ReplicaNode, SurvivesBadPeersAndLeavesASnapshot) {
   boost::asio::io_context io;
-  Ledger::Shares shares;
+  MemoryBudget::Shares shares;
   shares.total = 64 << 20;
-  BackPressure pressure(io, shares, {});
+  OverloadManager pressure(io, shares, {});
   using boost::asio::ip::tcp;
   const std::string dir = ::testing::TempDir() + "replica_" + std::to_string(::getpid());
   std::filesystem::create_directories(dir);
@@ -473,4 +473,4 @@
 }
 
 }  // namespace
-}  // namespace burlwind::replica
+}  // namespace wingslip::replication
--- a/tests/run.sh
+++ b/tests/run.sh
@@ -19,8 +19,8 @@
 for kind in plain sanitize; do
   sanitize=OFF
   [ "$kind" = sanitize ] && sanitize=ON
-  cmake -S . -B "build-test/$kind" -DCMAKE_BUILD_TYPE=RelWithDebInfo -DIRISRING_TESTS=ON \
-    -DIRISRING_WERROR=ON -DIRISRING_SANITIZE=$sanitize -DCMAKE_EXPORT_COMPILE_COMMANDS=ON >/dev/null
+  cmake -S . -B "build-test/$kind" -DCMAKE_BUILD_TYPE=RelWithDebInfo -DWINGSLIP_TESTS=ON \
+    -DWINGSLIP_WERROR=ON -DWINGSLIP_SANITIZE=$sanitize -DCMAKE_EXPORT_COMPILE_COMMANDS=ON >/dev/null
   if [ "$kind" = plain ]; then lint build-test/plain; fi
   cmake --build "build-test/$kind" -j"$(nproc)"
   known_red_run KNOWN-RED.txt ctest --test-dir "build-test/$kind" --output-on-failure -j"$(nproc)"
--- a/tests/stream_test.cpp
+++ b/tests/stream_test.cpp
@@ -1,7 +1,7 @@
 // What is too long to be held whole: bodies and answers passed on as they come, and the forms of HTTP.
 #include "loopback.hpp"
 
-namespace burlwind::test {
+namespace wingslip::test {
 namespace {
 
 using namespace std::chrono_literals;
@@ -197,4 +197,4 @@
 }
 
 }  // namespace
-}  // namespace burlwind::test
+}  // namespace wingslip::test
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -1,4 +1,4 @@
-#include "wire.hpp"
+#include "simulator_adapter/wire.hpp"
 
 #include <gtest/gtest.h>
 #include <sys/wait.h>
@@ -9,9 +9,9 @@
 #include <filesystem>
 #include <fstream>
 
-#include "settings.hpp"
+#include "settings/settings_reader.hpp"
 
-namespace irisring {
+namespace wingslip::decision {
 namespace {
 
 template <class T>
@@ -41,7 +41,7 @@
   return out;
 }
 
-struct Seen : wire::Events {
+struct Seen : simulator_adapter::Events {
   std::vector<Request> requests;
   std::vector<Outcome> outcomes;
   std::vector<Member> list;
@@ -58,7 +58,7 @@
 };
 
 void read(Seen& seen, std::uint32_t records, const std::string& body) {
-  wire::readRecords({1, 0, static_cast<std::uint32_t>(20 + body.size()), records}, body, seen);
+  simulator_adapter::readRecords({1, 0, static_cast<std::uint32_t>(20 + body.size()), records}, body, seen);
 }
 
 TEST(Wire, ReadsTheDocumentedRecords) {
@@ -84,7 +84,7 @@
 }
 
 TEST(Wire, WritesTheDocumentedReply) {
-  wire::Reply reply;
+  simulator_adapter::Reply reply;
   reply.begin(12);
   reply.by(3);
   reply.send(0x5d3a91c4, 0x232b074a120aULL, 80);
@@ -105,11 +105,11 @@
   EXPECT_THROW(read(seen, 1, unhex("14 03 29000000 ffffffff 01")), std::runtime_error);  // count past the end
   EXPECT_THROW(read(seen, 1, unhex("78 0300 00")), std::runtime_error);                  // bytes left over
   EXPECT_THROW(read(seen, 9, unhex("78 0300")), std::runtime_error);                     // records missing
-  EXPECT_THROW(wire::readHeader(unhex("01000000 00000000206ec040 01000000 00000000")), std::runtime_error);
+  EXPECT_THROW(simulator_adapter::readHeader(unhex("01000000 00000000206ec040 01000000 00000000")), std::runtime_error);
 }
 
 TEST(SettingsText, ReadsKnownKeysAndIgnoresOthers) {
-  const Settings s = parseSettings(
+  const Settings s = settings::parseSettings(
       "me=1\nnInstances=3\nunknown.key=what ever\nreport.fields=util,queue\nprofiles.count=1\n"
       "profiles.0.aim=800.0\nprofiles.0.repeat=keyed\nprofiles.0.dedupScope=zone\nplans.count=1\n"
       "plans.0.unitsPerS=2.5\nplans.0.atOnce=4\ndiscovery=on_request\n");
@@ -122,20 +122,20 @@
 }
 
 TEST(SettingsText, MalformedLinesThrow) {
-  EXPECT_THROW(parseSettings("me"), std::runtime_error);
-  EXPECT_THROW(parseSettings("me=one"), std::runtime_error);
-  EXPECT_THROW(parseSettings("me=-1"), std::runtime_error);
-  EXPECT_THROW(parseSettings("plans.count=99999999"), std::runtime_error);
-  EXPECT_THROW(parseSettings("familyInfo.truedUp=perhaps"), std::runtime_error);
-  EXPECT_THROW(parseSettings("profiles.count=1\nprofiles.0.repeat=often"), std::runtime_error);
+  EXPECT_THROW(settings::parseSettings("me"), std::runtime_error);
+  EXPECT_THROW(settings::parseSettings("me=one"), std::runtime_error);
+  EXPECT_THROW(settings::parseSettings("me=-1"), std::runtime_error);
+  EXPECT_THROW(settings::parseSettings("plans.count=99999999"), std::runtime_error);
+  EXPECT_THROW(settings::parseSettings("familyInfo.truedUp=perhaps"), std::runtime_error);
+  EXPECT_THROW(settings::parseSettings("profiles.count=1\nprofiles.0.repeat=often"), std::runtime_error);
 }
 
 // The adapter as a process: one plain line on standard error and a non-zero exit, never a crash.
 int drill(const std::string& input, std::string& errors) {
-  const auto stem = std::filesystem::temp_directory_path() / ("irisring_drill_" + std::to_string(::getpid()));
+  const auto stem = std::filesystem::temp_directory_path() / ("wingslip-simulator-adapter_" + std::to_string(::getpid()));
   const std::string in = stem.string() + ".in", err = stem.string() + ".err";
   std::ofstream(in, std::ios::binary) << input;
-  const int status = std::system(("'" IRISRING_DRILL "' <'" + in + "' >/dev/null 2>'" + err + "'").c_str());
+  const int status = std::system(("'" WINGSLIP_DRILL "' <'" + in + "' >/dev/null 2>'" + err + "'").c_str());
   std::ifstream text(err);
   errors.assign(std::istreambuf_iterator<char>(text), {});
   std::filesystem::remove(in);
@@ -166,4 +166,4 @@
 }
 
 }  // namespace
-}  // namespace irisring
+}  // namespace wingslip::decision
--- a/tests/worker_pool_fixture.hpp
+++ b/tests/worker_pool_fixture.hpp
@@ -9,14 +9,14 @@
 
 #include "loopback.hpp"
 
-namespace burlwind::test {
+namespace wingslip::test {
 
-class WorkerPoolFixture : public Loopback {
+class UpstreamPoolFixture : public Loopback {
  protected:
   using Duration = std::chrono::steady_clock::duration;
 
   // Makes the pool, and places `worker` in it as worker 1.
-  void open(const WorkerPool::Limits& limits) {
+  void open(const UpstreamPool::Limits& limits) {
     pool.emplace(io, limits, std::vector<std::string>{"util", "queue"}, pressure, [this](AttemptEnd&& end) {
       EXPECT_FALSE(starting) << "told from within start";
       ends.push_back(std::move(end));
@@ -26,7 +26,7 @@
   }
 
   // Starts the first attempt of request `id` at worker 1.
-  void start(irisring::RequestId id, std::optional<Duration> timeout = {},
+  void start(decision::RequestId id, std::optional<Duration> timeout = {},
              std::function<bool()> wanted = nullptr) {
     starting = true;
     pool->start(id, 0, 1,
@@ -56,11 +56,11 @@
   }
 
   Listener worker{io};
-  BackPressure pressure{io, sharesOf({std::size_t{64} << 20}), Pressure::Limits{}};
+  OverloadManager pressure{io, sharesOf({std::size_t{64} << 20}), Pressure::Limits{}};
   std::vector<AttemptEnd> ends;
   std::function<void()> onEnd;  // called once, with the next attempt that ends
-  std::optional<WorkerPool> pool;
+  std::optional<UpstreamPool> pool;
   bool starting = false;
 };
 
-}  // namespace burlwind::test
+}  // namespace wingslip::test
--- a/tools/lab/capacity_model.cpp
+++ b/tools/lab/capacity_model.cpp
@@ -6,7 +6,7 @@
 #include <memory>
 #include <utility>
 
-#include "duty/roster.hpp"
+#include "leader_election/roster.hpp"
 
 namespace wingslip::lab {
 namespace {
@@ -93,7 +93,7 @@
   Row row;
   row.role = "gatekeeper";
   row.mechanism = "choice of a worker for a request";
-  row.carriedBy = "`src/decide.cpp`";
+  row.carriedBy = "`src/decision/gateway.cpp`";
   row.measured = {"choice", "whole_list"};
   // The requests' own budget is the time that they may be held up.
   row.budget.coreShare = kAddedSeconds * kRequestsPerS / kGatekeepers;
@@ -173,7 +173,7 @@
   Row row;
   row.role = "gatekeeper";
   row.mechanism = "changed settings taken in, a class a route";
-  row.carriedBy = "`src/node/config.cpp` at SIGHUP, `Gateway::settings`";
+  row.carriedBy = "`src/config/config.cpp` at SIGHUP, `Gateway::settings`";
   row.measured = {"settings", "configuration", "class_cap"};
   row.budget = limitedTo(slopes->capOf("class_cap", "classes"));
   row.need = [slopes](const Day& day) {
@@ -193,7 +193,7 @@
   Row row;
   row.role = "gatekeeper";
   row.mechanism = "customers held";
-  row.carriedBy = "`src/decide.cpp`";
+  row.carriedBy = "`src/decision/gateway.cpp`";
   row.measured = {"customers", "customer_cap"};
   row.budget = limitedTo(slopes->capOf("customer_cap", "rows"));
   row.need = [slopes](const Day& day) {
@@ -276,7 +276,7 @@
   row.mechanism = "the roster, as the one that holds the duty";
   row.carriedBy = "`src/duty/`";
   row.measured = {"duties"};
-  row.budget = limitedTo(static_cast<double>(burlwind::duty::Roster::kMostRows));
+  row.budget = limitedTo(static_cast<double>(wingslip::leader_election::Roster::kMostRows));
   row.need = [slopes](const Day& day) {
     Need need;
     need.stateBytes = slopes->at("duties", "registered_bytes", day.gatekeepers);
@@ -312,7 +312,7 @@
   Row row;
   row.role = "gatekeeper";
   row.mechanism = "the process, idle, with the list of workers";
-  row.carriedBy = "`burlwind`";
+  row.carriedBy = "`wingslip-gatekeeper`";
   row.measured = {"process"};
   row.budget = gatekeeperBudget();
   row.need = [slopes](const Day&) {
--- a/tools/lab/distribution_run.cpp
+++ b/tools/lab/distribution_run.cpp
@@ -14,7 +14,7 @@
 namespace wingslip::lab {
 namespace {
 
-using namespace burlwind::distribution;
+using namespace wingslip::distribution;
 using nlohmann::json;
 
 // The bounds that the operators set.
--- a/tools/lab/distribution_simulation.cpp
+++ b/tools/lab/distribution_simulation.cpp
@@ -11,7 +11,7 @@
 namespace wingslip::lab {
 namespace {
 
-using namespace burlwind::distribution;
+using namespace wingslip::distribution;
 
 constexpr Milliseconds kWarmUp = 30'000;  // subscribers connect; not measured
 constexpr Milliseconds kDrain = 30'000;   // after the last change
@@ -621,7 +621,7 @@
 
 }  // namespace
 
-burlwind::distribution::Snapshot makeConfiguration(int entries, std::uint64_t seed) {
+wingslip::distribution::Snapshot makeConfiguration(int entries, std::uint64_t seed) {
   std::mt19937_64 random(seed);
   Snapshot snapshot;
   std::vector<std::vector<EntryPointer>> ranges(EntryTable::kRanges);
--- a/tools/lab/distribution_simulation.hpp
+++ b/tools/lab/distribution_simulation.hpp
@@ -13,7 +13,7 @@
 
 namespace wingslip::lab {
 
-using burlwind::distribution::Milliseconds;
+using wingslip::distribution::Milliseconds;
 
 enum class DistributionScenario {
   steady,        // the mean rate, then a storm
@@ -81,6 +81,6 @@
 DistributionResult simulateDistribution(const DistributionOptions& options);
 
 // Entries of some 150 bytes encoded, one a version, of term 1.
-burlwind::distribution::Snapshot makeConfiguration(int entries, std::uint64_t seed);
+wingslip::distribution::Snapshot makeConfiguration(int entries, std::uint64_t seed);
 
 }  // namespace wingslip::lab
--- a/tools/lab/fleet.cpp
+++ b/tools/lab/fleet.cpp
@@ -277,7 +277,7 @@
   }
 
   void launch(Gatekeeper& gk) {
-    gk.now = start(gk, ports_, o_.burlwind);
+    gk.now = start(gk, ports_, o_.gatekeeperProgram);
     agents_[gk.index]->gatekeeperStarts();
     gk.stopped = false, gk.inFront = false, gk.finishing = false, gk.misses = 0;
     std::ofstream(fs::path(o_.out) / "pids", std::ios::app) << gk.now.pid << "\n";
@@ -287,7 +287,7 @@
   // told to end.
   void upgrade(Gatekeeper& gk) {
     if (gk.old.pid > 0) return;  // one upgrade at a time
-    gk.old = std::exchange(gk.now, start(gk, ports_, o_.burlwind));
+    gk.old = std::exchange(gk.now, start(gk, ports_, o_.gatekeeperProgram));
     std::ofstream(fs::path(o_.out) / "pids", std::ios::app) << gk.now.pid << "\n";
     awaitReady(gk.index, gk.now.pid);
   }
@@ -611,8 +611,8 @@
 }  // namespace
 
 int play(const Scenario& scenario, const RunOptions& options) {
-  if (::access(options.burlwind.c_str(), X_OK) != 0)
-    throw std::runtime_error("no program to start at " + options.burlwind + " (set --burlwind)");
+  if (::access(options.gatekeeperProgram.c_str(), X_OK) != 0)
+    throw std::runtime_error("no program to start at " + options.gatekeeperProgram + " (set --gatekeeper)");
   checkDescriptors(scenario);
   ::signal(SIGPIPE, SIG_IGN);
   return Fleet(scenario, options).run();
--- a/tools/lab/fleet.hpp
+++ b/tools/lab/fleet.hpp
@@ -9,7 +9,7 @@
 namespace wingslip::lab {
 
 struct RunOptions {
-  std::string burlwind;  // path of the program under test
+  std::string gatekeeperProgram;  // path of the program under test
   std::string out;       // folder for configurations, logs and the report
   std::uint64_t seed = 1;
 };
--- a/tools/lab/growth_command.cpp
+++ b/tools/lab/growth_command.cpp
@@ -28,7 +28,7 @@
   double seconds = 40;
   double rateEach = 6;  ///< requests a second of one gatekeeper
   std::string out = "lab-growth";
-  std::string burlwind;
+  std::string gatekeeperProgram;
 };
 
 /// One row of the table: at most `factor` times the usual figure, `plus`, and `perThousand` for each thousand
@@ -73,7 +73,7 @@
 
 json playOnce(const GrowthOptions& o, int times) {
   RunOptions run;
-  run.burlwind = o.burlwind;
+  run.gatekeeperProgram = o.gatekeeperProgram;
   run.out = (fs::path(o.out) / ("times-" + std::to_string(times))).string();
   play(scenarioOf(o, times), run);
   std::ifstream in(fs::path(run.out) / "summary.json");
@@ -111,9 +111,9 @@
 
 }  // namespace
 
-void addGrowthCommand(CLI::App& app, const std::string& burlwind) {
+void addGrowthCommand(CLI::App& app, const std::string& gatekeeperProgram) {
   const auto o = std::make_shared<GrowthOptions>();
-  o->burlwind = burlwind;
+  o->gatekeeperProgram = gatekeeperProgram;
   CLI::App* command =
       app.add_subcommand("growth", "what a gatekeeper needs with more workers, against the bounds");
   command->add_option("--gatekeepers", o->gatekeepers, "in the fleet")->check(CLI::Range(2, 300));
@@ -123,7 +123,7 @@
   command->add_option("--rate", o->rateEach, "requests a second at each gatekeeper")
       ->check(CLI::Range(0.1, 1000.0));
   command->add_option("--out", o->out, "folder for logs and reports");
-  command->add_option("--burlwind", o->burlwind, "the program under test (default: beside this one)");
+  command->add_option("--gatekeeper", o->gatekeeperProgram, "the program under test (default: beside this one)");
   command->callback([o] {
     spdlog::set_default_logger(spdlog::stderr_logger_mt("lab"));
     int code = kSetupFailed;
--- a/tools/lab/hollow_duty.cpp
+++ b/tools/lab/hollow_duty.cpp
@@ -9,13 +9,13 @@
 
 namespace wingslip::lab {
 
-using burlwind::duty::Ask;
-using burlwind::duty::Call;
-using burlwind::duty::Duties;
-using burlwind::duty::Duty;
-using burlwind::duty::Reply;
-using burlwind::duty::Timing;
-using burlwind::duty::Token;
+using wingslip::leader_election::Ask;
+using wingslip::leader_election::Call;
+using wingslip::leader_election::LeaderElection;
+using wingslip::leader_election::Duty;
+using wingslip::leader_election::Reply;
+using wingslip::leader_election::Timing;
+using wingslip::leader_election::Token;
 
 namespace {
 
@@ -34,11 +34,11 @@
 
 }  // namespace
 
-struct HollowCandidates::Candidate : burlwind::duty::Outside, Duty {
+struct HollowCandidates::Candidate : wingslip::leader_election::Outside, Duty {
   Candidate(HollowCandidates& f, std::size_t i, const Timing& timing) : fleet(f) {
     const std::string number = std::to_string(i);
-    core = std::make_unique<Duties>(
-        timing, Duties::Self{kPrefix, "gatekeeper-" + number, "instance-" + number, "1", 0}, fleet.random_(),
+    core = std::make_unique<LeaderElection>(
+        timing, LeaderElection::Self{kPrefix, "gatekeeper-" + number, "instance-" + number, "1", 0}, fleet.random_(),
         *this);
     core->add(kDuty, *this);
   }
@@ -63,18 +63,18 @@
   void begun(Time, Token, const std::string&) override {}
   void ended(Time) override {}
   void recorded(Time, Token, const std::string&, const std::string&) override {}
-  void members(Time, const std::vector<burlwind::duty::Member>&) override {}
+  void members(Time, const std::vector<wingslip::leader_election::Member>&) override {}
 
   HollowCandidates& fleet;
   bool dead = false;
   std::uint64_t armed = 0;
   std::set<std::uint64_t> waiting;  // asks without a reply
-  std::unique_ptr<Duties> core;
+  std::unique_ptr<LeaderElection> core;
 };
 
 HollowCandidates::HollowCandidates(std::size_t candidates, std::uint64_t seed) : random_(seed) {
   store_.onChange = [this](const std::string& key) { wake(key); };
-  const Timing timing = burlwind::duty::timingFor(kTtlMs, kLockDelayMs, static_cast<unsigned>(candidates));
+  const Timing timing = wingslip::leader_election::timingFor(kTtlMs, kLockDelayMs, static_cast<unsigned>(candidates));
   for (std::size_t i = 0; i < candidates; ++i)
     candidates_.push_back(std::make_unique<Candidate>(*this, i, timing));
   for (const auto& candidate : candidates_) candidate->begin();
--- a/tools/lab/hollow_duty.hpp
+++ b/tools/lab/hollow_duty.hpp
@@ -1,4 +1,4 @@
-// Candidates for a duty before the stand-in coordination store, in virtual time: the real `Duties` cores, no
+// Candidates for a duty before the stand-in coordination store, in virtual time: the real `LeaderElection` cores, no
 // faults. It counts what the store is asked.
 #pragma once
 
@@ -9,7 +9,7 @@
 #include <random>
 #include <vector>
 
-#include "duty/duties.hpp"
+#include "leader_election/leader_election.hpp"
 #include "event_queue.hpp"
 #include "store_state.hpp"
 
@@ -25,7 +25,7 @@
   HollowCandidates(std::size_t candidates, std::uint64_t seed);
   ~HollowCandidates();
 
-  void run(burlwind::duty::Time milliseconds);
+  void run(wingslip::leader_election::Time milliseconds);
   // The process that holds the duty is gone without a word. False: none holds it.
   bool crashHolder();
 
@@ -35,19 +35,19 @@
   const Traffic& traffic() const { return traffic_; }
 
  private:
-  using Time = burlwind::duty::Time;
+  using Time = wingslip::leader_election::Time;
   struct Candidate;
   struct Read {
     Candidate* who;
-    burlwind::duty::Ask ask;
+    wingslip::leader_election::Ask ask;
   };
   void at(Time when, std::function<void()> what);
-  void call(Candidate& from, const burlwind::duty::Ask& ask);
-  void arrive(Candidate& from, const burlwind::duty::Ask& ask);
-  void wait(Candidate& from, const burlwind::duty::Ask& ask);
-  void answer(Candidate& to, std::uint64_t id, const burlwind::duty::Reply& reply) const;
+  void call(Candidate& from, const wingslip::leader_election::Ask& ask);
+  void arrive(Candidate& from, const wingslip::leader_election::Ask& ask);
+  void wait(Candidate& from, const wingslip::leader_election::Ask& ask);
+  void answer(Candidate& to, std::uint64_t id, const wingslip::leader_election::Reply& reply) const;
   void wake(const std::string& key);
-  burlwind::duty::Reply readOf(const burlwind::duty::Ask& ask) const;
+  wingslip::leader_election::Reply readOf(const wingslip::leader_election::Ask& ask) const;
   Time delay();
 
   std::mt19937_64 random_;
--- a/tools/lab/hollow_replica.cpp
+++ b/tools/lab/hollow_replica.cpp
@@ -7,11 +7,11 @@
 
 namespace wingslip::lab {
 
-using burlwind::replica::MemberRow;
-using burlwind::replica::Message;
-using burlwind::replica::Replica;
-using burlwind::replica::Row;
-using burlwind::replica::Timing;
+using wingslip::replication::MemberRow;
+using wingslip::replication::Message;
+using wingslip::replication::Replica;
+using wingslip::replication::Row;
+using wingslip::replication::Timing;
 
 namespace {
 
@@ -104,7 +104,7 @@
 }
 
 void HollowReplicas::carry(Member& from, const Replica::Send& send) {
-  const std::vector<std::uint8_t> request = burlwind::replica::encode(send.message);
+  const std::vector<std::uint8_t> request = wingslip::replication::encode(send.message);
   ++traffic_.messages;
   traffic_.bytes += request.size();
   const std::size_t to = std::stoul(send.name.substr(send.name.rfind('-') + 1));
@@ -112,14 +112,14 @@
   at(events_.now() + delay(), [this, &from, to, id, generation, request] {
     Member& member = *members_[to];
     const auto answer =
-        member.core->received(events_.now(), burlwind::replica::decode(request.data(), request.size()));
+        member.core->received(events_.now(), wingslip::replication::decode(request.data(), request.size()));
     member.arm();
     std::optional<Message> heard;
     if (answer) {
-      const std::vector<std::uint8_t> text = burlwind::replica::encode(*answer);
+      const std::vector<std::uint8_t> text = wingslip::replication::encode(*answer);
       ++traffic_.messages;
       traffic_.bytes += text.size();
-      heard = burlwind::replica::decode(text.data(), text.size());
+      heard = wingslip::replication::decode(text.data(), text.size());
     }
     at(events_.now() + delay(), [this, &from, id, generation, heard] {
       if (from.generation != generation) return;  // asked by a process that is gone
--- a/tools/lab/hollow_replica.hpp
+++ b/tools/lab/hollow_replica.hpp
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "event_queue.hpp"
-#include "replica/replica.hpp"
+#include "replication/replica.hpp"
 
 namespace wingslip::lab {
 
@@ -25,11 +25,11 @@
   HollowReplicas(std::size_t members, std::size_t rows, std::uint64_t seed);
   ~HollowReplicas();
 
-  void run(burlwind::replica::Time milliseconds);
+  void run(wingslip::replication::Time milliseconds);
   // Member 0 writes a row that nobody has.
   void writeRow();
   // Runs until every member has the last row written; returns the time in ms, or `most` where that ends it.
-  burlwind::replica::Time runUntilEverywhere(burlwind::replica::Time most);
+  wingslip::replication::Time runUntilEverywhere(wingslip::replication::Time most);
   // A new process of the last member, with what the one before left on disk.
   void restartLast();
 
@@ -39,10 +39,10 @@
   std::size_t rowsHeld() const;    // by member 0
 
  private:
-  using Time = burlwind::replica::Time;
+  using Time = wingslip::replication::Time;
   struct Member;
   void at(Time when, std::function<void()> what);
-  void carry(Member& from, const burlwind::replica::Replica::Send& send);
+  void carry(Member& from, const wingslip::replication::Replica::Send& send);
   Time delay();
 
   std::mt19937_64 random_;
--- a/tools/lab/main.cpp
+++ b/tools/lab/main.cpp
@@ -15,14 +15,14 @@
 #include "soak/command.hpp"
 
 int main(int argc, char** argv) {
-  CLI::App app{"wingslip-lab: plays a scenario of faults against several burlwind processes on 127.0.0.1"};
+  CLI::App app{"wingslip-lab: plays a scenario of faults against several gatekeeper processes on 127.0.0.1"};
   app.require_subcommand(1);
   std::string scenarioPath, out = "lab-out";
   int gatekeepers = 0, workers = 0;
   wingslip::lab::RunOptions options;
   std::error_code ignored;
-  options.burlwind =
-      (std::filesystem::read_symlink("/proc/self/exe", ignored).parent_path() / "burlwind").string();
+  options.gatekeeperProgram =
+      (std::filesystem::read_symlink("/proc/self/exe", ignored).parent_path() / "wingslip-gatekeeper").string();
   CLI::App* run = app.add_subcommand("run", "play SCENARIO (TOML) and judge every request");
   run->add_option("scenario", scenarioPath, "the scenario file")->required()->check(CLI::ExistingFile);
   run->add_option("--gatekeepers", gatekeepers, "gatekeepers, in place of the file's")
@@ -31,16 +31,16 @@
       ->check(CLI::Range(1, 1000));
   run->add_option("--seed", options.seed, "seed of the load and the workers' times");
   run->add_option("--out", out, "folder for configurations, logs and the report");
-  run->add_option("--burlwind", options.burlwind, "the program under test (default: beside this one)");
+  run->add_option("--gatekeeper", options.gatekeeperProgram, "the program under test (default: beside this one)");
   bool check = false;
   run->add_flag("--check", check, "only read and check the scenario");
   std::string reportDir;
   CLI::App* report = app.add_subcommand("report", "print the summary of an earlier run");
   report->add_option("dir", reportDir, "the run's --out folder")->required();
   wingslip::lab::addDistributionCommand(app);
-  wingslip::lab::addScaleCommands(app, options.burlwind);
-  wingslip::lab::addSoakCommand(app, options.burlwind);
-  wingslip::lab::addGrowthCommand(app, options.burlwind);
+  wingslip::lab::addScaleCommands(app, options.gatekeeperProgram);
+  wingslip::lab::addSoakCommand(app, options.gatekeeperProgram);
+  wingslip::lab::addGrowthCommand(app, options.gatekeeperProgram);
   CLI11_PARSE(app, argc, argv);
   spdlog::set_default_logger(spdlog::stderr_logger_mt("lab"));
   spdlog::set_pattern("%Y-%m-%dT%H:%M:%S.%e level=%l %v");
--- a/tools/lab/process.cpp
+++ b/tools/lab/process.cpp
@@ -108,7 +108,7 @@
     if (gk.faults) preload(gk);
     ::setenv("BALANCER_CONFIG", gk.config.c_str(), 1);
     ::setenv("BALANCER_OPS", ops.c_str(), 1);
-    ::execl(program.c_str(), "burlwind", static_cast<char*>(nullptr));
+    ::execl(program.c_str(), "wingslip-gatekeeper", static_cast<char*>(nullptr));
     ::_exit(127);
   }
   out.pid = pid;
@@ -149,12 +149,15 @@
   return out;
 }
 
+// The kernel keeps the first 15 bytes of a program's name.
+constexpr std::string_view kProcessName = "wingslip-gateke";
+
 void endLeftBehind(const std::filesystem::path& pids) {
   std::ifstream in(pids);
   for (pid_t pid; in >> pid;) {
     std::ifstream comm("/proc/" + std::to_string(pid) + "/comm");
     std::string name;
-    if (comm >> name && name == "burlwind") {
+    if (comm >> name && name == kProcessName) {
       spdlog::warn("event=left_behind pid={} action=kill", pid);
       ::kill(pid, SIGKILL);
     }
--- a/tools/lab/scale.cpp
+++ b/tools/lab/scale.cpp
@@ -181,7 +181,7 @@
   explicit Runner(const ScaleOptions& options) : options_(options) { out_.form = nameOf(options.form); }
 
   void run(const ScaleCase& what, std::size_t done, std::size_t all) {
-    if (what.kind == RunKind::real && options_.burlwind.empty()) {
+    if (what.kind == RunKind::real && options_.gatekeeperProgram.empty()) {
       note(what, "not run: no gatekeeper program was given");
       return;
     }
@@ -217,7 +217,7 @@
  private:
   bool take(const ScaleCase& what, std::size_t size, double seconds) {
     CaseLimits limits;
-    limits.burlwind = options_.burlwind;
+    limits.gatekeeperProgram = options_.gatekeeperProgram;
     limits.processes = options_.processes;
     limits.dir =
         std::filesystem::absolute(options_.out) / "work" / (what.mechanism + "-" + std::to_string(size));
--- a/tools/lab/scale.hpp
+++ b/tools/lab/scale.hpp
@@ -19,7 +19,7 @@
 
 // What a case may use at one size.
 struct CaseLimits {
-  std::string burlwind;       // path of the gatekeeper program
+  std::string gatekeeperProgram;       // path of the gatekeeper program
   unsigned processes = 1;     // that it may start
   std::filesystem::path dir;  // a folder of its own
 };
@@ -43,7 +43,7 @@
   double caseSeconds = 0;         // of one mechanism at all its sizes, wall time
   std::uint64_t memoryBytes = 0;  // of one child process and what it starts
   unsigned processes = 0;
-  std::string burlwind;  // empty: cases that need real gatekeepers are left out with a note
+  std::string gatekeeperProgram;  // empty: cases that need real gatekeepers are left out with a note
   std::filesystem::path out;
   std::vector<std::string> only;  // mechanisms; empty: all
 };
--- a/tools/lab/scale_cases.hpp
+++ b/tools/lab/scale_cases.hpp
@@ -4,7 +4,7 @@
 #include <string>
 #include <vector>
 
-#include "irisring/decide.hpp"
+#include "wingslip/decision/gateway.hpp"
 #include "scale.hpp"
 
 namespace wingslip::lab {
@@ -14,15 +14,15 @@
 std::vector<ScaleCase> replicaCases();   // hollow members of the shared state
 std::vector<ScaleCase> dutyCases();      // candidates before the stand-in coordination store
 std::vector<ScaleCase> watchCases();     // watches before one discovery
-std::vector<ScaleCase> processCases();   // burlwind processes on loopback
+std::vector<ScaleCase> processCases();   // gatekeeper processes on loopback
 
 // What several cases are run on.
 constexpr unsigned kTargetGatekeepers = 8400;
 constexpr unsigned kZones = 18;
 // `count` ready workers over all zones.
-std::vector<irisring::Member> workersFor(std::size_t count);
+std::vector<decision::Member> workersFor(std::size_t count);
 // Settings of a gatekeeper in a fleet of the target's size with this many classes.
-irisring::Settings settingsWith(std::size_t classes);
+decision::Settings settingsWith(std::size_t classes);
 // The id of a worker, of the usual length.
 std::string workerName(std::size_t index);
 // A list of workers as discovery tells it, with ids and addresses of the usual length.
--- a/tools/lab/scale_cases_decision.cpp
+++ b/tools/lab/scale_cases_decision.cpp
@@ -10,11 +10,11 @@
 namespace wingslip::lab {
 namespace {
 
-using irisring::Gateway;
-using irisring::ListKind;
-using irisring::Member;
-using irisring::Phase;
-using irisring::Time;
+using decision::Gateway;
+using decision::ListKind;
+using decision::Member;
+using decision::Phase;
+using decision::Time;
 
 constexpr int kRepeats = 5;
 constexpr double kLeastTimedS = 0.02;  // a call shorter than this is repeated and divided
@@ -29,21 +29,21 @@
 constexpr std::size_t kSetsOfCustomers = 1000;
 
 // Carries nothing out; keeps the last attempt.
-class Sink : public irisring::Actions {
+class Sink : public decision::Actions {
  public:
-  void send(irisring::RequestId id, irisring::WorkerId worker, Time) override {
+  void send(decision::RequestId id, decision::WorkerId worker, Time) override {
     sentId = id;
     sentWorker = worker;
     ++sends;
   }
-  void refuse(irisring::RequestId, Time) override {}
-  void fail(irisring::RequestId) override {}
+  void refuse(decision::RequestId, Time) override {}
+  void fail(decision::RequestId) override {}
   void setTimer(Time, std::uint64_t) override {}
   void subscribe() override {}
   void log(const std::string&) override {}
 
-  irisring::RequestId sentId = 0;
-  irisring::WorkerId sentWorker = 0;
+  decision::RequestId sentId = 0;
+  decision::WorkerId sentWorker = 0;
   long sends = 0;
 };
 
@@ -53,9 +53,9 @@
   explicit Module(std::size_t classes = 3) : gateway(settingsWith(classes), kSalt, kStart, sink) {}
 
   // Asks for one request. False: it was sent nowhere.
-  bool ask(irisring::CustomerId customer) {
+  bool ask(decision::CustomerId customer) {
     now += kBetweenRequests;
-    irisring::Request request;
+    decision::Request request;
     request.id = ++last;
     request.klass = 0;
     request.customer = customer;
@@ -67,9 +67,9 @@
 
   // The last request's answer, a good one.
   void answer() {
-    irisring::Outcome outcome;
+    decision::Outcome outcome;
     outcome.id = last;
-    outcome.result = irisring::Result::ok;
+    outcome.result = decision::Result::ok;
     outcome.worker = sink.sentWorker;
     outcome.elapsed = kAnswerTime;
     outcome.finished = true;
@@ -77,7 +77,7 @@
   }
 
   Time now = kStart;
-  irisring::RequestId last = 0;
+  decision::RequestId last = 0;
   Sink sink;
   Gateway gateway;
 };
@@ -173,7 +173,7 @@
 
 std::vector<Figure> measureSettings(std::size_t classes, const CaseLimits&) {
   Module module(classes);
-  irisring::Settings changed = settingsWith(classes);
+  decision::Settings changed = settingsWith(classes);
   const double seconds = leastProcessor(2, [&] {
     changed.classes.back().worth += 1;
     module.now += 1;
@@ -210,8 +210,8 @@
   return out;
 }
 
-irisring::Settings settingsWith(std::size_t classes) {
-  irisring::Settings out;
+decision::Settings settingsWith(std::size_t classes) {
+  decision::Settings out;
   out.gateways = kTargetGatekeepers;
   out.maxAttempts = 3;
   out.maxRetryAfter = 2000;
@@ -222,14 +222,14 @@
   out.fallMultiple = 2;
   out.fallSpan = 1000;
   for (std::size_t i = 0; i < classes; ++i) {
-    irisring::ClassSettings one;
+    decision::ClassSettings one;
     one.name = "class" + std::to_string(i);
     one.aim = 1000;
     one.deadline = kDeadline;
-    one.repeat = irisring::Repeat::safe;
+    one.repeat = decision::Repeat::safe;
     out.classes.push_back(one);
   }
-  irisring::PlanSettings plan;
+  decision::PlanSettings plan;
   plan.name = "plan";
   plan.rate = 1e6;
   plan.burst = 1e9;
--- a/tools/lab/scale_cases_process.cpp
+++ b/tools/lab/scale_cases_process.cpp
@@ -16,10 +16,10 @@
 #include <thread>
 
 #include "net.hpp"
-#include "node/back_pressure.hpp"
+#include "net/overload_manager.hpp"
 #include "probe.hpp"
 #include "process.hpp"
-#include "replica/replica_node.hpp"
+#include "replication/replica_node.hpp"
 #include "scale_cases.hpp"
 
 namespace wingslip::lab {
@@ -85,7 +85,7 @@
     file["name"] = name;
     file["listen"] = loopbackAt(gatekeeper_.port);
     std::ofstream(gatekeeper_.config) << file.dump();
-    gatekeeper_.now = start(gatekeeper_, ports, limits.burlwind);
+    gatekeeper_.now = start(gatekeeper_, ports, limits.gatekeeperProgram);
   }
   RealGatekeeper(const RealGatekeeper&) = delete;
   RealGatekeeper& operator=(const RealGatekeeper&) = delete;
@@ -190,24 +190,24 @@
   }
 
  private:
-  static burlwind::Ledger::Shares shares() {
-    burlwind::Ledger::Shares out;
+  static wingslip::MemoryBudget::Shares shares() {
+    wingslip::MemoryBudget::Shares out;
     out.total = std::size_t{256} << 20;
     return out;
   }
   void add(boost::asio::io_context& io, const Ports& ports, unsigned index, unsigned first) {
     const std::string address = loopbackAt(ports.peers(static_cast<int>(index)));
-    burlwind::Replication where;
-    where.listen = burlwind::parseEndpoint(address);
+    wingslip::Replication where;
+    where.listen = wingslip::parseEndpoint(address);
     where.advertise = address;
     where.fleet = "scale";
     if (index > first) where.peers[gatekeeperName(first)] = loopbackAt(ports.peers(static_cast<int>(first)));
-    nodes_.push_back(std::make_unique<burlwind::replica::ReplicaNode>(
-        io, where, gatekeeperName(index), "", index + 1, pressure_, [](const burlwind::replica::Row&) {}));
+    nodes_.push_back(std::make_unique<wingslip::replication::ReplicaNode>(
+        io, where, gatekeeperName(index), "", index + 1, pressure_, [](const wingslip::replication::Row&) {}));
   }
 
-  burlwind::BackPressure pressure_;
-  std::vector<std::unique_ptr<burlwind::replica::ReplicaNode>> nodes_;
+  wingslip::OverloadManager pressure_;
+  std::vector<std::unique_ptr<wingslip::replication::ReplicaNode>> nodes_;
 };
 
 std::vector<Figure> measureProcessAmongHollow(std::size_t members, const CaseLimits& limits) {
--- a/tools/lab/scale_cases_reading.cpp
+++ b/tools/lab/scale_cases_reading.cpp
@@ -2,10 +2,10 @@
 #include <nlohmann/json.hpp>
 #include <stdexcept>
 
-#include "node/config.hpp"
+#include "config/config.hpp"
 #include "probe.hpp"
 #include "scale_cases.hpp"
-#include "watch/list.hpp"
+#include "endpoint_watch/endpoint_list.hpp"
 
 namespace wingslip::lab {
 namespace {
@@ -39,10 +39,10 @@
 
 std::vector<Figure> measureListText(std::size_t workers, const CaseLimits&) {
   const std::string text = listText(workers);
-  const double peak = peakOf([&] { burlwind::parseRoster(text); });
-  const double seconds = leastProcessor(kRepeats, [&] { burlwind::parseRoster(text); });
+  const double peak = peakOf([&] { wingslip::parseRoster(text); });
+  const double seconds = leastProcessor(kRepeats, [&] { wingslip::parseRoster(text); });
   const double cut = leastProcessor(kRepeats, [&] {
-    burlwind::ObjectReader reader;
+    wingslip::ObjectReader reader;
     reader.next(text);
   });
   return {{"text", "B", static_cast<double>(text.size())},
@@ -52,14 +52,14 @@
 
 std::vector<Figure> measureConfiguration(std::size_t classes, const CaseLimits&) {
   const std::string text = configurationText(classes);
-  const double peak = peakOf([&] { burlwind::parseConfig(text); });
-  const double seconds = leastProcessor(kRepeats, [&] { burlwind::parseConfig(text); });
+  const double peak = peakOf([&] { wingslip::parseConfig(text); });
+  const double seconds = leastProcessor(kRepeats, [&] { wingslip::parseConfig(text); });
   return {{"text", "B", static_cast<double>(text.size())}, {"peak", "B", peak}, {"processor", "s", seconds}};
 }
 
 bool isRead(std::size_t classes) {
   try {
-    burlwind::parseConfig(configurationText(classes));
+    wingslip::parseConfig(configurationText(classes));
     return true;
   } catch (const std::runtime_error&) {
     return false;
--- a/tools/lab/scale_cases_replica.cpp
+++ b/tools/lab/scale_cases_replica.cpp
@@ -9,7 +9,7 @@
 namespace wingslip::lab {
 namespace {
 
-using burlwind::replica::Replica;
+using wingslip::replication::Replica;
 
 constexpr std::uint64_t kSeed = 1;
 constexpr double kSettleMs = 8000;  // until what the start made new has been told
--- a/tools/lab/scale_cases_watch.cpp
+++ b/tools/lab/scale_cases_watch.cpp
@@ -3,12 +3,12 @@
 
 #include "probe.hpp"
 #include "scale_cases.hpp"
-#include "watch/watch.hpp"
+#include "endpoint_watch/endpoint_watch.hpp"
 
 namespace wingslip::lab {
 namespace {
 
-using burlwind::Watch;
+using wingslip::Watch;
 
 constexpr double kStopWithinMs = 2000;
 constexpr double kOutageMs = 60000;
--- a/tools/lab/scale_command.cpp
+++ b/tools/lab/scale_command.cpp
@@ -27,7 +27,7 @@
 constexpr int kBadInput = 2, kCannotRun = 3;
 
 struct ScaleArguments {
-  std::string burlwind, out = "scale-out";
+  std::string gatekeeperProgram, out = "scale-out";
   bool quick = false, check = false;
   double caseSeconds = 0;  // 0: the form's own
   double memoryMb = 0;
@@ -60,7 +60,7 @@
   if (given.caseSeconds > 0) out.caseSeconds = given.caseSeconds;
   out.memoryBytes = static_cast<std::uint64_t>(given.memoryMb * kMegabyte);
   out.processes = given.processes;
-  if (std::filesystem::exists(given.burlwind)) out.burlwind = given.burlwind;
+  if (std::filesystem::exists(given.gatekeeperProgram)) out.gatekeeperProgram = given.gatekeeperProgram;
   out.out = given.out;
   out.only = given.only;
   return out;
@@ -119,15 +119,15 @@
   throw CLI::RuntimeError(code);
 }
 
-void addScale(CLI::App& app, const std::string& burlwind) {
+void addScale(CLI::App& app, const std::string& gatekeeperProgram) {
   auto given = std::make_shared<ScaleArguments>();
-  given->burlwind = burlwind;
+  given->gatekeeperProgram = gatekeeperProgram;
   given->memoryMb = static_cast<double>(mostMemoryBytes()) / kMegabyte;
   CLI::App* scale = app.add_subcommand("scale", "measure how each mechanism grows (full: under 6 minutes)");
   scale->add_flag("--quick", given->quick, "fewer and smaller sizes (under 2 minutes)");
   scale->add_flag("--check", given->check, "the smallest sizes, for the project's own tests");
   scale->add_option("--out", given->out, "folder for the measurements and the plot");
-  scale->add_option("--burlwind", given->burlwind, "the program under test (default: beside this one)");
+  scale->add_option("--gatekeeper", given->gatekeeperProgram, "the program under test (default: beside this one)");
   scale->add_option("--case-seconds", given->caseSeconds, "time of one mechanism at all its sizes")
       ->check(CLI::Range(1.0, 600.0));
   scale->add_option("--memory-mb", given->memoryMb, "most memory of one run, at most half of the machine's")
@@ -153,8 +153,8 @@
 
 }  // namespace
 
-void addScaleCommands(CLI::App& app, const std::string& burlwind) {
-  addScale(app, burlwind);
+void addScaleCommands(CLI::App& app, const std::string& gatekeeperProgram) {
+  addScale(app, gatekeeperProgram);
   addCapacity(app);
 }
 
--- a/tools/lab/soak/command.cpp
+++ b/tools/lab/soak/command.cpp
@@ -39,7 +39,7 @@
   int atOnce = 2;
   bool shrink = true;
   std::string out = "lab-soak";
-  std::string burlwind;
+  std::string gatekeeperProgram;
   std::uint64_t playSeed = 0;        // one run in this process
   std::vector<std::size_t> without;  // troubles taken out of it
 };
@@ -75,8 +75,8 @@
                                 std::to_string(o.size.rate),
                                 "--rough-clients",
                                 std::to_string(o.size.roughClients),
-                                "--burlwind",
-                                o.burlwind,
+                                "--gatekeeper",
+                                o.gatekeeperProgram,
                                 "--out",
                                 out};
   if (!without.empty()) call.insert(call.end(), {"--without", listOf(without)});
@@ -208,7 +208,7 @@
     spdlog::info("event=trouble number={} name=\"{}\" at_s={:.2f}", i, plan.troubles[i].name,
                  plan.troubles[i].steps.empty() ? 0 : plan.troubles[i].steps.front().atS);
   RunOptions run;
-  run.burlwind = o.burlwind;
+  run.gatekeeperProgram = o.gatekeeperProgram;
   run.out = o.out;
   run.seed = o.playSeed;
   return play(plan.scenario({o.without.begin(), o.without.end()}), run);
@@ -238,9 +238,9 @@
 
 }  // namespace
 
-void addSoakCommand(CLI::App& app, const std::string& burlwind) {
+void addSoakCommand(CLI::App& app, const std::string& gatekeeperProgram) {
   const auto o = std::make_shared<SoakOptions>();
-  o->burlwind = burlwind;
+  o->gatekeeperProgram = gatekeeperProgram;
   CLI::App* command =
       app.add_subcommand("soak", "play seeds of overlapping troubles against fleets, and judge them");
   command->add_option("--first-seed", o->firstSeed, "the first seed")->check(CLI::Range(1, 1000000000));
@@ -256,7 +256,7 @@
   command->add_option("--at-once", o->atOnce, "fleets at the same time")->check(CLI::Range(1, 16));
   command->add_flag("--shrink,!--no-shrink", o->shrink, "make the first failing seed smaller");
   command->add_option("--out", o->out, "folder for logs and reports");
-  command->add_option("--burlwind", o->burlwind, "the program under test (default: beside this one)");
+  command->add_option("--gatekeeper", o->gatekeeperProgram, "the program under test (default: beside this one)");
   command->add_option("--play", o->playSeed, "play this one seed here");
   command->add_option("--without", o->without, "with --play: troubles to leave out, by number")
       ->delimiter(',');
--- a/tools/lab/soak/command.hpp
+++ b/tools/lab/soak/command.hpp
@@ -7,7 +7,7 @@
 
 namespace wingslip::lab {
 
-/// Adds the command. `burlwind`: the program under test unless the command names another.
-void addSoakCommand(CLI::App& app, const std::string& burlwind);
+/// Adds the command. `gatekeeperProgram`: the program under test unless the command names another.
+void addSoakCommand(CLI::App& app, const std::string& gatekeeperProgram);
 
 }  // namespace wingslip::lab
--- a/tools/lab/store.cpp
+++ b/tools/lab/store.cpp
@@ -5,7 +5,7 @@
 #include <boost/beast/http.hpp>
 #include <nlohmann/json.hpp>
 
-#include "duty/base64.hpp"
+#include "leader_election/base64.hpp"
 #include "net.hpp"
 
 namespace wingslip::lab {
@@ -197,7 +197,7 @@
   json out = json::array();
   for (const auto& [name, v] : state_.read(key, recurse)) {
     json one{{"Key", name},
-             {"Value", burlwind::duty::toBase64(v.value)},
+             {"Value", wingslip::leader_election::toBase64(v.value)},
              {"Flags", 0},
              {"LockIndex", v.lockIndex},
              {"CreateIndex", v.createIndex},
