--- a/include/wingslip/decision/gateway.hpp
+++ b/include/wingslip/decision/gateway.hpp
@@ -1,8 +1,9 @@
-// The interface of the decision module (implemented in src/decision/gateway.cpp).
-//
-// A host feeds events to one Gateway object per gateway and carries out the actions it is handed. All times
-// are milliseconds of the host's clock; the module reads no other clock and no other source of randomness
-// than the salt. Nothing here decides anything.
+/// The decision module's interface: events in, actions out.
+///
+/// A host feeds events to one Gateway per gateway and carries out the actions that it is handed. The module
+/// reads no clock but the times it is given, has no source of randomness but its salt, does no I/O and has no
+/// threads: the same events give the same actions. A Gateway is used by one thread at a time, and calls
+/// `Actions` from within its own event methods.
 #pragma once
 
 #include <cstdint>
@@ -10,170 +11,128 @@
 #include <string>
 #include <vector>
 
-namespace wingslip::decision {
-
-using Time = double;
-using RequestId = std::uint32_t;
-using WorkerId = std::uint64_t;  // opaque
-using CustomerId = std::uint64_t;
-
-enum class Repeat { safe, keyed, unsafe };
-enum class Scope { all, zone, cell };
-enum class Phase { gone, ready, draining };
-enum class Result { ok, error, full, timeout, connectFailed, reset, cancelled, moot };
-
-struct ClassSettings {
-  std::string name;   // tells a class apart over changed settings
-  Time aim = 0;       // an answer within this earns full worth
-  Time deadline = 0;  // what a client waits in all
-  Repeat repeat = Repeat::unsafe;
-  Scope scope = Scope::all;  // keyed: the workers that drop a repeat
-  Time window = 0;           // keyed: for how long they do
-  double worth = 1;
-  double lateWorth = 0;  // share of the worth that an answer past the aim earns
-};
-
-struct PlanSettings {
-  std::string name;
-  double rate = 0;  // units a second over all gateways; 0: no quota on the rate
-  double burst = 0;
-  unsigned openLimit = 0;  // attempts out at once over all gateways; 0: no such cap
-  double ceilingRate = 0;  // 0: no hard ceiling
-  double ceilingBurst = 0;
-  double ceilingSlack = 0;
-  double price = 1;
-  double overWorth = 0;  // share of its worth that work beyond the quota earns
-  double overCost = 0;   // share of its worth that it costs
-};
+#include "wingslip/decision/settings.hpp"
+#include "wingslip/decision/types.hpp"
 
-struct Settings {
-  unsigned self = 0;
-  unsigned gateways = 1;
-  unsigned zone = 0;
-  std::vector<ClassSettings> classes;
-  std::vector<PlanSettings> plans;
-  std::vector<std::string> reportFields;
-  bool askDiscovery = false;  // the list of workers comes only on request
-  Time askWithin = 0;
-  unsigned maxAttempts = 1;
-  Time maxRetryAfter = 0;
-  Time meterPeriod = 0;       // 0: answers carry no readings
-  bool settlesUnits = false;  // units of a request are a guess that the answer corrects
-  double mostUnits = 1;
-  Time drainGrace = 0;
-  double coldFrom = 1;
-  Time warmUp = 0;
-  double fallMultiple = 1;
-  Time fallSpan = 0;
-  double crossZonePrice = 0;
-};
+namespace wingslip::decision {
 
-struct Member {
+/// A worker as service discovery lists it.
+struct Endpoint {
   WorkerId worker = 0;
-  Phase phase = Phase::ready;
+  WorkerPhase phase = WorkerPhase::ready;
   unsigned zone = 0;
-  unsigned kind = 0;
+  unsigned machineType = 0;
   unsigned cell = 0;
-  Time started = 0;  // 0: long ago
+  Time startedAt = 0;  ///< 0: long ago
 };
 
-enum class ListKind { failed, delta, cached, full };
-
+/// A request of a client.
 struct Request {
   RequestId id = 0;
-  unsigned klass = 0;
-  unsigned plan = 0;
+  unsigned classIndex = 0;  ///< in Settings::classes
+  unsigned planIndex = 0;   ///< in Settings::plans
   CustomerId customer = 0;
-  Time expires = 0;
+  Time expiresAt = 0;
   double units = 1;
-  unsigned setSize = 1;  // gateways that this customer's requests come through
-  double bytes = 0;      // of memory that the host holds for it
+  unsigned customerGateways = 1;  ///< gateways that this customer's requests come through
+  double memoryBytes = 0;         ///< that the host holds for it
 };
 
-// How the host is pressed for memory, descriptors or time.
-struct Pressure {
-  bool on = false;
-  bool memory = false;  // is what is short: nothing that holds much of it is begun
-  double share = 0;     // of new requests that are too many
-  double excess = 0;    // bytes that what is held has to give back now
-  Time lasts = 0;       // how much longer this may go on
+/// How the host is short of memory, descriptors or time.
+struct OverloadSignal {
+  bool active = false;
+  bool memoryShort = false;  ///< nothing that holds much memory is begun
+  double shedFraction = 0;   ///< of new requests that are too many
+  double excessBytes = 0;    ///< that requests in flight have to give back now
+  Time expectedMs = 0;       ///< how much longer this may go on
 };
 
-struct Outcome {
+/// The end of an attempt.
+struct AttemptOutcome {
   RequestId id = 0;
-  Result result = Result::ok;
-  unsigned attempt = 0;
-  double trueUnits = 0;  // 0: none told
+  AttemptResult result = AttemptResult::ok;
+  unsigned attempt = 0;    ///< its number within the request, from 0
+  double actualUnits = 0;  ///< what the request has used; 0: the answer does not say
   WorkerId worker = 0;
-  int usePercent = -1;  // metered use of the customer's quota; below 0: none told
-  Time elapsed = 0;
-  bool finished = false;  // nothing more is owed for this request
-  std::vector<double> report;
+  int quotaUsePercent = -1;  ///< metered use of the customer's quota; negative: the answer does not say
+  Time latencyMs = 0;
+  bool requestFinished = false;    ///< nothing more is owed to the client
+  std::vector<double> loadReport;  ///< in the order of Settings::loadReportFields
 };
 
-// The workers as the module sees them now.
-struct Census {
+/// The workers as the module sees them.
+struct WorkerCounts {
   std::size_t listed = 0;
-  std::size_t avoided = 0;  // of these: by hand, while they drain, or by choice
+  std::size_t avoided = 0;  ///< of these: excluded by hand, draining or ejected
 };
 
-// Requests refused since the start, by the belief that refused them.
-struct RefusalCounts {
-  std::uint64_t bucket = 0;    // of its customer, at this gateway, is empty
-  std::uint64_t store = 0;     // of its customer, over all gateways, is held to be
-  std::uint64_t stranger = 0;  // its customer's store is unknown
-  std::uint64_t worker = 0;    // no worker may be sent to
-  std::uint64_t room = 0;      // of these: the gateway's own limit
-  std::uint64_t pressed = 0;   // the host is short of memory, descriptors or time
+/// Requests rejected since the start, by reason.
+struct RejectionCounts {
+  std::uint64_t localQuota = 0;        ///< the customer's bucket at this gateway is empty
+  std::uint64_t fleetQuota = 0;        ///< its quota over all gateways is estimated to be used up
+  std::uint64_t unknownCustomer = 0;   ///< its use of the quota is unknown, and the request too large
+  std::uint64_t noWorker = 0;          ///< no worker may be sent to
+  std::uint64_t concurrencyLimit = 0;  ///< of these: the gateway's own limit
+  std::uint64_t overload = 0;          ///< the host is short of memory, descriptors or time
 };
 
-// What the module asks of its host.
+/// What the module asks of its host. Called from within the events of Gateway.
 class Actions {
  public:
   virtual ~Actions() = default;
-  virtual void send(RequestId id, WorkerId worker, Time timeout) = 0;  // 0: until the client gives up
-  virtual void refuse(RequestId id, Time retryAfter) = 0;
+  /// @param timeoutMs when the attempt is given up; 0: when the client gives up.
+  virtual void startAttempt(RequestId id, WorkerId worker, Time timeoutMs) = 0;
+  /// The final answer: it has not run and may be sent again after `retryAfterMs`.
+  virtual void reject(RequestId id, Time retryAfterMs) = 0;
+  /// The final answer: whether it has run is not known.
   virtual void fail(RequestId id) = 0;
-  virtual void setTimer(Time wait, std::uint64_t tag) = 0;
-  virtual void subscribe() = 0;  // ask for the list of workers and its changes
+  /// Gateway::onTimer is to be called with `tag` in `waitMs`.
+  virtual void setTimer(Time waitMs, std::uint64_t tag) = 0;
+  /// The list of workers and its changes are to be asked for.
+  virtual void pollEndpoints() = 0;
   virtual void log(const std::string& line) = 0;
 };
 
+/// All decisions of one gateway: admission, choice of worker, retries and quotas.
 class Gateway {
  public:
-  // Throws std::invalid_argument on settings that make no sense.
+  /// @throws std::invalid_argument on settings that make no sense.
   Gateway(const Settings& settings, std::uint64_t salt, Time now, Actions& actions);
   ~Gateway();
   Gateway(Gateway&&) noexcept;
   Gateway& operator=(Gateway&&) noexcept;
 
-  void members(Time now, ListKind kind, const std::vector<Member>& list);
-  void request(Time now, const Request& request);
-  // The last byte of a request that was asked for by its header: its time counts from now.
-  void whole(Time now, RequestId id, Time expires);
-  void outcome(Time now, const Outcome& outcome);
-  void clientLeft(Time now, RequestId id);
-  // From now on its client gets the answer of the attempt that is out.
-  void answering(Time now, RequestId id);
-  // Holds until it is told anew; without it every action is as if there were no such event.
-  void pressure(Time now, const Pressure& pressure);
-  void timer(Time now, std::uint64_t tag);
-  // Changed settings, from the next request on: an open one keeps its class, and may lose attempts but gain
-  // none. Throws as the constructor does, and then nothing has changed.
-  void settings(Time now, const Settings& settings);
-  // By hand: nothing new to this worker, listed or not, until it is let in again, and then as a cold one.
+  void onEndpoints(Time now, EndpointUpdate kind, const std::vector<Endpoint>& endpoints);
+  void onRequest(Time now, const Request& request);
+  /// The last byte of a request whose header came before: its time counts from now.
+  void onRequestComplete(Time now, RequestId id, Time expiresAt);
+  void onAttemptOutcome(Time now, const AttemptOutcome& outcome);
+  void onClientDisconnect(Time now, RequestId id);
+  /// From now on the client gets the answer of the attempt in flight.
+  void onResponseStarted(Time now, RequestId id);
+  /// Holds until the next one; without it every action is as if there were no such event.
+  void onOverload(Time now, const OverloadSignal& signal);
+  void onTimer(Time now, std::uint64_t tag);
+  /// Changed settings, from the next request on: one in flight keeps its class, and may lose attempts but
+  /// gain none.
+  /// @throws std::invalid_argument as the constructor does, and then nothing has changed.
+  void onSettings(Time now, const Settings& settings);
+
+  /// Nothing new goes to this worker, listed or not, until `include`.
   void exclude(Time now, WorkerId worker);
+  /// The worker is used again, from slow start.
   void include(Time now, WorkerId worker);
 
-  // The good answers a ms that a warm worker has lately given this gateway, and the same from the process
-  // that this one takes over from: what cold workers are held against.
-  double warmRate(Time now) const;
-  void knowWarmRate(Time now, double rate);
+  /// Good answers per ms that a warm worker has lately given this gateway: what a worker in slow start is
+  /// measured by.
+  double warmWorkerRate(Time now) const;
+  /// The same from the process that this one takes over from.
+  void seedWarmWorkerRate(Time now, double ratePerMs);
 
-  Census census(Time now) const;
-  RefusalCounts refusals() const;
-  std::size_t customersHeld() const;
-  std::size_t requestsHeld() const;
+  WorkerCounts workerCounts(Time now) const;
+  RejectionCounts rejectionCounts() const;
+  std::size_t trackedCustomers() const;
+  std::size_t requestsInFlight() const;
 
  private:
   class Core;
--- a/src/decision/gateway.cpp
+++ b/src/decision/gateway.cpp
@@ -35,8 +35,8 @@
 constexpr double kDoubt = 0.5;     // requests that an assumed demand counts for; higher: late to believe news
 constexpr double kUsualDemand = 1;  // of the rate: demand of a customer that nothing is known of
 constexpr double kShareWeight =
-    4;                            // requests that a share of 1/setSize counts for; lower: one request is news
-constexpr double kUnitsKeep = 8;  // requests behind the usual size
+    4;  // requests that a share of 1/customerGateways counts for; lower: one request is news
+constexpr double kUnitsKeep = 8;        // requests behind the usual size
 constexpr double kPooledUnits = 50;     // new customers behind the gateway's usual size of a request
 constexpr double kNewReading = 0.3;     // metered periods after which another value is a new reading
 constexpr Time kOpenTau = 1000;         // ms, memory of own attempts out
@@ -159,7 +159,7 @@
 struct Customer {
   CustomerId id = 0;
   unsigned plan = 0;
-  unsigned setSize = 1;
+  unsigned customerGateways = 1;
   Time at = 0;          // bucket, store and ceiling are filled up to here
   double tokens = 0;    // this gateway's bucket
   double store = 0;     // estimate of the customer's global store
@@ -182,7 +182,7 @@
 };
 
 struct Worker {
-  Member listed;
+  Endpoint listed;
   unsigned inFlight = 0;
   double others = 0;  // estimate of what the other gateways have out here
   double limit = 1;   // own in-flight allowed
@@ -221,13 +221,15 @@
   bool answering = false;  // its client has begun to get the answer
 };
 
-bool provesUnrun(Result result) {
-  return result == Result::full || result == Result::connectFailed || result == Result::moot;
+bool provesUnrun(AttemptResult result) {
+  return result == AttemptResult::overloaded || result == AttemptResult::connectFailed ||
+         result == AttemptResult::notSent;
 }
 
 // Whether the worker's process had a part in this end: a client that leaves says nothing of it.
-bool fromWorker(Result result) {
-  return result == Result::ok || result == Result::error || result == Result::full || result == Result::reset;
+bool fromWorker(AttemptResult result) {
+  return result == AttemptResult::ok || result == AttemptResult::error ||
+         result == AttemptResult::overloaded || result == AttemptResult::reset;
 }
 
 void require(bool holds, const char* what) {
@@ -250,30 +252,31 @@
     check(set_);
     for (const ClassSettings& told : set_.classes)
       classes_.push_back(std::make_shared<Profile>(Profile{told, 0, now}));
-    if (set_.askDiscovery) actions_.subscribe();
+    if (set_.pollsEndpoints) actions_.pollEndpoints();
   }
 
   // --- Events -------------------------------------------------------------------------------------------
 
-  void request(Time now, const Request& ask) {
+  void onRequest(Time now, const Request& ask) {
     if (held_.contains(ask.id)) return;
-    if (ask.klass >= classes_.size() || ask.plan >= set_.plans.size() || !std::isfinite(ask.units) ||
-        !std::isfinite(ask.expires)) {
-      actions_.refuse(ask.id, kRetryAfter);
+    if (ask.classIndex >= classes_.size() || ask.planIndex >= set_.plans.size() ||
+        !std::isfinite(ask.units) || !std::isfinite(ask.expiresAt)) {
+      actions_.reject(ask.id, kRetryAfter);
       return;
     }
     Customer& customer = lookUp(now, ask);
     summarize(now);
     const double unknown = isStranger(customer) ? strangersChance(ask) : 0;
     if (const auto wait = admit(customer, ask, unknown)) return refuse(ask.id, *wait);
-    if ((press_.memory && ask.bytes > kLeastBytes) || (press_.share > 0 && tooMany(ask))) {
-      ++refusals_.pressed;
-      return refuse(ask.id, press_.lasts);
+    if ((overload_.memoryShort && ask.memoryBytes > kLeastBytes) ||
+        (overload_.shedFraction > 0 && tooMany(ask))) {
+      ++rejections_.overload;
+      return refuse(ask.id, overload_.expectedMs);
     }
     Held held;
     held.ask = ask;
-    held.klass = classes_[ask.klass];
-    held.plan = set_.plans[ask.plan];
+    held.klass = classes_[ask.classIndex];
+    held.plan = set_.plans[ask.planIndex];
     held.most = set_.maxAttempts;
     held.unknown = unknown;
     held.arrived = now;
@@ -281,14 +284,14 @@
     pressed_ = std::min(kPressedMost, toward(pressed_, worker ? 0 : 1, now - pressedAt_, kPressedTau));
     pressedAt_ = now;
     if (!worker) {
-      ++refusals_.worker;
+      ++rejections_.noWorker;
       return refuse(ask.id, kRetryAfter);
     }
     debit(customer, ask.units);
     send(now, held_.emplace(ask.id, held).first->second, *worker);
   }
 
-  void outcome(Time now, const Outcome& end) {
+  void onAttemptOutcome(Time now, const AttemptOutcome& end) {
     const auto found = held_.find(end.id);
     const auto worker = find(end.worker);
     const auto sent = out_.find(outKey(end.id, end.attempt));
@@ -298,18 +301,18 @@
     Customer* customer = peek(flight.customer);
     if (customer && customer->open > 0) noteOpen(*customer, now, -1);
     if (worker) judge(*worker, now, flight, end);
-    if (end.result == Result::ok) budget_ = std::min(kBudgetMost, budget_ + kBudgetStep);
-    if (end.result == Result::timeout) budget_ = std::max(0.0, budget_ - 1);
-    if (customer && end.usePercent >= 0) {
-      if (found != held_.end() && outruns(*customer)) noteUse(found->second, end.usePercent);
-      read(*customer, now, end.usePercent);
+    if (end.result == AttemptResult::ok) budget_ = std::min(kBudgetMost, budget_ + kBudgetStep);
+    if (end.result == AttemptResult::timeout) budget_ = std::max(0.0, budget_ - 1);
+    if (customer && end.quotaUsePercent >= 0) {
+      if (found != held_.end() && outruns(*customer)) noteUse(found->second, end.quotaUsePercent);
+      read(*customer, now, end.quotaUsePercent);
     }
     if (found == held_.end()) return;
     Held& held = found->second;
     held.out = false;
-    if (set_.settlesUnits && end.result == Result::ok && customer && end.trueUnits > 0)
-      settle(*customer, now, held.ask.units - end.trueUnits);
-    if (end.finished || end.result == Result::ok) {
+    if (set_.correctsUnits && end.result == AttemptResult::ok && customer && end.actualUnits > 0)
+      settle(*customer, now, held.ask.units - end.actualUnits);
+    if (end.requestFinished || end.result == AttemptResult::ok) {
       held_.erase(found);
       return;
     }
@@ -319,31 +322,31 @@
       held.ranSince = held.sentAt;
       if (worker) held.ranZone = worker->listed.zone, held.ranCell = worker->listed.cell;
     }
-    if (end.result == Result::moot || now >= held.ask.expires) return giveUp(now, held);
+    if (end.result == AttemptResult::notSent || now >= held.ask.expiresAt) return giveUp(now, held);
     again(now, held);
   }
 
-  void whole(Time now, RequestId id, Time expires) {
+  void onRequestComplete(Time now, RequestId id, Time expires) {
     const auto found = held_.find(id);
     if (found == held_.end()) return;
     Held& held = found->second;
-    held.ask.expires = expires;
+    held.ask.expiresAt = expires;
     held.arrived = held.sentAt = now;
     // Until now the worker had nothing to answer.
     if (Worker* worker = held.out ? find(held.tried.back()) : nullptr) worker->heardAt = now;
   }
 
-  void clientLeft(Time, RequestId id) { held_.erase(id); }
+  void onClientDisconnect(Time, RequestId id) { held_.erase(id); }
 
-  void answering(Time, RequestId id) {
+  void onResponseStarted(Time, RequestId id) {
     if (const auto found = held_.find(id); found != held_.end()) found->second.answering = true;
   }
 
   // What is held gives back what memory asks for: customers beyond their quota first, then the least worth
   // for what it holds; one whose answer has begun only where there is no other left.
-  void pressure(Time now, const Pressure& pressure) {
-    press_ = pressure;
-    if (!(press_.excess > 0)) return;
+  void onOverload(Time now, const OverloadSignal& pressure) {
+    overload_ = pressure;
+    if (!(overload_.excessBytes > 0)) return;
     std::vector<std::tuple<bool, bool, double, RequestId>> order;
     for (const auto& [id, held] : held_) {
       const Customer* customer = peek(held.ask.customer);
@@ -352,11 +355,11 @@
     }
     std::sort(order.begin(), order.end());
     for (const auto& [answering, inside, worth, id] : order) {
-      if (press_.excess <= 0) return;
+      if (overload_.excessBytes <= 0) return;
       Held& held = held_.at(id);
-      press_.excess -= held.ask.bytes;
+      overload_.excessBytes -= held.ask.memoryBytes;
       held.mayHaveRun = held.mayHaveRun || held.out;
-      ++refusals_.pressed;
+      ++rejections_.overload;
       if (!answering) {
         giveUp(now, held);
         continue;
@@ -366,25 +369,25 @@
     }
   }
 
-  void timer(Time now, std::uint64_t tag) {
-    if (tag == kAskTag) return actions_.subscribe();
+  void onTimer(Time now, std::uint64_t tag) {
+    if (tag == kAskTag) return actions_.pollEndpoints();
     const auto found = held_.find(static_cast<RequestId>(tag));
     if (found == held_.end() || found->second.out) return;
     again(now, found->second);
   }
 
-  void members(Time now, ListKind kind, const std::vector<Member>& list) {
-    if (kind == ListKind::failed) return actions_.setTimer(kRetryAfter, kAskTag);
-    if (kind != ListKind::delta)
-      for (Worker& worker : workers_) worker.listed.phase = Phase::gone;
-    for (const Member& entry : list) {
+  void onEndpoints(Time now, EndpointUpdate kind, const std::vector<Endpoint>& list) {
+    if (kind == EndpointUpdate::failed) return actions_.setTimer(kRetryAfter, kAskTag);
+    if (kind != EndpointUpdate::delta)
+      for (Worker& worker : workers_) worker.listed.phase = WorkerPhase::removed;
+    for (const Endpoint& entry : list) {
       Worker* worker = find(entry.worker);
       if (!worker) {
         placeOf_[entry.worker] = workers_.size();
         workers_.emplace_back();
         worker = &workers_.back();
         fresh(*worker, now);
-      } else if (entry.started != worker->listed.started) {  // restarted: what was learned is void
+      } else if (entry.startedAt != worker->listed.startedAt) {  // restarted: what was learned is void
         const unsigned inFlight = worker->inFlight;
         *worker = Worker{};
         worker->inFlight = inFlight;
@@ -392,14 +395,14 @@
       }
       worker->listed = entry;
     }
-    if (limit_ <= 0) limit_ = kLimitFirst * static_cast<double>(workers_.size()) / set_.gateways;
+    if (limit_ <= 0) limit_ = kLimitFirst * static_cast<double>(workers_.size()) / set_.gatewayCount;
     const auto dropped = std::erase_if(
-        workers_, [](const Worker& w) { return w.listed.phase == Phase::gone && w.inFlight == 0; });
+        workers_, [](const Worker& w) { return w.listed.phase == WorkerPhase::removed && w.inFlight == 0; });
     if (dropped > 0) renumberWorkers();
     assign();
   }
 
-  void settings(Time now, const Settings& to) {
+  void onSettings(Time now, const Settings& to) {
     check(to);
     std::unordered_map<std::string_view, const Profile*> learned;  // by name; of one name the last
     for (const ProfilePtr& old : classes_) learned[old->told.name] = old.get();
@@ -427,7 +430,7 @@
     for (auto it = table_.begin(); it != table_.end();) {
       fill(*it, now);
       const auto found = numbers.find(set_.plans[it->plan].name);
-      if (found != numbers.end() && to.meterPeriod == set_.meterPeriod) {
+      if (found != numbers.end() && to.quotaReadingPeriodMs == set_.quotaReadingPeriodMs) {
         it->plan = found->second;
         ++it;
         continue;
@@ -449,57 +452,59 @@
     barred_.erase(found);
     Worker* worker = find(id);
     if (!worker) return;
-    const Member listed = worker->listed;
+    const Endpoint listed = worker->listed;
     const unsigned inFlight = worker->inFlight;
     *worker = Worker{};
     worker->listed = listed;
     worker->inFlight = inFlight;
     fresh(*worker, now);
     worker->heardAt = now;
-    if (listed.started < since) worker->backAt = now;
+    if (listed.startedAt < since) worker->backAt = now;
   }
 
-  Census census(Time now) const {
-    Census out;
+  WorkerCounts workerCounts(Time now) const {
+    WorkerCounts out;
     for (const Worker& w : workers_) {
-      if (w.listed.phase == Phase::gone) continue;
+      if (w.listed.phase == WorkerPhase::removed) continue;
       ++out.listed;
       out.avoided +=
-          w.listed.phase != Phase::ready || barred_.contains(w.listed.worker) || w.ejectedUntil > now;
+          w.listed.phase != WorkerPhase::ready || barred_.contains(w.listed.worker) || w.ejectedUntil > now;
     }
     return out;
   }
 
-  double warmRate(Time now) const { return toward(perWarm_, 0, now - warmAt_, kWarmTau); }
+  double warmWorkerRate(Time now) const { return toward(perWarm_, 0, now - warmAt_, kWarmTau); }
 
-  void knowWarmRate(Time now, double rate) {
+  void seedWarmWorkerRate(Time now, double rate) {
     if (!sane(rate)) return;
     perWarm_ = rate;
     warmAt_ = now;
   }
 
-  const RefusalCounts& refusals() const { return refusals_; }
-  std::size_t customersHeld() const { return index_.size(); }
-  std::size_t requestsHeld() const { return held_.size(); }
+  const RejectionCounts& rejectionCounts() const { return rejections_; }
+  std::size_t trackedCustomers() const { return index_.size(); }
+  std::size_t requestsInFlight() const { return held_.size(); }
 
  private:
   static constexpr std::uint64_t kAskTag = ~std::uint64_t{0};
   static constexpr Time kUnknown = -1;
 
   static void check(const Settings& set) {
-    require(set.gateways >= 1 && set.self < set.gateways, "gateway number out of range");
+    require(set.gatewayCount >= 1 && set.gatewayIndex < set.gatewayCount, "gateway number out of range");
     require(!set.classes.empty(), "no classes");
     require(!set.plans.empty(), "no plans");
-    require(sane(set.meterPeriod) && sane(set.warmUp) && sane(set.drainGrace) && sane(set.maxRetryAfter) &&
-                sane(set.coldFrom) && sane(set.fallMultiple) && sane(set.fallSpan) && sane(set.mostUnits) &&
-                sane(set.crossZonePrice) && sane(set.askWithin),
+    require(sane(set.quotaReadingPeriodMs) && sane(set.slowStartMs) && sane(set.drainGraceMs) &&
+                sane(set.maxRetryAfterMs) && sane(set.slowStartShare) && sane(set.overloadMultiple) &&
+                sane(set.overloadWindowMs) && sane(set.maxUnits) && sane(set.crossZonePrice) &&
+                sane(set.pollTimeoutMs),
             "a figure is negative or not finite");
     for (const auto& c : set.classes)
-      require(sane(c.aim) && sane(c.deadline) && sane(c.window) && sane(c.worth) && sane(c.lateWorth),
+      require(sane(c.latencyObjectiveMs) && sane(c.deadlineMs) && sane(c.idempotencyWindowMs) &&
+                  sane(c.priorityWeight) && sane(c.lateAnswerValue),
               "a class's figure is negative or not finite");
     for (const auto& p : set.plans)
       require(sane(p.rate) && sane(p.burst) && sane(p.ceilingRate) && sane(p.ceilingBurst) &&
-                  sane(p.ceilingSlack) && sane(p.price) && sane(p.overWorth) && sane(p.overCost),
+                  sane(p.ceilingSlack) && sane(p.price) && sane(p.overQuotaValue) && sane(p.overQuotaCost),
               "a plan's figure is negative or not finite");
   }
 
@@ -516,7 +521,7 @@
   void fresh(Worker& worker, Time now) {
     worker.slowAt = worker.othersAt = worker.coldAt = now;
     worker.coldTokens = random_.next();
-    worker.limit = std::max(1.0, kLimitFirst / set_.gateways);
+    worker.limit = std::max(1.0, kLimitFirst / set_.gatewayCount);
   }
 
   // --- 1. Quota -----------------------------------------------------------------------------------------
@@ -528,13 +533,13 @@
 
   // The customer's entry, filled up to now and moved to the recent end of the table.
   Customer& lookUp(Time now, const Request& ask) {
-    const PlanSettings& plan = set_.plans[ask.plan];
+    const PlanSettings& plan = set_.plans[ask.planIndex];
     if (const auto found = index_.find(ask.customer); found != index_.end()) {
       table_.splice(table_.end(), table_, found->second);
       // The set may have changed; what is over its new part of the ceiling is gone at once (fill).
-      found->second->setSize = std::max(1u, std::min(ask.setSize, set_.gateways));
+      found->second->customerGateways = std::max(1u, std::min(ask.customerGateways, set_.gatewayCount));
       fill(*found->second, now);
-      if (found->second->plan != ask.plan) changePlan(*found->second, ask.plan);
+      if (found->second->plan != ask.planIndex) changePlan(*found->second, ask.planIndex);
       return *found->second;
     }
     if (index_.size() >= kTable) evict(now);
@@ -542,12 +547,12 @@
     Customer& fresh = table_.back();
     index_[ask.customer] = std::prev(table_.end());
     fresh.id = ask.customer;
-    fresh.plan = ask.plan;
-    fresh.setSize = std::max(1u, std::min(ask.setSize, set_.gateways));
+    fresh.plan = ask.planIndex;
+    fresh.customerGateways = std::max(1u, std::min(ask.customerGateways, set_.gatewayCount));
     fresh.at = fresh.readingAt = now;
     fresh.units = std::max(0.0, ask.units);
     usualUnits_ = usualUnits_ > 0 ? toward(usualUnits_, fresh.units, 1, kPooledUnits) : fresh.units;
-    fresh.tokens = freshTokens(plan, fresh.setSize, now);
+    fresh.tokens = freshTokens(plan, fresh.customerGateways, now);
     fresh.store = plan.burst;
     fresh.in.fill(1);
     fresh.credit = random_.next() * fresh.units;
@@ -556,7 +561,7 @@
     // The ceiling's store lives on over restarts and evictions, so nothing is taken to be left in it but
     // what has come in since this gateway could last have sent for the customer.
     fresh.ceiling =
-        std::min(plan.ceilingBurst, plan.ceilingRate * (now - ceilingSince_) / 1000) / fresh.setSize;
+        std::min(plan.ceilingBurst, plan.ceilingRate * (now - ceilingSince_) / 1000) / fresh.customerGateways;
     fresh.slot = slotAt(now);
     return fresh;
   }
@@ -568,7 +573,7 @@
     c.plan = to;
     c.tokens = std::min(c.tokens, plan.burst);
     c.store = std::min(c.store, plan.burst);
-    c.ceiling = std::min(c.ceiling, plan.ceilingBurst / c.setSize);
+    c.ceiling = std::min(c.ceiling, plan.ceilingBurst / c.customerGateways);
     c.reading = -1;
     c.fraction = 1;
   }
@@ -578,8 +583,8 @@
   // none, one usual request is the least that a bucket starts with, or all of them would refuse the first
   // requests of a customer whose store is full. It may hurt where most of the set see a heavy customer at
   // once.
-  double freshTokens(const PlanSettings& plan, unsigned setSize, Time now) const {
-    const double start = std::max(plan.burst / setSize, usualUnits_);
+  double freshTokens(const PlanSettings& plan, unsigned customerGateways, Time now) const {
+    const double start = std::max(plan.burst / customerGateways, usualUnits_);
     return std::min(plan.burst, start + plan.rate * (now - bucketSince_) / 1000);
   }
 
@@ -591,24 +596,26 @@
     for (auto it = table_.begin(); it != table_.end() && seen < kEvictScan; ++it, ++seen) {
       fill(*it, now);
       const PlanSettings& plan = set_.plans[it->plan];
-      if (it->open == 0 && it->fraction >= 1 && it->tokens >= freshTokens(plan, it->setSize, now) &&
-          it->ceiling >= plan.ceilingBurst / it->setSize) {
+      if (it->open == 0 && it->fraction >= 1 && it->tokens >= freshTokens(plan, it->customerGateways, now) &&
+          it->ceiling >= plan.ceilingBurst / it->customerGateways) {
         victim = it;
         break;
       }
     }
-    if (victim->tokens < freshTokens(set_.plans[victim->plan], victim->setSize, now)) bucketSince_ = now;
-    if (victim->ceiling < set_.plans[victim->plan].ceilingBurst / victim->setSize) ceilingSince_ = now;
+    if (victim->tokens < freshTokens(set_.plans[victim->plan], victim->customerGateways, now))
+      bucketSince_ = now;
+    if (victim->ceiling < set_.plans[victim->plan].ceilingBurst / victim->customerGateways)
+      ceilingSince_ = now;
     index_.erase(victim->id);
     table_.erase(victim);
   }
 
-  double debt(const PlanSettings& plan) const { return kDebt * plan.rate * set_.meterPeriod / 1000; }
+  double debt(const PlanSettings& plan) const { return kDebt * plan.rate * set_.quotaReadingPeriodMs / 1000; }
 
   // The part of the customer's use that this gateway sends.
   double share(const Customer& c) const {
     const double doubt = kShareWeight * c.units + 1e-9;
-    return std::min(1.0, (c.ownUse + doubt / c.setSize) / (c.allUse + doubt));
+    return std::min(1.0, (c.ownUse + doubt / c.customerGateways) / (c.allUse + doubt));
   }
 
   // All gateways' demand in units a second: what is seen lately against what is usual, and that against what
@@ -638,13 +645,15 @@
     const double owes = -debt(plan), full = c.store + plan.rate * dt;
     const double taken = std::clamp(othersUse(c) * dt, 0.0, std::max(0.0, full - owes));
     c.store = std::min(plan.burst, full - taken);
-    c.ceiling = std::min(plan.ceilingBurst / c.setSize, c.ceiling + plan.ceilingRate * dt / c.setSize);
+    c.ceiling = std::min(plan.ceilingBurst / c.customerGateways,
+                         c.ceiling + plan.ceilingRate * dt / c.customerGateways);
     const double keepNews = std::exp(-span / kNews), keep = std::exp(-span / kForget);
     c.newsUnits *= keepNews, c.newsTime = c.newsTime * keepNews + share(c) * dt;
     c.oldUnits *= keep, c.oldTime = c.oldTime * keep + share(c) * dt;
     const double keepShare = std::exp(-span / kShareTau);
     c.ownUse *= keepShare, c.allUse *= keepShare;
-    if (now - c.readingAt > 2 * set_.meterPeriod) {  // a gateway that lets nothing in is told nothing
+    if (now - c.readingAt >
+        2 * set_.quotaReadingPeriodMs) {  // a gateway that lets nothing in is told nothing
       c.fraction = std::min(1.0, c.fraction + span / std::max(kClimb, kClimbGaps * c.readingGap));
       c.allOpen = toward(c.allOpen, 0, span, kForget);
     }
@@ -659,29 +668,29 @@
     const PlanSettings& plan = set_.plans[c.plan];
     const double units = std::max(0.0, ask.units);
     if (plan.ceilingRate > 0 && c.ceiling < units)
-      return 1000 * (units - c.ceiling) * c.setSize / plan.ceilingRate;
+      return 1000 * (units - c.ceiling) * c.customerGateways / plan.ceilingRate;
     const double want = std::min(units, plan.burst);
     c.units = toward(c.units, units, 1, kUnitsKeep);
     if (plan.rate > 0 && c.tokens < want) {
-      ++refusals_.bucket;
+      ++rejections_.localQuota;
       return 1000 * (want - c.tokens) / plan.rate;
     }
-    if (plan.openLimit > 0 && c.open >= plan.openLimit) return usual(*classes_[ask.klass]);
+    if (plan.maxConcurrent > 0 && c.open >= plan.maxConcurrent) return usual(*classes_[ask.classIndex]);
     const double others = plan.rate > 0 ? c.meanOpen * (1 - share(c)) / share(c) : c.allOpen * (1 - share(c));
-    const double chance = plan.openLimit > 0 ? chanceUnder(plan.openLimit - c.open, others) : 1;
-    const bool crowded = chance * (1 + plan.overCost) < plan.overCost + pressed_;
-    if (crowded) return usual(*classes_[ask.klass]);
+    const double chance = plan.maxConcurrent > 0 ? chanceUnder(plan.maxConcurrent - c.open, others) : 1;
+    const bool crowded = chance * (1 + plan.overQuotaCost) < plan.overQuotaCost + pressed_;
+    if (crowded) return usual(*classes_[ask.classIndex]);
     noteDemand(c, units, 0);
     const bool empty = plan.rate > 0 && isEmpty(c, want);
     c.in[static_cast<std::size_t>(c.slot % kSlots)] = empty ? c.fraction : 1;
     // The fraction times the demand is the rate: what it lets in here is this gateway's share of the rate,
     // measured out over time, so that a demand misjudged by some gateways does not add up past the quota.
-    if (empty && (press_.on || c.credit < units)) {
-      ++refusals_.store;
+    if (empty && (overload_.active || c.credit < units)) {
+      ++rejections_.fleetQuota;
       return 1000 * std::max(units - c.credit, 0.0) / (plan.rate * share(c));
     }
     if (!empty && unknown > 0 && unknown < 1 && random_.next() >= unknown) {
-      ++refusals_.stranger;
+      ++rejections_.unknownCustomer;
       return 1000 * units / plan.rate;
     }
     // Where each gateway sees it once or twice, what was let in before its store was known to be empty is
@@ -693,8 +702,8 @@
   // Whether a request at each of its gateways, before the meter tells any of them, is more than its store.
   bool outruns(const Customer& c) const {
     const PlanSettings& plan = set_.plans[c.plan];
-    return plan.rate > 0 && plan.overCost > plan.overWorth && set_.meterPeriod > 0 &&
-           c.setSize * std::min(usualUnits_, plan.burst / kFewGateways) > plan.burst;
+    return plan.rate > 0 && plan.overQuotaCost > plan.overQuotaValue && set_.quotaReadingPeriodMs > 0 &&
+           c.customerGateways * std::min(usualUnits_, plan.burst / kFewGateways) > plan.burst;
   }
 
   bool isStranger(const Customer& c) const {
@@ -707,9 +716,10 @@
   // hold, so a stranger's store is taken to hold `reach_` of its burst, by chance some more or less, and less
   // the dearer work beyond it is.
   double strangersChance(const Request& ask) const {
-    const PlanSettings& plan = set_.plans[ask.plan];
+    const PlanSettings& plan = set_.plans[ask.planIndex];
     const double store = std::max({plan.burst, kLeastStore * usualUnits_, 1e-9});
-    const double size = std::max(0.0, ask.units) * (plan.overCost - plan.overWorth) / (reach_ * store);
+    const double size =
+        std::max(0.0, ask.units) * (plan.overQuotaCost - plan.overQuotaValue) / (reach_ * store);
     return std::clamp((1 + kReachSpread - size) / (2 * kReachSpread), kFractionFloor, 1.0);
   }
 
@@ -719,14 +729,14 @@
   void noteUse(const Held& held, int percent) {
     const PlanSettings& plan = held.plan;
     // A period holds few requests: by one usual request at the rate itself, chance alone looks like less.
-    const double chance = usualUnits_ / (plan.rate * set_.meterPeriod / 1000);
+    const double chance = usualUnits_ / (plan.rate * set_.quotaReadingPeriodMs / 1000);
     const double use = (percent / 100.0 + chance) / (1 + chance), units = std::max(0.0, held.ask.units);
-    const double worth = units * plan.price * held.klass->told.worth;
+    const double worth = units * plan.price * held.klass->told.priorityWeight;
     usualWorth_ = usualWorth_ > 0 ? toward(usualWorth_, worth, 1, kWorthKeep) : worth;
     if (usualWorth_ <= 0 || usualUnits_ <= 0) return;
     const double beyond = use > 1 ? 1 - 1 / use : 0;
-    const double error =
-        worth / usualWorth_ * ((plan.overCost - plan.overWorth) * beyond - kBeyondMost * (1 - beyond));
+    const double error = worth / usualWorth_ *
+                         ((plan.overQuotaCost - plan.overQuotaValue) * beyond - kBeyondMost * (1 - beyond));
     reach_ =
         std::clamp(reach_ * std::exp(-kReachStep * std::clamp(error, -1.0, 1.0)), kReachLeast, kReachMost);
   }
@@ -735,11 +745,12 @@
   // what is not known of it, at the plan's own price of being wrong.
   bool isEmpty(const Customer& c, double want) const {
     const PlanSettings& plan = set_.plans[c.plan];
-    double price = (plan.overCost - plan.overWorth + pressed_) / (1 - pressed_);
+    double price = (plan.overQuotaCost - plan.overQuotaValue + pressed_) / (1 - pressed_);
     if (price <= 0) return false;
     if (outruns(c) && !isStranger(c)) price /= std::min(reach_, 1.0);
     // Own sends are known; what the others have sent since the last reading's period is not.
-    const double age = std::min((c.at - c.readingAt + set_.meterPeriod) / 1000, plan.burst / plan.rate);
+    const double age =
+        std::min((c.at - c.readingAt + set_.quotaReadingPeriodMs) / 1000, plan.burst / plan.rate);
     const double doubt = std::sqrt(std::min(demand(c), plan.rate) * (1 - share(c)) * c.units * age);
     return c.store < want + (std::log(price) / kLogisticScale + kCaution) * doubt;
   }
@@ -765,7 +776,9 @@
     c.store = std::min(plan.burst, c.store + back);
   }
 
-  long slotAt(Time now) const { return static_cast<long>(now / (std::max(set_.meterPeriod, 1000.0) / 4)); }
+  long slotAt(Time now) const {
+    return static_cast<long>(now / (std::max(set_.quotaReadingPeriodMs, 1000.0) / 4));
+  }
 
   // Moves on to the quarter period of now; `taken` is spread over those that have passed.
   void touchSlot(Customer& c, Time now, double taken) {
@@ -787,8 +800,9 @@
   // A reading rides on every answer for a metered period; only a new one counts.
   void read(Customer& c, Time now, int percent) {
     const Time since = now - c.readingAt;
-    const bool fresh = c.reading < 0 || (percent != c.reading && since >= kNewReading * set_.meterPeriod) ||
-                       since >= set_.meterPeriod;
+    const bool fresh = c.reading < 0 ||
+                       (percent != c.reading && since >= kNewReading * set_.quotaReadingPeriodMs) ||
+                       since >= set_.quotaReadingPeriodMs;
     if (!fresh) return;
     c.readingGap = c.reading < 0 ? since : toward(c.readingGap, since, 1, 3);
     c.reading = percent;
@@ -796,12 +810,12 @@
     fill(c, now);
     const PlanSettings& plan = set_.plans[c.plan];
     if (plan.rate <= 0) {
-      const double over = std::max(0.0, percent / 100.0 * plan.openLimit - kPeakStep);
+      const double over = std::max(0.0, percent / 100.0 * plan.maxConcurrent - kPeakStep);
       const double root = std::sqrt(kPeakSpread * kPeakSpread / 4 + over) - kPeakSpread / 2;
       c.allOpen += kPeakNews * (root * root - c.allOpen);
       return;
     }
-    const Time slotLength = std::max(set_.meterPeriod, 1000.0) / 4;
+    const Time slotLength = std::max(set_.quotaReadingPeriodMs, 1000.0) / 4;
     const int lag = static_cast<int>(std::lround(kMeterLag / slotLength));
     double own = 0, in = 0, taken = 0;
     for (int i = lag; i < lag + 4 && i < kSlots; ++i) {
@@ -810,7 +824,7 @@
       in += c.in[at] / 4;
       taken += c.taken[at];
     }
-    const double period = set_.meterPeriod / 1000;
+    const double period = set_.quotaReadingPeriodMs / 1000;
     const double others = std::max(0.0, percent / 100.0 * plan.rate * period - own);
     const double before = othersUse(c);
     c.ownUse += own, c.allUse += own + others;
@@ -827,10 +841,10 @@
 
   // 1 for a warm worker, else the told lower bound of what it can do.
   double warmth(const Worker& w, Time now) const {
-    const Time started = std::max(w.listed.started, w.backAt);
-    if (started <= 0 || set_.warmUp <= 0) return 1;
-    const double age = std::clamp((now - started) / set_.warmUp, 0.0, 1.0);
-    return set_.coldFrom + (1 - set_.coldFrom) * age;
+    const Time started = std::max(w.listed.startedAt, w.backAt);
+    if (started <= 0 || set_.slowStartMs <= 0) return 1;
+    const double age = std::clamp((now - started) / set_.slowStartMs, 0.0, 1.0);
+    return set_.slowStartShare + (1 - set_.slowStartShare) * age;
   }
 
   // Keeps this gateway's sends to a cold worker under its share of the good answers that it has of a warm
@@ -843,10 +857,10 @@
     const double warm = warmth(w, now);
     if (warm >= 1) return true;
     if (!w.own) return false;  // the budget is dealt out among those whose own it is
-    const double sharers = std::max(1.0, static_cast<double>(set_.gateways) / subsets_);
-    const double least = set_.fallMultiple / std::max(set_.fallSpan, 1.0) / sharers;
-    const double known =
-        std::max(toward(warmRate_, 0, now - warmAt_, kRateTau) / std::max(1u, warmWorkers_), warmRate(now));
+    const double sharers = std::max(1.0, static_cast<double>(set_.gatewayCount) / subsets_);
+    const double least = set_.overloadMultiple / std::max(set_.overloadWindowMs, 1.0) / sharers;
+    const double known = std::max(toward(warmRate_, 0, now - warmAt_, kRateTau) / std::max(1u, warmWorkers_),
+                                  warmWorkerRate(now));
     w.coldTokens =
         std::min(1.0, w.coldTokens + kColdMargin * warm * std::max(known, least) * (now - w.coldAt));
     w.coldAt = now;
@@ -860,7 +874,7 @@
     warmAt_ = now;
     warmWorkers_ = 0;
     for (const Worker& other : workers_)
-      warmWorkers_ += other.own && other.listed.phase == Phase::ready && warmth(other, now) >= 1 &&
+      warmWorkers_ += other.own && other.listed.phase == WorkerPhase::ready && warmth(other, now) >= 1 &&
                       other.ejectedUntil <= now;
     perWarm_ = toward(perWarm_, warmRate_ / std::max(1u, warmWorkers_), since, kWarmSmooth);
   }
@@ -874,18 +888,19 @@
   void assign() {
     std::vector<std::pair<std::uint64_t, Worker*>> order;
     for (Worker& w : workers_)
-      if (w.listed.phase != Phase::gone) order.emplace_back(0, &w);  // one that drains keeps its place
+      if (w.listed.phase != WorkerPhase::removed)
+        order.emplace_back(0, &w);  // one that drains keeps its place
     const std::size_t n = order.size();
     subsets_ = subsetsOf(static_cast<unsigned>(n));
     for (auto& [hash, w] : order) w->own = subsets_ == 1;
     if (subsets_ == 1) return;
-    const std::uint64_t round = set_.self / subsets_;
+    const std::uint64_t round = set_.gatewayIndex / subsets_;
     for (auto& [hash, w] : order) hash = mix(w->listed.worker ^ mix(round));
     const auto before = [](const auto& a, const auto& b) {
       return a.first != b.first ? a.first < b.first : a.second->listed.worker < b.second->listed.worker;
     };
     // Of the sorted order only which workers are in this gateway's part matters: selection, not a sort.
-    const std::size_t part = set_.self % subsets_;
+    const std::size_t part = set_.gatewayIndex % subsets_;
     const auto first = order.begin() + static_cast<std::ptrdiff_t>(partStart(part, n));
     const auto last = order.begin() + static_cast<std::ptrdiff_t>(partStart(part + 1, n));
     std::nth_element(order.begin(), first, order.end(), before);
@@ -896,9 +911,9 @@
   // Into how many parts the workers are dealt out: as many as leave each worker its sharers and each gateway
   // its least; more than that where a part would be larger than a gateway's most.
   unsigned subsetsOf(unsigned count) const {
-    const unsigned usual = std::min(set_.gateways / kSharers, count / kLeastOwn);
+    const unsigned usual = std::min(set_.gatewayCount / kSharers, count / kLeastOwn);
     const unsigned needed = (count + kMostOwn - 1) / kMostOwn;
-    return std::max({1u, usual, std::min(set_.gateways / kLeastSharers, needed)});
+    return std::max({1u, usual, std::min(set_.gatewayCount / kLeastSharers, needed)});
   }
 
   // The lowest i with i * subsets_ / n == part.
@@ -917,7 +932,7 @@
   }
 
   static Time usual(const Profile& klass) {
-    return klass.base > 0 ? klass.base : klass.told.aim * kUsualOfAim;
+    return klass.base > 0 ? klass.base : klass.told.latencyObjectiveMs * kUsualOfAim;
   }
 
   double load(const Worker& w, Time now) const {
@@ -949,13 +964,13 @@
 
   // Slow beside its kind: its late answers tell of itself, not of what the workers bear together.
   bool slowAlone(const Worker& w) const {
-    const auto kind = kinds_.find(w.listed.kind);
+    const auto kind = kinds_.find(w.listed.machineType);
     return kind != kinds_.end() && slow(w) > kAlone * kind->second;
   }
 
   // How slow a worker is, as far as its few answers tell against those of all workers of its kind.
   double slow(const Worker& w) const {
-    const auto kind = kinds_.find(w.listed.kind);
+    const auto kind = kinds_.find(w.listed.machineType);
     const double usual = kind == kinds_.end() ? 1 : kind->second;
     return (kSlowDoubt * usual + w.slowSum) / (kSlowDoubt + w.slowCount);
   }
@@ -965,27 +980,30 @@
     w.slowSum = keep * w.slowSum + ratio;
     w.slowCount = keep * w.slowCount + 1;
     w.slowAt = now;
-    double& kind = kinds_.try_emplace(w.listed.kind, 1).first->second;
+    double& kind = kinds_.try_emplace(w.listed.machineType, 1).first->second;
     kind += kKindNews * (ratio - kind);
   }
 
   bool inGroup(const Held& held, const Worker& w) const {
     const ClassSettings& klass = held.klass->told;
-    if (!held.mayHaveRun || klass.repeat == Repeat::safe || klass.scope == Scope::all) return true;
-    return klass.scope == Scope::zone ? w.listed.zone == held.ranZone : w.listed.cell == held.ranCell;
+    if (!held.mayHaveRun || klass.idempotency == Idempotency::idempotent ||
+        klass.deduplicationScope == DeduplicationScope::all)
+      return true;
+    return klass.deduplicationScope == DeduplicationScope::zone ? w.listed.zone == held.ranZone
+                                                                : w.listed.cell == held.ranCell;
   }
 
   // The least loaded ready worker, weighted by how slow it has been. Ejected
   // ones serve where no other is.
   Worker* pick(Time now, const Held& held) {
     if (!held.mayHaveRun && !room()) {
-      ++refusals_.room;
+      ++rejections_.concurrencyLimit;
       return nullptr;
     }
     Worker* best = nullptr;
     double least = 0;
     for (Worker& w : workers_) {
-      if (w.listed.phase != Phase::ready || barred_.contains(w.listed.worker)) continue;
+      if (w.listed.phase != WorkerPhase::ready || barred_.contains(w.listed.worker)) continue;
       if (!inGroup(held, w) || !coldRoom(w, now)) continue;
       if (w.fullUntil > now || (!held.mayHaveRun && w.inFlight + 1 > w.limit)) continue;
       double cost = slow(w) * (load(w, now) + 1) * warmth(w, now);
@@ -1000,33 +1018,34 @@
     return best;
   }
 
-  void judge(Worker& w, Time now, const Flight& flight, const Outcome& end) {
+  void judge(Worker& w, Time now, const Flight& flight, const AttemptOutcome& end) {
     if (w.inFlight > 0) --w.inFlight;
     if (inFlight_ > 0) --inFlight_;
     if (fromWorker(end.result)) w.heardAt = now;
-    if (!end.report.empty()) noteReport(w, now, end.report);
-    const Result result = end.result;
+    if (!end.loadReport.empty()) noteReport(w, now, end.loadReport);
+    const AttemptResult result = end.result;
     Profile& klass = *flight.klass;
-    steerLimits(w, now, klass.told.aim, end);
-    if (result == Result::full) {
+    steerLimits(w, now, klass.told.latencyObjectiveMs, end);
+    if (result == AttemptResult::overloaded) {
       w.fullFor = std::clamp(2 * w.fullFor, kFullPause, kFullMost);
       w.fullUntil = now + w.fullFor;
       return;
     }
-    if (result == Result::cancelled || result == Result::moot) return;
-    if (result == Result::ok || result == Result::error || result == Result::timeout) {
-      if (result == Result::ok) {
+    if (result == AttemptResult::cancelled || result == AttemptResult::notSent) return;
+    if (result == AttemptResult::ok || result == AttemptResult::error || result == AttemptResult::timeout) {
+      if (result == AttemptResult::ok) {
         const Time base = klass.base;
-        klass.base = klass.base > 0
-                         ? toward(klass.base, end.elapsed, std::min(kBaseSpan, now - klass.baseAt), kBaseTau)
-                         : end.elapsed;
+        klass.base = klass.base > 0 ? toward(klass.base, end.latencyMs,
+                                             std::min(kBaseSpan, now - klass.baseAt), kBaseTau)
+                                    : end.latencyMs;
         klass.baseAt = now;
         if (base >= longestBase_ || klass.base >= longestBase_) longestBase_ = kUnknown;
       }
-      const double ratio = std::min(kSlowMost, end.elapsed / usual(klass));
-      if (result != Result::error && (result == Result::ok || ratio > slow(w))) noteSlow(w, now, ratio);
+      const double ratio = std::min(kSlowMost, end.latencyMs / usual(klass));
+      if (result != AttemptResult::error && (result == AttemptResult::ok || ratio > slow(w)))
+        noteSlow(w, now, ratio);
     }
-    if (result == Result::ok) {
+    if (result == AttemptResult::ok) {
       noteGood(w, now);
       w.fails = 0;
       w.fullFor = 0;
@@ -1045,9 +1064,9 @@
   // as far below one for each worker as it must where gateways outnumber what the workers hold. It moves by
   // time, not by answer, so that many answers a second say no more than a few. Late answers of a worker that
   // is slow by itself or still cold tell of that worker: they leave it as it is.
-  void steerLimits(Worker& w, Time now, Time aim, const Outcome& end) {
-    const bool late = end.result == Result::full || end.elapsed > kLimitLate * aim;
-    const bool early = end.result == Result::ok && end.elapsed < kLimitEarly * aim;
+  void steerLimits(Worker& w, Time now, Time aim, const AttemptOutcome& end) {
+    const bool late = end.result == AttemptResult::overloaded || end.latencyMs > kLimitLate * aim;
+    const bool early = end.result == AttemptResult::ok && end.latencyMs < kLimitEarly * aim;
     if (late && now - w.limitAt >= kLimitHold) {
       w.limit = std::max(1.0, kLimitCut * std::min(w.limit, w.inFlight + 1.0));
       w.limitAt = now;
@@ -1072,12 +1091,13 @@
   }
 
   void noteReport(Worker& w, Time now, const std::vector<double>& report) {
-    const std::size_t n = std::min(report.size(), set_.reportFields.size());
+    const std::size_t n = std::min(report.size(), set_.loadReportFields.size());
     for (std::size_t i = 0; i < n; ++i) {
       double sample = -1;
-      if (set_.reportFields[i] == "inflight") sample = report[i] - w.inFlight - 1;
-      if (set_.reportFields[i] == "queue") sample = report[i] * (set_.gateways - 1) / set_.gateways;
-      if (sample < 0 && set_.reportFields[i] != "inflight") continue;
+      if (set_.loadReportFields[i] == "inflight") sample = report[i] - w.inFlight - 1;
+      if (set_.loadReportFields[i] == "queue")
+        sample = report[i] * (set_.gatewayCount - 1) / set_.gatewayCount;
+      if (sample < 0 && set_.loadReportFields[i] != "inflight") continue;
       sample = std::max(0.0, sample);
       w.others = toward(w.others, sample, now - w.othersAt + kOthersSpan, kOthersTau);
       w.othersAt = now;
@@ -1090,11 +1110,11 @@
 
   void send(Time now, Held& held, Worker& worker) {
     const ClassSettings& klass = held.klass->told;
-    const Time left = held.ask.expires - now;
+    const Time left = held.ask.expiresAt - now;
     Time timeout = 0;
     const bool last = held.attempts + 1 >= std::min(held.most, kMostAttempts);
-    if (klass.repeat != Repeat::unsafe && !last && budget_ >= 1) {
-      timeout = std::max(kPatience * usual(*held.klass), kPatienceOfAim * klass.aim);
+    if (klass.idempotency != Idempotency::notIdempotent && !last && budget_ >= 1) {
+      timeout = std::max(kPatience * usual(*held.klass), kPatienceOfAim * klass.latencyObjectiveMs);
       if (timeout >= left) timeout = 0;
     }
     held.sentAt = now;
@@ -1107,20 +1127,21 @@
     if (++worker.inFlight == 1) worker.heardAt = now;
     worker.coldTokens -= 1;
     if (Customer* customer = peek(held.ask.customer)) noteOpen(*customer, now, 1);
-    actions_.send(held.ask.id, worker.listed.worker, timeout);
+    actions_.startAttempt(held.ask.id, worker.listed.worker, timeout);
   }
 
   // Another attempt where the class and the time allow one, else the final answer.
   void again(Time now, Held& held) {
     const ClassSettings& klass = held.klass->told;
-    const bool bound = held.mayHaveRun && klass.repeat != Repeat::safe;
-    if (held.attempts >= std::min(held.most, kMostAttempts) || now >= held.ask.expires ||
-        (bound && klass.repeat == Repeat::unsafe) || (bound && now > held.ranSince + klass.window) ||
-        (held.mayHaveRun && budget_ < 1) || (klass.lateWorth <= 0 && now > held.arrived + klass.aim))
+    const bool bound = held.mayHaveRun && klass.idempotency != Idempotency::idempotent;
+    if (held.attempts >= std::min(held.most, kMostAttempts) || now >= held.ask.expiresAt ||
+        (bound && klass.idempotency == Idempotency::notIdempotent) ||
+        (bound && now > held.ranSince + klass.idempotencyWindowMs) || (held.mayHaveRun && budget_ < 1) ||
+        (klass.lateAnswerValue <= 0 && now > held.arrived + klass.latencyObjectiveMs))
       return giveUp(now, held);
     Worker* worker = pick(now, held);
     if (worker) return send(now, held, *worker);
-    if (!held.mayHaveRun || now + kHoldStep >= held.ask.expires) return giveUp(now, held);
+    if (!held.mayHaveRun || now + kHoldStep >= held.ask.expiresAt) return giveUp(now, held);
     actions_.setTimer(kHoldStep, held.ask.id);
   }
 
@@ -1128,8 +1149,9 @@
   void giveUp(Time, Held& held) {
     const ClassSettings& klass = held.klass->told;
     const RequestId id = held.ask.id;
-    const bool harmless = !held.mayHaveRun || klass.repeat == Repeat::safe ||
-                          (klass.repeat == Repeat::keyed && klass.scope == Scope::all);
+    const bool harmless =
+        !held.mayHaveRun || klass.idempotency == Idempotency::idempotent ||
+        (klass.idempotency == Idempotency::withKey && klass.deduplicationScope == DeduplicationScope::all);
     held_.erase(id);
     if (harmless)
       refuse(id, kRetryAfter);
@@ -1139,23 +1161,23 @@
 
   // Under pressure nobody is asked back before it is likely to be over, and nobody at the same moment.
   void refuse(RequestId id, Time wait) {
-    if (press_.on) wait = std::max(wait, press_.lasts);
-    const Time most = set_.maxRetryAfter > 0 ? set_.maxRetryAfter : wait;
+    if (overload_.active) wait = std::max(wait, overload_.expectedMs);
+    const Time most = set_.maxRetryAfterMs > 0 ? set_.maxRetryAfterMs : wait;
     wait = std::clamp(wait, 1.0, std::max(1.0, most));
-    actions_.refuse(id, press_.on ? wait * (1 - random_.next() / 2) : wait);
+    actions_.reject(id, overload_.active ? wait * (1 - random_.next() / 2) : wait);
   }
 
   static double worthFor(const Request& ask, const ClassSettings& klass, const PlanSettings& plan) {
-    return klass.worth * plan.price * ask.units / std::max(ask.bytes, kLeastBytes);
+    return klass.priorityWeight * plan.price * ask.units / std::max(ask.memoryBytes, kLeastBytes);
   }
 
   // Whether a new request is among the share that has to go: the mark moves until that share is under it.
   bool tooMany(const Request& ask) {
-    const double worth =
-        worthFor(ask, classes_[ask.klass]->told, set_.plans[ask.plan]) * (1 + kTie * random_.next());
+    const double worth = worthFor(ask, classes_[ask.classIndex]->told, set_.plans[ask.planIndex]) *
+                         (1 + kTie * random_.next());
     if (cut_ <= 0) cut_ = worth;
     const bool under = worth < cut_;
-    cut_ *= std::exp(kCutStep * (press_.share - under));
+    cut_ *= std::exp(kCutStep * (overload_.shedFraction - under));
     return under;
   }
 
@@ -1171,24 +1193,26 @@
     summaryAt_ = now;
     unsigned ready = 0, ejected = 0, cold = 0, full = 0;
     for (const Worker& w : workers_) {
-      if (w.listed.phase != Phase::ready) continue;
+      if (w.listed.phase != WorkerPhase::ready) continue;
       ++ready, ejected += w.ejectedUntil > now, cold += warmth(w, now)<1, full += w.fullUntil> now;
     }
     const auto since = [](std::uint64_t count, std::uint64_t before) {
       return static_cast<unsigned>(count - before);
     };
-    const RefusalCounts& then = summarized_;
+    const RejectionCounts& then = summarized_;
     char line[280];
-    std::snprintf(line, sizeof line,
-                  "refused: bucket %u store %u unknown %u (reach %.2f) worker %u (gateway's limit %u) "
-                  "pressed %u; limit %.1f out %u "
-                  "pressed %.2f; "
-                  "workers ready %u ejected %u cold %u full %u",
-                  since(refusals_.bucket, then.bucket), since(refusals_.store, then.store),
-                  since(refusals_.stranger, then.stranger), reach_, since(refusals_.worker, then.worker),
-                  since(refusals_.room, then.room), since(refusals_.pressed, then.pressed), limit_, inFlight_,
-                  pressed_, ready, ejected, cold, full);
-    summarized_ = refusals_;
+    std::snprintf(
+        line, sizeof line,
+        "refused: bucket %u store %u unknown %u (reach %.2f) worker %u (gateway's limit %u) "
+        "pressed %u; limit %.1f out %u "
+        "pressed %.2f; "
+        "workers ready %u ejected %u cold %u full %u",
+        since(rejections_.localQuota, then.localQuota), since(rejections_.fleetQuota, then.fleetQuota),
+        since(rejections_.unknownCustomer, then.unknownCustomer), reach_,
+        since(rejections_.noWorker, then.noWorker),
+        since(rejections_.concurrencyLimit, then.concurrencyLimit),
+        since(rejections_.overload, then.overload), limit_, inFlight_, pressed_, ready, ejected, cold, full);
+    summarized_ = rejections_;
     actions_.log(line);
   }
 
@@ -1223,10 +1247,10 @@
   Time warmAt_ = 0;
   unsigned warmWorkers_ = 0;
   double perWarm_ = 0;  // a warm worker's part of that rate
-  Pressure press_;
+  OverloadSignal overload_;
   double cut_ = 0;  // worth for what it holds under which a new request is too many
   Time loggedAt_ = -kLogEvery;
-  RefusalCounts refusals_, summarized_;  // since the start; and as they were at the last line
+  RejectionCounts rejections_, summarized_;  // since the start; and as they were at the last line
   Time summaryAt_ = 0;
 };
 
@@ -1235,24 +1259,28 @@
 Gateway::~Gateway() = default;
 Gateway::Gateway(Gateway&&) noexcept = default;
 Gateway& Gateway::operator=(Gateway&&) noexcept = default;
-void Gateway::members(Time now, ListKind kind, const std::vector<Member>& list) {
-  core_->members(now, kind, list);
+void Gateway::onEndpoints(Time now, EndpointUpdate kind, const std::vector<Endpoint>& list) {
+  core_->onEndpoints(now, kind, list);
+}
+void Gateway::onRequest(Time now, const Request& request) { core_->onRequest(now, request); }
+void Gateway::onAttemptOutcome(Time now, const AttemptOutcome& outcome) {
+  core_->onAttemptOutcome(now, outcome);
+}
+void Gateway::onRequestComplete(Time now, RequestId id, Time expires) {
+  core_->onRequestComplete(now, id, expires);
 }
-void Gateway::request(Time now, const Request& request) { core_->request(now, request); }
-void Gateway::outcome(Time now, const Outcome& outcome) { core_->outcome(now, outcome); }
-void Gateway::whole(Time now, RequestId id, Time expires) { core_->whole(now, id, expires); }
-void Gateway::clientLeft(Time now, RequestId id) { core_->clientLeft(now, id); }
-void Gateway::answering(Time now, RequestId id) { core_->answering(now, id); }
-void Gateway::pressure(Time now, const Pressure& pressure) { core_->pressure(now, pressure); }
-void Gateway::timer(Time now, std::uint64_t tag) { core_->timer(now, tag); }
+void Gateway::onClientDisconnect(Time now, RequestId id) { core_->onClientDisconnect(now, id); }
+void Gateway::onResponseStarted(Time now, RequestId id) { core_->onResponseStarted(now, id); }
+void Gateway::onOverload(Time now, const OverloadSignal& pressure) { core_->onOverload(now, pressure); }
+void Gateway::onTimer(Time now, std::uint64_t tag) { core_->onTimer(now, tag); }
 void Gateway::exclude(Time now, WorkerId worker) { core_->exclude(now, worker); }
 void Gateway::include(Time now, WorkerId worker) { core_->include(now, worker); }
-void Gateway::settings(Time now, const Settings& settings) { core_->settings(now, settings); }
-double Gateway::warmRate(Time now) const { return core_->warmRate(now); }
-void Gateway::knowWarmRate(Time now, double rate) { core_->knowWarmRate(now, rate); }
-Census Gateway::census(Time now) const { return core_->census(now); }
-RefusalCounts Gateway::refusals() const { return core_->refusals(); }
-std::size_t Gateway::customersHeld() const { return core_->customersHeld(); }
-std::size_t Gateway::requestsHeld() const { return core_->requestsHeld(); }
+void Gateway::onSettings(Time now, const Settings& settings) { core_->onSettings(now, settings); }
+double Gateway::warmWorkerRate(Time now) const { return core_->warmWorkerRate(now); }
+void Gateway::seedWarmWorkerRate(Time now, double rate) { core_->seedWarmWorkerRate(now, rate); }
+WorkerCounts Gateway::workerCounts(Time now) const { return core_->workerCounts(now); }
+RejectionCounts Gateway::rejectionCounts() const { return core_->rejectionCounts(); }
+std::size_t Gateway::trackedCustomers() const { return core_->trackedCustomers(); }
+std::size_t Gateway::requestsInFlight() const { return core_->requestsInFlight(); }
 
 }  // namespace wingslip::decision
--- a/src/endpoint_watch/endpoint_list.cpp
+++ b/src/endpoint_watch/endpoint_list.cpp
@@ -18,10 +18,10 @@
 // eight times over; 170 bytes each.
 constexpr std::size_t kMostLeaving = 8192;
 
-decision::Phase phaseOf(const std::string& lifecycle) {
-  if (lifecycle == "Ready") return decision::Phase::ready;
-  if (lifecycle == "Terminating") return decision::Phase::draining;
-  if (lifecycle == "Gone") return decision::Phase::gone;
+decision::WorkerPhase phaseOf(const std::string& lifecycle) {
+  if (lifecycle == "Ready") return decision::WorkerPhase::ready;
+  if (lifecycle == "Terminating") return decision::WorkerPhase::draining;
+  if (lifecycle == "Gone") return decision::WorkerPhase::removed;
   throw std::runtime_error("unknown lifecycle " + lifecycle.substr(0, 40));
 }
 
@@ -30,7 +30,7 @@
   out.id = entry.at("instanceId").get<std::string>();
   out.phase = phaseOf(entry.at("lifecycle").get<std::string>());
   const std::string address = entry.value("hostPort", "");
-  if (out.phase != decision::Phase::gone || !address.empty()) out.address = parseEndpoint(address);
+  if (out.phase != decision::WorkerPhase::removed || !address.empty()) out.address = parseEndpoint(address);
   out.zone = entry.value("zone", "");
   out.kind = entry.value("machineType", "");
   out.cell = entry.value("cell", 0u);
@@ -126,9 +126,9 @@
   if (old) {
     for (Instance& instance : list.instances) {
       const auto known = leaving_.find(instance.id);
-      if (known != leaving_.end() && instance.phase == decision::Phase::ready &&
+      if (known != leaving_.end() && instance.phase == decision::WorkerPhase::ready &&
           instance.startedAtMs <= known->second.startedAtMs)
-        instance.phase = decision::Phase::draining;
+        instance.phase = decision::WorkerPhase::draining;
     }
   } else if (list.reset) {
     byGeneration_.clear();
@@ -141,7 +141,7 @@
 }
 
 void RosterHistory::record(const Instance& instance, long long generation) {
-  if (instance.phase == decision::Phase::ready) {
+  if (instance.phase == decision::WorkerPhase::ready) {
     if (const auto known = leaving_.find(instance.id); known != leaving_.end()) forget(known);
     return;
   }
--- a/src/endpoint_watch/endpoint_list.hpp
+++ b/src/endpoint_watch/endpoint_list.hpp
@@ -21,7 +21,7 @@
   boost::asio::ip::tcp::endpoint address;
   std::string zone, kind;
   unsigned cell = 0;
-  decision::Phase phase = decision::Phase::ready;
+  decision::WorkerPhase phase = decision::WorkerPhase::ready;
   double startedAtMs = 0;  // Unix time; 0: long ago
 };
 
--- a/src/gatekeeper/client_request.cpp
+++ b/src/gatekeeper/client_request.cpp
@@ -65,18 +65,19 @@
   const auto units = number<double>(valueOf(terms, ',', "units"));
   const auto spread = number<unsigned>(valueOf(terms, ',', "spread"));
   const auto first = number<unsigned>(valueOf(terms, ',', "first"));
-  if (!units || !std::isfinite(*units) || *units <= 0 || *units > settings.mostUnits) return false;
-  if (!spread || *spread < 1 || *spread > settings.gateways || !first || *first >= settings.gateways)
+  if (!units || !std::isfinite(*units) || *units <= 0 || *units > settings.maxUnits) return false;
+  if (!spread || *spread < 1 || *spread > settings.gatewayCount || !first || *first >= settings.gatewayCount)
     return false;
   call.units = *units;
   call.setSize = *spread;
   return true;
 }
 
-bool methodFits(const ClientMessage& message, decision::Repeat repeat) {
-  if (repeat == decision::Repeat::safe) return message.method() == http::verb::get && message.body().empty();
+bool methodFits(const ClientMessage& message, decision::Idempotency repeat) {
+  if (repeat == decision::Idempotency::idempotent)
+    return message.method() == http::verb::get && message.body().empty();
   return message.method() == http::verb::post &&
-         (repeat == decision::Repeat::unsafe || !header(message, "Idempotency-Key").empty());
+         (repeat == decision::Idempotency::notIdempotent || !header(message, "Idempotency-Key").empty());
 }
 
 }  // namespace
@@ -107,7 +108,7 @@
   if (ambiguous(message)) return Rejection{bad, "a header of the service is there twice"};
   Call call;
   call.klass = *klass;
-  if (!methodFits(message, config.settings.classes[*klass].repeat))
+  if (!methodFits(message, config.settings.classes[*klass].idempotency))
     return Rejection{bad, "the method, body or Idempotency-Key does not fit the class"};
   const auto plan = indexOf(config.host.plans, header(message, "X-Tier"));
   if (!plan) return Rejection{bad, "unknown plan"};
--- a/src/gatekeeper/client_server.cpp
+++ b/src/gatekeeper/client_server.cpp
@@ -217,7 +217,7 @@
 
 // By chance, so that those turned away together do not come back together.
 decision::Time ClientServer::turnedAwayFor() const {
-  const double most = config_.settings.maxRetryAfter;
+  const double most = config_.settings.maxRetryAfterMs;
   const double lasts = std::max(pressure_.pressure().lasts(OverloadManager::now()), kLeastAway);
   return (most > 0 ? std::min(most, lasts) : lasts) * std::uniform_real_distribution<>(0.5, 1.0)(chance_);
 }
--- a/src/gatekeeper/gatekeeper.cpp
+++ b/src/gatekeeper/gatekeeper.cpp
@@ -9,8 +9,8 @@
 namespace wingslip {
 namespace {
 
-using decision::ListKind;
-using decision::Member;
+using decision::Endpoint;
+using decision::EndpointUpdate;
 using decision::RequestId;
 using decision::Time;
 using decision::WorkerId;
@@ -28,7 +28,8 @@
 constexpr std::size_t kMostClasses = 512;
 
 invariant::WorkerRules workerRules(const decision::Settings& settings) {
-  return {settings.drainGrace, settings.fallMultiple, settings.coldFrom, settings.fallSpan, settings.warmUp};
+  return {settings.drainGraceMs, settings.overloadMultiple, settings.slowStartShare,
+          settings.overloadWindowMs, settings.slowStartMs};
 }
 
 std::chrono::steady_clock::time_point processFrom(const WorkerStart& start) {
@@ -42,12 +43,12 @@
     : io_(io),
       config_(config),
       pressure_(io, memoryOf(config), pressureLimits(config)),
-      pool_(io, poolLimits(config), config.settings.reportFields, pressure_,
+      pool_(io, poolLimits(config), config.settings.loadReportFields, pressure_,
             [this](AttemptEnd&& end) { ended(std::move(end)); }),
       server_(io, config_, serverLimits(config), *this, pressure_),
       gateway_(config.settings, config.seed, clock_.now(), *this),
       monitor_([](const std::string& line) { processLog().error("event=invariant text=\"{}\"", line); },
-               [this] { return gateway_.warmRate(clock_.now()); }),
+               [this] { return gateway_.warmWorkerRate(clock_.now()); }),
       exclusions_(config.stateDir),
       settle_(io),
       drain_(io),
@@ -69,11 +70,13 @@
   Roster known;
   if (!config_.known.empty()) {
     known = parseRoster(config_.known);
-    told(known, ListKind::cached);
+    told(known, EndpointUpdate::cached);
   }
   discovery_ = std::make_unique<Discovery>(
       io, config_.discovery, std::move(known), watchLimits(config_), config_.seed,
-      [this](const Roster& roster) { told(roster, roster.reset ? ListKind::full : ListKind::delta); },
+      [this](const Roster& roster) {
+        told(roster, roster.reset ? EndpointUpdate::snapshot : EndpointUpdate::delta);
+      },
       pressure_);
 }
 
@@ -99,16 +102,16 @@
 
 void Gatekeeper::share() {
   if (!config_.replication) return;
-  replica_ = std::make_unique<replication::ReplicaNode>(io_, *config_.replication, config_.name, config_.stateDir,
-                                                    config_.seed, pressure_,
-                                                    [this](const replication::Row& row) { replicated(row); });
+  replica_ = std::make_unique<replication::ReplicaNode>(
+      io_, *config_.replication, config_.name, config_.stateDir, config_.seed, pressure_,
+      [this](const replication::Row& row) { replicated(row); });
   replica_->start();
 }
 
 void Gatekeeper::coordinate() {
   if (!config_.coordination) return;
-  coordinator_ = std::make_unique<leader_election::Coordinator>(io_, *config_.coordination, config_.name,
-                                                     config_.settings.gateways, config_.seed, pressure_);
+  coordinator_ = std::make_unique<leader_election::Coordinator>(
+      io_, *config_.coordination, config_.name, config_.settings.gatewayCount, config_.seed, pressure_);
   coordinator_->start();
 }
 
@@ -118,19 +121,19 @@
 void Gatekeeper::pressed(double excess) {
   const Pressure& now = pressure_.pressure();
   if (pressure_.fewDescriptors()) server_.trimIdle();
-  gateway_.pressure(clock_.now(), {now.stage() != Stage::none, pressure_.slow(), now.share(), excess,
-                                   now.lasts(OverloadManager::now())});
+  gateway_.onOverload(clock_.now(), {now.stage() != Stage::none, pressure_.slow(), now.share(), excess,
+                                     now.lasts(OverloadManager::now())});
 }
 
 // What came before the first list is numbered as the settings were then. False: its class or plan is no more;
 // it is refused when its time ends.
 bool Gatekeeper::renumber(decision::Request& request, const NameIndex& classes,
                           const NameIndex& plans) const {
-  const unsigned klass = classes.of(config_.host.classes[request.klass]);
-  const unsigned plan = plans.of(config_.host.plans[request.plan]);
+  const unsigned klass = classes.of(config_.host.classes[request.classIndex]);
+  const unsigned plan = plans.of(config_.host.plans[request.planIndex]);
   if (klass == NameIndex::kNone || plan == NameIndex::kNone) return false;
-  request.klass = klass;
-  request.plan = plan;
+  request.classIndex = klass;
+  request.planIndex = plan;
   return true;
 }
 
@@ -146,14 +149,14 @@
   std::vector<decision::Request> early;
   for (decision::Request request : early_)
     if (renumber(request, classes, plans)) early.push_back(request);
-  gateway_.settings(clock_.now(), settings);
+  gateway_.onSettings(clock_.now(), settings);
   early_ = std::move(early);
   config_.settings = std::move(settings);
   monitor_.rules(workerRules(config_.settings));
   config_.host = std::move(host);
   config_.keys = config.keys;
   config_.discovery = config.discovery;
-  pool_.retune(poolLimits(config_), config_.settings.reportFields);
+  pool_.retune(poolLimits(config_), config_.settings.loadReportFields);
   pressure_.retune(pressureLimits(config_));
   if (config.memoryMb != config_.memoryMb)
     processLog().warn("event=reload text=\"limits.memory_mb stays as at the start\" memory_mb={}",
@@ -193,7 +196,7 @@
   const bool handedOn = config_.acceptFd >= 0;
   if (handedOn) server_.stopAccepting();
   Time longest = 0;
-  for (const auto& klass : config_.settings.classes) longest = std::max(longest, klass.deadline);
+  for (const auto& klass : config_.settings.classes) longest = std::max(longest, klass.deadlineMs);
   const auto term = std::chrono::steady_clock::now();
   const Time end = std::min(longest, kDeadlineMost);
   drain_.expires_at(term + (handedOn ? kIdleAfterTerm : kAcceptAfterTerm));
@@ -230,32 +233,32 @@
 // --- From discovery --------------------------------------------------------------------------------------
 
 // One of a zone or kind that the settings do not name is of none of theirs, also after others have come in.
-Member Gatekeeper::memberOf(const Instance& instance, const WorkerStart& start, const NameIndex& zones,
-                            const NameIndex& kinds) const {
-  Member out;
+Endpoint Gatekeeper::memberOf(const Instance& instance, const WorkerStart& start, const NameIndex& zones,
+                              const NameIndex& kinds) const {
+  Endpoint out;
   out.worker = numberOf(instance.id);
   out.phase = instance.phase;
   out.zone = zones.of(instance.zone);
-  out.kind = kinds.of(instance.kind);
+  out.machineType = kinds.of(instance.kind);
   out.cell = instance.cell;
-  out.started = start.warmFrom;
+  out.startedAt = start.warmFrom;
   return out;
 }
 
 // Told to drain, or gone: nothing new to it.
-void Gatekeeper::leave(WorkerId worker, decision::Phase phase, Time now) {
+void Gatekeeper::leave(WorkerId worker, decision::WorkerPhase phase, Time now) {
   listed_.erase(worker);
   monitor_.workerLeaves(worker, phase, now);
   pool_.retire(worker);
 }
 
-void Gatekeeper::told(const Roster& roster, ListKind kind) {
+void Gatekeeper::told(const Roster& roster, EndpointUpdate kind) {
   const Time now = clock_.now();
-  const bool live = listTold_ && kind != ListKind::cached;
+  const bool live = listTold_ && kind != EndpointUpdate::cached;
   for (const Instance& instance : roster.instances) starts_.hear(instance.startedAtMs, now);
-  std::vector<Member> members;
+  std::vector<Endpoint> members;
   std::unordered_set<WorkerId> unnamed;
-  if (kind != ListKind::delta) unnamed = listed_;
+  if (kind != EndpointUpdate::delta) unnamed = listed_;
   const NameIndex zones(config_.host.zones), kinds(config_.host.kinds);
   for (const Instance& instance : roster.instances) {
     const WorkerId worker = numberOf(instance.id);
@@ -263,7 +266,7 @@
     members.push_back(memberOf(instance, start, zones, kinds));
     noteNamed(instance.id);
     unnamed.erase(worker);
-    if (instance.phase == decision::Phase::ready) {
+    if (instance.phase == decision::WorkerPhase::ready) {
       listed_.insert(worker);
       monitor_.workerReady(worker, start.warmFrom);
       pool_.place(worker, {instance.address, processFrom(start)});
@@ -271,11 +274,11 @@
       leave(worker, instance.phase, now);
     }
   }
-  for (const WorkerId worker : unnamed) leave(worker, decision::Phase::gone, now);
+  for (const WorkerId worker : unnamed) leave(worker, decision::WorkerPhase::removed, now);
   starts_.trim([this](WorkerId worker) { return listed_.contains(worker); });
-  gateway_.members(now, kind, members);
+  gateway_.onEndpoints(now, kind, members);
   ready_ = ready_ || !listed_.empty();
-  if (kind != ListKind::cached) settle();
+  if (kind != EndpointUpdate::cached) settle();
 }
 
 // What the agent has counts as told from a process's first moment, and the list that the process was given
@@ -299,7 +302,7 @@
   if (!listTold_ || std::exchange(settled_, true)) return;
   settle_.cancel();
   for (const decision::Request& request : std::exchange(early_, {}))
-    if (held_.contains(request.id)) gateway_.request(clock_.now(), request);
+    if (held_.contains(request.id)) gateway_.onRequest(clock_.now(), request);
 }
 
 }  // namespace wingslip
--- a/src/gatekeeper/gatekeeper.hpp
+++ b/src/gatekeeper/gatekeeper.hpp
@@ -9,22 +9,22 @@
 #include <unordered_map>
 #include <unordered_set>
 
-#include "leader_election/coordinator.hpp"
-#include "invariant/monitor.hpp"
-#include "wingslip/decision/gateway.hpp"
-#include "net/overload_manager.hpp"
-#include "gatekeeper/client_server.hpp"
 #include "config/config.hpp"
+#include "endpoint_watch/start_times.hpp"
+#include "gatekeeper/client_server.hpp"
+#include "gatekeeper/decision_clock.hpp"
 #include "gatekeeper/discovery.hpp"
 #include "gatekeeper/exclusions.hpp"
 #include "gatekeeper/metrics.hpp"
-#include "gatekeeper/decision_clock.hpp"
 #include "gatekeeper/name_index.hpp"
 #include "gatekeeper/ops_server.hpp"
 #include "gatekeeper/send_guard.hpp"
 #include "gatekeeper/upstream_pool.hpp"
+#include "invariant/monitor.hpp"
+#include "leader_election/coordinator.hpp"
+#include "net/overload_manager.hpp"
 #include "replication/replica_node.hpp"
-#include "endpoint_watch/start_times.hpp"
+#include "wingslip/decision/gateway.hpp"
 
 namespace wingslip {
 
@@ -64,8 +64,8 @@
     bool streamed = false;                // the body is not held whole
     bool pulled = false;                  // and what is held is no more its beginning and all that has come
     bool answering = false;               // the answer has begun to be passed on
-    decision::Result lastResult = decision::Result::ok;  // of its last attempt
-    decision::Time attemptUntil = 0;                     // when the attempt that is out is given up
+    decision::AttemptResult lastResult = decision::AttemptResult::ok;  // of its last attempt
+    decision::Time attemptUntil = 0;  // when the attempt that is out is given up
     invariant::RequestTrace trace;
   };
 
@@ -88,20 +88,20 @@
   std::string replica() const override;
 
   // Actions
-  void send(decision::RequestId id, decision::WorkerId worker, decision::Time timeout) override;
-  void refuse(decision::RequestId id, decision::Time retryAfter) override;
+  void startAttempt(decision::RequestId id, decision::WorkerId worker, decision::Time timeout) override;
+  void reject(decision::RequestId id, decision::Time retryAfter) override;
   void fail(decision::RequestId id) override;
   void setTimer(decision::Time wait, std::uint64_t tag) override;
-  void subscribe() override {}  // the watch is always open
+  void pollEndpoints() override {}  // the watch is always open
   void log(const std::string& line) override;
 
-  void told(const Roster& roster, decision::ListKind kind);
-  void leave(decision::WorkerId worker, decision::Phase phase, decision::Time now);
+  void told(const Roster& roster, decision::EndpointUpdate kind);
+  void leave(decision::WorkerId worker, decision::WorkerPhase phase, decision::Time now);
   void settle();
   void settleOnce();
   bool renumber(decision::Request& request, const NameIndex& classes, const NameIndex& plans) const;
-  decision::Member memberOf(const Instance& instance, const WorkerStart& start, const NameIndex& zones,
-                            const NameIndex& kinds) const;
+  decision::Endpoint memberOf(const Instance& instance, const WorkerStart& start, const NameIndex& zones,
+                              const NameIndex& kinds) const;
   void ended(AttemptEnd&& end);
   void expire(decision::RequestId id);
   void giveUpAll();
@@ -127,7 +127,7 @@
   std::optional<std::string> compose(decision::RequestId id, decision::WorkerId worker);
   SendRefusal refusalOf(decision::RequestId id, decision::WorkerId worker, decision::Time now) const;
   std::shared_ptr<Responder> conclude(decision::RequestId id, invariant::RequestState how);
-  void noteEnd(const decision::Outcome& outcome);
+  void noteEnd(const decision::AttemptOutcome& outcome);
   void finishDrain(const std::function<void()>& done);
   void pull(decision::RequestId id, AttemptRequest::Take take);
   void becameWhole(decision::RequestId id, Held& held);
--- a/src/gatekeeper/gatekeeper_limits.cpp
+++ b/src/gatekeeper/gatekeeper_limits.cpp
@@ -62,12 +62,13 @@
 Pressure::Limits pressureLimits(const Config& config) {
   decision::Time aim = 0;
   for (const auto& klass : config.settings.classes)
-    if (klass.aim > 0) aim = aim > 0 ? std::min(aim, klass.aim) : klass.aim;
+    if (klass.latencyObjectiveMs > 0)
+      aim = aim > 0 ? std::min(aim, klass.latencyObjectiveMs) : klass.latencyObjectiveMs;
   return Pressure::limitsFor(aim);
 }
 
 Watch::Limits watchLimits(const Config& config) {
-  return Watch::limitsFor(config.settings.drainGrace, config.settings.gateways);
+  return Watch::limitsFor(config.settings.drainGraceMs, config.settings.gatewayCount);
 }
 
 decision::WorkerId numberOf(const std::string& instanceId) { return std::hash<std::string>{}(instanceId); }
--- a/src/gatekeeper/gatekeeper_operators.cpp
+++ b/src/gatekeeper/gatekeeper_operators.cpp
@@ -10,8 +10,8 @@
 namespace wingslip {
 namespace {
 
+using decision::AttemptResult;
 using decision::RequestId;
-using decision::Result;
 using decision::Time;
 using decision::WorkerId;
 using namespace std::chrono_literals;
@@ -39,11 +39,11 @@
 bool Gatekeeper::readyToServe() const { return ready() && !draining_; }
 
 std::string Gatekeeper::telemetry() const {
-  const decision::Census census = gateway_.census(clock_.now());
+  const decision::WorkerCounts census = gateway_.workerCounts(clock_.now());
   Metrics figures = metrics_;
   figures.attempts = pool_.attemptsWritten();
   figures.shortHere = pool_.shortHere();
-  figures.refusals = gateway_.refusals();
+  figures.refusals = gateway_.rejectionCounts();
   return telemetryText(figures, {held_.size(), census.listed, census.avoided},
                        monitor_.telemetry() + server_.closes().telemetry("close") +
                            sendRefusals_.telemetry("not_sent", 1) + pressure_.telemetry() +
@@ -134,7 +134,7 @@
   leave_.async_wait([this](const Error& error) {
     if (error || draining_) return;
     const Time now = clock_.now();
-    wingslip::leave(config_.stateDir, {now, gateway_.warmRate(now), starts_.offset()});
+    wingslip::leave(config_.stateDir, {now, gateway_.warmWorkerRate(now), starts_.offset()});
     handOverLater();
   });
 }
@@ -144,7 +144,7 @@
   const Time now = clock_.now();
   const auto left = inherit(config_.stateDir);
   if (!left || std::abs(now - left->at) >= kHandoverHolds) return;
-  if (left->warmRate > 0) gateway_.knowWarmRate(now, left->warmRate);
+  if (left->warmRate > 0) gateway_.seedWarmWorkerRate(now, left->warmRate);
   starts_ = StartTimes(left->clockOffset);
 }
 
@@ -172,7 +172,7 @@
   const UpstreamPool::Stats pool = pool_.takeStats();
   const ClientServer::Stats server = server_.takeStats();
   const Discovery::Stats discovery = discovery_->takeStats();
-  const auto ended = [&](Result result) { return pool.results[static_cast<std::size_t>(result)]; };
+  const auto ended = [&](AttemptResult result) { return pool.results[static_cast<std::size_t>(result)]; };
   processLog().info(
       "event=requests served={} refused={} failed={} rejected={} held={} client_connections={} "
       "most_buffered_client={} most_waited_ms={:.0f}",
@@ -181,9 +181,10 @@
   processLog().info(
       "event=attempts ok={} error={} unreadable={} full={} timeout={} unconnected={} reset={} "
       "reset_reused={} reset_in_answer={} cancelled={} worker_connections={} most_buffered_worker={}",
-      ended(Result::ok), ended(Result::error), pool.unreadable, ended(Result::full), ended(Result::timeout),
-      ended(Result::connectFailed), ended(Result::reset), pool.resetReused, pool.resetInAnswer,
-      ended(Result::cancelled), pool_.connections(), pool.mostBuffered);
+      ended(AttemptResult::ok), ended(AttemptResult::error), pool.unreadable,
+      ended(AttemptResult::overloaded), ended(AttemptResult::timeout), ended(AttemptResult::connectFailed),
+      ended(AttemptResult::reset), pool.resetReused, pool.resetInAnswer, ended(AttemptResult::cancelled),
+      pool_.connections(), pool.mostBuffered);
   processLog().info("event=lists read={} longest_line={} lists={} calls={} invariants_broken={}",
                     discovery.read, discovery.longestLine, discovery.lists, discovery.calls,
                     monitor_.total());
--- a/src/gatekeeper/gatekeeper_requests.cpp
+++ b/src/gatekeeper/gatekeeper_requests.cpp
@@ -10,9 +10,9 @@
 namespace wingslip {
 namespace {
 
-using decision::Outcome;
+using decision::AttemptOutcome;
+using decision::AttemptResult;
 using decision::RequestId;
-using decision::Result;
 using decision::Time;
 using decision::WorkerId;
 using namespace std::chrono_literals;
@@ -47,8 +47,8 @@
   held.streamed = !call.whole;
   const decision::ClassSettings& klass = config_.settings.classes[call.klass];
   held.trace.name = std::string(view(held.message["Req-Id"]));
-  held.trace.repeat = klass.repeat;
-  held.trace.window = klass.window;
+  held.trace.repeat = klass.idempotency;
+  held.trace.window = klass.idempotencyWindowMs;
   held.trace.cap = config_.settings.maxAttempts;
   held.trace.deadline = now + call.patience + (held.streamed ? kMostUpload : 0);
   monitor_.taken(held.trace, now);
@@ -59,7 +59,7 @@
   pressure_.activity();
   const decision::Request request{id,           call.klass, call.plan,    call.customer,
                                   held.expires, call.units, call.setSize, static_cast<double>(call.holds)};
-  if (settled_) return gateway_.request(now, request);
+  if (settled_) return gateway_.onRequest(now, request);
   early_.push_back(request);
 }
 
@@ -102,7 +102,7 @@
   held.expires = now + held.patience;
   held.trace.deadline = held.expires + kWayBack;
   setDeadline(id, held);
-  gateway_.whole(now, id, held.expires);
+  gateway_.onRequestComplete(now, id, held.expires);
 }
 
 void Gatekeeper::left(RequestId id) {
@@ -111,23 +111,23 @@
   ++found->second.counts->failure;
   monitor_.clientLeft(found->second.trace, clock_.now());
   held_.erase(found);
-  gateway_.clientLeft(clock_.now(), id);
-  if (auto end = pool_.giveUp(id, Result::cancelled)) ended(std::move(*end));
+  gateway_.onClientDisconnect(clock_.now(), id);
+  if (auto end = pool_.giveUp(id, AttemptResult::cancelled)) ended(std::move(*end));
 }
 
 // The deadline: an attempt that is out has timed out. The answer goes out now, whatever the module says.
 void Gatekeeper::expire(RequestId id) {
   const auto found = held_.find(id);
   if (found == held_.end() || found->second.answering) return;
-  if (!settled_) return refuse(id, kEarlyRetry);
-  if (auto end = pool_.giveUp(id, Result::timeout)) {
-    end->outcome.finished = false;
+  if (!settled_) return reject(id, kEarlyRetry);
+  if (auto end = pool_.giveUp(id, AttemptResult::timeout)) {
+    end->outcome.requestFinished = false;
     noteEnd(end->outcome);
-    gateway_.outcome(std::max(clock_.now(), found->second.expires), end->outcome);
+    gateway_.onAttemptOutcome(std::max(clock_.now(), found->second.expires), end->outcome);
   }
   if (!held_.contains(id)) return;
   fail(id);
-  gateway_.clientLeft(clock_.now(), id);
+  gateway_.onClientDisconnect(clock_.now(), id);
 }
 
 void Gatekeeper::giveUpAll() {
@@ -136,18 +136,18 @@
     if (!held.answering) ids.push_back(id);  // what has begun goes on to the end
   for (const RequestId id : ids) {
     if (!settled_) {
-      refuse(id, kEarlyRetry);
+      reject(id, kEarlyRetry);
       continue;
     }
     fail(id);
-    gateway_.clientLeft(clock_.now(), id);
-    if (auto end = pool_.giveUp(id, Result::cancelled)) ended(std::move(*end));
+    gateway_.onClientDisconnect(clock_.now(), id);
+    if (auto end = pool_.giveUp(id, AttemptResult::cancelled)) ended(std::move(*end));
   }
 }
 
 // --- From the workers ------------------------------------------------------------------------------------
 
-void Gatekeeper::noteEnd(const Outcome& outcome) {
+void Gatekeeper::noteEnd(const AttemptOutcome& outcome) {
   const auto found = held_.find(outcome.id);
   if (found == held_.end()) return;
   found->second.lastResult = outcome.result;
@@ -155,14 +155,14 @@
 }
 
 void Gatekeeper::ended(AttemptEnd&& end) {
-  Outcome& outcome = end.outcome;
+  AttemptOutcome& outcome = end.outcome;
   noteEnd(outcome);
   const bool mine = held_.contains(outcome.id);
-  outcome.finished = !mine || outcome.result == Result::ok;
+  outcome.requestFinished = !mine || outcome.result == AttemptResult::ok;
   pressure_.activity();
   if (mine && held_.at(outcome.id).answering) {
     finishStream(end);
-  } else if (mine && outcome.result == Result::ok) {
+  } else if (mine && outcome.result == AttemptResult::ok) {
     Answer served;
     served.body = std::move(end.body);
     served.contentType = std::move(end.contentType);
@@ -171,7 +171,7 @@
     ++held_.at(outcome.id).counts->success;
     answer(outcome.id, std::move(served));
   }
-  gateway_.outcome(clock_.now(), outcome);
+  gateway_.onAttemptOutcome(clock_.now(), outcome);
 }
 
 void Gatekeeper::began(RequestId id, const std::string& contentType, std::optional<std::uint64_t> length) {
@@ -180,7 +180,7 @@
   found->second.answering = true;
   found->second.deadline.cancel();
   monitor_.streaming(found->second.trace, clock_.now());
-  gateway_.answering(clock_.now(), id);
+  gateway_.onResponseStarted(clock_.now(), id);
   found->second.responder->begin({contentType, length});
 }
 
@@ -193,9 +193,9 @@
 
 // The end of an answer that was passed on as it came, or what could be had of it.
 void Gatekeeper::finishStream(AttemptEnd& end) {
-  end.outcome.finished = true;
+  end.outcome.requestFinished = true;
   const auto found = held_.find(end.outcome.id);
-  const bool whole = end.outcome.result == Result::ok;
+  const bool whole = end.outcome.result == AttemptResult::ok;
   ++(whole ? served_ : failed_);
   ++(whole ? found->second.counts->success : found->second.counts->failure);
   const auto responder =
@@ -211,7 +211,7 @@
 // --- What the module asks for ----------------------------------------------------------------------------
 // These are called from within an event, so none of them feeds the module another.
 
-void Gatekeeper::send(RequestId id, WorkerId worker, Time timeout) {
+void Gatekeeper::startAttempt(RequestId id, WorkerId worker, Time timeout) {
   const auto found = held_.find(id);
   if (found == held_.end()) return;
   Held& held = found->second;
@@ -260,11 +260,11 @@
   end.outcome.id = id;
   end.outcome.attempt = attempt;
   end.outcome.worker = worker;
-  end.outcome.result = Result::moot;
+  end.outcome.result = AttemptResult::notSent;
   asio::post(io_, [this, end = std::move(end)]() mutable { ended(std::move(end)); });
 }
 
-void Gatekeeper::refuse(RequestId id, Time retryAfter) {
+void Gatekeeper::reject(RequestId id, Time retryAfter) {
   Answer refusal;
   refusal.status = http::status::too_many_requests;
   refusal.body = "refused: try again later\n";
@@ -293,7 +293,7 @@
   auto timer = std::make_unique<asio::steady_timer>(io_, span(wait));
   auto& pending = *timer;
   pending.async_wait([this, timer = std::move(timer), tag](const Error& error) {
-    if (!error) gateway_.timer(clock_.now(), tag);
+    if (!error) gateway_.onTimer(clock_.now(), tag);
   });
 }
 
@@ -361,12 +361,12 @@
 // One that is out for a request that the module has given up on. The module learns its end from a handler of
 // its own.
 void Gatekeeper::dropAttempt(RequestId id) {
-  auto end = pool_.giveUp(id, Result::cancelled);
+  auto end = pool_.giveUp(id, AttemptResult::cancelled);
   if (!end) return;
   asio::post(io_, [this, alive = std::weak_ptr<bool>(alive_), outcome = std::move(end->outcome)]() mutable {
     if (alive.expired()) return;
-    outcome.finished = true;
-    gateway_.outcome(clock_.now(), outcome);
+    outcome.requestFinished = true;
+    gateway_.onAttemptOutcome(clock_.now(), outcome);
   });
 }
 
--- a/src/gatekeeper/metrics.hpp
+++ b/src/gatekeeper/metrics.hpp
@@ -15,13 +15,13 @@
   std::uint64_t success = 0, busy = 0, failure = 0;  // final answers
 };
 
-// Attempts after the first of their request, by how the one before had ended (decision::Result).
+// Attempts after the first of their request, by how the one before had ended (decision::AttemptResult).
 struct RetryCounts {
   static constexpr std::array<const char*, 8> kNames{"ok",          "error", "declined",  "timeout",
                                                      "unconnected", "reset", "cancelled", "never_sent"};
   std::array<std::uint64_t, kNames.size()> after{};
 
-  void add(decision::Result before) { ++after[static_cast<std::size_t>(before)]; }
+  void add(decision::AttemptResult before) { ++after[static_cast<std::size_t>(before)]; }
 };
 
 // By the class's name: one that a reload drops keeps its counts.
@@ -31,7 +31,7 @@
   std::uint64_t shortHere = 0;  // not begun for want of descriptors or memory here
   std::uint64_t reconfigOk = 0, reconfigFailed = 0;
   RetryCounts retries;
-  decision::RefusalCounts refusals;
+  decision::RejectionCounts refusals;
 };
 
 struct Gauges {
@@ -56,12 +56,12 @@
   line("reconfig_failed", metrics.reconfigFailed, "c");
   for (std::size_t i = 0; i < RetryCounts::kNames.size(); ++i)
     line(std::string("retry_after.") + RetryCounts::kNames[i], metrics.retries.after[i], "c");
-  line("refused.bucket", metrics.refusals.bucket, "c");
-  line("refused.store", metrics.refusals.store, "c");
-  line("refused.unknown", metrics.refusals.stranger, "c");
-  line("refused.worker", metrics.refusals.worker, "c");
-  line("refused.limit", metrics.refusals.room, "c");
-  line("refused.pressed", metrics.refusals.pressed, "c");
+  line("refused.bucket", metrics.refusals.localQuota, "c");
+  line("refused.store", metrics.refusals.fleetQuota, "c");
+  line("refused.unknown", metrics.refusals.unknownCustomer, "c");
+  line("refused.worker", metrics.refusals.noWorker, "c");
+  line("refused.limit", metrics.refusals.concurrencyLimit, "c");
+  line("refused.pressed", metrics.refusals.overload, "c");
   line("inflight", gauges.inFlight, "g");
   line("hosts_listed", gauges.listed, "g");
   line("hosts_down", gauges.down, "g");
--- a/src/gatekeeper/upstream_pool.cpp
+++ b/src/gatekeeper/upstream_pool.cpp
@@ -15,9 +15,9 @@
 namespace {
 
 using asio::ip::tcp;
-using decision::Outcome;
+using decision::AttemptOutcome;
+using decision::AttemptResult;
 using decision::RequestId;
-using decision::Result;
 using decision::WorkerId;
 using Clock = std::chrono::steady_clock;
 
@@ -55,11 +55,11 @@
   return found == fields.size() && found > 0 ? out : std::vector<double>{};
 }
 
-Result resultOf(const http::response<WindowBody>& answer) {
-  if (answer.result() == http::status::ok) return Result::ok;
+AttemptResult resultOf(const http::response<WindowBody>& answer) {
+  if (answer.result() == http::status::ok) return AttemptResult::ok;
   const bool busy = answer.result() == http::status::service_unavailable ||
                     answer.result() == http::status::gateway_timeout;
-  return busy && view(answer["Srv-Declined"]) == "1" ? Result::full : Result::error;
+  return busy && view(answer["Srv-Declined"]) == "1" ? AttemptResult::overloaded : AttemptResult::error;
 }
 
 }  // namespace
@@ -96,7 +96,7 @@
   }
 
   void begin(RequestId id, unsigned attempt, AttemptRequest request, std::optional<Clock::duration> timeout) {
-    outcome_ = Outcome{};
+    outcome_ = AttemptOutcome{};
     outcome_.id = id;
     outcome_.attempt = attempt;
     outcome_.worker = worker;
@@ -120,9 +120,9 @@
   bool settled() const { return Clock::now() >= restedAt_ + kSettle; }
 
   // The end of the attempt that is out, as seen from here, if it is given up now.
-  Outcome stop(Result result) {
+  AttemptOutcome stop(AttemptResult result) {
     busy_ = settling_ = false;
-    outcome_.result = written_ || result == Result::cancelled ? result : Result::connectFailed;
+    outcome_.result = written_ || result == AttemptResult::cancelled ? result : AttemptResult::connectFailed;
     stamp();
     pool_.count(outcome_.result);
     return outcome_;
@@ -184,7 +184,7 @@
   }
 
   void stamp() {
-    outcome_.elapsed = std::chrono::duration<double, std::milli>(Clock::now() - startedAt_).count();
+    outcome_.latencyMs = std::chrono::duration<double, std::milli>(Clock::now() - startedAt_).count();
   }
 
   void arm(Clock::time_point at) {
@@ -209,9 +209,9 @@
       pool_.pressure_.places().turnAway(place);
     }
     if (busy_ && (streaming_ || pull_))
-      end(Result::reset);
+      end(AttemptResult::reset);
     else if (busy_)
-      end(waiting() ? Result::connectFailed : Result::timeout);
+      end(waiting() ? AttemptResult::connectFailed : AttemptResult::timeout);
     else
       pool_.drop(*this);
   }
@@ -219,7 +219,7 @@
   void connect() {
     arm(std::min(giveUpAt_, startedAt_ + pool_.limits_.connectTimeout));
     socket_.async_connect(address, guard([this](const Error& error, std::size_t) {
-                            if (error) return end(Result::connectFailed);
+                            if (error) return end(AttemptResult::connectFailed);
                             Error ignored;
                             socket_.set_option(tcp::no_delay(true), ignored);
                             socket_.non_blocking(true, ignored);
@@ -240,7 +240,7 @@
       return write();
     }
     asio::post(pool_.io_, [self = shared_from_this(), this, id = outcome_.id] {
-      if (!ended() && busy_ && outcome_.id == id) end(Result::connectFailed);
+      if (!ended() && busy_ && outcome_.id == id) end(AttemptResult::connectFailed);
     });
   }
 
@@ -268,7 +268,7 @@
     }
     asio::post(pool_.io_, [self = shared_from_this(), this, id = outcome_.id, error] {
       if (ended() || !busy_ || outcome_.id != id) return;
-      error ? end(Result::connectFailed) : pull();
+      error ? end(AttemptResult::connectFailed) : pull();
     });
   }
 
@@ -335,7 +335,7 @@
     socket_.async_wait(tcp::socket::wait_read, guard([this](const Error&, std::size_t) {
                          reading_ = false;
                          if (!busy_) return pool_.drop(*this);
-                         if (settling_) return end(Result::connectFailed);  // a late second answer
+                         if (settling_) return end(AttemptResult::connectFailed);  // a late second answer
                          if (!room_.resize(cost(kReadStep))) return read();
                          Error error;
                          const std::size_t n = readSome(socket_, in_.prepare(kReadStep), error);
@@ -359,7 +359,7 @@
         !written_ && !pull_ && parser_->is_header_done() && parser_->get().result() == http::status::ok;
     if (error || early) {
       ++pool_.stats_.unreadable;
-      return end(Result::error);
+      return end(AttemptResult::error);
     }
     if (!streaming_ && parser_->is_header_done() && tooLongToHold()) {
       if (parser_->get().result() != http::status::ok) return answered(false);  // the rest is of no use
@@ -400,7 +400,7 @@
     }
     pool_.stats_.resetReused += used_;
     pool_.stats_.resetInAnswer += parser_->got_some();
-    end(Result::reset);
+    end(AttemptResult::reset);
   }
 
   void answered(bool complete) {
@@ -411,11 +411,11 @@
     if (!streaming_) stamp();
     pool_.count(outcome_.result);
     int percent = 0;
-    if (parse(view(answer["X-RateLimit-Used"]), percent) && percent >= 0) outcome_.usePercent = percent;
+    if (parse(view(answer["X-RateLimit-Used"]), percent) && percent >= 0) outcome_.quotaUsePercent = percent;
     double units = 0;
     if (parse(view(answer["X-Cost-Units"]), units) && std::isfinite(units) && units > 0)
-      outcome_.trueUnits = units;
-    outcome_.report = readReport(view(answer["Srv-Load"]), pool_.reportFields_);
+      outcome_.actualUnits = units;
+    outcome_.loadReport = readReport(view(answer["Srv-Load"]), pool_.reportFields_);
     whole.outcome = outcome_;
     whole.contentType = std::string(view(answer[http::field::content_type]));
     // Kept only if the exchange was a whole and ordinary one: nothing of it is left on either side.
@@ -439,7 +439,7 @@
     pool_.finish(*this, std::move(whole));
   }
 
-  void end(Result result) {
+  void end(AttemptResult result) {
     AttemptEnd whole;
     whole.streamed = streaming_;
     whole.outcome = stop(result);
@@ -461,7 +461,7 @@
   std::function<void(AttemptRequest::Take)> pull_;       // the rest of the body
   std::function<std::optional<std::string>()> compose_;  // until the first byte is written
   std::optional<Clock::duration> timeout_;
-  Outcome outcome_;
+  AttemptOutcome outcome_;
   Clock::time_point startedAt_, giveUpAt_, restedAt_;
   std::size_t sent_ = 0;  // of `out_`
   bool up_ = false;
@@ -475,7 +475,7 @@
 };
 
 UpstreamPool::UpstreamPool(asio::io_context& io, const Limits& limits, std::vector<std::string> reportFields,
-                       OverloadManager& pressure, Ended ended)
+                           OverloadManager& pressure, Ended ended)
     : io_(io),
       limits_(limits),
       reportFields_(std::move(reportFields)),
@@ -511,7 +511,7 @@
   for (const Shared& connection : worker.busy)
     if (meant(*connection)) ending.push_back(connection);
   for (const Shared& connection : ending) {
-    report(connection->stop(Result::reset));
+    report(connection->stop(AttemptResult::reset));
     removeBusy(connection->request());
     drop(*connection);
   }
@@ -545,7 +545,7 @@
 }
 
 void UpstreamPool::start(RequestId id, unsigned attempt, WorkerId target, AttemptRequest request,
-                       std::optional<Clock::duration> timeout) {
+                         std::optional<Clock::duration> timeout) {
   const auto worker = workers_.find(target);
   Shared connection;
   // What is short here, descriptors or memory, is no fault of the worker's: nothing is sent, and the module
@@ -572,11 +572,11 @@
     pressure_.places().turnAway(WaitAt::attemptOut);
   }
   if (!connection) {
-    Outcome outcome;
+    AttemptOutcome outcome;
     outcome.id = id;
     outcome.attempt = attempt;
     outcome.worker = target;
-    outcome.result = shortHere ? Result::moot : Result::connectFailed;
+    outcome.result = shortHere ? AttemptResult::notSent : AttemptResult::connectFailed;
     count(outcome.result);
     return report(outcome);
   }
@@ -584,7 +584,7 @@
   connection->begin(id, attempt, std::move(request), timeout);
 }
 
-std::optional<AttemptEnd> UpstreamPool::giveUp(RequestId id, Result result) {
+std::optional<AttemptEnd> UpstreamPool::giveUp(RequestId id, AttemptResult result) {
   const auto found = busy_.find(id);
   if (found == busy_.end()) return std::nullopt;
   const Shared connection = found->second;
@@ -637,7 +637,7 @@
 }
 
 // Reports an end from a handler of its own: the module is never told anything from within one of its actions.
-void UpstreamPool::report(Outcome outcome) {
+void UpstreamPool::report(AttemptOutcome outcome) {
   asio::post(io_, [this, alive = alive_, outcome = std::move(outcome)]() mutable {
     if (!*alive) return;
     AttemptEnd end;
--- a/src/gatekeeper/upstream_pool.hpp
+++ b/src/gatekeeper/upstream_pool.hpp
@@ -16,16 +16,16 @@
 #include <utility>
 #include <vector>
 
-#include "wingslip/decision/gateway.hpp"
-#include "net/overload_manager.hpp"
 #include "net/http.hpp"
+#include "net/overload_manager.hpp"
+#include "wingslip/decision/gateway.hpp"
 
 namespace wingslip {
 
 // How an attempt ended, and the answer if it was served; of one that was passed on as it came, the last
 // piece.
 struct AttemptEnd {
-  decision::Outcome outcome;
+  decision::AttemptOutcome outcome;
   std::string body;
   std::string contentType;
   bool streamed = false;
@@ -70,7 +70,7 @@
   };
   // What happened since the last look, for the service log.
   struct Stats {
-    std::array<unsigned, 8> results{};  // attempts ended, by decision::Result
+    std::array<unsigned, 8> results{};  // attempts ended, by decision::AttemptResult
     unsigned unreadable = 0;            // answers that were no HTTP message within the limits
     unsigned resetReused = 0;           // connections that broke under an attempt and had carried one before
     unsigned resetInAnswer = 0;         // and that broke within an answer
@@ -78,7 +78,7 @@
   };
 
   UpstreamPool(boost::asio::io_context& io, const Limits& limits, std::vector<std::string> reportFields,
-             OverloadManager& pressure, Ended ended);
+               OverloadManager& pressure, Ended ended);
   ~UpstreamPool();
   UpstreamPool(const UpstreamPool&) = delete;
   UpstreamPool& operator=(const UpstreamPool&) = delete;
@@ -94,7 +94,7 @@
   void start(decision::RequestId id, unsigned attempt, decision::WorkerId worker, AttemptRequest request,
              std::optional<std::chrono::steady_clock::duration> timeout);
   // Gives the attempt of this request up and closes its connection; `ended` is not called for it.
-  std::optional<AttemptEnd> giveUp(decision::RequestId id, decision::Result result);
+  std::optional<AttemptEnd> giveUp(decision::RequestId id, decision::AttemptResult result);
 
   void streamTo(Streams streams) { streams_ = std::move(streams); }
   // There is room for the next piece of this request's answer.
@@ -129,13 +129,13 @@
   Shared takeIdle(Worker& worker);
   bool makeRoom();
   bool dropOldestIdle();
-  void report(decision::Outcome outcome);
+  void report(decision::AttemptOutcome outcome);
   void finish(Connection& connection, AttemptEnd&& end);
   void keep(const Shared& connection);
   void drop(Connection& connection);
   void closeIdle(Worker& worker);
   void endThose(const Worker& worker, const std::function<bool(const Connection&)>& meant);
-  void count(decision::Result result) { ++stats_.results[static_cast<std::size_t>(result)]; }
+  void count(decision::AttemptResult result) { ++stats_.results[static_cast<std::size_t>(result)]; }
 
   boost::asio::io_context& io_;
   Limits limits_;
--- a/src/invariant/monitor.cpp
+++ b/src/invariant/monitor.cpp
@@ -8,10 +8,10 @@
 namespace wingslip::invariant {
 namespace {
 
-using decision::Phase;
-using decision::Repeat;
-using decision::Result;
+using decision::AttemptResult;
+using decision::Idempotency;
 using decision::WorkerId;
+using decision::WorkerPhase;
 
 constexpr std::array<std::string_view, 17> kStateNames{"taken",
                                                        "connecting",
@@ -31,31 +31,32 @@
                                                        "cut",
                                                        "client_left"};
 
-RequestState stateOf(Result result) {
+RequestState stateOf(AttemptResult result) {
   switch (result) {
-    case Result::ok:
+    case AttemptResult::ok:
       return RequestState::ended_ok;
-    case Result::error:
+    case AttemptResult::error:
       return RequestState::ended_error;
-    case Result::full:
+    case AttemptResult::overloaded:
       return RequestState::ended_declined;
-    case Result::timeout:
+    case AttemptResult::timeout:
       return RequestState::ended_timeout;
-    case Result::connectFailed:
+    case AttemptResult::connectFailed:
       return RequestState::ended_unconnected;
-    case Result::reset:
+    case AttemptResult::reset:
       return RequestState::ended_reset;
-    case Result::cancelled:
+    case AttemptResult::cancelled:
       return RequestState::ended_cancelled;
-    case Result::moot:
+    case AttemptResult::notSent:
       return RequestState::ended_never_sent;
   }
   return RequestState::ended_error;
 }
 
 /// Whether a request that was sent surely never ran (PROTOCOL, "has it run?").
-bool provesUnrun(Result result) {
-  return result == Result::full || result == Result::connectFailed || result == Result::moot;
+bool provesUnrun(AttemptResult result) {
+  return result == AttemptResult::overloaded || result == AttemptResult::connectFailed ||
+         result == AttemptResult::notSent;
 }
 
 std::string milliseconds(Time span) {
@@ -92,12 +93,12 @@
 void Monitor::workerReady(WorkerId worker, Time warmFrom) {
   Worker& known = workers_[worker];
   known.leavesSince.reset();
-  known.phase = Phase::ready;
+  known.phase = WorkerPhase::ready;
   if (known.warmFrom != warmFrom) known.sent.clear();
   known.warmFrom = warmFrom;
 }
 
-void Monitor::workerLeaves(WorkerId worker, Phase phase, Time now) {
+void Monitor::workerLeaves(WorkerId worker, WorkerPhase phase, Time now) {
   Worker& known = workers_[worker];
   if (!known.leavesSince) known.leavesSince = now;
   known.phase = phase;
@@ -114,7 +115,7 @@
 void Monitor::trimWorkers() {
   if (workers_.size() <= kMostWorkers) return;
   std::erase_if(workers_, [](const auto& entry) {
-    return entry.second.phase == Phase::gone && !entry.second.excludedSince;
+    return entry.second.phase == WorkerPhase::removed && !entry.second.excludedSince;
   });
 }
 
@@ -146,9 +147,10 @@
 }
 
 void Monitor::checkRepeat(const RequestTrace& trace, Time now) {
-  if (trace.out_ && trace.repeat != Repeat::safe) violated(Invariant::concurrent_attempts, now, trace, "");
-  if (!trace.mayHaveRunSince_ || trace.repeat == Repeat::safe) return;
-  const bool inWindow = trace.repeat == Repeat::keyed && now <= *trace.mayHaveRunSince_ + trace.window;
+  if (trace.out_ && trace.repeat != Idempotency::idempotent)
+    violated(Invariant::concurrent_attempts, now, trace, "");
+  if (!trace.mayHaveRunSince_ || trace.repeat == Idempotency::idempotent) return;
+  const bool inWindow = trace.repeat == Idempotency::withKey && now <= *trace.mayHaveRunSince_ + trace.window;
   if (!inWindow) violated(Invariant::unsafe_request_resent, now, trace, "");
 }
 
@@ -159,8 +161,8 @@
   if (worker.excludedSince)
     violated(Invariant::sent_to_excluded, now, trace, "since " + milliseconds(now - *worker.excludedSince));
   if (worker.leavesSince && now > *worker.leavesSince + rules_.stopSendingWithin)
-    violated(worker.phase == Phase::gone ? Invariant::sent_to_gone : Invariant::sent_to_draining, now, trace,
-             "told " + milliseconds(now - *worker.leavesSince) + " ago");
+    violated(worker.phase == WorkerPhase::removed ? Invariant::sent_to_gone : Invariant::sent_to_draining,
+             now, trace, "told " + milliseconds(now - *worker.leavesSince) + " ago");
   checkSlowStart(trace, worker, now);
 }
 
@@ -187,7 +189,7 @@
              std::to_string(worker.sent.size()) + " calls of " + std::to_string(most));
 }
 
-void Monitor::ended(RequestTrace& trace, WorkerId worker, Result result, Time now) {
+void Monitor::ended(RequestTrace& trace, WorkerId worker, AttemptResult result, Time now) {
   trace.add(now, stateOf(result), worker);
   if (!trace.out_) return;
   trace.out_ = false;
--- a/src/invariant/monitor.hpp
+++ b/src/invariant/monitor.hpp
@@ -56,7 +56,7 @@
   /// `name`: the client's id of the request, for the log.
   std::string name;
   Time deadline = 0;  ///< of its client; moves while a body is still to come
-  decision::Repeat repeat = decision::Repeat::unsafe;
+  decision::Idempotency repeat = decision::Idempotency::notIdempotent;
   Time window = 0;   ///< keyed: a repeat is dropped for so long after the first attempt that may have run
   unsigned cap = 1;  ///< attempts that the settings grant
 
@@ -103,7 +103,7 @@
 
   // --- Workers ---
   void workerReady(decision::WorkerId worker, Time warmFrom);
-  void workerLeaves(decision::WorkerId worker, decision::Phase phase, Time now);
+  void workerLeaves(decision::WorkerId worker, decision::WorkerPhase phase, Time now);
   void workerExcluded(decision::WorkerId worker, Time now);
   void workerIncluded(decision::WorkerId worker);
 
@@ -113,7 +113,7 @@
   /// The first byte of an attempt is about to be written, with this deadline passed on.
   void sending(RequestTrace& trace, decision::WorkerId worker, Time now, Time passedOn);
   /// Of the attempt that was sent last, or that never was.
-  void ended(RequestTrace& trace, decision::WorkerId worker, decision::Result result, Time now);
+  void ended(RequestTrace& trace, decision::WorkerId worker, decision::AttemptResult result, Time now);
   void streaming(RequestTrace& trace, Time now);
   /// The final answer: answered, refused, failed or cut.
   void answered(RequestTrace& trace, RequestState how, Time now);
@@ -134,7 +134,7 @@
  private:
   struct Worker {
     std::optional<Time> leavesSince, excludedSince;
-    decision::Phase phase = decision::Phase::ready;
+    decision::WorkerPhase phase = decision::WorkerPhase::ready;
     Time warmFrom = 0;
     std::deque<Time> sent;  // while it is in slow start: within the last `fallSpan`
   };
--- a/src/settings/settings_reader.cpp
+++ b/src/settings/settings_reader.cpp
@@ -9,9 +9,9 @@
 namespace {
 
 using decision::ClassSettings;
+using decision::DeduplicationScope;
+using decision::Idempotency;
 using decision::PlanSettings;
-using decision::Repeat;
-using decision::Scope;
 using decision::Settings;
 
 constexpr unsigned kMostItems = 4096;  // a list longer than this is taken for a damaged frame
@@ -79,28 +79,28 @@
 ClassSettings readClass(const Pairs& pairs, const std::string& at) {
   ClassSettings out;
   read(pairs, at + "name", [&](std::string_view, std::string_view v) { out.name = v; });
-  readNumber(pairs, at + "aim", out.aim);
-  readNumber(pairs, at + "deadline", out.deadline);
-  readNumber(pairs, at + "window", out.window);
-  readNumber(pairs, at + "worth", out.worth);
-  readNumber(pairs, at + "lateWorth", out.lateWorth);
+  readNumber(pairs, at + "aim", out.latencyObjectiveMs);
+  readNumber(pairs, at + "deadline", out.deadlineMs);
+  readNumber(pairs, at + "window", out.idempotencyWindowMs);
+  readNumber(pairs, at + "worth", out.priorityWeight);
+  readNumber(pairs, at + "lateWorth", out.lateAnswerValue);
   read(pairs, at + "repeat", [&](std::string_view k, std::string_view v) {
     if (v == "safe")
-      out.repeat = Repeat::safe;
+      out.idempotency = Idempotency::idempotent;
     else if (v == "keyed")
-      out.repeat = Repeat::keyed;
+      out.idempotency = Idempotency::withKey;
     else if (v == "unsafe")
-      out.repeat = Repeat::unsafe;
+      out.idempotency = Idempotency::notIdempotent;
     else
       bad("settings: unknown word", k);
   });
   read(pairs, at + "dedupScope", [&](std::string_view k, std::string_view v) {
     if (v == "all")
-      out.scope = Scope::all;
+      out.deduplicationScope = DeduplicationScope::all;
     else if (v == "zone")
-      out.scope = Scope::zone;
+      out.deduplicationScope = DeduplicationScope::zone;
     else if (v == "cell")
-      out.scope = Scope::cell;
+      out.deduplicationScope = DeduplicationScope::cell;
     else
       bad("settings: unknown word", k);
   });
@@ -112,13 +112,13 @@
   read(pairs, at + "name", [&](std::string_view, std::string_view v) { out.name = v; });
   readNumber(pairs, at + "unitsPerS", out.rate);
   readNumber(pairs, at + "depth", out.burst);
-  readWhole(pairs, at + "atOnce", out.openLimit);
+  readWhole(pairs, at + "atOnce", out.maxConcurrent);
   readNumber(pairs, at + "ceilingRate", out.ceilingRate);
   readNumber(pairs, at + "hardBurst", out.ceilingBurst);
   readNumber(pairs, at + "tolerance", out.ceilingSlack);
   readNumber(pairs, at + "pays", out.price);
-  readNumber(pairs, at + "overWorth", out.overWorth);
-  readNumber(pairs, at + "overrunCost", out.overCost);
+  readNumber(pairs, at + "overWorth", out.overQuotaValue);
+  readNumber(pairs, at + "overrunCost", out.overQuotaCost);
   return out;
 }
 
@@ -150,25 +150,26 @@
 Settings parseSettings(std::string_view text) {
   const Pairs pairs = readPairs(text);
   Settings out;
-  readWhole(pairs, "me", out.self);
-  readWhole(pairs, "nInstances", out.gateways);
+  readWhole(pairs, "me", out.gatewayIndex);
+  readWhole(pairs, "nInstances", out.gatewayCount);
   readWhole(pairs, "locality", out.zone);
-  read(pairs, "report.fields", [&](std::string_view, std::string_view v) { out.reportFields = words(v); });
+  read(pairs, "report.fields",
+       [&](std::string_view, std::string_view v) { out.loadReportFields = words(v); });
   read(pairs, "discovery", [&](std::string_view k, std::string_view v) {
     if (v != "pushed" && v != "on_request") bad("settings: unknown word", k);
-    out.askDiscovery = v == "on_request";
+    out.pollsEndpoints = v == "on_request";
   });
-  readNumber(pairs, "rules.askWithin", out.askWithin);
+  readNumber(pairs, "rules.askWithin", out.pollTimeoutMs);
   readWhole(pairs, "permissions.attemptsCap", out.maxAttempts);
-  readNumber(pairs, "permissions.maxRetryAfter", out.maxRetryAfter);
-  readNumber(pairs, "familyInfo.metering", out.meterPeriod);
-  readTruth(pairs, "familyInfo.truedUp", out.settlesUnits);
-  readNumber(pairs, "familyInfo.mostUnits", out.mostUnits);
-  readNumber(pairs, "rules.stopSendingWithin", out.drainGrace);
-  readNumber(pairs, "rules.coldFrom", out.coldFrom);
-  readNumber(pairs, "rules.warmUp", out.warmUp);
-  readNumber(pairs, "rules.fallMultiple", out.fallMultiple);
-  readNumber(pairs, "rules.overloadFor", out.fallSpan);
+  readNumber(pairs, "permissions.maxRetryAfter", out.maxRetryAfterMs);
+  readNumber(pairs, "familyInfo.metering", out.quotaReadingPeriodMs);
+  readTruth(pairs, "familyInfo.truedUp", out.correctsUnits);
+  readNumber(pairs, "familyInfo.mostUnits", out.maxUnits);
+  readNumber(pairs, "rules.stopSendingWithin", out.drainGraceMs);
+  readNumber(pairs, "rules.coldFrom", out.slowStartShare);
+  readNumber(pairs, "rules.warmUp", out.slowStartMs);
+  readNumber(pairs, "rules.fallMultiple", out.overloadMultiple);
+  readNumber(pairs, "rules.overloadFor", out.overloadWindowMs);
   readNumber(pairs, "prices.crossZone", out.crossZonePrice);
   const unsigned classes = count(pairs, "profiles");
   for (unsigned i = 0; i < classes; ++i)
--- a/src/simulator_adapter/main.cpp
+++ b/src/simulator_adapter/main.cpp
@@ -30,16 +30,16 @@
   }
   void start(std::uint64_t salt, std::string_view text) override {
     gateways_.erase(number_);
-    current_ =
-        &gateways_.emplace(number_, Gateway(settings::parseSettings(text), salt, clock_, reply)).first->second;
+    current_ = &gateways_.emplace(number_, Gateway(settings::parseSettings(text), salt, clock_, reply))
+                    .first->second;
   }
-  void members(ListKind kind, const std::vector<Member>& list) override {
-    live().members(clock_, kind, list);
+  void members(EndpointUpdate kind, const std::vector<Endpoint>& list) override {
+    live().onEndpoints(clock_, kind, list);
   }
-  void request(const Request& request) override { live().request(clock_, request); }
-  void outcome(const Outcome& outcome) override { live().outcome(clock_, outcome); }
-  void clientLeft(RequestId id) override { live().clientLeft(clock_, id); }
-  void timer(std::uint64_t tag) override { live().timer(clock_, tag); }
+  void request(const Request& request) override { live().onRequest(clock_, request); }
+  void outcome(const AttemptOutcome& outcome) override { live().onAttemptOutcome(clock_, outcome); }
+  void clientLeft(RequestId id) override { live().onClientDisconnect(clock_, id); }
+  void timer(std::uint64_t tag) override { live().onTimer(clock_, tag); }
   void stop() override {
     gateways_.erase(number_);
     current_ = nullptr;
--- a/src/simulator_adapter/wire.cpp
+++ b/src/simulator_adapter/wire.cpp
@@ -6,8 +6,8 @@
 namespace wingslip::simulator_adapter {
 namespace {
 
-using decision::Phase;
-using decision::Result;
+using decision::AttemptResult;
+using decision::WorkerPhase;
 
 static_assert(std::endian::native == std::endian::little, "the wire is little-endian");
 
@@ -38,37 +38,37 @@
   std::string_view rest_;
 };
 
-Result result(std::uint8_t code) {
+AttemptResult result(std::uint8_t code) {
   switch (code) {
     case 0:
-      return Result::ok;
+      return AttemptResult::ok;
     case 5:
-      return Result::error;
+      return AttemptResult::error;
     case 11:
-      return Result::full;
+      return AttemptResult::overloaded;
     case 110:
-      return Result::timeout;
+      return AttemptResult::timeout;
     case 111:
-      return Result::connectFailed;
+      return AttemptResult::connectFailed;
     case 104:
-      return Result::reset;
+      return AttemptResult::reset;
     case 125:
-      return Result::cancelled;
+      return AttemptResult::cancelled;
     case 114:
-      return Result::moot;
+      return AttemptResult::notSent;
     default:
       throw std::runtime_error("wire: unknown outcome " + std::to_string(code));
   }
 }
 
-Phase phase(std::uint8_t code) {
+WorkerPhase phase(std::uint8_t code) {
   switch (code) {
     case 0:
-      return Phase::gone;
+      return WorkerPhase::removed;
     case 1:
-      return Phase::ready;
+      return WorkerPhase::ready;
     case 2:
-      return Phase::draining;
+      return WorkerPhase::draining;
     default:
       throw std::runtime_error("wire: unknown phase " + std::to_string(code));
   }
@@ -87,46 +87,47 @@
   in.get<std::uint32_t>();  // the list's version
   const auto rows = in.get<std::uint32_t>();
   if (rows > in.left() / kEntry) throw std::runtime_error("wire: a list runs past the end of its frame");
-  std::vector<Member> list(rows);
-  for (Member& entry : list) {
+  std::vector<Endpoint> list(rows);
+  for (Endpoint& entry : list) {
     entry.phase = phase(in.get<std::uint8_t>());
     entry.worker = in.worker();
     in.get<float>();  // a weight against the others, which nothing here goes by
     entry.zone = in.get<std::uint8_t>();
-    entry.kind = in.get<std::uint8_t>();
-    entry.started = in.get<double>();
+    entry.machineType = in.get<std::uint8_t>();
+    entry.startedAt = in.get<double>();
     entry.cell = in.get<std::uint16_t>();
   }
-  constexpr ListKind kinds[] = {ListKind::failed, ListKind::delta, ListKind::cached, ListKind::full};
+  constexpr EndpointUpdate kinds[] = {EndpointUpdate::failed, EndpointUpdate::delta, EndpointUpdate::cached,
+                                      EndpointUpdate::snapshot};
   events.members(kinds[how], list);
 }
 
 void readRequest(Cursor& in, Events& events) {
   Request out;
   out.id = in.get<std::uint32_t>();
-  out.klass = in.get<std::uint8_t>();
-  out.plan = in.get<std::uint32_t>();
+  out.classIndex = in.get<std::uint8_t>();
+  out.planIndex = in.get<std::uint32_t>();
   out.customer = in.get<std::uint64_t>();
-  out.expires = in.get<double>();
+  out.expiresAt = in.get<double>();
   out.units = in.get<float>();
   const float set = in.get<float>();
-  out.setSize = set >= 1 && set < 65536 ? static_cast<unsigned>(set) : 1;
+  out.customerGateways = set >= 1 && set < 65536 ? static_cast<unsigned>(set) : 1;
   in.get<float>();          // the first gateway of the set
   in.get<std::uint16_t>();  // state bits
   events.request(out);
 }
 
 void readOutcome(Cursor& in, Events& events) {
-  Outcome out;
+  AttemptOutcome out;
   out.id = in.get<std::uint32_t>();
   out.result = result(in.get<std::uint8_t>());
   out.attempt = in.get<std::uint16_t>();
-  out.trueUnits = in.get<std::uint16_t>();
+  out.actualUnits = in.get<std::uint16_t>();
   out.worker = in.worker();
-  out.usePercent = static_cast<int>(in.get<std::uint16_t>()) - 1;
-  out.elapsed = in.get<double>();
-  out.finished = in.get<std::uint8_t>() != 0;
-  out.report = readReport(in);
+  out.quotaUsePercent = static_cast<int>(in.get<std::uint16_t>()) - 1;
+  out.latencyMs = in.get<double>();
+  out.requestFinished = in.get<std::uint8_t>() != 0;
+  out.loadReport = readReport(in);
   events.outcome(out);
 }
 
@@ -222,14 +223,14 @@
   put(static_cast<std::uint16_t>(worker >> 32));
 }
 
-void Reply::send(RequestId id, WorkerId worker, Time timeout) {
+void Reply::startAttempt(RequestId id, WorkerId worker, Time timeout) {
   open(10);
   put(id);
   putWorker(worker);
   put(timeout);
 }
 
-void Reply::refuse(RequestId id, Time retryAfter) {
+void Reply::reject(RequestId id, Time retryAfter) {
   open(20);
   put(id);
   put(retryAfter);
@@ -246,7 +247,7 @@
   put(tag);
 }
 
-void Reply::subscribe() {
+void Reply::pollEndpoints() {
   open(110);
   put(std::uint8_t{1});
 }
--- a/src/simulator_adapter/wire.hpp
+++ b/src/simulator_adapter/wire.hpp
@@ -12,9 +12,9 @@
 
 namespace wingslip::simulator_adapter {
 
-using decision::ListKind;
-using decision::Member;
-using decision::Outcome;
+using decision::AttemptOutcome;
+using decision::Endpoint;
+using decision::EndpointUpdate;
 using decision::Request;
 using decision::RequestId;
 using decision::Time;
@@ -37,9 +37,9 @@
   virtual ~Events() = default;
   virtual void instance(unsigned number) = 0;
   virtual void start(std::uint64_t salt, std::string_view settings) = 0;
-  virtual void members(ListKind kind, const std::vector<Member>& list) = 0;
+  virtual void members(EndpointUpdate kind, const std::vector<Endpoint>& list) = 0;
   virtual void request(const Request& request) = 0;
-  virtual void outcome(const Outcome& outcome) = 0;
+  virtual void outcome(const AttemptOutcome& outcome) = 0;
   virtual void clientLeft(RequestId id) = 0;
   virtual void timer(std::uint64_t tag) = 0;
   virtual void stop() = 0;
@@ -56,11 +56,11 @@
   void by(unsigned instance) { instance_ = instance; }
   const std::string& finish();
 
-  void send(RequestId id, WorkerId worker, Time timeout) override;
-  void refuse(RequestId id, Time retryAfter) override;
+  void startAttempt(RequestId id, WorkerId worker, Time timeout) override;
+  void reject(RequestId id, Time retryAfter) override;
   void fail(RequestId id) override;
   void setTimer(Time wait, std::uint64_t tag) override;
-  void subscribe() override;
+  void pollEndpoints() override;
   void log(const std::string& line) override;
 
  private:
--- a/tests/attempts_test.cpp
+++ b/tests/attempts_test.cpp
@@ -15,25 +15,26 @@
   b.list({member(1), member(2), member(3)});
   const RequestId open = b.ask(0), capped = b.ask(0);
   Settings next = s;
-  next.classes[0].repeat = Repeat::unsafe;
+  next.classes[0].idempotency = Idempotency::notIdempotent;
   next.maxAttempts = 2;
-  b.gateway.settings(b.now, next);
-  b.end(open, Result::reset);
+  b.gateway.onSettings(b.now, next);
+  b.end(open, AttemptResult::reset);
   EXPECT_EQ(b.attempts(open), 2u);  // as safe as it came
-  b.end(capped, Result::connectFailed);
-  b.end(capped, Result::connectFailed);
+  b.end(capped, AttemptResult::connectFailed);
+  b.end(capped, AttemptResult::connectFailed);
   EXPECT_EQ(b.attempts(capped), 2u);
   const RequestId later = b.ask(0);
-  b.end(later, Result::reset);
+  b.end(later, AttemptResult::reset);
   EXPECT_TRUE(b.hasFailed(later));
   next.maxAttempts = 4;
-  next.gateways = 0;
-  EXPECT_THROW(b.gateway.settings(b.now, next), std::invalid_argument);
+  next.gatewayCount = 0;
+  EXPECT_THROW(b.gateway.onSettings(b.now, next), std::invalid_argument);
   EXPECT_TRUE(b.wasSent(b.ask(0)));
 }
 
 TEST(Attempts, UnsafeThatMayHaveRunFails) {
-  for (const Result result : {Result::error, Result::timeout, Result::reset, Result::cancelled}) {
+  for (const AttemptResult result :
+       {AttemptResult::error, AttemptResult::timeout, AttemptResult::reset, AttemptResult::cancelled}) {
     Bench b;
     b.list({member(1), member(2)});
     const RequestId id = b.ask(2);
@@ -45,7 +46,7 @@
 }
 
 TEST(Attempts, UnsafeThatNeverRanGoesElsewhere) {
-  for (const Result result : {Result::full, Result::connectFailed}) {
+  for (const AttemptResult result : {AttemptResult::overloaded, AttemptResult::connectFailed}) {
     Bench b;
     b.list({member(1), member(2)});
     const RequestId id = b.ask(2);
@@ -61,11 +62,11 @@
   b.list({member(1, 0), member(2, 0), member(3, 1), member(4, 1)});
   const RequestId id = b.ask(1);
   const unsigned zone = b.lastWorker() > 2;
-  b.end(id, Result::reset);
+  b.end(id, AttemptResult::reset);
   ASSERT_EQ(b.attempts(id), 2u);
   EXPECT_EQ(b.lastWorker() > 2, zone != 0);
   b.now += 2500;  // past the window
-  b.end(id, Result::reset);
+  b.end(id, AttemptResult::reset);
   EXPECT_EQ(b.attempts(id), 2u);
   EXPECT_TRUE(b.hasFailed(id));
 }
@@ -76,9 +77,9 @@
     b.list({member(1)});
     const RequestId id = b.ask(klass, 0, 1, 1, 2, 500);
     b.now += 500;
-    b.end(id, Result::timeout, 500);
+    b.end(id, AttemptResult::timeout, 500);
     EXPECT_EQ(b.recorder.finals[id], 1u);
-    EXPECT_EQ(b.gateway.requestsHeld(), 0u);
+    EXPECT_EQ(b.gateway.requestsInFlight(), 0u);
   }
 }
 
@@ -86,14 +87,14 @@
   Bench b;
   b.list({member(1)});
   const RequestId id = b.ask(1);
-  Member gone = member(1);
-  gone.phase = Phase::gone;
-  b.list({gone}, ListKind::delta);
-  b.end(id, Result::reset);
+  Endpoint gone = member(1);
+  gone.phase = WorkerPhase::removed;
+  b.list({gone}, EndpointUpdate::delta);
+  b.end(id, AttemptResult::reset);
   ASSERT_FALSE(b.recorder.timers.empty());
   for (int i = 0; i < 200 && b.recorder.finals[id] == 0; ++i) {
     b.now += b.recorder.timers.back().first;
-    b.gateway.timer(b.now, id);
+    b.gateway.onTimer(b.now, id);
   }
   EXPECT_EQ(b.recorder.finals[id], 1u);
   EXPECT_LE(b.now, 3000);
@@ -103,8 +104,8 @@
   Bench b;
   b.list({member(1), member(2)});
   const RequestId id = b.ask();
-  b.gateway.clientLeft(b.now, id);
-  b.end(id, Result::reset, 10, -1, true);
+  b.gateway.onClientDisconnect(b.now, id);
+  b.end(id, AttemptResult::reset, 10, -1, true);
   EXPECT_EQ(b.attempts(id), 1u);
   EXPECT_EQ(b.recorder.finals[id], 0u);
 }
@@ -113,14 +114,14 @@
   Bench b;
   b.list({member(1), member(2)});
   const RequestId id = b.ask();
-  b.end(id, Result::full);
+  b.end(id, AttemptResult::overloaded);
   ASSERT_EQ(b.attempts(id), 2u);
-  b.end(id, Result::ok);
+  b.end(id, AttemptResult::ok);
   int in = 0;
   for (;;) {
     const RequestId next = b.ask();
     if (!b.wasSent(next)) break;
-    b.end(next, Result::ok);
+    b.end(next, AttemptResult::ok);
     ++in;
   }
   EXPECT_EQ(in, 9);
@@ -138,7 +139,7 @@
         const bool hit = b.lastWorker() == 1;
         toBad += hit;
         const unsigned before = b.attempts(id);
-        b.end(id, hit && bad ? Result::connectFailed : Result::ok, 50);
+        b.end(id, hit && bad ? AttemptResult::connectFailed : AttemptResult::ok, 50);
         if (b.attempts(id) == before) break;
       }
     }
@@ -153,14 +154,14 @@
 // Least-loaded choice herds onto workers that turn work away at once: they look idle.
 TEST(Health, FullWorkersAreNotHerdedOn) {
   Bench b;
-  std::vector<Member> all;
+  std::vector<Endpoint> all;
   for (WorkerId w = 1; w <= 6; ++w) all.push_back(member(w));
   b.list(all);
   CustomerId c = 0;
   for (int i = 0; i < 300; ++i) {
     b.now += 10;
     const RequestId id = b.ask(0, 0, ++c);
-    while (b.wasSent(id) && b.recorder.finals[id] == 0) b.end(id, Result::full, 2);
+    while (b.wasSent(id) && b.recorder.finals[id] == 0) b.end(id, AttemptResult::overloaded, 2);
   }
   EXPECT_LT(b.recorder.sends.size(), 60u);
 }
@@ -175,7 +176,7 @@
     for (int i = 0; i < 60; ++i) {
       b.now += 250;
       const RequestId id = b.ask(2, 0, ++c);
-      if (b.wasSent(id)) b.end(id, Result::ok, elapsed);
+      if (b.wasSent(id)) b.end(id, AttemptResult::ok, elapsed);
     }
     int out = 0;
     while (b.wasSent(b.ask(2, 0, ++c))) ++out;
@@ -196,7 +197,7 @@
       const RequestId id = b.ask(2, 0, ++c);
       if (!b.wasSent(id)) continue;
       toCut += b.lastWorker() == 1;
-      if (!cut || b.lastWorker() != 1) b.end(id, Result::ok, 50);
+      if (!cut || b.lastWorker() != 1) b.end(id, AttemptResult::ok, 50);
     }
     return toCut;
   };
@@ -215,9 +216,9 @@
   };
   broken([](Settings& s) { s.plans[0].rate = -1; });
   broken([](Settings& s) { s.plans[0].burst = std::numeric_limits<double>::quiet_NaN(); });
-  broken([](Settings& s) { s.warmUp = std::numeric_limits<double>::infinity(); });
-  broken([](Settings& s) { s.self = 2; });
-  broken([](Settings& s) { s.gateways = 0; });
+  broken([](Settings& s) { s.slowStartMs = std::numeric_limits<double>::infinity(); });
+  broken([](Settings& s) { s.gatewayIndex = 2; });
+  broken([](Settings& s) { s.gatewayCount = 0; });
   broken([](Settings& s) { s.classes.clear(); });
 }
 
@@ -226,12 +227,12 @@
   for (unsigned seed = 1; seed <= 12; ++seed) {
     std::mt19937 rng(seed);
     Bench b;
-    std::vector<Member> all;
+    std::vector<Endpoint> all;
     for (WorkerId w = 1; w <= 6; ++w) all.push_back(member(w, w > 3));
     b.list(all);
     struct Open {
       unsigned klass;
-      Time expires, ranSince = -1;
+      Time expiresAt, ranSince = -1;
       bool out = false, done = false, ran = false;
       unsigned zone = 0;
     };
@@ -271,7 +272,7 @@
         }
         const auto tag = due[i].second;
         due.erase(due.begin() + static_cast<long>(i));
-        b.gateway.timer(b.now, tag);
+        b.gateway.onTimer(b.now, tag);
         check();
       }
       if (step < 3400 && rng() % 3 == 0) {
@@ -282,38 +283,40 @@
         check();
       }
       if (rng() % 150 == 0) {
-        b.gateway.pressure(b.now,
-                           {rng() % 2 == 0, rng() % 2 == 0, 0.3 * (rng() % 2), 20000.0 * (rng() % 3), 500});
+        b.gateway.onOverload(b.now,
+                             {rng() % 2 == 0, rng() % 2 == 0, 0.3 * (rng() % 2), 20000.0 * (rng() % 3), 500});
         check();
       }
       for (auto& [id, o] : open) {
-        if (!o.out || (b.now < o.expires && rng() % 12)) continue;
-        constexpr Result results[] = {Result::ok,    Result::error, Result::full,         Result::timeout,
-                                      Result::reset, Result::ok,    Result::connectFailed};
-        const Result result = b.now >= o.expires ? Result::timeout : results[rng() % 7];
+        if (!o.out || (b.now < o.expiresAt && rng() % 12)) continue;
+        constexpr AttemptResult results[] = {
+            AttemptResult::ok,    AttemptResult::error, AttemptResult::overloaded,   AttemptResult::timeout,
+            AttemptResult::reset, AttemptResult::ok,    AttemptResult::connectFailed};
+        const AttemptResult result = b.now >= o.expiresAt ? AttemptResult::timeout : results[rng() % 7];
         WorkerId at = 0;
         for (const Sent& s : b.recorder.sends)
           if (s.id == id) at = s.worker;
         o.out = false;
-        if (result != Result::full && result != Result::connectFailed && !o.ran) {
+        if (result != AttemptResult::overloaded && result != AttemptResult::connectFailed && !o.ran) {
           o.ran = true, o.zone = at > 3;
           o.ranSince = b.now;
         }
-        if (result == Result::ok) o.done = true;
+        if (result == AttemptResult::ok) o.done = true;
         b.end(id, result, 30, rng() % 2 ? static_cast<int>(rng() % 300) : -1, o.done);
         check();
       }
       if (rng() % 60 == 0) {
-        Member m = all[rng() % all.size()];
-        m.phase = rng() % 2 ? Phase::ready : rng() % 2 ? Phase::draining : Phase::gone;
-        if (m.phase == Phase::ready)
+        Endpoint m = all[rng() % all.size()];
+        m.phase = rng() % 2 ? WorkerPhase::ready : rng() % 2 ? WorkerPhase::draining : WorkerPhase::removed;
+        if (m.phase == WorkerPhase::ready)
           barred.erase(m.worker);
         else
           barred.insert(m.worker);
-        b.list({m}, ListKind::delta);
+        b.list({m}, EndpointUpdate::delta);
       }
     }
-    for (auto& [id, o] : open) EXPECT_TRUE(o.done || b.now < o.expires + 8) << "request " << id << " is lost";
+    for (auto& [id, o] : open)
+      EXPECT_TRUE(o.done || b.now < o.expiresAt + 8) << "request " << id << " is lost";
   }
 }
 
@@ -327,7 +330,7 @@
   for (int i = 0; i < 400; ++i) {
     b.now += 25;
     while (!busy.empty() && i - busy.front().first >= 6) {
-      b.end(busy.front().second, Result::ok, 150);
+      b.end(busy.front().second, AttemptResult::ok, 150);
       busy.erase(busy.begin());
     }
     const RequestId id = b.ask(2, 0, ++c);
@@ -335,10 +338,10 @@
     if (b.lastWorker() == 2) {
       busy.emplace_back(i, id);
     } else if (i < 80) {
-      b.end(id, Result::ok, 50);
+      b.end(id, AttemptResult::ok, 50);
     } else if (++toCut > 2) {
-      b.gateway.clientLeft(b.now, id);
-      b.end(id, Result::cancelled, 2, -1, true);
+      b.gateway.onClientDisconnect(b.now, id);
+      b.end(id, AttemptResult::cancelled, 2, -1, true);
     }
   }
   EXPECT_LE(toCut, 8);
@@ -348,9 +351,9 @@
 // many: the burst after it still finds its idle workers.
 TEST(Limit, OneLateAnswerInALullLeavesRoomForTheNextBurst) {
   Settings s = settings();
-  s.gateways = 1;
+  s.gatewayCount = 1;
   Bench b(s);
-  std::vector<Member> fleet;
+  std::vector<Endpoint> fleet;
   for (WorkerId w = 1; w <= 9; ++w) fleet.push_back(member(w));
   b.list(fleet);
   CustomerId c = 0;
@@ -359,20 +362,20 @@
     for (int i = 0; i < 10; ++i)
       if (const RequestId id = b.ask(2, 0, ++c); b.wasSent(id)) sent.push_back(id);
     b.now += 100;
-    for (const RequestId id : sent) b.end(id, Result::ok, 100);
+    for (const RequestId id : sent) b.end(id, AttemptResult::ok, 100);
     return sent.size();
   };
   EXPECT_EQ(burst(), 10u);
   const RequestId costly = b.ask(2, 0, ++c);
   b.now += 900;
-  b.end(costly, Result::ok, 900);
+  b.end(costly, AttemptResult::ok, 900);
   EXPECT_GE(burst(), 9u);
 }
 
 // One machine that is slow by itself must not hold back what goes to the others.
 TEST(Limit, LateAnswersOfOneSlowWorkerLeaveTheGatewaysLimit) {
   Settings s = settings();
-  s.gateways = 1;
+  s.gatewayCount = 1;
   Bench b(s);
   b.list({member(1), member(2)});
   CustomerId c = 0;
@@ -382,10 +385,10 @@
       (b.lastWorker() == 1 ? atSlow : atOther).push_back(id);
   ASSERT_GE(atSlow.size(), 8u);
   b.now += 100;
-  for (const RequestId id : atOther) b.end(id, Result::ok, 100);
+  for (const RequestId id : atOther) b.end(id, AttemptResult::ok, 100);
   for (const RequestId id : atSlow) {
     b.now += 250;
-    b.end(id, Result::ok, 900);
+    b.end(id, AttemptResult::ok, 900);
   }
   int out = 0;
   while (b.wasSent(b.ask(2, 0, ++c))) ++out;
@@ -397,10 +400,10 @@
 // back.
 TEST(Limit, OfAWholeGatewayFallsFarBelowOneForEachWorker) {
   Settings s = settings();
-  s.gateways = 200;
+  s.gatewayCount = 200;
   s.plans[0].rate = 1000, s.plans[0].burst = 100000;
   Bench b(s);
-  std::vector<Member> fleet;
+  std::vector<Endpoint> fleet;
   for (WorkerId w = 1; w <= 20; ++w) fleet.push_back(member(w));
   b.list(fleet);
   const auto sent = [&](Time latency) {
@@ -411,7 +414,7 @@
       if (!b.wasSent(id)) continue;
       ++in;
       b.now += 10;
-      b.end(id, Result::ok, latency);
+      b.end(id, AttemptResult::ok, latency);
     }
     return in;
   };
@@ -432,8 +435,8 @@
   const RequestId id = b.ask(0, 1);
   ASSERT_TRUE(b.wasSent(id));
   s.plans.resize(1);
-  b.gateway.settings(b.now, s);
-  b.gateway.pressure(b.now, {true, true, 0, 1e9, 100});
+  b.gateway.onSettings(b.now, s);
+  b.gateway.onOverload(b.now, {true, true, 0, 1e9, 100});
   EXPECT_TRUE(b.wasRefused(id));
 }
 
--- a/tests/back_pressure_test.cpp
+++ b/tests/back_pressure_test.cpp
@@ -7,8 +7,8 @@
 #include <fstream>
 #include <thread>
 
-#include "loopback.hpp"
 #include "gatekeeper/discovery.hpp"
+#include "loopback.hpp"
 
 namespace wingslip::test {
 namespace {
@@ -474,14 +474,14 @@
         list(3, false, json::array({entry("a", "127.0.0.1:1", "Terminating"), entry("c", "127.0.0.1:3")})));
   ASSERT_EQ(sum.instances.size(), 3u);
   EXPECT_EQ(sum.generation, 3);
-  EXPECT_EQ(sum.instances[0].phase, decision::Phase::draining);
+  EXPECT_EQ(sum.instances[0].phase, decision::WorkerPhase::draining);
   EXPECT_EQ(sum.instances[2].id, "c");
   addTo(sum, list(4, true, json::array({entry("d", "127.0.0.1:4")})));
   EXPECT_TRUE(sum.reset);
   ASSERT_EQ(sum.instances.size(), 1u);
   addTo(sum, list(5, false, json::array({entry("d", "127.0.0.1:4", "Gone")})));
   EXPECT_TRUE(sum.reset);  // still the whole list
-  EXPECT_EQ(sum.instances[0].phase, decision::Phase::gone);
+  EXPECT_EQ(sum.instances[0].phase, decision::WorkerPhase::removed);
 }
 
 // A flood of news while it is pressed: a worker that drains in its last line gets nothing more.
--- a/tests/decision_replay_test.cpp
+++ b/tests/decision_replay_test.cpp
@@ -52,33 +52,35 @@
 /// Settings of the first kind of site: quotas on the rate with readings, keyed classes bound to a zone.
 Settings quotaSite(Generator& random) {
   Settings out;
-  out.gateways = 1 + random.below(120);
-  out.self = random.below(out.gateways);
+  out.gatewayCount = 1 + random.below(random.chance(0.5) ? 4 : 120);
+  out.gatewayIndex = random.below(out.gatewayCount);
   out.zone = random.below(3);
   out.maxAttempts = 2 + random.below(4);
-  out.maxRetryAfter = 2000;
-  out.meterPeriod = random.chance(0.8) ? 1000 : 0;
-  out.settlesUnits = random.chance(0.5);
-  out.mostUnits = 8;
-  out.drainGrace = 1000;
-  out.coldFrom = random.between(0.05, 0.4);
-  out.warmUp = random.chance(0.9) ? random.between(2000, 15000) : 0;
-  out.fallMultiple = 2;
-  out.fallSpan = 1000;
+  out.maxRetryAfterMs = 2000;
+  out.quotaReadingPeriodMs = random.chance(0.8) ? 1000 : 0;
+  out.correctsUnits = random.chance(0.5);
+  out.maxUnits = 8;
+  out.drainGraceMs = 1000;
+  out.slowStartShare = random.between(0.05, 0.4);
+  out.slowStartMs = random.chance(0.9) ? random.between(2000, 15000) : 0;
+  out.overloadMultiple = 2;
+  out.overloadWindowMs = 1000;
   out.crossZonePrice = random.between(0, 0.3);
-  out.reportFields = {"inflight", "queue", "cpu"};
-  const std::array<Repeat, 3> repeats{Repeat::safe, Repeat::keyed, Repeat::unsafe};
-  const std::array<Scope, 3> scopes{Scope::zone, Scope::cell, Scope::all};
+  out.loadReportFields = {"inflight", "queue", "cpu"};
+  const std::array<Idempotency, 3> repeats{Idempotency::idempotent, Idempotency::withKey,
+                                           Idempotency::notIdempotent};
+  const std::array<DeduplicationScope, 3> scopes{DeduplicationScope::zone, DeduplicationScope::cell,
+                                                 DeduplicationScope::all};
   for (unsigned i = 0; i < 4; ++i) {
     ClassSettings item;
     item.name = "class-" + std::to_string(i);
-    item.aim = random.between(150, 900);
-    item.deadline = item.aim * random.between(1.5, 4);
-    item.repeat = repeats[i % repeats.size()];
-    item.scope = scopes[random.below(3)];
-    item.window = random.between(500, 3000);
-    item.worth = random.between(0.5, 4);
-    item.lateWorth = random.chance(0.7) ? random.between(0, 0.6) : 0;
+    item.latencyObjectiveMs = random.between(150, 900);
+    item.deadlineMs = item.latencyObjectiveMs * random.between(1.5, 4);
+    item.idempotency = repeats[i % repeats.size()];
+    item.deduplicationScope = scopes[random.below(3)];
+    item.idempotencyWindowMs = random.between(500, 3000);
+    item.priorityWeight = random.between(0.5, 4);
+    item.lateAnswerValue = random.chance(0.7) ? random.between(0, 0.6) : 0;
     out.classes.push_back(item);
   }
   for (unsigned i = 0; i < 4; ++i) {
@@ -87,8 +89,8 @@
     item.rate = random.between(2, 40);
     item.burst = item.rate * random.between(1, 6);
     item.price = random.between(0.5, 2);
-    item.overWorth = random.between(0, 0.4);
-    item.overCost = random.between(0, 1.5);
+    item.overQuotaValue = random.between(0, 0.4);
+    item.overQuotaCost = random.between(0, 1.5);
     out.plans.push_back(item);
   }
   return out;
@@ -98,14 +100,14 @@
 /// for.
 Settings ceilingSite(Generator& random) {
   Settings out = quotaSite(random);
-  out.askDiscovery = random.chance(0.5);
-  out.askWithin = 500;
+  out.pollsEndpoints = random.chance(0.5);
+  out.pollTimeoutMs = 500;
   out.plans[0].ceilingRate = out.plans[0].rate * 2;
   out.plans[0].ceilingBurst = out.plans[0].burst * 2;
   out.plans[0].ceilingSlack = 0.1;
   out.plans[1].rate = 0;
-  out.plans[1].openLimit = 2 + random.below(12);
-  out.plans[2].openLimit = 4 + random.below(12);
+  out.plans[1].maxConcurrent = 2 + random.below(12);
+  out.plans[2].maxConcurrent = 4 + random.below(12);
   out.plans[3].ceilingRate = 5;
   out.plans[3].ceilingBurst = 20;
   return out;
@@ -117,7 +119,7 @@
   Replay(std::uint64_t seed, unsigned events)
       : random_(seed),
         settings_(seed % 2 == 0 ? quotaSite(random_) : ceilingSite(random_)),
-        customers_(random_.chance(0.2) ? 6000 : 60),
+        customers_(random_.chance(0.2) ? 20000 : 60),
         gateway_(settings_, seed, now_, *this) {
     XXH3_64bits_reset(&hash_);
     startWorkers();
@@ -141,32 +143,32 @@
     XXH3_64bits_update(&hash_, &value, sizeof value);
   }
 
-  void send(RequestId id, WorkerId worker, Time timeout) override {
+  void startAttempt(RequestId id, WorkerId worker, Time timeout) override {
     hash('s'), hash(id), hash(worker), hash(timeout);
     open_.push_back({id, attempts_[id]++, worker, now_, timeout});
   }
-  void refuse(RequestId id, Time retryAfter) override { hash('r'), hash(id), hash(retryAfter); }
+  void reject(RequestId id, Time retryAfter) override { hash('r'), hash(id), hash(retryAfter); }
   void fail(RequestId id) override { hash('f'), hash(id); }
   void setTimer(Time wait, std::uint64_t tag) override {
     hash('t'), hash(wait), hash(tag);
     timers_.emplace(now_ + wait, tag);
   }
-  void subscribe() override { hash('w'); }
+  void pollEndpoints() override { hash('w'); }
   void log(const std::string&) override { hash('l'); }
 
   void startWorkers() {
-    const unsigned count = 3 + random_.below(60);
+    const unsigned count = 1 + random_.below(random_.chance(0.3) ? 4 : 60);
     for (unsigned i = 0; i < count; ++i) addWorker(random_.chance(0.2) ? now_ : 0);
-    gateway_.members(now_, ListKind::full, workers_);
+    gateway_.onEndpoints(now_, EndpointUpdate::snapshot, workers_);
   }
 
   void addWorker(Time started) {
-    Member item;
+    Endpoint item;
     item.worker = ++lastWorker_ * 0x9e3779b97f4a7c15ULL;
     item.zone = random_.below(3);
-    item.kind = random_.below(3);
+    item.machineType = random_.below(3);
     item.cell = random_.below(6);
-    item.started = started;
+    item.startedAt = started;
     workers_.push_back(item);
   }
 
@@ -176,7 +178,7 @@
     while (!timers_.empty() && timers_.begin()->first <= now_) {
       const std::uint64_t tag = timers_.begin()->second;
       timers_.erase(timers_.begin());
-      gateway_.timer(now_, tag);
+      gateway_.onTimer(now_, tag);
     }
     const double kind = random_.uniform();
     if (kind < 0.45)
@@ -190,7 +192,7 @@
     else if (kind < 0.99)
       changeExclusions();
     else if (kind < 0.997)
-      changePressure();
+      changeOverload();
     else if (kind < 0.998)
       changeSettings();
     else
@@ -200,65 +202,72 @@
   void arrive() {
     Request request;
     request.id = ++lastRequest_;
-    request.klass = random_.below(static_cast<unsigned>(settings_.classes.size()));
+    request.classIndex = random_.below(static_cast<unsigned>(settings_.classes.size()));
     request.customer = 1 + random_.below(random_.chance(0.5) ? 5 : customers_);
-    request.plan = static_cast<unsigned>(request.customer % settings_.plans.size());
+    request.planIndex = static_cast<unsigned>(request.customer % settings_.plans.size());
     if (random_.chance(0.002))
-      request.plan = random_.below(static_cast<unsigned>(settings_.plans.size() + 1));
-    request.expires = now_ + settings_.classes[request.klass].deadline * random_.between(0.3, 1.1);
-    request.units = random_.chance(0.6) ? 1 : random_.between(0, settings_.mostUnits);
-    request.setSize = 1 + random_.below(settings_.gateways);
-    request.bytes = random_.chance(0.9) ? 2000 : random_.between(0, 4e6);
-    gateway_.request(now_, request);
+      request.planIndex = random_.below(static_cast<unsigned>(settings_.plans.size() + 1));
+    request.expiresAt = now_ + settings_.classes[request.classIndex].deadlineMs * random_.between(0.3, 1.1);
+    request.units = random_.chance(0.6) ? 1 : random_.between(0, settings_.maxUnits);
+    request.customerGateways = 1 + random_.below(settings_.gatewayCount);
+    request.memoryBytes = random_.chance(0.9) ? 2000 : random_.between(0, 4e6);
+    gateway_.onRequest(now_, request);
   }
 
+  /// Some workers fail nearly always, so that what grows with failures in a row reaches its bounds.
+  static bool isFaulty(WorkerId worker) { return worker % 11 == 0; }
+
   void endAttempt() {
-    if (open_.empty()) return;
+    // In some sequences answers stop for a while, so that many attempts are in flight.
+    if (open_.empty() || (random_.chance(0.5) && std::fmod(now_, 30000) < 4000)) return;
     const std::size_t at = random_.chance(0.7) ? 0 : random_.below(static_cast<unsigned>(open_.size()));
     const Attempt attempt = open_[at];
     open_.erase(open_.begin() + static_cast<std::ptrdiff_t>(at));
-    constexpr std::array<Result, 7> failures{Result::error,         Result::full,  Result::timeout,
-                                             Result::connectFailed, Result::reset, Result::cancelled,
-                                             Result::moot};
-    Outcome outcome;
+    constexpr std::array<AttemptResult, 7> failures{
+        AttemptResult::error, AttemptResult::overloaded, AttemptResult::timeout, AttemptResult::connectFailed,
+        AttemptResult::reset, AttemptResult::cancelled,  AttemptResult::notSent};
+    AttemptOutcome outcome;
     outcome.id = attempt.request;
     outcome.attempt = attempt.number;
     outcome.worker = attempt.worker;
-    outcome.result = random_.chance(0.8) ? Result::ok : failures[random_.below(failures.size())];
-    outcome.elapsed = random_.chance(0.1) ? now_ - attempt.startedAt : random_.exponential(120);
-    if (outcome.result == Result::ok) outcome.trueUnits = random_.chance(0.5) ? random_.between(0, 6) : 0;
-    if (random_.chance(0.6)) outcome.usePercent = static_cast<int>(random_.below(220));
-    outcome.finished = random_.chance(0.02);
+    outcome.result = random_.chance(isFaulty(attempt.worker) ? 0.05 : 0.9)
+                         ? AttemptResult::ok
+                         : failures[random_.below(failures.size())];
+    outcome.latencyMs = random_.chance(0.1) ? now_ - attempt.startedAt : random_.exponential(120);
+    if (outcome.result == AttemptResult::ok)
+      outcome.actualUnits = random_.chance(0.5) ? random_.between(0, 6) : 0;
+    if (random_.chance(0.6)) outcome.quotaUsePercent = static_cast<int>(random_.below(220));
+    outcome.requestFinished = random_.chance(0.02);
     if (random_.chance(0.5))
-      outcome.report = {random_.between(0, 20), random_.between(0, 20), random_.uniform()};
-    gateway_.outcome(now_, outcome);
-    if (random_.chance(0.01)) gateway_.outcome(now_, outcome);
+      outcome.loadReport = {random_.between(0, 20), random_.between(0, 20), random_.uniform()};
+    gateway_.onAttemptOutcome(now_, outcome);
+    if (random_.chance(0.01)) gateway_.onAttemptOutcome(now_, outcome);
   }
 
   void touchRequest() {
     const RequestId id = lastRequest_ > 30 ? lastRequest_ - random_.below(30) : lastRequest_;
     const unsigned kind = random_.below(3);
-    if (kind == 0) gateway_.clientLeft(now_, id);
-    if (kind == 1) gateway_.answering(now_, id);
-    if (kind == 2) gateway_.whole(now_, id, now_ + random_.between(50, 2000));
+    if (kind == 0) gateway_.onClientDisconnect(now_, id);
+    if (kind == 1) gateway_.onResponseStarted(now_, id);
+    if (kind == 2) gateway_.onRequestComplete(now_, id, now_ + random_.between(50, 2000));
   }
 
   void changeWorkers() {
     const unsigned kind = random_.below(8);
-    if (kind == 0) return gateway_.members(now_, ListKind::failed, {});
-    if (kind == 1) return gateway_.members(now_, ListKind::full, workers_);
-    if (kind == 2) return gateway_.members(now_, ListKind::cached, workers_);
+    if (kind == 0) return gateway_.onEndpoints(now_, EndpointUpdate::failed, {});
+    if (kind == 1) return gateway_.onEndpoints(now_, EndpointUpdate::snapshot, workers_);
+    if (kind == 2) return gateway_.onEndpoints(now_, EndpointUpdate::cached, workers_);
     if (workers_.empty() || (kind == 3 && workers_.size() < 80)) {
       addWorker(now_);
-      return gateway_.members(now_, ListKind::delta, {workers_.back()});
+      return gateway_.onEndpoints(now_, EndpointUpdate::delta, {workers_.back()});
     }
     const unsigned at = random_.below(static_cast<unsigned>(workers_.size()));
-    Member& worker = workers_[at];
-    if (kind == 4) worker.started = now_;
-    if (kind >= 5) worker.phase = random_.chance(0.3) ? Phase::draining : Phase::ready;
-    if (kind == 7 && workers_.size() > 3 && random_.chance(0.4)) worker.phase = Phase::gone;
-    gateway_.members(now_, ListKind::delta, {worker});
-    if (worker.phase == Phase::gone) workers_.erase(workers_.begin() + at);
+    Endpoint& worker = workers_[at];
+    if (kind == 4) worker.startedAt = now_;
+    if (kind >= 5) worker.phase = random_.chance(0.3) ? WorkerPhase::draining : WorkerPhase::ready;
+    if (kind == 7 && workers_.size() > 3 && random_.chance(0.4)) worker.phase = WorkerPhase::removed;
+    gateway_.onEndpoints(now_, EndpointUpdate::delta, {worker});
+    if (worker.phase == WorkerPhase::removed) workers_.erase(workers_.begin() + at);
   }
 
   void changeExclusions() {
@@ -270,46 +279,46 @@
       gateway_.include(now_, worker);
   }
 
-  void changePressure() {
-    Pressure pressure;
-    pressure.on = random_.chance(0.3);
-    if (pressure.on) {
-      pressure.memory = random_.chance(0.5);
-      pressure.share = random_.chance(0.5) ? random_.uniform() : 0;
-      pressure.excess = random_.chance(0.3) ? random_.between(0, 1e6) : 0;
-      pressure.lasts = random_.between(0, 3000);
+  void changeOverload() {
+    OverloadSignal signal;
+    signal.active = random_.chance(0.3);
+    if (signal.active) {
+      signal.memoryShort = random_.chance(0.5);
+      signal.shedFraction = random_.chance(0.5) ? random_.uniform() : 0;
+      signal.excessBytes = random_.chance(0.3) ? random_.between(0, 1e6) : 0;
+      signal.expectedMs = random_.between(0, 3000);
     }
-    gateway_.pressure(now_, pressure);
+    gateway_.onOverload(now_, signal);
   }
 
   void changeSettings() {
     Settings to = settings_;
     to.maxAttempts = 1 + random_.below(5);
-    for (ClassSettings& item : to.classes) item.aim *= random_.between(0.9, 1.1);
+    for (ClassSettings& item : to.classes) item.latencyObjectiveMs *= random_.between(0.9, 1.1);
     for (PlanSettings& item : to.plans) item.rate *= random_.between(0.8, 1.2);
     if (random_.chance(0.3)) std::swap(to.plans.front(), to.plans.back());
     if (random_.chance(0.3)) std::swap(to.classes.front(), to.classes.back());
     if (random_.chance(0.2)) to.plans.back().name += "'";
-    if (random_.chance(0.2)) to.gateways = to.self + 1 + random_.below(120);
-    if (random_.chance(0.1)) to.meterPeriod = to.meterPeriod > 0 ? 0 : 1000;
+    if (random_.chance(0.2)) to.gatewayCount = to.gatewayIndex + 1 + random_.below(120);
+    if (random_.chance(0.1)) to.quotaReadingPeriodMs = to.quotaReadingPeriodMs > 0 ? 0 : 1000;
     settings_ = to;
-    gateway_.settings(now_, to);
+    gateway_.onSettings(now_, to);
   }
 
   void observe() {
-    const Census census = gateway_.census(now_);
+    const WorkerCounts census = gateway_.workerCounts(now_);
     hash(static_cast<std::uint64_t>(census.listed)), hash(static_cast<std::uint64_t>(census.avoided));
-    hash(gateway_.warmRate(now_));
-    if (random_.chance(0.1)) gateway_.knowWarmRate(now_, random_.between(0, 0.2));
+    hash(gateway_.warmWorkerRate(now_));
+    if (random_.chance(0.1)) gateway_.seedWarmWorkerRate(now_, random_.between(0, 0.2));
   }
 
   void finish() {
     observe();
-    const RefusalCounts counts = gateway_.refusals();
-    hash(counts.bucket), hash(counts.store), hash(counts.stranger);
-    hash(counts.worker), hash(counts.room), hash(counts.pressed);
-    hash(static_cast<std::uint64_t>(gateway_.customersHeld()));
-    hash(static_cast<std::uint64_t>(gateway_.requestsHeld()));
+    const RejectionCounts counts = gateway_.rejectionCounts();
+    hash(counts.localQuota), hash(counts.fleetQuota), hash(counts.unknownCustomer);
+    hash(counts.noWorker), hash(counts.concurrencyLimit), hash(counts.overload);
+    hash(static_cast<std::uint64_t>(gateway_.trackedCustomers()));
+    hash(static_cast<std::uint64_t>(gateway_.requestsInFlight()));
   }
 
   Generator random_;
@@ -317,7 +326,7 @@
   Settings settings_;
   unsigned customers_;
   XXH3_state_t hash_{};
-  std::vector<Member> workers_;
+  std::vector<Endpoint> workers_;
   std::vector<Attempt> open_;
   std::map<RequestId, unsigned> attempts_;
   std::multimap<Time, std::uint64_t> timers_;
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -13,13 +13,13 @@
 
 Settings manyGateways() {
   Settings s = settings();
-  s.gateways = 100;
+  s.gatewayCount = 100;
   s.plans[0].rate = 1.4, s.plans[0].burst = 16;
   return s;
 }
 
-std::vector<Member> workers(WorkerId count) {
-  std::vector<Member> out;
+std::vector<Endpoint> workers(WorkerId count) {
+  std::vector<Endpoint> out;
   for (WorkerId w = 1; w <= count; ++w) out.push_back(member(w));
   return out;
 }
@@ -36,7 +36,7 @@
     const RequestId id = b.ask(0, 0, c, 2, 80);
     if (!b.wasSent(id)) continue;
     ++in;
-    b.end(id, Result::ok, 50);
+    b.end(id, AttemptResult::ok, 50);
   }
   EXPECT_EQ(in, 40u);
   EXPECT_TRUE(b.wasRefused(b.ask(0, 0, 100, 8, 80)));
@@ -47,11 +47,11 @@
 // nothing of how much the warm ones bear.
 TEST(Fleet, LateAnswersOfAColdWorkerLeaveTheGatewaysLimit) {
   Settings s = settings();
-  s.gateways = 1;
+  s.gatewayCount = 1;
   s.plans[0].rate = 1000, s.plans[0].burst = 100000;
   Bench b(s, 100000);
   b.list({member(1), member(2, 0, b.now)});
-  b.gateway.knowWarmRate(b.now, 0.1);
+  b.gateway.seedWarmWorkerRate(b.now, 0.1);
   const RequestId held[] = {b.ask(2, 0, 900), b.ask(2, 0, 901)};  // the warm one is busy for a while
   unsigned late = 0;
   for (int i = 0; i < 100; ++i) {
@@ -60,10 +60,10 @@
     if (!b.wasSent(id)) continue;
     const bool cold = b.lastWorker() == 2;
     late += cold;
-    b.end(id, Result::ok, cold ? 900 : 100);
+    b.end(id, AttemptResult::ok, cold ? 900 : 100);
   }
   ASSERT_GE(late, 20u);
-  for (const RequestId id : held) b.end(id, Result::ok, 100);
+  for (const RequestId id : held) b.end(id, AttemptResult::ok, 100);
   unsigned out = 0;
   while (b.wasSent(b.ask(2, 0, b.last))) ++out;
   EXPECT_GE(out, 10u);
@@ -72,9 +72,9 @@
 // Of a hundred gateways with few requests each, every one keeps to a part of the workers, and every worker
 // has as many gateways as any other; a worker that leaves the list moves few. A few gateways use all workers.
 TEST(Fleet, GatewaysShareOutTheWorkersEvenly) {
-  const auto used = [](unsigned gateways, unsigned self, const std::vector<Member>& list) {
+  const auto used = [](unsigned gateways, unsigned self, const std::vector<Endpoint>& list) {
     Settings s = settings();
-    s.gateways = gateways, s.self = self;
+    s.gatewayCount = gateways, s.gatewayIndex = self;
     s.plans[0].rate = 1000, s.plans[0].burst = 100000;
     Bench b(s);
     b.list(list);
@@ -84,11 +84,11 @@
       const RequestId id = b.ask(2, 0, b.last, 1, gateways);
       if (!b.wasSent(id)) continue;
       out.insert(b.lastWorker());
-      b.end(id, Result::ok, 50);
+      b.end(id, AttemptResult::ok, 50);
     }
     return out;
   };
-  const std::vector<Member> all = workers(60);
+  const std::vector<Endpoint> all = workers(60);
   std::map<WorkerId, unsigned> sharers;
   unsigned moved = 0;
   for (unsigned self = 0; self < 100; ++self) {
@@ -114,7 +114,7 @@
 TEST(Fleet, ALongerListMakesAGatewayUseFewMoreWorkers) {
   const auto used = [](unsigned gateways, unsigned self, WorkerId count) {
     Settings s = settings();
-    s.gateways = gateways, s.self = self;
+    s.gatewayCount = gateways, s.gatewayIndex = self;
     s.plans[0].rate = 1000, s.plans[0].burst = 100000;
     Bench b(s);
     b.list(workers(count));
@@ -124,16 +124,16 @@
       const RequestId id = b.ask(2, 0, b.last, 1, gateways);
       if (!b.wasSent(id)) continue;
       out.insert(b.lastWorker());
-      b.end(id, Result::ok, 50);
+      b.end(id, AttemptResult::ok, 50);
     }
     return out;
   };
   struct Growth {
-    unsigned gateways, gatewaysThen;
+    unsigned gatewayCount, gatewaysThen;
     WorkerId workers;
   };
   for (const Growth& g : {Growth{40, 40, 26}, Growth{300, 300, 200}, Growth{300, 900, 200}}) {
-    const std::size_t before = used(g.gateways, 7, g.workers).size();
+    const std::size_t before = used(g.gatewayCount, 7, g.workers).size();
     const std::size_t then = used(g.gatewaysThen, 7, 16 * g.workers).size();
     EXPECT_LE(then, 2.5 * static_cast<double>(before) + 40) << g.gatewaysThen << " gateways";
   }
@@ -148,24 +148,24 @@
 // workers that it did not use before.
 TEST(Fleet, WorkersThatDrainMoveNoOthers) {
   Settings s = settings();
-  s.gateways = 40, s.self = 37;
+  s.gatewayCount = 40, s.gatewayIndex = 37;
   s.plans[0].rate = 1000, s.plans[0].burst = 100000;
   Bench b(s);
-  std::vector<Member> list = workers(416);
+  std::vector<Endpoint> list = workers(416);
   b.list(list);
   const auto used = [&] {
     std::set<WorkerId> out;
     for (int i = 0; i < 800; ++i) {
       b.now += 50;
-      const RequestId id = b.ask(2, 0, b.last, 1, s.gateways);
+      const RequestId id = b.ask(2, 0, b.last, 1, s.gatewayCount);
       if (!b.wasSent(id)) continue;
       out.insert(b.lastWorker());
-      b.end(id, Result::ok, 50);
+      b.end(id, AttemptResult::ok, 50);
     }
     return out;
   };
   const std::set<WorkerId> before = used();
-  for (std::size_t i = 0; i < list.size(); i += 8) list[i].phase = Phase::draining;
+  for (std::size_t i = 0; i < list.size(); i += 8) list[i].phase = WorkerPhase::draining;
   b.list(list);
   for (const WorkerId worker : used()) EXPECT_TRUE(before.contains(worker)) << worker;
 }
@@ -173,11 +173,11 @@
 // The budget of a cold worker holds over all gateways together, though only some of them use it, and is used.
 TEST(Fleet, TogetherGatewaysKeepToAColdWorkersBudgetAndUseIt) {
   Settings s = settings();
-  s.gateways = 100;
+  s.gatewayCount = 100;
   s.plans[0].rate = 1000, s.plans[0].burst = 100000;
   std::vector<std::unique_ptr<Bench>> all;
-  for (unsigned self = 0; self < s.gateways; ++self) {
-    s.self = self;
+  for (unsigned self = 0; self < s.gatewayCount; ++self) {
+    s.gatewayIndex = self;
     all.push_back(std::make_unique<Bench>(s, 100000, 1 + self));
     all.back()->list(workers(60));
   }
@@ -187,21 +187,22 @@
     if (now >= 110000 && now < 110000 + 1 / perMs)
       for (const auto& b : all) {
         b->now = now;
-        b->list({member(60, 0, 110000)}, ListKind::delta);
+        b->list({member(60, 0, 110000)}, EndpointUpdate::delta);
       }
     Bench& b = *all[static_cast<std::size_t>(now * 7919) % all.size()];
     b.now = now;
     const RequestId id = b.ask(2, 0, b.last, 1, 100);
     if (!b.wasSent(id)) continue;
     if (b.lastWorker() == 60 && now > 110000) sends.push_back(now);
-    b.end(id, Result::ok, 100);
+    b.end(id, AttemptResult::ok, 100);
   }
   const double warm = perMs / 60;  // what a warm worker gets
   for (const Time from : sends) {
-    const auto within =
-        std::count_if(sends.begin(), sends.end(), [&](Time t) { return t >= from && t < from + s.fallSpan; });
-    const double warmth = s.coldFrom + (1 - s.coldFrom) * (from - 110000) / s.warmUp;
-    EXPECT_LE(static_cast<double>(within), s.fallMultiple * warmth * warm * s.fallSpan + 4) << from;
+    const auto within = std::count_if(sends.begin(), sends.end(),
+                                      [&](Time t) { return t >= from && t < from + s.overloadWindowMs; });
+    const double warmth = s.slowStartShare + (1 - s.slowStartShare) * (from - 110000) / s.slowStartMs;
+    EXPECT_LE(static_cast<double>(within), s.overloadMultiple * warmth * warm * s.overloadWindowMs + 4)
+        << from;
   }
   EXPECT_GE(sends.size(), 20u);  // of 8,000 ms at 0.2 to 0.84 of a warm one's 11.7 a second
 }
@@ -212,14 +213,14 @@
   for (const unsigned gateways : {1u, 5u, 20u, 30u, 300u, 350u}) {
     for (std::uint64_t seed = 1; seed <= 4; ++seed) {
       Settings s = settings();
-      s.gateways = gateways;
+      s.gatewayCount = gateways;
       s.plans[0].rate = 1000, s.plans[0].burst = 100000;
       std::mt19937_64 random(seed);
       const auto chance = [&] { return std::uniform_real_distribution<>(0, 1)(random); };
       const unsigned count = gateways < 100 ? 10 : 60;
       std::vector<std::unique_ptr<Bench>> all;
-      for (s.self = 0; s.self < gateways; ++s.self) {
-        all.push_back(std::make_unique<Bench>(s, 100000, seed * 1000 + s.self));
+      for (s.gatewayIndex = 0; s.gatewayIndex < gateways; ++s.gatewayIndex) {
+        all.push_back(std::make_unique<Bench>(s, 100000, seed * 1000 + s.gatewayIndex));
         all.back()->list(workers(count));
       }
       const double perMs = 0.02 * count, warm = perMs / count;  // twenty a second at each worker
@@ -232,24 +233,25 @@
           const RequestId id = b.ask(2, 0, b.last, 1, gateways);
           if (!b.wasSent(id)) continue;
           if (b.lastWorker() == count && now >= 112000) sends.push_back(now);
-          b.end(id, Result::ok, 50);
+          b.end(id, AttemptResult::ok, 50);
         }
       };
       drive(112000, 2);  // most comes to the first ones
-      for (s.self = 0; s.self < gateways; ++s.self) {
-        if (s.self % 2 == 1) {
-          all[s.self] = std::make_unique<Bench>(s, now, seed * 7000 + s.self);
-          all[s.self]->list(workers(count));
+      for (s.gatewayIndex = 0; s.gatewayIndex < gateways; ++s.gatewayIndex) {
+        if (s.gatewayIndex % 2 == 1) {
+          all[s.gatewayIndex] = std::make_unique<Bench>(s, now, seed * 7000 + s.gatewayIndex);
+          all[s.gatewayIndex]->list(workers(count));
         }
-        all[s.self]->now = now;
-        all[s.self]->list({member(count, 0, now)}, ListKind::delta);
+        all[s.gatewayIndex]->now = now;
+        all[s.gatewayIndex]->list({member(count, 0, now)}, EndpointUpdate::delta);
       }
       drive(120000, 0.5);  // and now to the last
       for (const Time from : sends) {
         const auto within = std::count_if(sends.begin(), sends.end(),
-                                          [&](Time t) { return t >= from && t < from + s.fallSpan; });
-        const double budget =
-            s.fallMultiple * (s.coldFrom + (1 - s.coldFrom) * (from - 112000) / s.warmUp) * warm * s.fallSpan;
+                                          [&](Time t) { return t >= from && t < from + s.overloadWindowMs; });
+        const double budget = s.overloadMultiple *
+                              (s.slowStartShare + (1 - s.slowStartShare) * (from - 112000) / s.slowStartMs) *
+                              warm * s.overloadWindowMs;
         ASSERT_LE(static_cast<double>(within), budget + 2 * std::sqrt(budget) + 2)
             << gateways << " gateways, seed " << seed << ", " << from - 112000 << " ms after the start";
       }
@@ -291,29 +293,29 @@
 TEST(Fleet, TogetherGatewaysHoldQuotasOfCustomersThatEachSeesOnce) {
   for (const std::uint64_t seed : {1u, 2u}) {
     Settings s = settings();
-    s.gateways = 200, s.mostUnits = 8;
+    s.gatewayCount = 200, s.maxUnits = 8;
     s.plans[0].rate = 2, s.plans[0].burst = 16;
     std::mt19937_64 random(seed);
     const auto chance = [&] { return std::uniform_real_distribution<>(0, 1)(random); };
     std::vector<std::unique_ptr<Bench>> fleet;
-    for (s.self = 0; s.self < s.gateways; ++s.self) {
-      fleet.push_back(std::make_unique<Bench>(s, 100000, seed * 1000 + s.self));
+    for (s.gatewayIndex = 0; s.gatewayIndex < s.gatewayCount; ++s.gatewayIndex) {
+      fleet.push_back(std::make_unique<Bench>(s, 100000, seed * 1000 + s.gatewayIndex));
       fleet.back()->list(workers(60));
     }
     Quotas quotas{s.plans[0], {}};
     for (Time now = 100000; now < 125000; now += 2) {
-      if (std::fmod(now, s.meterPeriod) < 2) quotas.endPeriod();
+      if (std::fmod(now, s.quotaReadingPeriodMs) < 2) quotas.endPeriod();
       if (chance() > 0.9) continue;
       const bool heavy = chance() < 0.56;  // 100 customers at 4 times the rate, 900 at 0.35
       const CustomerId id = 1 + static_cast<CustomerId>(chance() * (heavy ? 100 : 900)) + (heavy ? 0 : 100);
       static constexpr double kSizes[] = {1, 1, 1, 1, 2, 2, 4, 8};
       const double units = kSizes[static_cast<std::size_t>(chance() * 8)];
-      Bench& b = *fleet[static_cast<std::size_t>(chance() * s.gateways)];
+      Bench& b = *fleet[static_cast<std::size_t>(chance() * s.gatewayCount)];
       b.now = now;
-      const RequestId request = b.ask(0, 0, id, units, s.gateways);
+      const RequestId request = b.ask(0, 0, id, units, s.gatewayCount);
       const bool in = b.wasSent(request);
       quotas.note(id, now, units, in);
-      if (in) b.end(request, Result::ok, 50, static_cast<int>(quotas.all[id].metered));
+      if (in) b.end(request, AttemptResult::ok, 50, static_cast<int>(quotas.all[id].metered));
     }
     EXPECT_LT(quotas.beyond / quotas.offered, 0.13) << seed;
     EXPECT_GT(quotas.inside / quotas.offered, 0.6) << seed;
@@ -323,7 +325,7 @@
 // Where gateways are few each has met its customers before long, and nobody is refused for being new.
 TEST(Fleet, AFewGatewaysLetNewCustomersIn) {
   Settings s = settings();
-  s.gateways = 3, s.mostUnits = 8;
+  s.gatewayCount = 3, s.maxUnits = 8;
   s.plans[0].rate = 2, s.plans[0].burst = 16;
   Bench b(s, 100000);
   b.list(workers(8));
@@ -331,7 +333,7 @@
   for (CustomerId c = 1; c <= 100; ++c) {
     const RequestId id = b.ask(0, 0, c, 8, 3);
     ASSERT_TRUE(b.wasSent(id)) << c;
-    b.end(id, Result::ok, 50, 400);
+    b.end(id, AttemptResult::ok, 50, 400);
   }
 }
 
--- a/tests/growth_test.cpp
+++ b/tests/growth_test.cpp
@@ -13,8 +13,8 @@
 namespace wingslip::decision::test {
 namespace {
 
-std::vector<Member> workers(std::size_t n) {
-  std::vector<Member> out;
+std::vector<Endpoint> workers(std::size_t n) {
+  std::vector<Endpoint> out;
   for (WorkerId id = 1; id <= n; ++id) out.push_back(member(id * 0x9e3779b97f4a7c15ULL));
   return out;
 }
@@ -52,7 +52,7 @@
   const double factor = growth::between(1000, [](std::size_t n) {
     const Settings to = withClasses(n);
     Bench b(to);
-    return timeOf([&] { b.gateway.settings(1, to); });
+    return timeOf([&] { b.gateway.onSettings(1, to); });
   });
   EXPECT_LT(factor, growth::kMost);
 }
@@ -61,7 +61,7 @@
 TEST(Growth, AChoiceAmongBusyWorkersIsNoWalkOfAllClassesForEach) {
   const double factor = growth::between(50, [](std::size_t n) {
     Settings s = withClasses(n);
-    s.gateways = 1;
+    s.gatewayCount = 1;
     s.plans = {PlanSettings{}};
     Bench b(s);
     b.list(workers(n));
@@ -79,13 +79,13 @@
   Settings s = settings();
   s.plans = {s.plans[1], s.plans[1]};
   s.plans[0].name = s.plans[1].name = "open";
-  s.plans[0].openLimit = 1;
-  s.plans[1].openLimit = 2;
+  s.plans[0].maxConcurrent = 1;
+  s.plans[1].maxConcurrent = 2;
   Bench b(s);
   b.list(workers(4));
   b.ask(0, 1, 7);
   ASSERT_EQ(b.recorder.sends.size(), 1u);
-  b.gateway.settings(b.now, s);
+  b.gateway.onSettings(b.now, s);
   EXPECT_TRUE(b.wasRefused(b.ask(0, 0, 7))) << "one is out, and the first of the name allows one";
 }
 
--- a/tests/guards_test.cpp
+++ b/tests/guards_test.cpp
@@ -12,7 +12,7 @@
     const RequestId id = b.ask(0, 2, customer, 2);
     if (!b.wasSent(id)) continue;
     units += 2;
-    b.end(id, Result::ok, 10, 0);
+    b.end(id, AttemptResult::ok, 10, 0);
   }
   return units;
 }
@@ -43,7 +43,7 @@
   ceilingUnits(b, 5000);
   for (CustomerId c = 100; c < 9000; ++c) {
     const RequestId id = b.ask(0, 2, c, 2);
-    if (b.wasSent(id)) b.end(id, Result::ok, 10);
+    if (b.wasSent(id)) b.end(id, AttemptResult::ok, 10);
   }
   EXPECT_LE(ceilingUnits(b, 1000), 12);
 }
@@ -51,15 +51,15 @@
 TEST(Drain, NothingNewToADrainingGoneOrUnlistedWorker) {
   Bench b;
   b.list({member(1), member(2), member(3), member(4)});
-  Member draining = member(1), gone = member(2);
-  draining.phase = Phase::draining, gone.phase = Phase::gone;
-  b.list({draining, gone}, ListKind::delta);
+  Endpoint draining = member(1), gone = member(2);
+  draining.phase = WorkerPhase::draining, gone.phase = WorkerPhase::removed;
+  b.list({draining, gone}, EndpointUpdate::delta);
   b.list({draining, member(4)});  // worker 3 is missing from the whole list
   for (CustomerId c = 0; c < 40; ++c) {
     const RequestId id = b.ask(0, 0, c);
     ASSERT_TRUE(b.wasSent(id));
     EXPECT_EQ(b.lastWorker(), 4u);
-    b.end(id, Result::ok);
+    b.end(id, AttemptResult::ok);
   }
 }
 
@@ -82,13 +82,13 @@
       ++into[b.lastWorker()];
       out.push_back(id);
       if (out.size() > 8) {
-        b.end(out.front(), Result::ok, 50);
+        b.end(out.front(), AttemptResult::ok, 50);
         out.pop_front();
       }
     }
   };
   drive(5000, first);
-  b.list({member(4, 0, b.now)}, ListKind::delta);
+  b.list({member(4, 0, b.now)}, EndpointUpdate::delta);
   std::map<WorkerId, int> burst;
   drive(100, burst);
   EXPECT_LE(burst[4], 1);
@@ -102,35 +102,35 @@
 // at every worker allows, instead of one each at once.
 TEST(Cold, RestartedGatewaysBeforeAColdFleetSendLittleAtFirst) {
   Settings s = settings();
-  s.gateways = 200;
+  s.gatewayCount = 200;
   s.plans[0].rate = 1000, s.plans[0].burst = 100000;
   unsigned sent = 0;
-  for (unsigned g = 0; g < s.gateways; ++g) {
-    s.self = g;
+  for (unsigned g = 0; g < s.gatewayCount; ++g) {
+    s.gatewayIndex = g;
     Recorder recorder;
     Gateway gateway(s, 1000 + g, 50000, recorder);
-    gateway.members(50000, ListKind::cached, {member(1, 0, 50000), member(2, 0, 50000)});
-    for (RequestId i = 0; i < 20; ++i) gateway.request(50000 + 50 * i, {i, 0, 0, 1, 60000, 1, 200});
+    gateway.onEndpoints(50000, EndpointUpdate::cached, {member(1, 0, 50000), member(2, 0, 50000)});
+    for (RequestId i = 0; i < 20; ++i) gateway.onRequest(50000 + 50 * i, {i, 0, 0, 1, 60000, 1, 200});
     sent += static_cast<unsigned>(recorder.sends.size());
   }
-  EXPECT_LE(sent, 2 * s.fallMultiple);  // a multiple of one for each of two workers in one span
+  EXPECT_LE(sent, 2 * s.overloadMultiple);  // a multiple of one for each of two workers in one span
 }
 
 // A customer whose set of gateways grows leaves this gateway a smaller part of its ceiling at once.
 TEST(Ceiling, FollowsTheCustomersSetOfGateways) {
   Settings s = settings();
-  s.gateways = 40;
+  s.gatewayCount = 40;
   s.plans[2].rate = 1000, s.plans[2].burst = 1000;
   Bench b(s);
   b.list({member(1), member(2), member(3), member(4)});
   b.now += 60000;
-  b.end(b.ask(0, 2, 1, 1, 2), Result::ok);
+  b.end(b.ask(0, 2, 1, 1, 2), AttemptResult::ok);
   int in = 0;
   for (int i = 0; i < 20; ++i) {
     const RequestId id = b.ask(0, 2, 1, 1, 20);
     if (!b.wasSent(id)) continue;
     ++in;
-    b.end(id, Result::ok);
+    b.end(id, AttemptResult::ok);
   }
   EXPECT_LE(in, 2);  // a twentieth of a store of forty
 }
@@ -139,8 +139,8 @@
   Bench b(settings(), 50000);
   b.list({member(1), member(1), member(2)});
   const RequestId id = b.ask();
-  b.list({member(1, 0, 50000), member(2, 0, 50000), member(2, 0, 50000)}, ListKind::delta);
-  b.end(id, Result::reset);
+  b.list({member(1, 0, 50000), member(2, 0, 50000), member(2, 0, 50000)}, EndpointUpdate::delta);
+  b.end(id, AttemptResult::reset);
   EXPECT_LE(b.attempts(id), 2u);
   b.now += 60000;
   EXPECT_TRUE(b.wasSent(b.ask()));
@@ -151,13 +151,13 @@
   b.list({member(1)});
   const RequestId id = b.ask(0, 0, 1, 1, 2, 5e6);
   b.now += 3.6e6;
-  b.end(id, Result::ok, 3.6e6, 300);
+  b.end(id, AttemptResult::ok, 3.6e6, 300);
   int in = 0;
   for (int i = 0; i < 10; ++i) {
     const RequestId next = b.ask();
     if (!b.wasSent(next)) continue;
     ++in;
-    b.end(next, Result::ok);
+    b.end(next, AttemptResult::ok);
   }
   EXPECT_GT(in, 0);
 }
@@ -173,20 +173,20 @@
     const RequestId id = b.ask(0, 0, c);
     ASSERT_TRUE(b.wasSent(id));
     EXPECT_EQ(b.lastWorker(), 2u);
-    b.end(id, Result::ok);
+    b.end(id, AttemptResult::ok);
   }
-  EXPECT_EQ(b.gateway.census(b.now).listed, 2u);
-  EXPECT_EQ(b.gateway.census(b.now).avoided, 1u);
+  EXPECT_EQ(b.gateway.workerCounts(b.now).listed, 2u);
+  EXPECT_EQ(b.gateway.workerCounts(b.now).avoided, 1u);
   b.gateway.exclude(b.now, 1);
   b.gateway.include(b.now, 1);
-  EXPECT_EQ(b.gateway.census(b.now).avoided, 0u);
+  EXPECT_EQ(b.gateway.workerCounts(b.now).avoided, 0u);
   unsigned sent = 0;
   for (int i = 0; i < 200; ++i) {  // 5 s
     b.now += 25;
     const RequestId id = b.ask(0, 0, 1000 + static_cast<CustomerId>(i));
     if (!b.wasSent(id)) continue;
     sent += b.lastWorker() == 1;
-    b.end(id, Result::ok);
+    b.end(id, AttemptResult::ok);
   }
   EXPECT_GT(sent, 0u);
   EXPECT_LT(sent, 80u);  // a warm one as idle as the other would have half
@@ -197,13 +197,13 @@
   const auto sentTo = [](double told, bool learns) {
     Bench b(settings(), 50000);
     b.list({member(1)});
-    if (told > 0) b.gateway.knowWarmRate(b.now, told);
+    if (told > 0) b.gateway.seedWarmWorkerRate(b.now, told);
     for (CustomerId c = 0; learns && c < 400; ++c) {
       b.now += 20;
       const RequestId id = b.ask(0, 0, c);
-      if (b.wasSent(id)) b.end(id, Result::ok, 20);
+      if (b.wasSent(id)) b.end(id, AttemptResult::ok, 20);
     }
-    EXPECT_LT(b.gateway.warmRate(b.now), 0.1);
+    EXPECT_LT(b.gateway.warmWorkerRate(b.now), 0.1);
     b.now += 20000;  // nothing warm for long
     b.list({member(1, 0, b.now)});
     int sent = 0;
@@ -212,7 +212,7 @@
       const RequestId id = b.ask(0, 0, c);
       if (!b.wasSent(id)) continue;
       ++sent;
-      b.end(id, Result::ok, 20);
+      b.end(id, AttemptResult::ok, 20);
     }
     return sent;
   };
@@ -230,10 +230,10 @@
   for (int i = 0; i < 20000; ++i) {
     b.now += 20;
     const RequestId id = b.ask(0, 0, 1000 + i);
-    if (b.wasSent(id)) b.end(id, i % 3 ? Result::ok : Result::timeout, 100, -1, true);
+    if (b.wasSent(id)) b.end(id, i % 3 ? AttemptResult::ok : AttemptResult::timeout, 100, -1, true);
   }
-  EXPECT_LE(b.gateway.customersHeld(), 4096u);
-  EXPECT_EQ(b.gateway.requestsHeld(), 0u);
+  EXPECT_LE(b.gateway.trackedCustomers(), 4096u);
+  EXPECT_EQ(b.gateway.requestsInFlight(), 0u);
 }
 
 }  // namespace
--- a/tests/invariant_test.cpp
+++ b/tests/invariant_test.cpp
@@ -9,9 +9,9 @@
 namespace wingslip::invariant {
 namespace {
 
-using decision::Phase;
-using decision::Repeat;
-using decision::Result;
+using decision::AttemptResult;
+using decision::Idempotency;
+using decision::WorkerPhase;
 
 constexpr decision::WorkerId kWorker = 7, kOther = 8;
 
@@ -22,7 +22,7 @@
     monitor.rules({1000, 2, 0.2, 1000, 10000});
     trace.name = "00000000000000a1";
     trace.deadline = 5000;
-    trace.repeat = Repeat::unsafe;
+    trace.repeat = Idempotency::notIdempotent;
     trace.cap = 2;
     monitor.workerReady(kWorker, 0);
     monitor.workerReady(kOther, 0);
@@ -33,7 +33,7 @@
     EXPECT_EQ(monitor.count(invariant), times) << nameOf(invariant);
     EXPECT_EQ(monitor.total(), times);
   }
-  void sendAndEnd(Result result, Time at) {
+  void sendAndEnd(AttemptResult result, Time at) {
     monitor.sending(trace, kWorker, at, 1000);
     monitor.ended(trace, kWorker, result, at + 10);
   }
@@ -46,8 +46,8 @@
 
 TEST_F(Monitored, AnOrdinaryRequestBreaksNone) {
   monitor.connecting(trace, kWorker, 1);
-  sendAndEnd(Result::full, 2);
-  sendAndEnd(Result::ok, 20);
+  sendAndEnd(AttemptResult::overloaded, 2);
+  sendAndEnd(AttemptResult::ok, 20);
   monitor.answered(trace, RequestState::answered, 40);
   monitor.forgotten(trace, 41);
   monitor.accounts(0, "", 42);
@@ -88,9 +88,9 @@
 }
 
 TEST_F(Monitored, AttemptsKeepToTheCap) {
-  sendAndEnd(Result::full, 1);
-  sendAndEnd(Result::full, 20);
-  sendAndEnd(Result::full, 40);
+  sendAndEnd(AttemptResult::overloaded, 1);
+  sendAndEnd(AttemptResult::overloaded, 20);
+  sendAndEnd(AttemptResult::overloaded, 40);
   expect(Invariant::attempts_past_cap);
 }
 
@@ -102,33 +102,33 @@
 TEST_F(Monitored, TheDeadlinePassedOnIsWhatIsLeft) {
   monitor.sending(trace, kWorker, 1000, 4000 + Monitor::kDeadlineSlack);
   EXPECT_EQ(monitor.total(), 0u);
-  monitor.ended(trace, kWorker, Result::full, 1001);
+  monitor.ended(trace, kWorker, AttemptResult::overloaded, 1001);
   monitor.sending(trace, kWorker, 1100, 4000 + Monitor::kDeadlineSlack);
   expect(Invariant::deadline_too_long);
 }
 
 TEST_F(Monitored, ADrainingWorkerGetsNothingAfterTheGrace) {
-  monitor.workerLeaves(kWorker, Phase::draining, 0);
-  sendAndEnd(Result::full, 1000);
+  monitor.workerLeaves(kWorker, WorkerPhase::draining, 0);
+  sendAndEnd(AttemptResult::overloaded, 1000);
   EXPECT_EQ(monitor.total(), 0u);
-  monitor.workerLeaves(kWorker, Phase::draining, 900);  // told again: the first time counts
-  sendAndEnd(Result::full, 1100);
+  monitor.workerLeaves(kWorker, WorkerPhase::draining, 900);  // told again: the first time counts
+  sendAndEnd(AttemptResult::overloaded, 1100);
   expect(Invariant::sent_to_draining);
 }
 
 TEST_F(Monitored, AGoneWorkerGetsNothingAfterTheGrace) {
-  monitor.workerLeaves(kWorker, Phase::gone, 0);
-  sendAndEnd(Result::full, 1001);
+  monitor.workerLeaves(kWorker, WorkerPhase::removed, 0);
+  sendAndEnd(AttemptResult::overloaded, 1001);
   expect(Invariant::sent_to_gone);
 }
 
 TEST_F(Monitored, AnExcludedWorkerGetsNothingUntilItIsIncluded) {
   monitor.workerExcluded(kWorker, 10);
   monitor.workerReady(kWorker, 0);  // whatever a list says
-  sendAndEnd(Result::full, 11);
+  sendAndEnd(AttemptResult::overloaded, 11);
   expect(Invariant::sent_to_excluded);
   monitor.workerIncluded(kWorker);
-  sendAndEnd(Result::full, 12);
+  sendAndEnd(AttemptResult::overloaded, 12);
   expect(Invariant::sent_to_excluded);
 }
 
@@ -138,28 +138,29 @@
   trace.cap = 1000;
   trace.deadline = 60000;
   const double calls = 4, most = calls + 3 * 2 + 3;
-  for (int i = 0; i < static_cast<int>(most); ++i) sendAndEnd(Result::full, 110 + i);
+  for (int i = 0; i < static_cast<int>(most); ++i) sendAndEnd(AttemptResult::overloaded, 110 + i);
   EXPECT_EQ(monitor.total(), 0u);
-  sendAndEnd(Result::full, 130);
+  sendAndEnd(AttemptResult::overloaded, 130);
   expect(Invariant::slow_start_exceeded);
-  for (int i = 0; i < 20; ++i) sendAndEnd(Result::full, 2000 + 200 * i);  // spread over four spans
+  for (int i = 0; i < 20; ++i)
+    sendAndEnd(AttemptResult::overloaded, 2000 + 200 * i);  // spread over four spans
   expect(Invariant::slow_start_exceeded);
 }
 
 TEST_F(Monitored, WhatMayHaveRunIsNotSentAgain) {
-  sendAndEnd(Result::reset, 1);
-  sendAndEnd(Result::ok, 20);
+  sendAndEnd(AttemptResult::reset, 1);
+  sendAndEnd(AttemptResult::ok, 20);
   expect(Invariant::unsafe_request_resent);
 }
 
 TEST_F(Monitored, AKeyedRequestIsSentAgainWithinItsWindowAlone) {
-  trace.repeat = Repeat::keyed;
+  trace.repeat = Idempotency::withKey;
   trace.window = 100;
   trace.cap = 9;
-  sendAndEnd(Result::timeout, 1);
-  sendAndEnd(Result::timeout, 101);
+  sendAndEnd(AttemptResult::timeout, 1);
+  sendAndEnd(AttemptResult::timeout, 101);
   EXPECT_EQ(monitor.total(), 0u);
-  sendAndEnd(Result::timeout, 102);
+  sendAndEnd(AttemptResult::timeout, 102);
   expect(Invariant::unsafe_request_resent);
 }
 
@@ -180,7 +181,7 @@
 // The line has the request's id and its last states; more of one kind are counted and not said at once.
 TEST_F(Monitored, AViolationIsLoggedOnceWithTheRequestsStates) {
   monitor.workerExcluded(kWorker, 0);
-  sendAndEnd(Result::reset, 10);
+  sendAndEnd(AttemptResult::reset, 10);
   ASSERT_EQ(lines.size(), 1u);
   EXPECT_NE(lines[0].find("sent_to_excluded"), std::string::npos) << lines[0];
   EXPECT_NE(lines[0].find("request=00000000000000a1"), std::string::npos) << lines[0];
--- a/tests/node_test.cpp
+++ b/tests/node_test.cpp
@@ -7,15 +7,15 @@
 #include <filesystem>
 #include <fstream>
 
+#include "gatekeeper/discovery.hpp"
 #include "growth.hpp"
 #include "loopback.hpp"
-#include "gatekeeper/discovery.hpp"
 #include "worker_pool_fixture.hpp"
 
 namespace wingslip::test {
 namespace {
 
-using decision::Result;
+using decision::AttemptResult;
 using namespace std::chrono_literals;
 
 struct Silent : RequestHandler {  // never answers
@@ -188,9 +188,9 @@
   worker.peers[0]->send(
       reply("200 OK", "body", "Srv-Load: inflight=7,queue=2,util=0.61\r\nX-RateLimit-Used: 85\r\n"));
   untilEnds(1);
-  EXPECT_EQ(ends[0].outcome.result, Result::ok);
-  EXPECT_EQ(ends[0].outcome.report, (std::vector<double>{0.61, 2}));
-  EXPECT_EQ(ends[0].outcome.usePercent, 85);
+  EXPECT_EQ(ends[0].outcome.result, AttemptResult::ok);
+  EXPECT_EQ(ends[0].outcome.loadReport, (std::vector<double>{0.61, 2}));
+  EXPECT_EQ(ends[0].outcome.quotaUsePercent, 85);
   EXPECT_EQ(ends[0].body, "body");
 }
 
@@ -205,7 +205,7 @@
     untilSeen(worker.count("\r\n\r\n") + 1);
     worker.peers[0]->send(reply("200 OK", "", header));
     untilEnds(1);
-    EXPECT_EQ(ends[0].outcome.trueUnits, units) << header;
+    EXPECT_EQ(ends[0].outcome.actualUnits, units) << header;
   }
 }
 
@@ -217,8 +217,8 @@
     untilSeen(worker.count("\r\n\r\n") + 1);
     worker.peers[0]->send(reply("200 OK", "", load));
     untilEnds(1);
-    EXPECT_TRUE(ends[0].outcome.report.empty()) << load;
-    EXPECT_EQ(ends[0].outcome.usePercent, -1);
+    EXPECT_TRUE(ends[0].outcome.loadReport.empty()) << load;
+    EXPECT_EQ(ends[0].outcome.quotaUsePercent, -1);
   }
 }
 
@@ -226,10 +226,10 @@
   open({});
   start(1, 50ms);
   untilEnds(1);
-  EXPECT_EQ(ends[0].outcome.result, Result::timeout);
+  EXPECT_EQ(ends[0].outcome.result, AttemptResult::timeout);
   until([&] { return worker.peers.size() == 1 && worker.peers[0]->ended; }, "the connection ends");
   EXPECT_EQ(pool->connections(), 0u);
-  EXPECT_FALSE(pool->giveUp(1, Result::timeout));
+  EXPECT_FALSE(pool->giveUp(1, AttemptResult::timeout));
 }
 
 TEST_F(Pool, ABrokenAnswerMayHaveRun) {
@@ -239,7 +239,7 @@
   worker.peers[0]->send("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf");
   worker.peers[0]->end();
   untilEnds(1);
-  EXPECT_EQ(ends[0].outcome.result, Result::reset);
+  EXPECT_EQ(ends[0].outcome.result, AttemptResult::reset);
 }
 
 // The size is refused with the header, also where the body's first bytes come in the same read.
@@ -249,7 +249,7 @@
   untilSeen(1);
   worker.peers[0]->send("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n" + std::string(500, 'x'));
   untilEnds(1);
-  EXPECT_EQ(ends[0].outcome.result, Result::error);
+  EXPECT_EQ(ends[0].outcome.result, AttemptResult::error);
   EXPECT_EQ(pool->connections(), 0u);
 }
 
@@ -264,7 +264,7 @@
     worker.peers.back()->send(std::string("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n") + prefix);
     for (int i = 0; i < 20; ++i) worker.peers.back()->send(std::string(1000, 'x'));
     untilEnds(1);
-    EXPECT_EQ(ends[0].outcome.result, Result::error);
+    EXPECT_EQ(ends[0].outcome.result, AttemptResult::error);
     EXPECT_EQ(pool->connections(), 0u);
   }
 }
@@ -275,7 +275,7 @@
   start(1);
   pool->retire(1);
   untilEnds(1);
-  EXPECT_EQ(ends[0].outcome.result, Result::connectFailed);
+  EXPECT_EQ(ends[0].outcome.result, AttemptResult::connectFailed);
   EXPECT_EQ(pool->connections(), 0u);
   EXPECT_EQ(worker.count("Req-Id"), 0u);
   pool->place(1, {worker.address()});
@@ -284,7 +284,7 @@
   pool->retire(1);  // out already: it goes on
   worker.peers.back()->send(reply("200 OK", "done"));
   untilEnds(2);
-  EXPECT_EQ(ends[1].outcome.result, Result::ok);
+  EXPECT_EQ(ends[1].outcome.result, AttemptResult::ok);
 }
 
 TEST_F(Pool, AnUnknownWorkerCannotBeReachedAndIsToldLater) {
@@ -293,7 +293,7 @@
   start(1);
   EXPECT_TRUE(ends.empty());
   untilEnds(1);
-  EXPECT_EQ(ends[0].outcome.result, Result::connectFailed);
+  EXPECT_EQ(ends[0].outcome.result, AttemptResult::connectFailed);
 }
 
 // Retired before the worker ends it: a request written to it from then on would be lost.
@@ -318,7 +318,7 @@
                   std::chrono::steady_clock::now() + 1h});  // started after this connection was opened
   EXPECT_TRUE(ends.empty());
   untilEnds(1);
-  EXPECT_EQ(ends[0].outcome.result, Result::reset);
+  EXPECT_EQ(ends[0].outcome.result, AttemptResult::reset);
   EXPECT_EQ(pool->connections(), 0u);
 }
 
@@ -372,10 +372,10 @@
   pool->place(1, {worker.address(), std::chrono::steady_clock::now() + 1h});
   untilEnds(1);
   EXPECT_EQ(ends[0].outcome.id, 1u);
-  EXPECT_EQ(ends[0].outcome.result, Result::reset);
+  EXPECT_EQ(ends[0].outcome.result, AttemptResult::reset);
   other.peers[0]->send(reply("200 OK", ""));
   untilEnds(2);
-  EXPECT_EQ(ends[1].outcome.result, Result::ok);
+  EXPECT_EQ(ends[1].outcome.result, AttemptResult::ok);
   EXPECT_EQ(pool->connections(), 1u);
 }
 
@@ -387,7 +387,7 @@
   start(2);
   untilEnds(1);
   EXPECT_EQ(ends[0].outcome.id, 2u);
-  EXPECT_EQ(ends[0].outcome.result, Result::moot);  // no fault of the worker's
+  EXPECT_EQ(ends[0].outcome.result, AttemptResult::notSent);  // no fault of the worker's
   EXPECT_EQ(pool->shortHere(), 1u);
   Listener second(io);
   pool->place(2, {second.address()});
@@ -407,9 +407,9 @@
   EXPECT_EQ(config.sockets, 256u);
   EXPECT_EQ(config.host.classes, (std::vector<std::string>{"look", "edit", "order"}));
   EXPECT_EQ(config.host.zones, (std::vector<std::string>{"a", "b"}));
-  EXPECT_EQ(config.settings.classes[1].repeat, decision::Repeat::keyed);
+  EXPECT_EQ(config.settings.classes[1].idempotency, decision::Idempotency::withKey);
   EXPECT_EQ(config.settings.plans[1].rate, 1000);
-  EXPECT_EQ(config.settings.reportFields, (std::vector<std::string>{"util", "queue"}));
+  EXPECT_EQ(config.settings.loadReportFields, (std::vector<std::string>{"util", "queue"}));
   EXPECT_EQ(parseRoster(config.known).instances.at(0).id, "s");
 }
 
--- a/tests/pressure_test.cpp
+++ b/tests/pressure_test.cpp
@@ -1,7 +1,5 @@
 // The cores of back-pressure in virtual time: the ledger of memory, the stages, the figures of the places,
 // and whom the module sheds.
-#include "overload/overload_state.hpp"
-
 #include <cmath>
 #include <fstream>
 #include <random>
@@ -9,6 +7,7 @@
 #include <sstream>
 
 #include "overload/memory_budget.hpp"
+#include "overload/overload_state.hpp"
 #include "overload/wait_queues.hpp"
 #include "recorder.hpp"
 
@@ -396,35 +395,35 @@
 struct Pressed : Bench {
   static Settings wide() {
     Settings s = settings();
-    s.maxRetryAfter = 4000;
+    s.maxRetryAfterMs = 4000;
     for (PlanSettings& plan : s.plans)
-      plan.rate = 1000, plan.burst = 2000, plan.openLimit = 0, plan.ceilingRate = 0;
+      plan.rate = 1000, plan.burst = 2000, plan.maxConcurrent = 0, plan.ceilingRate = 0;
     s.plans.resize(2);
     s.plans[1].price = 2;
     return s;
   }
   explicit Pressed(const Settings& s = wide(), std::uint64_t salt = 7) : Bench(s, 0, salt) {
-    std::vector<Member> workers;
+    std::vector<Endpoint> workers;
     for (WorkerId id = 1; id <= 40; ++id) workers.push_back(member(id));
     list(workers);
   }
   RequestId askFor(double bytes, unsigned klass = 0, unsigned plan = 0, CustomerId customer = 1) {
-    gateway.request(now, {++last, klass, plan, customer, now + 3000, 1, 2, bytes});
+    gateway.onRequest(now, {++last, klass, plan, customer, now + 3000, 1, 2, bytes});
     return last;
   }
   void press(double share, double excess = 0, Time lasts = 1000) {
-    gateway.pressure(now, {true, excess > 0, share, excess, lasts});
+    gateway.onOverload(now, {true, excess > 0, share, excess, lasts});
   }
 };
 
 TEST(Shedding, WithoutPressureNothingChanges) {
   Pressed plain, told;
-  told.gateway.pressure(0, {});
+  told.gateway.onOverload(0, {});
   for (int i = 0; i < 200; ++i) {
     for (Pressed* p : {&plain, &told}) {
       p->now += 7;
       const RequestId id = p->askFor(p == &told ? 1e6 : 0, static_cast<unsigned>(i % 3), 0, 1 + i % 5);
-      if (i % 2 && p->wasSent(id)) p->end(id, Result::ok, 50, 30);
+      if (i % 2 && p->wasSent(id)) p->end(id, AttemptResult::ok, 50, 30);
     }
   }
   EXPECT_EQ(plain.recorder.sends.size(), told.recorder.sends.size());
@@ -456,21 +455,21 @@
   EXPECT_TRUE(p.wasRefused(dear));
   p.press(0, 0);
   EXPECT_FALSE(p.wasRefused(small));
-  EXPECT_EQ(p.gateway.requestsHeld(), 1u);
-  p.end(large, Result::cancelled);  // what comes of it later changes nothing
+  EXPECT_EQ(p.gateway.requestsInFlight(), 1u);
+  p.end(large, AttemptResult::cancelled);  // what comes of it later changes nothing
   EXPECT_EQ(p.recorder.finals[large], 1u);
 }
 
 TEST(Shedding, WhatIsBeingAnsweredGoesLastAndFails) {
   Pressed p;
   const RequestId answered = p.askFor(400000), other = p.askFor(2000);
-  p.gateway.answering(p.now, answered);
+  p.gateway.onResponseStarted(p.now, answered);
   p.press(0, 1500);
   EXPECT_TRUE(p.wasRefused(other));
   EXPECT_FALSE(p.hasFailed(answered) || p.wasRefused(answered));
   p.press(0, 1500);
   EXPECT_TRUE(p.hasFailed(answered));
-  EXPECT_EQ(p.gateway.requestsHeld(), 0u);
+  EXPECT_EQ(p.gateway.requestsInFlight(), 0u);
 }
 
 // What is out may have run: a refusal would say that trying again is harmless.
@@ -491,7 +490,7 @@
     const bool cheap = i % 2;
     const RequestId id = p.askFor(1000, 0, cheap ? 0 : 1, 1 + i % 50);
     (cheap ? refusedCheap : refusedDear) += p.wasRefused(id);
-    if (p.wasSent(id)) p.end(id, Result::ok, 50);
+    if (p.wasSent(id)) p.end(id, AttemptResult::ok, 50);
   }
   EXPECT_NEAR(refusedCheap + refusedDear, 0.3 * n, 0.06 * n);
   EXPECT_GT(refusedCheap, 20 * refusedDear);
