--- a/tests/quota_test.cpp
+++ b/tests/quota_test.cpp
@@ -8,12 +8,12 @@
             unsigned setSize = 2) {
   const RequestId id = b.ask(0, plan, customer, units, setSize);
   if (!b.wasSent(id)) return false;
-  b.end(id, Result::ok, 50, percent);
+  b.end(id, AttemptResult::ok, 50, percent);
   return true;
 }
 
-std::vector<Member> fleet() {
-  std::vector<Member> all;
+std::vector<Endpoint> fleet() {
+  std::vector<Endpoint> all;
   for (WorkerId w = 1; w <= 50; ++w) all.push_back(member(w));
   return all;
 }
@@ -28,7 +28,7 @@
 
 TEST(Quota, FillsTowardTheWholeRateAndBurst) {
   Settings s = settings();
-  s.gateways = 1;
+  s.gatewayCount = 1;
   Bench b(s);
   b.list({member(1)});
   while (served(b, 0, 1, -1, 1, 1)) {
@@ -55,11 +55,11 @@
 
 TEST(Quota, TrueUnitsSquareTheGuess) {
   Settings s = settings();
-  s.gateways = 1, s.settlesUnits = true;
+  s.gatewayCount = 1, s.correctsUnits = true;
   Bench b(s);
   b.list({member(1)});
   const RequestId id = b.ask(0, 0, 1, 8, 1);
-  b.end(id, Result::ok, 50, -1, true, 3);  // five come back
+  b.end(id, AttemptResult::ok, 50, -1, true, 3);  // five come back
   int in = 0;
   while (served(b, 0, 1, -1, 1, 1)) ++in;
   EXPECT_EQ(in, 17);
@@ -68,7 +68,7 @@
 // A reading counts once, however many answers of its period it rides on.
 TEST(Quota, RepeatedReadingTrimsOnce) {
   Settings s = settings();
-  s.gateways = 1;
+  s.gatewayCount = 1;
   const auto admitted = [&](int repeats) {
     Bench b(s);
     b.list({member(1)});
@@ -119,13 +119,13 @@
 // A gateway that refuses is told nothing; it keeps believing the others for a while, not for ever.
 TEST(Quota, BelievesOthersForAWhileWithoutReadings) {
   Settings s = settings();
-  s.plans[1].overCost = 1.2;
+  s.plans[1].overQuotaCost = 1.2;
   Bench b(s);
   b.list({member(1)});
   for (int i = 0; i < 40; ++i) {
     b.now += 500;
     const RequestId id = b.ask(0, 1);
-    if (b.wasSent(id)) b.end(id, Result::ok, 50, 400);
+    if (b.wasSent(id)) b.end(id, AttemptResult::ok, 50, 400);
   }
   b.now += 3000;
   int soon = 0, late = 0;
@@ -143,7 +143,7 @@
   EXPECT_TRUE(b.wasSent(first));
   EXPECT_TRUE(b.wasSent(second));
   EXPECT_TRUE(b.wasRefused(third));
-  b.end(first, Result::ok);
+  b.end(first, AttemptResult::ok);
   EXPECT_TRUE(b.wasSent(b.ask(0, 1)));
 }
 
@@ -155,9 +155,9 @@
   while (served(b)) {
   }
   for (CustomerId c = 100; c < 9000; ++c) {
-    b.gateway.request(b.now, {++b.last, 0, 0, c, b.now + 3000, 100000, 2});  // never let in: loses nothing
+    b.gateway.onRequest(b.now, {++b.last, 0, 0, c, b.now + 3000, 100000, 2});  // never let in: loses nothing
   }
-  EXPECT_LE(b.gateway.customersHeld(), 4096u);
+  EXPECT_LE(b.gateway.trackedCustomers(), 4096u);
   EXPECT_FALSE(served(b));
 }
 
@@ -178,7 +178,7 @@
 // that has long been up lets the first one in.
 TEST(Quota, FirstRequestOfACustomerAtAGatewayLongUpIsLetIn) {
   Settings s = settings();
-  s.gateways = 200;
+  s.gatewayCount = 200;
   s.plans[0].rate = 1, s.plans[0].burst = 4;
   Bench b(s);
   b.list(fleet());
@@ -191,7 +191,7 @@
 TEST(Quota, RareRequestsGoByTheReadings) {
   const auto admitted = [](int percent) {
     Settings s = settings();
-    s.gateways = 200;
+    s.gatewayCount = 200;
     s.plans[0].rate = 1, s.plans[0].burst = 4;
     Bench b(s);
     b.list(fleet());
@@ -210,7 +210,7 @@
 // whatever it makes of the demand. Together they would else go past the quota by what they misjudge.
 TEST(Quota, WhileTheStoreIsEmptyAGatewayLetsInItsShareOfTheRate) {
   Settings s = settings();
-  s.gateways = 10;
+  s.gatewayCount = 10;
   Bench b(s);
   b.list({member(1)});
   int in = 0;
@@ -225,7 +225,7 @@
 
 TEST(Quota, ZeroRatesAndAbsentReadingsAreLegal) {
   Settings s = settings();
-  s.meterPeriod = 0;
+  s.quotaReadingPeriodMs = 0;
   s.plans = {PlanSettings{}};
   Bench b(s);
   b.list({member(1)});
@@ -236,7 +236,7 @@
 // nothing.
 TEST(Quota, FollowsTheCustomersPlan) {
   Settings s = settings();
-  s.gateways = 1;
+  s.gatewayCount = 1;
   s.plans[2] = s.plans[0];
   s.plans[2].name = "large", s.plans[2].rate = 1000, s.plans[2].burst = 1000;
   Bench b(s);
--- a/tests/races_test.cpp
+++ b/tests/races_test.cpp
@@ -6,7 +6,7 @@
 namespace wingslip::test {
 namespace {
 
-using decision::Result;
+using decision::AttemptResult;
 using namespace std::chrono_literals;
 using Steady = std::chrono::steady_clock;
 
@@ -30,9 +30,9 @@
 TEST_F(PoolRaces, AnAttemptGivenUpInTheTurnOfItsLastByteMayHaveRun) {
   rest();
   start(2);
-  const auto end = pool->giveUp(2, Result::timeout);
+  const auto end = pool->giveUp(2, AttemptResult::timeout);
   ASSERT_TRUE(end);
-  EXPECT_EQ(end->outcome.result, Result::timeout);
+  EXPECT_EQ(end->outcome.result, AttemptResult::timeout);
   until([&] { return seen() == 2; }, "the request at the worker");
 }
 
@@ -45,7 +45,7 @@
   for (const auto at = Steady::now() + 100ms; Steady::now() < at;) {
   }
   untilEnds(2);
-  EXPECT_EQ(ends[1].outcome.result, Result::ok);
+  EXPECT_EQ(ends[1].outcome.result, AttemptResult::ok);
 }
 
 // The first answer fills a read to the byte, so that the second is still to be read when the connection
@@ -75,7 +75,7 @@
   untilEnds(1);
   worker.peers[0]->send(reply("200 OK", "stray"));
   untilEnds(2);
-  EXPECT_EQ(ends[1].outcome.result, Result::connectFailed);
+  EXPECT_EQ(ends[1].outcome.result, AttemptResult::connectFailed);
   EXPECT_EQ(seen(), 1u);
 }
 
@@ -109,7 +109,7 @@
   };
   worker.peers[0]->send(reply("200 OK", "first"));
   untilEnds(2);
-  EXPECT_EQ(ends[1].outcome.result, Result::connectFailed);
+  EXPECT_EQ(ends[1].outcome.result, AttemptResult::connectFailed);
   EXPECT_EQ(seen(), 1u);
 }
 
@@ -117,7 +117,7 @@
   start(1);
   pool->place(1, {other.address()});
   untilEnds(1);
-  EXPECT_EQ(ends[0].outcome.result, Result::connectFailed);
+  EXPECT_EQ(ends[0].outcome.result, AttemptResult::connectFailed);
   start(2);
   until([&] { return other.count("\r\n\r\n") == 1; }, "the next at the new address");
   EXPECT_EQ(seen(), 0u);
@@ -126,7 +126,7 @@
 TEST_F(PoolRaces, AnAttemptWhoseClientLeavesWhileTheConnectionComesUpIsNotWritten) {
   start(1, {}, [] { return false; });
   untilEnds(1);
-  EXPECT_EQ(ends[0].outcome.result, Result::connectFailed);
+  EXPECT_EQ(ends[0].outcome.result, AttemptResult::connectFailed);
   start(2);
   until([&] { return seen() == 1; }, "another request");
   EXPECT_EQ(worker.count("Req-Id: 1\r\n"), 0u);
--- a/tests/recorder.hpp
+++ b/tests/recorder.hpp
@@ -25,11 +25,11 @@
   std::vector<std::string> lines;
   unsigned subscriptions = 0;
 
-  void send(RequestId id, WorkerId worker, Time timeout) override {
+  void startAttempt(RequestId id, WorkerId worker, Time timeout) override {
     EXPECT_EQ(finals[id], 0u) << "an attempt after the final answer of " << id;
     sends.push_back({id, worker, timeout, attempts[id]++});
   }
-  void refuse(RequestId id, Time retryAfter) override {
+  void reject(RequestId id, Time retryAfter) override {
     refused[id] = retryAfter;
     EXPECT_GT(retryAfter, 0);
     EXPECT_EQ(++finals[id], 1u);
@@ -39,41 +39,42 @@
     EXPECT_EQ(++finals[id], 1u);
   }
   void setTimer(Time wait, std::uint64_t tag) override { timers.emplace_back(wait, tag); }
-  void subscribe() override { ++subscriptions; }
+  void pollEndpoints() override { ++subscriptions; }
   void log(const std::string& line) override { lines.push_back(line); }
 };
 
 inline Settings settings() {
   Settings s;
-  s.gateways = 2;
+  s.gatewayCount = 2;
   s.maxAttempts = 4;
-  s.maxRetryAfter = 2000;
-  s.meterPeriod = 1000;
-  s.coldFrom = 0.2;
-  s.warmUp = 10000;
-  s.fallMultiple = 2;
-  s.fallSpan = 1000;
-  s.drainGrace = 1000;
+  s.maxRetryAfterMs = 2000;
+  s.quotaReadingPeriodMs = 1000;
+  s.slowStartShare = 0.2;
+  s.slowStartMs = 10000;
+  s.overloadMultiple = 2;
+  s.overloadWindowMs = 1000;
+  s.drainGraceMs = 1000;
   ClassSettings safe;
-  safe.aim = 1000, safe.deadline = 3000, safe.repeat = Repeat::safe;
+  safe.latencyObjectiveMs = 1000, safe.deadlineMs = 3000, safe.idempotency = Idempotency::idempotent;
   ClassSettings keyed = safe;
-  keyed.repeat = Repeat::keyed, keyed.scope = Scope::zone, keyed.window = 2000;
+  keyed.idempotency = Idempotency::withKey, keyed.deduplicationScope = DeduplicationScope::zone,
+  keyed.idempotencyWindowMs = 2000;
   ClassSettings unsafe = safe;
-  unsafe.repeat = Repeat::unsafe;
+  unsafe.idempotency = Idempotency::notIdempotent;
   s.classes = {safe, keyed, unsafe};
   PlanSettings rate;
-  rate.rate = 10, rate.burst = 20, rate.overCost = 1;
+  rate.rate = 10, rate.burst = 20, rate.overQuotaCost = 1;
   PlanSettings open;
-  open.openLimit = 2;
+  open.maxConcurrent = 2;
   PlanSettings ceiling = rate;
   ceiling.ceilingRate = 20, ceiling.ceilingBurst = 40;
   s.plans = {rate, open, ceiling};
   return s;
 }
 
-inline Member member(WorkerId id, unsigned zone = 0, Time started = 0) {
-  Member m;
-  m.worker = id, m.zone = zone, m.started = started;
+inline Endpoint member(WorkerId id, unsigned zone = 0, Time started = 0) {
+  Endpoint m;
+  m.worker = id, m.zone = zone, m.startedAt = started;
   return m;
 }
 
@@ -82,24 +83,24 @@
   explicit Bench(const Settings& s = settings(), Time start = 0, std::uint64_t salt = 7)
       : now(start), gateway(s, salt, start, recorder) {}
 
-  void list(const std::vector<Member>& members, ListKind kind = ListKind::full) {
-    gateway.members(now, kind, members);
+  void list(const std::vector<Endpoint>& members, EndpointUpdate kind = EndpointUpdate::snapshot) {
+    gateway.onEndpoints(now, kind, members);
   }
   RequestId ask(unsigned klass = 0, unsigned plan = 0, CustomerId customer = 1, double units = 1,
                 unsigned setSize = 2, Time patience = 3000) {
-    gateway.request(now, {++last, klass, plan, customer, now + patience, units, setSize});
+    gateway.onRequest(now, {++last, klass, plan, customer, now + patience, units, setSize});
     return last;
   }
   // Ends the newest attempt of a request.
-  void end(RequestId id, Result result, Time elapsed = 100, int percent = -1, bool finished = false,
+  void end(RequestId id, AttemptResult result, Time elapsed = 100, int percent = -1, bool finished = false,
            double trueUnits = 0) {
     for (auto it = recorder.sends.rbegin(); it != recorder.sends.rend(); ++it) {
       if (it->id != id) continue;
-      Outcome out;
+      AttemptOutcome out;
       out.id = id, out.result = result, out.attempt = it->attempt, out.worker = it->worker;
-      out.elapsed = elapsed, out.usePercent = percent, out.trueUnits = trueUnits;
-      out.finished = finished || result == Result::ok;
-      gateway.outcome(now, out);
+      out.latencyMs = elapsed, out.quotaUsePercent = percent, out.actualUnits = trueUnits;
+      out.requestFinished = finished || result == AttemptResult::ok;
+      gateway.onAttemptOutcome(now, out);
       return;
     }
     FAIL() << "no attempt of " << id;
--- a/tests/watch_test.cpp
+++ b/tests/watch_test.cpp
@@ -1,7 +1,5 @@
 // The watch on the list of workers in virtual time: agents of one's own and one discovery for all, silence,
 // resets, downtime and refusals by seed; and what of a list that is old, cut or malformed holds.
-#include "endpoint_watch/endpoint_watch.hpp"
-
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -11,10 +9,11 @@
 #include <string>
 #include <vector>
 
-#include "growth.hpp"
-#include "gatekeeper/name_index.hpp"
 #include "endpoint_watch/endpoint_list.hpp"
+#include "endpoint_watch/endpoint_watch.hpp"
 #include "endpoint_watch/start_times.hpp"
+#include "gatekeeper/name_index.hpp"
+#include "growth.hpp"
 
 namespace wingslip {
 namespace {
@@ -320,12 +319,12 @@
   take(list(39, false, {entry("a", "Ready")}), false);
   EXPECT_EQ(history.from(), -1);
   Roster old = take(list(39, true, {entry("a", "Ready"), entry("b", "Ready"), entry("c", "Ready", 5)}), true);
-  EXPECT_EQ(phaseOf(old, 0), decision::Phase::draining);
-  EXPECT_EQ(phaseOf(old, 1), decision::Phase::ready);
-  EXPECT_EQ(phaseOf(old, 2), decision::Phase::ready) << "started anew";
+  EXPECT_EQ(phaseOf(old, 0), decision::WorkerPhase::draining);
+  EXPECT_EQ(phaseOf(old, 1), decision::WorkerPhase::ready);
+  EXPECT_EQ(phaseOf(old, 2), decision::WorkerPhase::ready) << "started anew";
   old = take(list(40, false, {entry("a", "Ready")}), true);
-  EXPECT_EQ(phaseOf(old, 0), decision::Phase::draining);
-  EXPECT_EQ(phaseOf(take(list(42, false, {entry("a", "Ready")}), true), 0), decision::Phase::ready);
+  EXPECT_EQ(phaseOf(old, 0), decision::WorkerPhase::draining);
+  EXPECT_EQ(phaseOf(take(list(42, false, {entry("a", "Ready")}), true), 0), decision::WorkerPhase::ready);
 }
 
 // Past the most that are remembered those of the oldest list go, and of one list the first by id.
@@ -342,9 +341,9 @@
   Roster old = list(1, true, {entry("a", "Ready"), entry("b", "Ready"), entry("w-0", "Ready")});
   ASSERT_FALSE(history.accept(old));  // the whole list is asked for, and is as old
   ASSERT_TRUE(history.accept(old));
-  EXPECT_EQ(old.instances[0].phase, decision::Phase::ready);
-  EXPECT_EQ(old.instances[1].phase, decision::Phase::draining);
-  EXPECT_EQ(old.instances[2].phase, decision::Phase::draining);
+  EXPECT_EQ(old.instances[0].phase, decision::WorkerPhase::ready);
+  EXPECT_EQ(old.instances[1].phase, decision::WorkerPhase::draining);
+  EXPECT_EQ(old.instances[2].phase, decision::WorkerPhase::draining);
 }
 
 TEST(Lists, OfManyWorkersThatLeaveAreNoWalkOfAllForEach) {
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -43,15 +43,15 @@
 
 struct Seen : simulator_adapter::Events {
   std::vector<Request> requests;
-  std::vector<Outcome> outcomes;
-  std::vector<Member> list;
+  std::vector<AttemptOutcome> outcomes;
+  std::vector<Endpoint> list;
   unsigned at = 0;
   std::uint64_t tag = 0;
   void instance(unsigned n) override { at = n; }
   void start(std::uint64_t, std::string_view) override {}
-  void members(ListKind, const std::vector<Member>& m) override { list = m; }
+  void members(EndpointUpdate, const std::vector<Endpoint>& m) override { list = m; }
   void request(const Request& r) override { requests.push_back(r); }
-  void outcome(const Outcome& o) override { outcomes.push_back(o); }
+  void outcome(const AttemptOutcome& o) override { outcomes.push_back(o); }
   void clientLeft(RequestId) override {}
   void timer(std::uint64_t t) override { tag = t; }
   void stop() override {}
@@ -69,13 +69,13 @@
   ASSERT_EQ(seen.requests.size(), 1u);
   EXPECT_EQ(seen.at, 3u);
   EXPECT_EQ(seen.requests[0].units, 2);
-  EXPECT_EQ(seen.requests[0].setSize, 3u);
+  EXPECT_EQ(seen.requests[0].customerGateways, 3u);
   read(seen, 1, unhex("32 c4913a5d 00 0000 0300 0a124a07 2b23 5600 0000000000803240 01 02 52b81e3f00004040"));
   ASSERT_EQ(seen.outcomes.size(), 1u);
-  EXPECT_EQ(seen.outcomes[0].usePercent, 0x55);
-  EXPECT_EQ(seen.outcomes[0].trueUnits, 3);
-  EXPECT_TRUE(seen.outcomes[0].finished);
-  EXPECT_EQ(seen.outcomes[0].report.size(), 2u);
+  EXPECT_EQ(seen.outcomes[0].quotaUsePercent, 0x55);
+  EXPECT_EQ(seen.outcomes[0].actualUnits, 3);
+  EXPECT_TRUE(seen.outcomes[0].requestFinished);
+  EXPECT_EQ(seen.outcomes[0].loadReport.size(), 2u);
   read(seen, 1,
        unhex("14 02 29000000 02000000 01 0a124a07 2b23 0000803f 00 00 0000000000000000 0000"
              " 01 0a9011f2 5423 0000c03f 01 00 0000000000d4b740 0000"));
@@ -87,7 +87,7 @@
   simulator_adapter::Reply reply;
   reply.begin(12);
   reply.by(3);
-  reply.send(0x5d3a91c4, 0x232b074a120aULL, 80);
+  reply.startAttempt(0x5d3a91c4, 0x232b074a120aULL, 80);
   reply.setTimer(500, 77);
   reply.by(5);
   reply.log("two servers unknown");
@@ -105,7 +105,8 @@
   EXPECT_THROW(read(seen, 1, unhex("14 03 29000000 ffffffff 01")), std::runtime_error);  // count past the end
   EXPECT_THROW(read(seen, 1, unhex("78 0300 00")), std::runtime_error);                  // bytes left over
   EXPECT_THROW(read(seen, 9, unhex("78 0300")), std::runtime_error);                     // records missing
-  EXPECT_THROW(simulator_adapter::readHeader(unhex("01000000 00000000206ec040 01000000 00000000")), std::runtime_error);
+  EXPECT_THROW(simulator_adapter::readHeader(unhex("01000000 00000000206ec040 01000000 00000000")),
+               std::runtime_error);
 }
 
 TEST(SettingsText, ReadsKnownKeysAndIgnoresOthers) {
@@ -113,12 +114,12 @@
       "me=1\nnInstances=3\nunknown.key=what ever\nreport.fields=util,queue\nprofiles.count=1\n"
       "profiles.0.aim=800.0\nprofiles.0.repeat=keyed\nprofiles.0.dedupScope=zone\nplans.count=1\n"
       "plans.0.unitsPerS=2.5\nplans.0.atOnce=4\ndiscovery=on_request\n");
-  EXPECT_EQ(s.self, 1u);
-  EXPECT_EQ(s.gateways, 3u);
-  EXPECT_EQ(s.reportFields.size(), 2u);
-  EXPECT_EQ(s.classes.at(0).scope, Scope::zone);
-  EXPECT_EQ(s.plans.at(0).openLimit, 4u);
-  EXPECT_TRUE(s.askDiscovery);
+  EXPECT_EQ(s.gatewayIndex, 1u);
+  EXPECT_EQ(s.gatewayCount, 3u);
+  EXPECT_EQ(s.loadReportFields.size(), 2u);
+  EXPECT_EQ(s.classes.at(0).deduplicationScope, DeduplicationScope::zone);
+  EXPECT_EQ(s.plans.at(0).maxConcurrent, 4u);
+  EXPECT_TRUE(s.pollsEndpoints);
 }
 
 TEST(SettingsText, MalformedLinesThrow) {
@@ -132,7 +133,8 @@
 
 // The adapter as a process: one plain line on standard error and a non-zero exit, never a crash.
 int drill(const std::string& input, std::string& errors) {
-  const auto stem = std::filesystem::temp_directory_path() / ("wingslip-simulator-adapter_" + std::to_string(::getpid()));
+  const auto stem =
+      std::filesystem::temp_directory_path() / ("wingslip-simulator-adapter-" + std::to_string(::getpid()));
   const std::string in = stem.string() + ".in", err = stem.string() + ".err";
   std::ofstream(in, std::ios::binary) << input;
   const int status = std::system(("'" WINGSLIP_DRILL "' <'" + in + "' >/dev/null 2>'" + err + "'").c_str());
--- a/tools/lab/capacity_model.cpp
+++ b/tools/lab/capacity_model.cpp
@@ -173,7 +173,7 @@
   Row row;
   row.role = "gatekeeper";
   row.mechanism = "changed settings taken in, a class a route";
-  row.carriedBy = "`src/config/config.cpp` at SIGHUP, `Gateway::settings`";
+  row.carriedBy = "`src/config/config.cpp` at SIGHUP, `Gateway::onSettings`";
   row.measured = {"settings", "configuration", "class_cap"};
   row.budget = limitedTo(slopes->capOf("class_cap", "classes"));
   row.need = [slopes](const Day& day) {
--- a/tools/lab/scale_cases.hpp
+++ b/tools/lab/scale_cases.hpp
@@ -4,8 +4,8 @@
 #include <string>
 #include <vector>
 
-#include "wingslip/decision/gateway.hpp"
 #include "scale.hpp"
+#include "wingslip/decision/gateway.hpp"
 
 namespace wingslip::lab {
 
@@ -20,7 +20,7 @@
 constexpr unsigned kTargetGatekeepers = 8400;
 constexpr unsigned kZones = 18;
 // `count` ready workers over all zones.
-std::vector<decision::Member> workersFor(std::size_t count);
+std::vector<decision::Endpoint> workersFor(std::size_t count);
 // Settings of a gatekeeper in a fleet of the target's size with this many classes.
 decision::Settings settingsWith(std::size_t classes);
 // The id of a worker, of the usual length.
--- a/tools/lab/scale_cases_decision.cpp
+++ b/tools/lab/scale_cases_decision.cpp
@@ -10,11 +10,11 @@
 namespace wingslip::lab {
 namespace {
 
+using decision::Endpoint;
+using decision::EndpointUpdate;
 using decision::Gateway;
-using decision::ListKind;
-using decision::Member;
-using decision::Phase;
 using decision::Time;
+using decision::WorkerPhase;
 
 constexpr int kRepeats = 5;
 constexpr double kLeastTimedS = 0.02;  // a call shorter than this is repeated and divided
@@ -31,15 +31,15 @@
 // Carries nothing out; keeps the last attempt.
 class Sink : public decision::Actions {
  public:
-  void send(decision::RequestId id, decision::WorkerId worker, Time) override {
+  void startAttempt(decision::RequestId id, decision::WorkerId worker, Time) override {
     sentId = id;
     sentWorker = worker;
     ++sends;
   }
-  void refuse(decision::RequestId, Time) override {}
+  void reject(decision::RequestId, Time) override {}
   void fail(decision::RequestId) override {}
   void setTimer(Time, std::uint64_t) override {}
-  void subscribe() override {}
+  void pollEndpoints() override {}
   void log(const std::string&) override {}
 
   decision::RequestId sentId = 0;
@@ -57,23 +57,23 @@
     now += kBetweenRequests;
     decision::Request request;
     request.id = ++last;
-    request.klass = 0;
+    request.classIndex = 0;
     request.customer = customer;
-    request.expires = now + kDeadline;
-    request.setSize = kSpread;
-    gateway.request(now, request);
+    request.expiresAt = now + kDeadline;
+    request.customerGateways = kSpread;
+    gateway.onRequest(now, request);
     return sink.sentId == last;
   }
 
   // The last request's answer, a good one.
   void answer() {
-    decision::Outcome outcome;
+    decision::AttemptOutcome outcome;
     outcome.id = last;
-    outcome.result = decision::Result::ok;
+    outcome.result = decision::AttemptResult::ok;
     outcome.worker = sink.sentWorker;
-    outcome.elapsed = kAnswerTime;
-    outcome.finished = true;
-    gateway.outcome(now, outcome);
+    outcome.latencyMs = kAnswerTime;
+    outcome.requestFinished = true;
+    gateway.onAttemptOutcome(now, outcome);
   }
 
   Time now = kStart;
@@ -108,7 +108,7 @@
 
 std::vector<Figure> measureChoice(std::size_t workers, const CaseLimits&) {
   Module module;
-  module.gateway.members(module.now, ListKind::full, workersFor(workers));
+  module.gateway.onEndpoints(module.now, EndpointUpdate::snapshot, workersFor(workers));
   ServedRound least = serveRound(module);
   for (int i = 1; i < kRepeats; ++i) {
     const ServedRound round = serveRound(module);
@@ -120,14 +120,14 @@
 
 std::vector<Figure> measureOneChange(std::size_t workers, const CaseLimits&) {
   Module module;
-  std::vector<Member> list = workersFor(workers);
-  module.gateway.members(module.now, ListKind::full, list);
+  std::vector<Endpoint> list = workersFor(workers);
+  module.gateway.onEndpoints(module.now, EndpointUpdate::snapshot, list);
   std::size_t at = 0;
   const auto change = [&] {
-    Member& member = list[at++ % list.size()];
-    member.phase = member.phase == Phase::ready ? Phase::draining : Phase::ready;
+    Endpoint& member = list[at++ % list.size()];
+    member.phase = member.phase == WorkerPhase::ready ? WorkerPhase::draining : WorkerPhase::ready;
     module.now += 1;
-    module.gateway.members(module.now, ListKind::delta, {member});
+    module.gateway.onEndpoints(module.now, EndpointUpdate::delta, {member});
   };
   const double once = std::max(leastProcessor(1, change), 1e-9);
   const int each = static_cast<int>(std::clamp(kLeastTimedS / once, 1.0, 1000.0));
@@ -140,30 +140,30 @@
 // A zone's part of the list leaves in one message, and comes back in another.
 std::vector<Figure> measureZoneChange(std::size_t workers, const CaseLimits&) {
   Module module;
-  module.gateway.members(module.now, ListKind::full, workersFor(workers));
-  std::vector<Member> zone;
-  for (const Member& member : workersFor(workers))
+  module.gateway.onEndpoints(module.now, EndpointUpdate::snapshot, workersFor(workers));
+  std::vector<Endpoint> zone;
+  for (const Endpoint& member : workersFor(workers))
     if (member.zone == 0) zone.push_back(member);
-  const auto tell = [&](Phase phase) {
-    for (Member& member : zone) member.phase = phase;
+  const auto tell = [&](WorkerPhase phase) {
+    for (Endpoint& member : zone) member.phase = phase;
     module.now += 1;
-    module.gateway.members(module.now, ListKind::delta, zone);
+    module.gateway.onEndpoints(module.now, EndpointUpdate::delta, zone);
   };
   const double seconds = leastProcessor(2, [&] {
-    tell(Phase::gone);
-    tell(Phase::ready);
+    tell(WorkerPhase::removed);
+    tell(WorkerPhase::ready);
   });
   return {{"processor", "s", seconds}};
 }
 
 std::vector<Figure> measureWholeList(std::size_t workers, const CaseLimits&) {
-  const std::vector<Member> list = workersFor(workers);
+  const std::vector<Endpoint> list = workersFor(workers);
   double seconds = 0, held = 0;
   for (int i = 0; i < 2; ++i) {
     Module module;
     const double heapBefore = heapBytes();
     const double start = processorSeconds();
-    module.gateway.members(module.now, ListKind::full, list);
+    module.gateway.onEndpoints(module.now, EndpointUpdate::snapshot, list);
     const double took = processorSeconds() - start;
     held = heapBytes() - heapBefore;
     seconds = i == 0 ? took : std::min(seconds, took);
@@ -175,9 +175,9 @@
   Module module(classes);
   decision::Settings changed = settingsWith(classes);
   const double seconds = leastProcessor(2, [&] {
-    changed.classes.back().worth += 1;
+    changed.classes.back().priorityWeight += 1;
     module.now += 1;
-    module.gateway.settings(module.now, changed);
+    module.gateway.onSettings(module.now, changed);
   });
   return {{"processor", "s", seconds}};
 }
@@ -185,13 +185,13 @@
 std::vector<Figure> measureCustomers(std::size_t customers, const CaseLimits&) {
   constexpr std::size_t kWorkers = 100;
   Module module;
-  module.gateway.members(module.now, ListKind::full, workersFor(kWorkers));
+  module.gateway.onEndpoints(module.now, EndpointUpdate::snapshot, workersFor(kWorkers));
   const double heapBefore = heapBytes();
   for (std::size_t c = 1; c <= customers; ++c)
     if (module.ask(c)) module.answer();
   const double held = heapBytes() - heapBefore;
   return {{"held", "B", std::max(held, 0.0)},
-          {"rows", "rows", static_cast<double>(module.gateway.customersHeld())}};
+          {"rows", "rows", static_cast<double>(module.gateway.trackedCustomers())}};
 }
 
 // Far more customers than it holds: how many rows stay.
@@ -201,8 +201,8 @@
 
 }  // namespace
 
-std::vector<Member> workersFor(std::size_t count) {
-  std::vector<Member> out(count);
+std::vector<Endpoint> workersFor(std::size_t count) {
+  std::vector<Endpoint> out(count);
   for (std::size_t i = 0; i < count; ++i) {
     out[i].worker = i + 1;
     out[i].zone = static_cast<unsigned>(i % kZones);
@@ -212,21 +212,21 @@
 
 decision::Settings settingsWith(std::size_t classes) {
   decision::Settings out;
-  out.gateways = kTargetGatekeepers;
+  out.gatewayCount = kTargetGatekeepers;
   out.maxAttempts = 3;
-  out.maxRetryAfter = 2000;
-  out.meterPeriod = 1000;
-  out.drainGrace = 2000;
-  out.coldFrom = 0.2;
-  out.warmUp = 10000;
-  out.fallMultiple = 2;
-  out.fallSpan = 1000;
+  out.maxRetryAfterMs = 2000;
+  out.quotaReadingPeriodMs = 1000;
+  out.drainGraceMs = 2000;
+  out.slowStartShare = 0.2;
+  out.slowStartMs = 10000;
+  out.overloadMultiple = 2;
+  out.overloadWindowMs = 1000;
   for (std::size_t i = 0; i < classes; ++i) {
     decision::ClassSettings one;
     one.name = "class" + std::to_string(i);
-    one.aim = 1000;
-    one.deadline = kDeadline;
-    one.repeat = decision::Repeat::safe;
+    one.latencyObjectiveMs = 1000;
+    one.deadlineMs = kDeadline;
+    one.idempotency = decision::Idempotency::idempotent;
     out.classes.push_back(one);
   }
   decision::PlanSettings plan;
