--- a/tools/lab/capacity_model.cpp
+++ b/tools/lab/capacity_model.cpp
@@ -113,7 +113,7 @@
   Row row;
   row.role = "gatekeeper";
   row.mechanism = "one changed worker";
-  row.carriedBy = "`src/watch/`, `Gateway::members`";
+  row.carriedBy = "`src/endpoint_watch/`, `Gateway::onEndpoints`";
   row.measured = {"worker_change", "list_text"};
   row.budget = gatekeeperBudget();
   row.need = [slopes](const Day& day) {
@@ -131,7 +131,7 @@
   Row row;
   row.role = "gatekeeper";
   row.mechanism = "a zone's workers, lost and back";
-  row.carriedBy = "`src/watch/`, `Gateway::members`";
+  row.carriedBy = "`src/endpoint_watch/`, `Gateway::onEndpoints`";
   row.measured = {"zone_change", "list_text"};
   row.budget = gatekeeperBudget();
   row.need = [slopes](const Day& day) {
@@ -151,7 +151,7 @@
   Row row;
   row.role = "gatekeeper";
   row.mechanism = "the whole list of workers";
-  row.carriedBy = "`src/watch/`, `Gateway::members`";
+  row.carriedBy = "`src/endpoint_watch/`, `Gateway::onEndpoints`";
   row.measured = {"whole_list", "list_text", "process"};
   row.budget = limitedTo(slopes->largestYes("process", "taken"));
   row.need = [slopes](const Day& day) {
@@ -210,7 +210,7 @@
   Row row;
   row.role = "gatekeeper";
   row.mechanism = "membership of the gatekeepers (SWIM)";
-  row.carriedBy = "`src/replica/`";
+  row.carriedBy = "`src/replication/`";
   row.measured = {"membership", "member_cap"};
   row.budget = limitedTo(slopes->capOf("member_cap", "alive"));
   row.need = [slopes](const Day& day) {
@@ -231,7 +231,7 @@
   Row row;
   row.role = "gatekeeper";
   row.mechanism = "replicated rows, a row a route";
-  row.carriedBy = "`src/replica/`";
+  row.carriedBy = "`src/replication/`";
   row.measured = {"rows", "row_cap", "membership"};
   row.budget = limitedTo(slopes->capOf("row_cap", "rows"));
   row.need = [slopes](const Day& day) {
@@ -254,7 +254,7 @@
   Row row;
   row.role = "gatekeeper";
   row.mechanism = "duties, as a candidate";
-  row.carriedBy = "`src/duty/`";
+  row.carriedBy = "`src/leader_election/`";
   row.measured = {"duties"};
   row.budget = gatekeeperBudget();
   row.need = [slopes](const Day& day) {
@@ -274,7 +274,7 @@
   Row row;
   row.role = "gatekeeper";
   row.mechanism = "the roster, as the one that holds the duty";
-  row.carriedBy = "`src/duty/`";
+  row.carriedBy = "`src/leader_election/`";
   row.measured = {"duties"};
   row.budget = limitedTo(static_cast<double>(wingslip::leader_election::Roster::kMostRows));
   row.need = [slopes](const Day& day) {
@@ -293,7 +293,7 @@
   Row row;
   row.role = "gatekeeper";
   row.mechanism = "the watch itself";
-  row.carriedBy = "`src/watch/`";
+  row.carriedBy = "`src/endpoint_watch/`";
   row.measured = {"watch"};
   row.budget = gatekeeperBudget();
   row.need = [slopes](const Day& day) {
@@ -436,7 +436,7 @@
   Row row;
   row.role = "discovery agent";
   row.mechanism = "calls at a discovery that all share and that turns them away";
-  row.carriedBy = "`src/watch/` paces them";
+  row.carriedBy = "`src/endpoint_watch/` paces them";
   row.measured = {"watch"};
   row.budget = storeBudget();
   row.need = [slopes](const Day& day) {
@@ -469,7 +469,7 @@
   Row row;
   row.role = "coordination store";
   row.mechanism = "sessions, locks and registrations";
-  row.carriedBy = "the platform's store, `src/duty/`";
+  row.carriedBy = "the platform's store, `src/leader_election/`";
   row.measured = {"duties"};
   row.budget = storeBudget();
   row.need = [slopes](const Day& day) {
