--- a/src/gatekeeper/client_server.hpp
+++ b/src/gatekeeper/client_server.hpp
@@ -15,11 +15,11 @@
 #include <utility>
 #include <vector>
 
-#include "net/overload_manager.hpp"
 #include "gatekeeper/client_request.hpp"
 #include "gatekeeper/close_reason.hpp"
 #include "gatekeeper/connection_order.hpp"
 #include "net/http.hpp"
+#include "net/overload_manager.hpp"
 
 namespace wingslip {
 
@@ -28,7 +28,7 @@
   std::string body;
   std::string contentType = "text/plain";
   decision::Time retryAfter = 0;  // ms; 0: no advice
-  MemoryBudget::Charge room;            // of the body, until it is written
+  MemoryBudget::Charge room;      // of the body, until it is written
 };
 
 // An answer that is passed on as it comes.
@@ -177,7 +177,7 @@
   ConnectionOrder ending_;  // told their end while they were idle; closed first where room is needed
   ConnectionOrder overflowOrder_;
   std::optional<boost::asio::ip::tcp::socket> waiting_;  // accepted, and no room yet
-  WaitQueues::Waiting noRoom_;                               // since when there is none
+  WaitQueues::Waiting noRoom_;                           // since when there is none
   std::size_t overflowCount_ = 0;
   std::vector<MemoryBudget::Charge> overflowRooms_;  // one for each overflow place that is free
   bool overflowOpen_ = false;
--- a/src/gatekeeper/discovery.hpp
+++ b/src/gatekeeper/discovery.hpp
@@ -9,9 +9,9 @@
 #include <memory>
 #include <optional>
 
-#include "net/overload_manager.hpp"
 #include "endpoint_watch/endpoint_list.hpp"
 #include "endpoint_watch/endpoint_watch.hpp"
+#include "net/overload_manager.hpp"
 
 namespace wingslip {
 
--- a/src/gatekeeper/gatekeeper_limits.hpp
+++ b/src/gatekeeper/gatekeeper_limits.hpp
@@ -4,11 +4,11 @@
 #include <chrono>
 #include <string>
 
-#include "wingslip/decision/gateway.hpp"
-#include "gatekeeper/client_server.hpp"
 #include "config/config.hpp"
-#include "gatekeeper/upstream_pool.hpp"
 #include "endpoint_watch/endpoint_watch.hpp"
+#include "gatekeeper/client_server.hpp"
+#include "gatekeeper/upstream_pool.hpp"
+#include "wingslip/decision/gateway.hpp"
 
 namespace wingslip {
 
--- a/src/gatekeeper/handover.hpp
+++ b/src/gatekeeper/handover.hpp
@@ -9,7 +9,8 @@
 
 namespace wingslip {
 
-/// Both processes read one monotonic clock (`DecisionClock`), whatever is done to the wall clock between them.
+/// Both processes read one monotonic clock (`DecisionClock`), whatever is done to the wall clock between
+/// them.
 struct Handover {
   decision::Time at = 0;           ///< of the writing, on the monotonic clock
   double warmRate = 0;             ///< good answers a ms of a warm worker
--- a/src/gatekeeper/main.cpp
+++ b/src/gatekeeper/main.cpp
@@ -7,8 +7,8 @@
 #include <utility>
 
 #include "gatekeeper/gatekeeper.hpp"
-#include "net/log.hpp"
 #include "gatekeeper/signal_watch.hpp"
+#include "net/log.hpp"
 
 namespace {
 
--- a/src/gatekeeper/ops_server.cpp
+++ b/src/gatekeeper/ops_server.cpp
@@ -86,7 +86,8 @@
   std::string line_, out_;
 };
 
-OpsServer::OpsServer(asio::io_context& io, const Limits& limits, Operated& operated, OverloadManager& pressure)
+OpsServer::OpsServer(asio::io_context& io, const Limits& limits, Operated& operated,
+                     OverloadManager& pressure)
     : limits_(limits), operated_(operated), pressure_(pressure), acceptor_(io), pause_(io) {}
 
 OpsServer::~OpsServer() {
--- a/src/leader_election/coordinator.hpp
+++ b/src/leader_election/coordinator.hpp
@@ -8,11 +8,11 @@
 #include <functional>
 #include <string>
 
+#include "config/config.hpp"
 #include "leader_election/leader_election.hpp"
 #include "leader_election/roster.hpp"
 #include "leader_election/store_client.hpp"
 #include "net/overload_manager.hpp"
-#include "config/config.hpp"
 #include "net/rate_limited_log.hpp"
 
 namespace wingslip::leader_election {
--- a/src/leader_election/leader_election.hpp
+++ b/src/leader_election/leader_election.hpp
@@ -1,7 +1,7 @@
-// LeaderElection that one process of the fleet holds at a time: leases, fencing tokens, registrations. The core:
-// events and monotonic time in, calls to a coordination store out. No I/O, no clock. `docs/design.md` has the
-// states, the argument for "never two at once" and its assumptions. One owner: whoever makes it, on one
-// thread.
+// LeaderElection that one process of the fleet holds at a time: leases, fencing tokens, registrations. The
+// core: events and monotonic time in, calls to a coordination store out. No I/O, no clock. `docs/design.md`
+// has the states, the argument for "never two at once" and its assumptions. One owner: whoever makes it, on
+// one thread.
 #pragma once
 
 #include <cstdint>
--- a/src/leader_election/store_client.hpp
+++ b/src/leader_election/store_client.hpp
@@ -9,8 +9,8 @@
 #include <unordered_map>
 
 #include "leader_election/leader_election.hpp"
-#include "net/overload_manager.hpp"
 #include "net/http_client.hpp"
+#include "net/overload_manager.hpp"
 
 namespace wingslip::leader_election {
 
--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -108,7 +108,7 @@
 }
 
 void HttpClient::call(std::uint64_t id, const tcp::endpoint& to, Request&& request,
-                     std::chrono::steady_clock::duration within) {
+                      std::chrono::steady_clock::duration within) {
   const auto call = std::make_shared<Exchange>(*this, id, to, std::move(request));
   const bool full = calls_.size() >= limits_.calls;
   calls_[id] = call;
--- a/src/net/overload_manager.cpp
+++ b/src/net/overload_manager.cpp
@@ -64,7 +64,8 @@
   return told && info.tcpi_state == TCP_LISTEN ? info.tcpi_unacked : 0;
 }
 
-OverloadManager::OverloadManager(asio::io_context& io, const MemoryBudget::Shares& shares, const Pressure::Limits& limits)
+OverloadManager::OverloadManager(asio::io_context& io, const MemoryBudget::Shares& shares,
+                                 const Pressure::Limits& limits)
     : io_(io), ledger_(shares), pressure_(limits), tick_(io), lagTimer_(io) {
   ledger_.watch(
       limits.memory.low, limits.memory.high, [this] { evaluateSoon(); }, [this] { wakeSoon(); });
@@ -145,7 +146,7 @@
 }
 
 void OverloadManager::waitForRoom(Paused& paused, Account account, std::weak_ptr<void> owner,
-                               std::function<bool()> again, std::function<void()> look) {
+                                  std::function<bool()> again, std::function<void()> look) {
   if (paused.waits() && paused.again_) return;  // it keeps its turn
   paused.clear();
   paused.owner_ = std::move(owner);
--- a/src/net/overload_manager.hpp
+++ b/src/net/overload_manager.hpp
@@ -13,8 +13,8 @@
 #include <string>
 
 #include "overload/memory_budget.hpp"
-#include "overload/wait_queues.hpp"
 #include "overload/overload_state.hpp"
+#include "overload/wait_queues.hpp"
 
 namespace wingslip {
 
@@ -53,7 +53,8 @@
     WaitQueues::Waiting place_;
   };
 
-  OverloadManager(boost::asio::io_context& io, const MemoryBudget::Shares& shares, const Pressure::Limits& limits);
+  OverloadManager(boost::asio::io_context& io, const MemoryBudget::Shares& shares,
+                  const Pressure::Limits& limits);
   ~OverloadManager();
   OverloadManager(const OverloadManager&) = delete;
   OverloadManager& operator=(const OverloadManager&) = delete;
--- a/src/overload/memory_budget.cpp
+++ b/src/overload/memory_budget.cpp
@@ -128,7 +128,8 @@
   return out;
 }
 
-void MemoryBudget::watch(double low, double high, std::function<void()> crossed, std::function<void()> freed) {
+void MemoryBudget::watch(double low, double high, std::function<void()> crossed,
+                         std::function<void()> freed) {
   low_ = low;
   high_ = high;
   crossed_ = std::move(crossed);
--- a/src/overload/wait_queues.cpp
+++ b/src/overload/wait_queues.cpp
@@ -23,7 +23,9 @@
   places_ = nullptr;
 }
 
-void WaitQueues::read(WaitAt place, std::function<Figures(Time)> reader) { of(place).reader = std::move(reader); }
+void WaitQueues::read(WaitAt place, std::function<Figures(Time)> reader) {
+  of(place).reader = std::move(reader);
+}
 
 WaitQueues::Figures WaitQueues::figures(WaitAt place, Time now) const {
   const Record& record = of(place);
--- a/src/replication/replica_node.cpp
+++ b/src/replication/replica_node.cpp
@@ -375,8 +375,8 @@
 
 std::string ReplicaNode::members() const {
   OperatorResponse out("200 alive=" + std::to_string(core_->alive()) + " self=" + core_->self().name +
-                  " generation=" + std::to_string(core_->self().generation) +
-                  " incarnation=" + std::to_string(core_->self().incarnation));
+                       " generation=" + std::to_string(core_->self().generation) +
+                       " incarnation=" + std::to_string(core_->self().incarnation));
   for (const Health health : {Health::suspect, Health::dead, Health::left, Health::alive})
     for (const auto& [name, m] : core_->members())
       if (m.row.health == health)
--- a/src/replication/replica_node.hpp
+++ b/src/replication/replica_node.hpp
@@ -12,9 +12,9 @@
 #include <thread>
 #include <unordered_set>
 
-#include "net/overload_manager.hpp"
 #include "config/config.hpp"
 #include "net/http_client.hpp"
+#include "net/overload_manager.hpp"
 #include "net/rate_limited_log.hpp"
 #include "replication/replica.hpp"
 
--- a/tests/duty_test.cpp
+++ b/tests/duty_test.cpp
@@ -13,10 +13,10 @@
 #include <thread>
 
 #include "config_said.hpp"
-#include "leader_election/base64.hpp"
-#include "leader_election/coordinator.hpp"
 #include "event_queue.hpp"
 #include "growth.hpp"
+#include "leader_election/base64.hpp"
+#include "leader_election/coordinator.hpp"
 #include "store_state.hpp"
 
 namespace wingslip::leader_election {
@@ -94,8 +94,8 @@
       rate = 1 + s.between(-s.timing_.drift / 2, s.timing_.drift / 2);
       offset = s.between(0, 1e6);
       core = std::make_unique<LeaderElection>(
-          s.timing_, LeaderElection::Self{"p", "g" + std::to_string(i), "i" + std::to_string(i), "1", 0}, s.random_(),
-          *this);
+          s.timing_, LeaderElection::Self{"p", "g" + std::to_string(i), "i" + std::to_string(i), "1", 0},
+          s.random_(), *this);
       core->add("roster", *this);
     }
     Time local() const { return offset + rate * sim.now(); }
--- a/tests/ops_test.cpp
+++ b/tests/ops_test.cpp
@@ -5,10 +5,10 @@
 #include <filesystem>
 #include <fstream>
 
-#include "loopback.hpp"
-#include "net/answer_lines.hpp"
 #include "gatekeeper/exclusions.hpp"
 #include "gatekeeper/handover.hpp"
+#include "loopback.hpp"
+#include "net/answer_lines.hpp"
 
 namespace wingslip::test {
 namespace {
--- a/tools/lab/fleet.hpp
+++ b/tools/lab/fleet.hpp
@@ -10,7 +10,7 @@
 
 struct RunOptions {
   std::string gatekeeperProgram;  // path of the program under test
-  std::string out;       // folder for configurations, logs and the report
+  std::string out;                // folder for configurations, logs and the report
   std::uint64_t seed = 1;
 };
 
--- a/tools/lab/growth_command.cpp
+++ b/tools/lab/growth_command.cpp
@@ -123,7 +123,8 @@
   command->add_option("--rate", o->rateEach, "requests a second at each gatekeeper")
       ->check(CLI::Range(0.1, 1000.0));
   command->add_option("--out", o->out, "folder for logs and reports");
-  command->add_option("--gatekeeper", o->gatekeeperProgram, "the program under test (default: beside this one)");
+  command->add_option("--gatekeeper", o->gatekeeperProgram,
+                      "the program under test (default: beside this one)");
   command->callback([o] {
     spdlog::set_default_logger(spdlog::stderr_logger_mt("lab"));
     int code = kSetupFailed;
--- a/tools/lab/hollow_duty.cpp
+++ b/tools/lab/hollow_duty.cpp
@@ -11,8 +11,8 @@
 
 using wingslip::leader_election::Ask;
 using wingslip::leader_election::Call;
-using wingslip::leader_election::LeaderElection;
 using wingslip::leader_election::Duty;
+using wingslip::leader_election::LeaderElection;
 using wingslip::leader_election::Reply;
 using wingslip::leader_election::Timing;
 using wingslip::leader_election::Token;
@@ -38,8 +38,8 @@
   Candidate(HollowCandidates& f, std::size_t i, const Timing& timing) : fleet(f) {
     const std::string number = std::to_string(i);
     core = std::make_unique<LeaderElection>(
-        timing, LeaderElection::Self{kPrefix, "gatekeeper-" + number, "instance-" + number, "1", 0}, fleet.random_(),
-        *this);
+        timing, LeaderElection::Self{kPrefix, "gatekeeper-" + number, "instance-" + number, "1", 0},
+        fleet.random_(), *this);
     core->add(kDuty, *this);
   }
   void begin() {
@@ -74,7 +74,8 @@
 
 HollowCandidates::HollowCandidates(std::size_t candidates, std::uint64_t seed) : random_(seed) {
   store_.onChange = [this](const std::string& key) { wake(key); };
-  const Timing timing = wingslip::leader_election::timingFor(kTtlMs, kLockDelayMs, static_cast<unsigned>(candidates));
+  const Timing timing =
+      wingslip::leader_election::timingFor(kTtlMs, kLockDelayMs, static_cast<unsigned>(candidates));
   for (std::size_t i = 0; i < candidates; ++i)
     candidates_.push_back(std::make_unique<Candidate>(*this, i, timing));
   for (const auto& candidate : candidates_) candidate->begin();
--- a/tools/lab/hollow_duty.hpp
+++ b/tools/lab/hollow_duty.hpp
@@ -1,5 +1,5 @@
-// Candidates for a duty before the stand-in coordination store, in virtual time: the real `LeaderElection` cores, no
-// faults. It counts what the store is asked.
+// Candidates for a duty before the stand-in coordination store, in virtual time: the real `LeaderElection`
+// cores, no faults. It counts what the store is asked.
 #pragma once
 
 #include <cstdint>
@@ -9,8 +9,8 @@
 #include <random>
 #include <vector>
 
-#include "leader_election/leader_election.hpp"
 #include "event_queue.hpp"
+#include "leader_election/leader_election.hpp"
 #include "store_state.hpp"
 
 namespace wingslip::lab {
--- a/tools/lab/main.cpp
+++ b/tools/lab/main.cpp
@@ -22,7 +22,8 @@
   wingslip::lab::RunOptions options;
   std::error_code ignored;
   options.gatekeeperProgram =
-      (std::filesystem::read_symlink("/proc/self/exe", ignored).parent_path() / "wingslip-gatekeeper").string();
+      (std::filesystem::read_symlink("/proc/self/exe", ignored).parent_path() / "wingslip-gatekeeper")
+          .string();
   CLI::App* run = app.add_subcommand("run", "play SCENARIO (TOML) and judge every request");
   run->add_option("scenario", scenarioPath, "the scenario file")->required()->check(CLI::ExistingFile);
   run->add_option("--gatekeepers", gatekeepers, "gatekeepers, in place of the file's")
@@ -31,7 +32,8 @@
       ->check(CLI::Range(1, 1000));
   run->add_option("--seed", options.seed, "seed of the load and the workers' times");
   run->add_option("--out", out, "folder for configurations, logs and the report");
-  run->add_option("--gatekeeper", options.gatekeeperProgram, "the program under test (default: beside this one)");
+  run->add_option("--gatekeeper", options.gatekeeperProgram,
+                  "the program under test (default: beside this one)");
   bool check = false;
   run->add_flag("--check", check, "only read and check the scenario");
   std::string reportDir;
--- a/tools/lab/scale.hpp
+++ b/tools/lab/scale.hpp
@@ -19,9 +19,9 @@
 
 // What a case may use at one size.
 struct CaseLimits {
-  std::string gatekeeperProgram;       // path of the gatekeeper program
-  unsigned processes = 1;     // that it may start
-  std::filesystem::path dir;  // a folder of its own
+  std::string gatekeeperProgram;  // path of the gatekeeper program
+  unsigned processes = 1;         // that it may start
+  std::filesystem::path dir;      // a folder of its own
 };
 
 // One mechanism. `measure` runs in a child process; what it throws ends the series with a note.
--- a/tools/lab/scale_cases_process.cpp
+++ b/tools/lab/scale_cases_process.cpp
@@ -203,7 +203,8 @@
     where.fleet = "scale";
     if (index > first) where.peers[gatekeeperName(first)] = loopbackAt(ports.peers(static_cast<int>(first)));
     nodes_.push_back(std::make_unique<wingslip::replication::ReplicaNode>(
-        io, where, gatekeeperName(index), "", index + 1, pressure_, [](const wingslip::replication::Row&) {}));
+        io, where, gatekeeperName(index), "", index + 1, pressure_,
+        [](const wingslip::replication::Row&) {}));
   }
 
   wingslip::OverloadManager pressure_;
--- a/tools/lab/scale_cases_reading.cpp
+++ b/tools/lab/scale_cases_reading.cpp
@@ -3,9 +3,9 @@
 #include <stdexcept>
 
 #include "config/config.hpp"
+#include "endpoint_watch/endpoint_list.hpp"
 #include "probe.hpp"
 #include "scale_cases.hpp"
-#include "endpoint_watch/endpoint_list.hpp"
 
 namespace wingslip::lab {
 namespace {
--- a/tools/lab/scale_cases_watch.cpp
+++ b/tools/lab/scale_cases_watch.cpp
@@ -1,9 +1,9 @@
 // Scale cases of the watch on the list of workers: its core in virtual time.
 #include <vector>
 
+#include "endpoint_watch/endpoint_watch.hpp"
 #include "probe.hpp"
 #include "scale_cases.hpp"
-#include "endpoint_watch/endpoint_watch.hpp"
 
 namespace wingslip::lab {
 namespace {
--- a/tools/lab/scale_command.cpp
+++ b/tools/lab/scale_command.cpp
@@ -127,7 +127,8 @@
   scale->add_flag("--quick", given->quick, "fewer and smaller sizes (under 2 minutes)");
   scale->add_flag("--check", given->check, "the smallest sizes, for the project's own tests");
   scale->add_option("--out", given->out, "folder for the measurements and the plot");
-  scale->add_option("--gatekeeper", given->gatekeeperProgram, "the program under test (default: beside this one)");
+  scale->add_option("--gatekeeper", given->gatekeeperProgram,
+                    "the program under test (default: beside this one)");
   scale->add_option("--case-seconds", given->caseSeconds, "time of one mechanism at all its sizes")
       ->check(CLI::Range(1.0, 600.0));
   scale->add_option("--memory-mb", given->memoryMb, "most memory of one run, at most half of the machine's")
--- a/tools/lab/soak/command.cpp
+++ b/tools/lab/soak/command.cpp
@@ -256,7 +256,8 @@
   command->add_option("--at-once", o->atOnce, "fleets at the same time")->check(CLI::Range(1, 16));
   command->add_flag("--shrink,!--no-shrink", o->shrink, "make the first failing seed smaller");
   command->add_option("--out", o->out, "folder for logs and reports");
-  command->add_option("--gatekeeper", o->gatekeeperProgram, "the program under test (default: beside this one)");
+  command->add_option("--gatekeeper", o->gatekeeperProgram,
+                      "the program under test (default: beside this one)");
   command->add_option("--play", o->playSeed, "play this one seed here");
   command->add_option("--without", o->without, "with --play: troubles to leave out, by number")
       ->delimiter(',');
