--- a/src/gatekeeper/gatekeeper.cpp
+++ b/src/gatekeeper/gatekeeper.cpp
@@ -142,7 +142,7 @@
   settings::HostSettings host = config.host;
   // Behind the names there were: whoever was told of a name by its number goes on to mean the same.
   host.zones = joinedNames(config_.host.zones, host.zones);
-  host.kinds = joinedNames(config_.host.kinds, host.kinds);
+  host.machineTypes = joinedNames(config_.host.machineTypes, host.machineTypes);
   if (settings.zone < config.host.zones.size())
     settings.zone = NameIndex(host.zones).of(config.host.zones[settings.zone]);
   const NameIndex classes(config.host.classes), plans(config.host.plans);
@@ -259,7 +259,7 @@
   std::vector<Endpoint> members;
   std::unordered_set<WorkerId> unnamed;
   if (kind != EndpointUpdate::delta) unnamed = listed_;
-  const NameIndex zones(config_.host.zones), kinds(config_.host.kinds);
+  const NameIndex zones(config_.host.zones), kinds(config_.host.machineTypes);
   for (const Instance& instance : roster.instances) {
     const WorkerId worker = numberOf(instance.id);
     const WorkerStart start = starts_.startOf(worker, instance.startedAtMs, now, live);
--- a/src/gatekeeper/gatekeeper_limits.cpp
+++ b/src/gatekeeper/gatekeeper_limits.cpp
@@ -35,8 +35,8 @@
 
 UpstreamPool::Limits poolLimits(const Config& config) {
   UpstreamPool::Limits out;
-  out.connectTimeout = std::chrono::milliseconds(std::lround(std::max(1.0, config.host.connectTimeout)));
-  out.idleFor = std::chrono::milliseconds(std::lround(kIdleShare * config.host.idleTimeout));
+  out.connectTimeout = std::chrono::milliseconds(std::lround(std::max(1.0, config.host.connectTimeoutMs)));
+  out.idleFor = std::chrono::milliseconds(std::lround(kIdleShare * config.host.workerIdleTimeoutMs));
   out.total = shareOfSockets(config, kWorkerShare);
   return out;
 }
--- a/src/settings/settings_reader.hpp
+++ b/src/settings/settings_reader.hpp
@@ -1,24 +1,29 @@
-// `path=value` settings, as an instance gets them at its start.
+/// The edge at which the settings' own words are mapped to the terms of the code (`docs/glossary.md`).
 #pragma once
 
 #include <string>
 #include <string_view>
 #include <vector>
 
-#include "wingslip/decision/gateway.hpp"
+#include "settings/key_values.hpp"
+#include "wingslip/decision/settings.hpp"
 
 namespace wingslip::settings {
 
-// What the settings say to the host and not to the module: the names used on sockets, and the connections'
-// times.
+/// What the settings say to the host and not to the decision module.
 struct HostSettings {
-  std::vector<std::string> classes, plans, zones, kinds;  // names, by index
-  decision::Time connectTimeout = 250;
-  decision::Time idleTimeout = 30000;  // a worker closes a connection idle this long
+  /// Names as they stand on sockets, by the index that the decision module knows them by.
+  std::vector<std::string> classes;
+  std::vector<std::string> plans;
+  std::vector<std::string> zones;
+  std::vector<std::string> machineTypes;
+  decision::Time connectTimeoutMs = 250;
+  /// A worker closes a connection that has been idle this long.
+  decision::Time workerIdleTimeoutMs = 30000;
 };
 
-// Both throw std::runtime_error with one plain line on a malformed line, number or word. Unknown keys are
-// ignored.
+/// Reads `path=value` lines. Unknown keys are ignored, missing ones leave the default.
+/// @throws SettingsError on a malformed line, number or word.
 decision::Settings parseSettings(std::string_view text);
 HostSettings parseHostSettings(std::string_view text);
 
--- a/src/simulator_adapter/wire.cpp
+++ b/src/simulator_adapter/wire.cpp
@@ -1,16 +1,49 @@
 #include "simulator_adapter/wire.hpp"
 
 #include <bit>
-#include <stdexcept>
 
 namespace wingslip::simulator_adapter {
 namespace {
 
+static_assert(std::endian::native == std::endian::little, "the wire is little-endian");
+
 using decision::AttemptResult;
+using decision::EndpointUpdate;
+using decision::RequestId;
+using decision::Time;
+using decision::WorkerId;
 using decision::WorkerPhase;
 
-static_assert(std::endian::native == std::endian::little, "the wire is little-endian");
+/// Codes of the records that the simulator sends.
+enum class EventCode : std::uint8_t {
+  start = 10,
+  endpoints = 20,
+  request = 30,
+  streamStarted = 40,
+  attemptOutcome = 50,
+  clientDisconnect = 60,
+  timer = 70,
+  probeResult = 80,
+  peerMessage = 90,
+  stop = 100,
+  counterAnswer = 110,
+  instance = 120,
+};
+
+/// Codes of the records that are sent back.
+enum class ActionCode : std::uint8_t {
+  startAttempt = 10,
+  reject = 20,
+  fail = 30,
+  setTimer = 50,
+  log = 90,
+  pollEndpoints = 110,
+  instance = 140,
+};
+
+constexpr unsigned kWorkerLowBits = 32;
 
+/// Reads a frame's bytes in order.
 class Cursor {
  public:
   explicit Cursor(std::string_view bytes) : rest_(bytes) {}
@@ -21,15 +54,19 @@
     std::memcpy(&value, bytes(sizeof(T)).data(), sizeof(T));
     return value;
   }
-  std::string_view bytes(std::size_t n) {
-    if (n > rest_.size()) throw std::runtime_error("wire: a record runs past the end of its frame");
-    const auto out = rest_.substr(0, n);
-    rest_.remove_prefix(n);
+  std::string_view bytes(std::size_t count) {
+    if (count > rest_.size()) throw WireError("a record runs past the end of its frame");
+    const auto out = rest_.substr(0, count);
+    rest_.remove_prefix(count);
     return out;
   }
+  template <class T>
+  void skip() {
+    bytes(sizeof(T));
+  }
   WorkerId worker() {
-    const WorkerId address = get<std::uint32_t>();
-    return address | WorkerId{get<std::uint16_t>()} << 32;
+    const WorkerId low = get<std::uint32_t>();
+    return low | WorkerId{get<std::uint16_t>()} << kWorkerLowBits;
   }
   bool empty() const { return rest_.empty(); }
   std::size_t left() const { return rest_.size(); }
@@ -38,7 +75,7 @@
   std::string_view rest_;
 };
 
-AttemptResult result(std::uint8_t code) {
+AttemptResult attemptResult(std::uint8_t code) {
   switch (code) {
     case 0:
       return AttemptResult::ok;
@@ -46,22 +83,22 @@
       return AttemptResult::error;
     case 11:
       return AttemptResult::overloaded;
+    case 104:
+      return AttemptResult::reset;
     case 110:
       return AttemptResult::timeout;
     case 111:
       return AttemptResult::connectFailed;
-    case 104:
-      return AttemptResult::reset;
-    case 125:
-      return AttemptResult::cancelled;
     case 114:
       return AttemptResult::notSent;
+    case 125:
+      return AttemptResult::cancelled;
     default:
-      throw std::runtime_error("wire: unknown outcome " + std::to_string(code));
+      throw WireError("unknown outcome " + std::to_string(code));
   }
 }
 
-WorkerPhase phase(std::uint8_t code) {
+WorkerPhase workerPhase(std::uint8_t code) {
   switch (code) {
     case 0:
       return WorkerPhase::removed;
@@ -70,193 +107,229 @@
     case 2:
       return WorkerPhase::draining;
     default:
-      throw std::runtime_error("wire: unknown phase " + std::to_string(code));
+      throw WireError("unknown phase " + std::to_string(code));
+  }
+}
+
+EndpointUpdate endpointUpdate(std::uint8_t code) {
+  switch (code) {
+    case 0:
+      return EndpointUpdate::failed;
+    case 1:
+      return EndpointUpdate::delta;
+    case 2:
+      return EndpointUpdate::cached;
+    case 3:
+      return EndpointUpdate::snapshot;
+    default:
+      throw WireError("unknown kind of list " + std::to_string(code));
   }
 }
 
-std::vector<double> readReport(Cursor& in) {
-  std::vector<double> out(in.get<std::uint8_t>());
-  for (double& value : out) value = in.get<float>();
+std::vector<double> readLoadReport(Cursor& in) {
+  std::vector<double> report(in.get<std::uint8_t>());
+  for (double& value : report) value = in.get<float>();
+  return report;
+}
+
+decision::Endpoint readEndpoint(Cursor& in) {
+  decision::Endpoint out;
+  out.phase = workerPhase(in.get<std::uint8_t>());
+  out.worker = in.worker();
+  in.skip<float>();  // a weight against the others, which the module does not use
+  out.zone = in.get<std::uint8_t>();
+  out.machineType = in.get<std::uint8_t>();
+  out.startedAt = in.get<double>();
+  out.cell = in.get<std::uint16_t>();
   return out;
 }
 
-void readMembers(Cursor& in, Events& events) {
-  constexpr std::size_t kEntry = 23;
-  const auto how = in.get<std::uint8_t>();
-  if (how > 3) throw std::runtime_error("wire: unknown kind of list " + std::to_string(how));
-  in.get<std::uint32_t>();  // the list's version
+void readEndpoints(Cursor& in, EventSink& sink) {
+  constexpr std::size_t kEndpointBytes = 23;
+  const EndpointUpdate kind = endpointUpdate(in.get<std::uint8_t>());
+  in.skip<std::uint32_t>();  // the list's version
   const auto rows = in.get<std::uint32_t>();
-  if (rows > in.left() / kEntry) throw std::runtime_error("wire: a list runs past the end of its frame");
-  std::vector<Endpoint> list(rows);
-  for (Endpoint& entry : list) {
-    entry.phase = phase(in.get<std::uint8_t>());
-    entry.worker = in.worker();
-    in.get<float>();  // a weight against the others, which nothing here goes by
-    entry.zone = in.get<std::uint8_t>();
-    entry.machineType = in.get<std::uint8_t>();
-    entry.startedAt = in.get<double>();
-    entry.cell = in.get<std::uint16_t>();
-  }
-  constexpr EndpointUpdate kinds[] = {EndpointUpdate::failed, EndpointUpdate::delta, EndpointUpdate::cached,
-                                      EndpointUpdate::snapshot};
-  events.members(kinds[how], list);
+  if (rows > in.left() / kEndpointBytes) throw WireError("a list runs past the end of its frame");
+  std::vector<decision::Endpoint> list(rows);
+  for (decision::Endpoint& endpoint : list) endpoint = readEndpoint(in);
+  sink.onEndpoints(kind, list);
 }
 
-void readRequest(Cursor& in, Events& events) {
-  Request out;
+void readRequest(Cursor& in, EventSink& sink) {
+  constexpr float kMaxGateways = 65536;
+  decision::Request out;
   out.id = in.get<std::uint32_t>();
   out.classIndex = in.get<std::uint8_t>();
   out.planIndex = in.get<std::uint32_t>();
   out.customer = in.get<std::uint64_t>();
   out.expiresAt = in.get<double>();
   out.units = in.get<float>();
-  const float set = in.get<float>();
-  out.customerGateways = set >= 1 && set < 65536 ? static_cast<unsigned>(set) : 1;
-  in.get<float>();          // the first gateway of the set
-  in.get<std::uint16_t>();  // state bits
-  events.request(out);
+  const float gateways = in.get<float>();
+  out.customerGateways = gateways >= 1 && gateways < kMaxGateways ? static_cast<unsigned>(gateways) : 1;
+  in.skip<float>();          // the first gateway of the customer's set
+  in.skip<std::uint16_t>();  // state bits
+  sink.onRequest(out);
 }
 
-void readOutcome(Cursor& in, Events& events) {
-  AttemptOutcome out;
+void readAttemptOutcome(Cursor& in, EventSink& sink) {
+  decision::AttemptOutcome out;
   out.id = in.get<std::uint32_t>();
-  out.result = result(in.get<std::uint8_t>());
+  out.result = attemptResult(in.get<std::uint8_t>());
   out.attempt = in.get<std::uint16_t>();
   out.actualUnits = in.get<std::uint16_t>();
   out.worker = in.worker();
   out.quotaUsePercent = static_cast<int>(in.get<std::uint16_t>()) - 1;
   out.latencyMs = in.get<double>();
   out.requestFinished = in.get<std::uint8_t>() != 0;
-  out.loadReport = readReport(in);
-  events.outcome(out);
+  out.loadReport = readLoadReport(in);
+  sink.onAttemptOutcome(out);
 }
 
-void readRecord(Cursor& in, Events& events) {
-  const auto code = in.get<std::uint8_t>();
+void readStart(Cursor& in, EventSink& sink) {
+  const auto salt = in.get<std::uint64_t>();
+  sink.onStart(salt, in.bytes(in.get<std::uint32_t>()));
+}
+
+/// Records of features that the module does not use.
+void skipUnused(EventCode code, Cursor& in) {
+  constexpr std::size_t kStreamStartedBytes = 4 + 8 + 6 + 2;
+  constexpr std::size_t kProbeBytes = 1 + 6 + 8;
+  constexpr std::size_t kCounterAnswerBytes = 4 + 8 + 8 + 1;
   switch (code) {
-    case 120:
-      return events.instance(in.get<std::uint16_t>());
-    case 10: {
-      const auto salt = in.get<std::uint64_t>();
-      return events.start(salt, in.bytes(in.get<std::uint32_t>()));
-    }
-    case 20:
-      return readMembers(in, events);
-    case 30:
-      return readRequest(in, events);
-    case 70:
-      return events.timer(in.get<std::uint64_t>());
-    case 60:
-      return events.clientLeft(in.get<std::uint32_t>());
-    case 40:
-      in.bytes(4 + 8 + 6 + 2);  // a stream has started: the client owns that attempt now
+    case EventCode::streamStarted:
+      in.bytes(kStreamStartedBytes);
       return;
-    case 50:
-      return readOutcome(in, events);
-    case 80:
-      in.bytes(1 + 6 + 8);  // a probe's result: the module sends none
-      readReport(in);
+    case EventCode::probeResult:
+      in.bytes(kProbeBytes);
+      readLoadReport(in);
       return;
-    case 100:
-      return events.stop();
-    case 110:
-      in.bytes(4 + 8 + 8 + 1);  // an answer of the counter: the module does not call it
+    case EventCode::counterAnswer:
+      in.bytes(kCounterAnswerBytes);
       return;
-    case 90:
-      in.get<std::uint32_t>();  // a peer's message: the module sends none
+    case EventCode::peerMessage:
+      in.skip<std::uint32_t>();
       in.bytes(in.get<std::uint16_t>());
       return;
     default:
-      throw std::runtime_error("wire: unknown record code " + std::to_string(code));
+      throw WireError("unknown record code " + std::to_string(static_cast<unsigned>(code)));
+  }
+}
+
+void readRecord(Cursor& in, EventSink& sink) {
+  const auto code = static_cast<EventCode>(in.get<std::uint8_t>());
+  switch (code) {
+    case EventCode::instance:
+      return sink.onInstance(in.get<std::uint16_t>());
+    case EventCode::start:
+      return readStart(in, sink);
+    case EventCode::endpoints:
+      return readEndpoints(in, sink);
+    case EventCode::request:
+      return readRequest(in, sink);
+    case EventCode::attemptOutcome:
+      return readAttemptOutcome(in, sink);
+    case EventCode::clientDisconnect:
+      return sink.onClientDisconnect(in.get<std::uint32_t>());
+    case EventCode::timer:
+      return sink.onTimer(in.get<std::uint64_t>());
+    case EventCode::stop:
+      return sink.onStop();
+    default:
+      return skipUnused(code, in);
   }
 }
 
 }  // namespace
 
-Header readHeader(std::string_view bytes) {
+FrameHeader readFrameHeader(std::string_view bytes) {
   Cursor in(bytes);
-  Header out;
+  FrameHeader out;
   out.number = in.get<std::uint32_t>();
   out.clock = in.get<double>();
-  out.size = in.get<std::uint32_t>();
+  out.sizeBytes = in.get<std::uint32_t>();
   out.records = in.get<std::uint32_t>();
-  if (out.size < kBatchHeaderBytes || out.size > kMostFrame)
-    throw std::runtime_error("wire: a frame of " + std::to_string(out.size) + " bytes");
+  if (out.sizeBytes < kFrameHeaderBytes || out.sizeBytes > kMaxFrameBytes)
+    throw WireError("a frame of " + std::to_string(out.sizeBytes) + " bytes");
   return out;
 }
 
-void readRecords(const Header& header, std::string_view body, Events& events) {
+void readRecords(const FrameHeader& header, std::string_view body, EventSink& sink) {
   Cursor in(body);
-  for (std::uint32_t i = 0; i < header.records; ++i) readRecord(in, events);
-  if (!in.empty()) throw std::runtime_error("wire: bytes left over after the last record");
+  for (std::uint32_t i = 0; i < header.records; ++i) readRecord(in, sink);
+  if (!in.empty()) throw WireError("bytes left over after the last record");
 }
 
-void Reply::begin(std::uint32_t number) {
+void ReplyWriter::begin(std::uint32_t frameNumber) {
   bytes_.clear();
-  put(number);
-  put(std::uint32_t{0});
+  put(frameNumber);
+  put(std::uint32_t{0});  // size and number of records, filled in by `finish`
   put(std::uint32_t{0});
   records_ = 0;
-  instance_ = written_ = -1;
+  instance_ = kNoInstance;
+  writtenInstance_ = kNoInstance;
 }
 
-const std::string& Reply::finish() {
+const std::string& ReplyWriter::finish() {
+  constexpr std::size_t kSizeOffset = 4;
+  constexpr std::size_t kRecordsOffset = 8;
   const auto size = static_cast<std::uint32_t>(bytes_.size());
-  std::memcpy(bytes_.data() + 4, &size, sizeof size);
-  std::memcpy(bytes_.data() + 8, &records_, sizeof records_);
+  std::memcpy(bytes_.data() + kSizeOffset, &size, sizeof size);
+  std::memcpy(bytes_.data() + kRecordsOffset, &records_, sizeof records_);
   return bytes_;
 }
 
-void Reply::open(std::uint8_t code) {
-  if (instance_ != written_) {
-    put(std::uint8_t{140});
+void ReplyWriter::beginRecord(std::uint8_t code) {
+  if (instance_ != writtenInstance_) {
+    put(static_cast<std::uint8_t>(ActionCode::instance));
     put(static_cast<std::uint16_t>(instance_));
-    written_ = instance_;
+    writtenInstance_ = instance_;
     ++records_;
   }
   put(code);
   ++records_;
 }
 
-void Reply::putWorker(WorkerId worker) {
+void ReplyWriter::putWorker(WorkerId worker) {
   put(static_cast<std::uint32_t>(worker));
-  put(static_cast<std::uint16_t>(worker >> 32));
+  put(static_cast<std::uint16_t>(worker >> kWorkerLowBits));
 }
 
-void Reply::startAttempt(RequestId id, WorkerId worker, Time timeout) {
-  open(10);
+void ReplyWriter::startAttempt(RequestId id, WorkerId worker, Time timeoutMs) {
+  beginRecord(static_cast<std::uint8_t>(ActionCode::startAttempt));
   put(id);
   putWorker(worker);
-  put(timeout);
+  put(timeoutMs);
 }
 
-void Reply::reject(RequestId id, Time retryAfter) {
-  open(20);
+void ReplyWriter::reject(RequestId id, Time retryAfterMs) {
+  beginRecord(static_cast<std::uint8_t>(ActionCode::reject));
   put(id);
-  put(retryAfter);
+  put(retryAfterMs);
 }
 
-void Reply::fail(RequestId id) {
-  open(30);
+void ReplyWriter::fail(RequestId id) {
+  beginRecord(static_cast<std::uint8_t>(ActionCode::fail));
   put(id);
 }
 
-void Reply::setTimer(Time wait, std::uint64_t tag) {
-  open(50);
-  put(wait);
+void ReplyWriter::setTimer(Time waitMs, std::uint64_t tag) {
+  beginRecord(static_cast<std::uint8_t>(ActionCode::setTimer));
+  put(waitMs);
   put(tag);
 }
 
-void Reply::pollEndpoints() {
-  open(110);
-  put(std::uint8_t{1});
+void ReplyWriter::pollEndpoints() {
+  constexpr std::uint8_t kWithChanges = 1;
+  beginRecord(static_cast<std::uint8_t>(ActionCode::pollEndpoints));
+  put(kWithChanges);
 }
 
-void Reply::log(const std::string& line) {
-  open(90);
-  const auto n = static_cast<std::uint16_t>(line.size() < 65535 ? line.size() : 65535);
-  put(n);
-  bytes_.append(line, 0, n);
+void ReplyWriter::log(const std::string& line) {
+  constexpr std::size_t kMaxLineBytes = 65535;
+  beginRecord(static_cast<std::uint8_t>(ActionCode::log));
+  const auto size = static_cast<std::uint16_t>(line.size() < kMaxLineBytes ? line.size() : kMaxLineBytes);
+  put(size);
+  bytes_.append(line, 0, size);
 }
 
 }  // namespace wingslip::simulator_adapter
--- a/src/simulator_adapter/wire.hpp
+++ b/src/simulator_adapter/wire.hpp
@@ -1,9 +1,10 @@
-// The frames of the wire: reading batches of events, writing replies. Nothing here decides anything.
+/// The simulator's line protocol: frames of events in, frames of actions out, little-endian. Nothing here
+/// decides anything.
 #pragma once
 
 #include <cstdint>
 #include <cstring>
-#include <functional>
+#include <stdexcept>
 #include <string>
 #include <string_view>
 #include <vector>
@@ -12,54 +13,55 @@
 
 namespace wingslip::simulator_adapter {
 
-using decision::AttemptOutcome;
-using decision::Endpoint;
-using decision::EndpointUpdate;
-using decision::Request;
-using decision::RequestId;
-using decision::Time;
-using decision::WorkerId;
+constexpr std::size_t kFrameHeaderBytes = 20;
+constexpr std::size_t kMaxFrameBytes = std::size_t{1} << 30;
 
-constexpr std::size_t kBatchHeaderBytes = 20;
-constexpr std::size_t kReplyHeaderBytes = 12;
-constexpr std::size_t kMostFrame = std::size_t{1} << 30;
+/// Input that is no frame of the protocol. `what()` is one plain line.
+struct WireError : std::runtime_error {
+  explicit WireError(const std::string& what) : std::runtime_error("wire: " + what) {}
+};
 
-struct Header {
+/// The header of a frame of events.
+struct FrameHeader {
   std::uint32_t number = 0;
-  Time clock = 0;
-  std::uint32_t size = 0;
+  decision::Time clock = 0;  ///< the same for all events of the frame
+  std::uint32_t sizeBytes = 0;
   std::uint32_t records = 0;
 };
 
-// What a batch holds, in order, for the instance named last. All calls of one batch share its clock.
-class Events {
+/// Receives the events of a frame, in order; each is for the instance named last.
+class EventSink {
  public:
-  virtual ~Events() = default;
-  virtual void instance(unsigned number) = 0;
-  virtual void start(std::uint64_t salt, std::string_view settings) = 0;
-  virtual void members(EndpointUpdate kind, const std::vector<Endpoint>& list) = 0;
-  virtual void request(const Request& request) = 0;
-  virtual void outcome(const AttemptOutcome& outcome) = 0;
-  virtual void clientLeft(RequestId id) = 0;
-  virtual void timer(std::uint64_t tag) = 0;
-  virtual void stop() = 0;
+  virtual ~EventSink() = default;
+  virtual void onInstance(unsigned number) = 0;
+  virtual void onStart(std::uint64_t salt, std::string_view settings) = 0;
+  virtual void onEndpoints(decision::EndpointUpdate kind, const std::vector<decision::Endpoint>& list) = 0;
+  virtual void onRequest(const decision::Request& request) = 0;
+  virtual void onAttemptOutcome(const decision::AttemptOutcome& outcome) = 0;
+  virtual void onClientDisconnect(decision::RequestId id) = 0;
+  virtual void onTimer(std::uint64_t tag) = 0;
+  virtual void onStop() = 0;
 };
 
-// Both throw std::runtime_error with one plain line on malformed input.
-Header readHeader(std::string_view bytes);
-void readRecords(const Header& header, std::string_view body, Events& events);
+/// @throws WireError on malformed input.
+FrameHeader readFrameHeader(std::string_view bytes);
+/// @param body the frame without its header.
+/// @throws WireError on malformed input; events before the fault have been delivered.
+void readRecords(const FrameHeader& header, std::string_view body, EventSink& sink);
 
-// One reply under way. As an Actions it writes for the instance named last with `by`.
-class Reply : public decision::Actions {
+/// Collects one frame of actions, each for the instance named last.
+class ReplyWriter : public decision::Actions {
  public:
-  void begin(std::uint32_t number);
-  void by(unsigned instance) { instance_ = instance; }
+  /// Starts the reply to the frame of this number.
+  void begin(std::uint32_t frameNumber);
+  void setInstance(unsigned instance) { instance_ = instance; }
+  /// The whole frame; valid until the next `begin`.
   const std::string& finish();
 
-  void startAttempt(RequestId id, WorkerId worker, Time timeout) override;
-  void reject(RequestId id, Time retryAfter) override;
-  void fail(RequestId id) override;
-  void setTimer(Time wait, std::uint64_t tag) override;
+  void startAttempt(decision::RequestId id, decision::WorkerId worker, decision::Time timeoutMs) override;
+  void reject(decision::RequestId id, decision::Time retryAfterMs) override;
+  void fail(decision::RequestId id) override;
+  void setTimer(decision::Time waitMs, std::uint64_t tag) override;
   void pollEndpoints() override;
   void log(const std::string& line) override;
 
@@ -70,13 +72,15 @@
     std::memcpy(raw, &value, sizeof(T));
     bytes_.append(raw, sizeof(T));
   }
-  void open(std::uint8_t code);
-  void putWorker(WorkerId worker);
+  void beginRecord(std::uint8_t code);
+  void putWorker(decision::WorkerId worker);
+
+  static constexpr long kNoInstance = -1;
 
   std::string bytes_;
   std::uint32_t records_ = 0;
-  long instance_ = -1;
-  long written_ = -1;
+  long instance_ = kNoInstance;
+  long writtenInstance_ = kNoInstance;  ///< the one that the last record is for
 };
 
 }  // namespace wingslip::simulator_adapter
--- a/tests/wire_test.cpp
+++ b/tests/simulator_adapter_test.cpp
@@ -41,55 +41,57 @@
   return out;
 }
 
-struct Seen : simulator_adapter::Events {
+struct RecordedEvents : simulator_adapter::EventSink {
   std::vector<Request> requests;
   std::vector<AttemptOutcome> outcomes;
   std::vector<Endpoint> list;
-  unsigned at = 0;
+  unsigned instance = 0;
   std::uint64_t tag = 0;
-  void instance(unsigned n) override { at = n; }
-  void start(std::uint64_t, std::string_view) override {}
-  void members(EndpointUpdate, const std::vector<Endpoint>& m) override { list = m; }
-  void request(const Request& r) override { requests.push_back(r); }
-  void outcome(const AttemptOutcome& o) override { outcomes.push_back(o); }
-  void clientLeft(RequestId) override {}
-  void timer(std::uint64_t t) override { tag = t; }
-  void stop() override {}
+  void onInstance(unsigned number) override { instance = number; }
+  void onStart(std::uint64_t, std::string_view) override {}
+  void onEndpoints(EndpointUpdate, const std::vector<Endpoint>& endpoints) override { list = endpoints; }
+  void onRequest(const Request& request) override { requests.push_back(request); }
+  void onAttemptOutcome(const AttemptOutcome& outcome) override { outcomes.push_back(outcome); }
+  void onClientDisconnect(RequestId) override {}
+  void onTimer(std::uint64_t timerTag) override { tag = timerTag; }
+  void onStop() override {}
 };
 
-void read(Seen& seen, std::uint32_t records, const std::string& body) {
-  simulator_adapter::readRecords({1, 0, static_cast<std::uint32_t>(20 + body.size()), records}, body, seen);
+void read(RecordedEvents& recorded, std::uint32_t records, const std::string& body) {
+  simulator_adapter::readRecords({1, 0, static_cast<std::uint32_t>(20 + body.size()), records}, body,
+                                 recorded);
 }
 
-TEST(Wire, ReadsTheDocumentedRecords) {
-  Seen seen;
-  read(seen, 2,
+TEST(SimulatorWire, ReadsTheDocumentedRecords) {
+  RecordedEvents recorded;
+  read(recorded, 2,
        unhex("78 0300 1e c4913a5d 00 00000000 640ad2557c3bf091 0000000020e6c040 00000040 00004040 0000803f "
              "0100"));
-  ASSERT_EQ(seen.requests.size(), 1u);
-  EXPECT_EQ(seen.at, 3u);
-  EXPECT_EQ(seen.requests[0].units, 2);
-  EXPECT_EQ(seen.requests[0].customerGateways, 3u);
-  read(seen, 1, unhex("32 c4913a5d 00 0000 0300 0a124a07 2b23 5600 0000000000803240 01 02 52b81e3f00004040"));
-  ASSERT_EQ(seen.outcomes.size(), 1u);
-  EXPECT_EQ(seen.outcomes[0].quotaUsePercent, 0x55);
-  EXPECT_EQ(seen.outcomes[0].actualUnits, 3);
-  EXPECT_TRUE(seen.outcomes[0].requestFinished);
-  EXPECT_EQ(seen.outcomes[0].loadReport.size(), 2u);
-  read(seen, 1,
+  ASSERT_EQ(recorded.requests.size(), 1u);
+  EXPECT_EQ(recorded.instance, 3u);
+  EXPECT_EQ(recorded.requests[0].units, 2);
+  EXPECT_EQ(recorded.requests[0].customerGateways, 3u);
+  read(recorded, 1,
+       unhex("32 c4913a5d 00 0000 0300 0a124a07 2b23 5600 0000000000803240 01 02 52b81e3f00004040"));
+  ASSERT_EQ(recorded.outcomes.size(), 1u);
+  EXPECT_EQ(recorded.outcomes[0].quotaUsePercent, 0x55);
+  EXPECT_EQ(recorded.outcomes[0].actualUnits, 3);
+  EXPECT_TRUE(recorded.outcomes[0].requestFinished);
+  EXPECT_EQ(recorded.outcomes[0].loadReport.size(), 2u);
+  read(recorded, 1,
        unhex("14 02 29000000 02000000 01 0a124a07 2b23 0000803f 00 00 0000000000000000 0000"
              " 01 0a9011f2 5423 0000c03f 01 00 0000000000d4b740 0000"));
-  ASSERT_EQ(seen.list.size(), 2u);
-  EXPECT_EQ(seen.list[1].zone, 1u);
+  ASSERT_EQ(recorded.list.size(), 2u);
+  EXPECT_EQ(recorded.list[1].zone, 1u);
 }
 
-TEST(Wire, WritesTheDocumentedReply) {
-  simulator_adapter::Reply reply;
+TEST(SimulatorWire, WritesTheDocumentedReply) {
+  simulator_adapter::ReplyWriter reply;
   reply.begin(12);
-  reply.by(3);
+  reply.setInstance(3);
   reply.startAttempt(0x5d3a91c4, 0x232b074a120aULL, 80);
   reply.setTimer(500, 77);
-  reply.by(5);
+  reply.setInstance(5);
   reply.log("two servers unknown");
   const std::string out = reply.finish();
   EXPECT_EQ(out.substr(0, 4), unhex("0c000000"));
@@ -98,14 +100,15 @@
                                                " 32 0000000000407f40 4d00000000000000"));
 }
 
-TEST(Wire, MalformedRecordsThrow) {
-  Seen seen;
-  EXPECT_THROW(read(seen, 1, unhex("46 4d0000")), std::runtime_error);                   // truncated
-  EXPECT_THROW(read(seen, 1, unhex("fe 00")), std::runtime_error);                       // unknown code
-  EXPECT_THROW(read(seen, 1, unhex("14 03 29000000 ffffffff 01")), std::runtime_error);  // count past the end
-  EXPECT_THROW(read(seen, 1, unhex("78 0300 00")), std::runtime_error);                  // bytes left over
-  EXPECT_THROW(read(seen, 9, unhex("78 0300")), std::runtime_error);                     // records missing
-  EXPECT_THROW(simulator_adapter::readHeader(unhex("01000000 00000000206ec040 01000000 00000000")),
+TEST(SimulatorWire, MalformedRecordsThrow) {
+  RecordedEvents recorded;
+  EXPECT_THROW(read(recorded, 1, unhex("46 4d0000")), std::runtime_error);  // truncated
+  EXPECT_THROW(read(recorded, 1, unhex("fe 00")), std::runtime_error);      // unknown code
+  EXPECT_THROW(read(recorded, 1, unhex("14 03 29000000 ffffffff 01")),
+               std::runtime_error);                                          // count past the end
+  EXPECT_THROW(read(recorded, 1, unhex("78 0300 00")), std::runtime_error);  // bytes left over
+  EXPECT_THROW(read(recorded, 9, unhex("78 0300")), std::runtime_error);     // records missing
+  EXPECT_THROW(simulator_adapter::readFrameHeader(unhex("01000000 00000000206ec040 01000000 00000000")),
                std::runtime_error);
 }
 
@@ -137,7 +140,7 @@
       std::filesystem::temp_directory_path() / ("wingslip-simulator-adapter-" + std::to_string(::getpid()));
   const std::string in = stem.string() + ".in", err = stem.string() + ".err";
   std::ofstream(in, std::ios::binary) << input;
-  const int status = std::system(("'" WINGSLIP_DRILL "' <'" + in + "' >/dev/null 2>'" + err + "'").c_str());
+  const int status = std::system(("'" SIMULATOR_ADAPTER "' <'" + in + "' >/dev/null 2>'" + err + "'").c_str());
   std::ifstream text(err);
   errors.assign(std::istreambuf_iterator<char>(text), {});
   std::filesystem::remove(in);
@@ -145,14 +148,14 @@
   return WIFEXITED(status) ? WEXITSTATUS(status) : -1;
 }
 
-TEST(Drill, EmptyInputAndEmptyBatchesEndWell) {
+TEST(SimulatorAdapter, EmptyInputAndEmptyBatchesEndWell) {
   std::string errors;
   EXPECT_EQ(drill("", errors), 0);
   EXPECT_EQ(drill(frame(0, "") + frame(0, ""), errors), 0);
   EXPECT_EQ(errors, "");
 }
 
-TEST(Drill, MalformedInputGetsOneLineAndANonZeroExit) {
+TEST(SimulatorAdapter, MalformedInputGetsOneLineAndANonZeroExit) {
   std::string settings = "me=zero\n", start = unhex("78 0000 0a 0100000000000000");
   put(start, static_cast<std::uint32_t>(settings.size()));
   std::string huge = frame(0, "");
