--- a/src/config/config.hpp
+++ b/src/config/config.hpp
@@ -1,4 +1,4 @@
-// What a gatekeeper is told at its start: its environment and its configuration file.
+/// What a gatekeeper is given at its start: its environment and its configuration file.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -14,57 +14,75 @@
 
 namespace wingslip {
 
-// The store through which gatekeepers agree on who holds a duty (`docs/design.md`).
+/// The store through which gatekeepers elect a leader; the file's `coordination`.
 struct Coordination {
   boost::asio::ip::tcp::endpoint store;
-  std::string prefix;    // of all keys
-  double ttlMs = 10000;  // of this process's session
+  std::string prefix;    ///< of all keys
+  double ttlMs = 10000;  ///< of this process's session
   double lockDelayMs = 1000;
   bool operator==(const Coordination&) const = default;
 };
 
-// The state that gatekeepers share among themselves (`docs/design.md`).
+/// The state that gatekeepers replicate among themselves; the file's `replica`.
 struct Replication {
   boost::asio::ip::tcp::endpoint listen;
-  std::string advertise;                     // host:port where others reach `listen`
-  std::string fleet = "wingslip";            // gatekeepers of another fleet are not heard
-  std::map<std::string, std::string> peers;  // some of the others, by name: where the fleet is found
-  double probeEveryMs = 1000, gossipEveryMs = 200, repairEveryMs = 10000;
+  std::string advertise;           ///< host:port where others reach `listen`
+  std::string fleet = "wingslip";  ///< messages of another fleet are ignored
+  std::map<std::string, std::string>
+      peers;  ///< some of the others, name to host:port, by which all are found
+  double probeEveryMs = 1000;
+  double gossipEveryMs = 200;
+  double repairEveryMs = 10000;
   unsigned fanout = 3;
   bool operator==(const Replication&) const = default;
 };
 
+/// All that a gatekeeper is configured with.
 struct Config {
   std::string name;
   boost::asio::ip::tcp::endpoint listen;
   boost::asio::ip::tcp::endpoint discovery;
-  std::optional<boost::asio::ip::tcp::endpoint> ops;  // where operators call; nothing: nowhere
-  int acceptFd =
-      -1;  // the clients' listening socket where the platform holds it; below 0: listen at `listen`
-  std::string stateDir;  // what outlives the process in an upgrade lies here; empty: nothing does
+  std::optional<boost::asio::ip::tcp::endpoint> ops;  ///< where operators call; nothing: nowhere
+  /// The clients' listening socket where the platform holds it; negative: listen at `listen`.
+  int acceptFd = -1;
+  std::string stateDir;  ///< what outlives the process in an upgrade lies here; empty: nothing does
   std::uint64_t seed = 0;
-  unsigned sockets = 1024;  // file descriptors that the process may hold
-  double memoryMb =
-      32;             // what the process may hold; where nothing is told, the least that the platform grants
-  std::string known;  // the list of workers as last had, in discovery's form; may be old
+  unsigned sockets = 1024;  ///< file descriptors that the process may hold
+  double memoryMb = 32;     ///< what the process may hold, MiB
+  std::string known;        ///< the endpoint list as last had, in discovery's form; may be old
   decision::Settings settings;
   settings::HostSettings host;
-  std::optional<Coordination> coordination;  // nothing: no duties, and nothing of them runs
-  std::optional<Replication> replication;    // nothing: it shares no state
-  // Paths of all keys but `coordination`, `replica` and those within `known`; a changed file has them all.
+  std::optional<Coordination> coordination;  ///< nothing: no leader election
+  std::optional<Replication> replication;    ///< nothing: no replicated state
+  /// Paths of all keys but `coordination`, `replica` and those within `known`, sorted.
   std::vector<std::string> keys;
 };
 
-// All throw std::runtime_error with one plain line on what is missing or malformed.
-Config readConfig();  // from BALANCER_CONFIG and the other variables, which go before the file
-// The file as it is by now: after a change of it the variables, which stay as they were at the start, are
-// old. It must have every key that `before` had, and throws HalfWritten where it is no JSON.
-Config rereadConfig(const Config& before);
-struct HalfWritten : std::runtime_error {
-  using std::runtime_error::runtime_error;
+/// A configuration that cannot be used. `what()` is one plain line that names the key.
+struct ConfigError : std::runtime_error {
+  explicit ConfigError(const std::string& what) : std::runtime_error("configuration: " + what) {}
+};
+
+/// The file is no JSON: it may be half written, and reading it again may help.
+struct IncompleteConfigError : ConfigError {
+  using ConfigError::ConfigError;
 };
-void checkChange(const Config& before, const Config& after);
+
+/// Reads the file at BALANCER_CONFIG and the other variables, which take precedence over the file.
+/// @throws ConfigError, IncompleteConfigError.
+Config readConfig();
+
+/// Reads the file again, with the variables but BALANCER_DISCOVERY, whose value is that of the start.
+/// @throws ConfigError, IncompleteConfigError; ConfigError also where a key of `before` is missing.
+Config rereadConfig(const Config& before);
+
+/// @throws ConfigError where `after` lacks a key that `before` had.
+void requireSameKeys(const Config& before, const Config& after);
+
+/// @throws ConfigError, IncompleteConfigError.
 Config parseConfig(std::string_view json);
+
+/// @throws std::runtime_error with one plain line on anything but an IP address, a colon and a port.
 boost::asio::ip::tcp::endpoint parseEndpoint(std::string_view hostPort);
 
 }  // namespace wingslip
--- a/src/gatekeeper/main.cpp
+++ b/src/gatekeeper/main.cpp
@@ -35,7 +35,7 @@
     try {
       unread_ = false;
       gatekeeper_.reload(wingslip::rereadConfig(gatekeeper_.config()));
-    } catch (const wingslip::HalfWritten& wrong) {
+    } catch (const wingslip::IncompleteConfigError& wrong) {
       if (reads > 1) return again(reads - 1);
       turnDown(wrong);
     } catch (const std::exception& wrong) {
--- a/tests/back_pressure_test.cpp
+++ b/tests/back_pressure_test.cpp
@@ -537,7 +537,7 @@
   const std::size_t total = node.pressure().ledger().total();
   node.reload(parseConfig(with(1)));
   EXPECT_EQ(node.pressure().ledger().total(), total);
-  EXPECT_THROW(checkChange(before, parseConfig(configJson("127.0.0.1:1").dump())), std::runtime_error);
+  EXPECT_THROW(requireSameKeys(before, parseConfig(configJson("127.0.0.1:1").dump())), std::runtime_error);
 }
 
 // The program itself, under a limit of 24 MB, with 600 MB on their way through clients and workers that
--- a/tests/node_test.cpp
+++ b/tests/node_test.cpp
@@ -472,14 +472,14 @@
 TEST(Configuration, AChangeThatLacksAKeyOrHasAnOddLimitIsTurnedDown) {
   const json good = configJson("127.0.0.1:1");
   const Config before = parseConfig(good.dump());
-  checkChange(before, parseConfig(good.dump()));
+  requireSameKeys(before, parseConfig(good.dump()));
   const auto turnedDown = [&](const char* at, const json& value) {
     json file = good;
     if (value.is_discarded())
       file.at(json::json_pointer(at).parent_pointer()).erase(json::json_pointer(at).back());
     else
       file[json::json_pointer(at)] = value;
-    EXPECT_THROW(checkChange(before, parseConfig(file.dump())), std::runtime_error) << at << " " << value;
+    EXPECT_THROW(requireSameKeys(before, parseConfig(file.dump())), std::runtime_error) << at << " " << value;
   };
   const json gone(json::value_t::discarded);
   for (const char* key :
@@ -492,8 +492,8 @@
       turnedDown(key, value);
   turnedDown("/settings/profiles/0/repeat", "sometimes");
   const std::string text = good.dump();
-  EXPECT_THROW(parseConfig(text.substr(0, text.size() / 2)), HalfWritten);
-  EXPECT_THROW(parseConfig(""), HalfWritten);
+  EXPECT_THROW(parseConfig(text.substr(0, text.size() / 2)), IncompleteConfigError);
+  EXPECT_THROW(parseConfig(""), IncompleteConfigError);
 }
 
 TEST(Configuration, TheProgramEndsWithOneLineOnABadOne) {
