--- /dev/null
+++ b/tools/lab/random_faults.cpp
@@ -0,0 +1,100 @@
+#include "random_faults.hpp"
+
+#include <algorithm>
+#include <map>
+#include <random>
+#include <string>
+#include <utility>
+#include <vector>
+
+#include "scenario_steps.hpp"
+
+namespace wingslip::lab {
+namespace {
+
+constexpr std::uint64_t kSeedMask = 0x9e3779b97f4a7c15ULL;
+constexpr double kDelayMs = 300;
+constexpr double kThrottleBytesPerS = 2000;
+
+/// What undoes each fault.
+const std::map<std::string, std::string> kRepairs{
+    {"kill", "restart"},   {"term", "restart"},  {"stop", "cont"},          {"cut", "heal"},
+    {"blackhole", "heal"}, {"oneway", "heal"},   {"delay", "heal"},         {"drain", "revive"},
+    {"throttle", "heal"},  {"silent", "revive"}, {"agent_down", "agent_up"}};
+
+struct RandomFaults {
+  double ratePerS = 0;
+  double healAfterS = 0;
+  double fromS = 0;
+  double untilS = 0;
+  std::vector<std::string> faults;
+};
+
+RandomFaults readRandomFaults(const TableReader& reader, const toml::table& table, double lengthS) {
+  reader.onlyKeys(table, {"rate_per_s", "faults", "heal_after_s", "from_s", "until_s"});
+  RandomFaults out;
+  out.ratePerS = reader.number(table, "rate_per_s", 0.5, 0, 100);
+  out.healAfterS = reader.number(table, "heal_after_s", 2.0, 0.1, 3600);
+  out.fromS = reader.number(table, "from_s", 1.0, 0, lengthS);
+  out.untilS = reader.number(table, "until_s", lengthS, out.fromS, lengthS);
+  const toml::array* faults = table["faults"].as_array();
+  if (!faults || faults->empty()) reader.fail(table.source(), "random needs faults = [\"kill\", ...]");
+  for (const toml::node& fault : *faults) {
+    const std::optional<std::string> name = fault.value<std::string>();
+    if (!name || !kRepairs.contains(*name))
+      reader.fail(fault.source(), "no random fault " + name.value_or("?") +
+                                      " (one of kill, term, stop, cut, blackhole, oneway, delay, throttle, "
+                                      "drain, silent, agent_down)");
+    out.faults.push_back(*name);
+  }
+  return out;
+}
+
+/// A gatekeeper or a worker.
+struct Target {
+  bool isGatekeeper = false;
+  int index = 0;
+  auto operator<=>(const Target&) const = default;
+};
+
+Step stepOn(Target target, double atS, const std::string& what) {
+  Step step;
+  step.atS = atS;
+  step.what = what;
+  (target.isGatekeeper ? step.gatekeeper : step.worker) = target.index;
+  return step;
+}
+
+void drawFaults(const RandomFaults& faults, std::uint64_t seed, Scenario& scenario) {
+  std::mt19937_64 random(seed ^ kSeedMask);
+  std::exponential_distribution<double> gapS(faults.ratePerS > 0 ? faults.ratePerS : 1);
+  std::map<Target, double> faultyUntilS;
+  for (double atS = faults.fromS + gapS(random); faults.ratePerS > 0 && atS < faults.untilS;
+       atS += gapS(random)) {
+    const std::string& what = faults.faults[random() % faults.faults.size()];
+    const bool onGatekeeper = isGatekeeperFault(what);
+    const auto targets = static_cast<std::uint64_t>(onGatekeeper ? scenario.gatekeepers : scenario.workers);
+    const Target target{onGatekeeper, static_cast<int>(random() % targets)};
+    double& untilS = faultyUntilS[target];
+    if (untilS > atS) continue;
+    untilS = std::min(atS + faults.healAfterS, scenario.lengthS);
+    Step fault = stepOn(target, atS, what);
+    if (what == "delay") fault.delayMs = kDelayMs;
+    if (what == "throttle") fault.bytesPerS = kThrottleBytesPerS;
+    scenario.steps.push_back(fault);
+    scenario.steps.push_back(stepOn(target, untilS, kRepairs.at(what)));
+  }
+}
+
+}  // namespace
+
+void addRandomFaults(const TableReader& reader, const toml::table& file, std::uint64_t seed,
+                     Scenario& scenario) {
+  const toml::table* table = file["random"].as_table();
+  if (!table) return;
+  drawFaults(readRandomFaults(reader, *table, scenario.lengthS), seed, scenario);
+  std::stable_sort(scenario.steps.begin(), scenario.steps.end(),
+                   [](const Step& first, const Step& second) { return first.atS < second.atS; });
+}
+
+}  // namespace wingslip::lab
--- /dev/null
+++ b/tools/lab/scenario_steps.cpp
@@ -0,0 +1,163 @@
+#include "scenario_steps.hpp"
+
+#include <set>
+
+namespace wingslip::lab {
+namespace {
+
+const std::set<std::string> kGatekeeperFaults{
+    "kill",  "stop",       "cont",      "term",         "restart",           "upgrade",
+    "hup",   "agent_down", "agent_up",  "invalidate",   "exclude",           "include",
+    "pause", "finish",     "watch_end", "watch_silent", "discovery_crowded", "discovery_ok"};
+const std::set<std::string> kStoreFaults{"store_stop",   "store_start", "store_wipe",
+                                         "store_save",   "store_old",   "store_silent",
+                                         "store_errors", "store_lose",  "store_ok"};
+const std::set<std::string> kLinkFaults{"cut", "blackhole", "oneway", "delay", "throttle", "heal"};
+const std::set<std::string> kLinks{"discovery", "store", "peers"};
+const std::set<std::string> kWorkerFaults{"drain", "silent", "revive", "restart_worker"};
+const std::set<std::string> kSystemFaults{"calls", "clock_step", "disk"};
+
+/// One step's table with what all checks of it need.
+class StepReader {
+ public:
+  StepReader(const TableReader& reader, const toml::table& table, Scenario& scenario)
+      : reader_(reader), table_(table), scenario_(scenario) {}
+
+  /// @param earliestS the time of the step ahead of it, in seconds.
+  Step read(double earliestS) {
+    reader_.onlyKeys(table_, {"at_s", "do", "gatekeeper", "worker", "zone", "link", "below", "delay_ms",
+                              "bytes_per_s", "patch", "call", "share", "step_ms", "error", "for_ms"});
+    step_.line = static_cast<int>(table_.source().begin.line);
+    readTime(earliestS);
+    what_ = table_.get("do");
+    if (!what_ || !what_->is_string()) reader_.fail(table_.source(), "a step has no do = \"...\"");
+    step_.what = *what_->value<std::string>();
+    readTargets();
+    checkTargets();
+    checkKind();
+    if (step_.what == "throttle" && !(step_.bytesPerS > 0)) fail("throttle needs bytes_per_s");
+    if (step_.what == "delay" && !(step_.delayMs > 0)) fail("delay needs delay_ms above 0");
+    return step_;
+  }
+
+ private:
+  [[noreturn]] void fail(const std::string& what) const { reader_.fail(what_->source(), what); }
+
+  bool isOnWorkers() const { return step_.worker || step_.zone; }
+
+  void readTime(double earliestS) {
+    const toml::node* time = table_.get("at_s");
+    if (!time) reader_.fail(table_.source(), "a step has no at_s");
+    step_.atS = reader_.number(table_, "at_s", 0.0, -1e9, 1e9);
+    if (step_.atS < earliestS)
+      reader_.fail(time->source(), "at_s " + std::to_string(step_.atS) + " is before the step ahead of it");
+    if (step_.atS > scenario_.lengthS) reader_.fail(time->source(), "at_s is after the end of the run");
+  }
+
+  void readTargets() {
+    const toml::node* target = table_.get("gatekeeper");
+    if (scenario_.store && target && target->is_string()) {
+      step_.role = reader_.oneOf(table_, "gatekeeper", {"holder", "former"});
+      step_.gatekeeper = 0;
+    } else {
+      step_.gatekeeper = reader_.index(table_, "gatekeeper", scenario_.gatekeepers, "gatekeeper");
+    }
+    step_.worker = reader_.index(table_, "worker", scenario_.workers, "worker");
+    step_.zone = reader_.zone(table_, scenario_.zones);
+    step_.delayMs = reader_.number(table_, "delay_ms", 0.0, 0, 60000);
+    step_.bytesPerS = reader_.number(table_, "bytes_per_s", 0.0, 1, 1e9);
+    step_.link = reader_.oneOf(table_, "link", kLinks);
+    step_.patch = reader_.jsonObject(table_, "patch");
+  }
+
+  void checkTargets() {
+    if (!step_.patch.empty() && step_.what != "hup") fail("only hup takes a patch");
+    if (isOnWorkers() && !step_.link.empty()) fail("a link to a worker or by name, not both");
+    step_.below = reader_.number(table_, "below", 0, 1, scenario_.gatekeepers - 1);
+    const bool namesPeers = step_.gatekeeper || step_.below != 0;
+    if (step_.link == "peers" && (!scenario_.replica || !namesPeers))
+      fail("peers' links need a [replica] and a gatekeeper or below");
+    const bool isOperatorsCall = step_.what == "exclude" || step_.what == "include";
+    if (isOperatorsCall && !step_.worker) fail(step_.what + " needs a worker");
+    const bool needsStore =
+        kStoreFaults.contains(step_.what) || step_.what == "invalidate" || step_.link == "store";
+    if (needsStore && !scenario_.store) fail(step_.what + " needs a [store]");
+  }
+
+  void checkKind() {
+    if (kStoreFaults.contains(step_.what)) return checkStoreFault();
+    if (kGatekeeperFaults.contains(step_.what)) return checkGatekeeperFault();
+    if (kSystemFaults.contains(step_.what)) return readSystemFault();
+    const bool isNamedLink = kLinkFaults.contains(step_.what) && !step_.link.empty();
+    if (isNamedLink) return;  // all gatekeepers' links of that name, or one's
+    if (kLinkFaults.contains(step_.what)) return checkLinkFault();
+    if (kWorkerFaults.contains(step_.what)) return checkWorkerFault();
+    fail("unknown fault " + step_.what);
+  }
+
+  void checkStoreFault() const {
+    if (step_.gatekeeper || isOnWorkers()) fail(step_.what + " is the store's alone");
+  }
+
+  void checkGatekeeperFault() {
+    if (!step_.gatekeeper) fail(step_.what + " needs a gatekeeper");
+    step_.forMs = reader_.number(table_, "for_ms", 100.0, 1, 60000);
+    if (step_.what == "upgrade" && !scenario_.heldSockets) fail("upgrade needs fleet.held_sockets = true");
+  }
+
+  void checkLinkFault() const {
+    if (scenario_.directWorkers) fail(step_.what + " needs proxies: fleet.direct_workers is true");
+    if (!isOnWorkers()) fail(step_.what + " needs a worker or a zone");
+  }
+
+  void checkWorkerFault() const {
+    if (!isOnWorkers()) fail(step_.what + " needs a worker or a zone");
+    if (step_.gatekeeper) fail(step_.what + " is a worker's: it takes no gatekeeper");
+  }
+
+  void readSystemFault() {
+    if (isOnWorkers()) fail(step_.what + " is a gatekeeper's: it takes no worker");
+    scenario_.faultLibrary = true;
+    if (step_.what == "calls") readFailingCalls();
+    step_.stepMs = reader_.number(table_, "step_ms", 0.0, -1e9, 1e9);
+    if (step_.what == "disk") readDiskError();
+  }
+
+  void readFailingCalls() {
+    const std::string name = table_["call"].value_or(std::string());
+    step_.call = callFaultOf(name);
+    if (!step_.call) reader_.fail(table_.source(), "calls needs call = the kind that fails, not " + name);
+    step_.share = reader_.number(table_, "share", 0.0, 0, 1);
+  }
+
+  void readDiskError() {
+    const std::optional<int> error = diskErrorOf(table_["error"].value_or(std::string()));
+    if (!error) reader_.fail(table_.source(), "disk needs error = none, ENOSPC or EIO");
+    step_.diskError = *error;
+  }
+
+  const TableReader& reader_;
+  const toml::table& table_;
+  Scenario& scenario_;
+  const toml::node* what_ = nullptr;  ///< where the fault is named
+  Step step_;
+};
+
+}  // namespace
+
+bool isGatekeeperFault(const std::string& what) { return kGatekeeperFaults.contains(what); }
+
+void readSteps(const TableReader& reader, const toml::table& file, Scenario& scenario) {
+  const toml::array* steps = file["step"].as_array();
+  if (!steps) return;
+  double earliestS = 0;
+  for (const toml::node& node : *steps) {
+    const toml::table* table = node.as_table();
+    if (!table) reader.fail(node.source(), "a step is a table: [[step]]");
+    const Step step = StepReader(reader, *table, scenario).read(earliestS);
+    earliestS = step.atS;
+    scenario.steps.push_back(step);
+  }
+}
+
+}  // namespace wingslip::lab
