--- /dev/null
+++ b/tools/lab/fleet_processes.cpp
@@ -0,0 +1,205 @@
+#include <signal.h>
+#include <spdlog/spdlog.h>
+#include <sys/wait.h>
+
+#include <boost/asio/steady_timer.hpp>
+#include <chrono>
+#include <filesystem>
+#include <fstream>
+#include <thread>
+
+#include "fleet_run.hpp"
+
+namespace wingslip::lab {
+namespace fs = std::filesystem;
+using Error = boost::system::error_code;
+
+namespace {
+
+constexpr double kShortPauseMs = 200;        // a process that stands still for less is held to every rule
+constexpr double kFrontNoticesS = 0.3;       // after SIGTERM: until when new connections go on coming
+constexpr double kEndsAfterTermS = 0.7 + 3;  // the platform's SIGKILL, at the longest deadline counted
+constexpr double kReadyEveryS = 0.05;        // between two questions whether a new process is ready
+constexpr std::chrono::seconds kStartTimeout{15};
+constexpr std::chrono::seconds kEndTimeout{5};
+constexpr std::chrono::milliseconds kEndPoll{20};
+
+}  // namespace
+
+void Fleet::launch(Gatekeeper& gatekeeper) {
+  gatekeeper.now = start(gatekeeper, ports_, options_.gatekeeperProgram);
+  agents_[gatekeeper.index]->gatekeeperStarts();
+  gatekeeper.stopped = false;
+  gatekeeper.inFront = false;
+  gatekeeper.finishing = false;
+  gatekeeper.misses = 0;
+  std::ofstream(fs::path(options_.out) / "pids", std::ios::app) << gatekeeper.now.pid << "\n";
+}
+
+void Fleet::upgrade(Gatekeeper& gatekeeper) {
+  if (gatekeeper.old.pid > 0) return;  // one upgrade at a time
+  gatekeeper.old = std::exchange(gatekeeper.now, start(gatekeeper, ports_, options_.gatekeeperProgram));
+  std::ofstream(fs::path(options_.out) / "pids", std::ios::app) << gatekeeper.now.pid << "\n";
+  awaitReady(gatekeeper.index, gatekeeper.now.pid);
+}
+
+void Fleet::awaitReady(int g, pid_t pid) {
+  askOps(io_, gatekeepers_[g].now.ops, "readyz", [this, g, pid](const std::string& answer) {
+    Gatekeeper& gatekeeper = gatekeepers_[g];
+    if (finishing_ || gatekeeper.now.pid != pid) return;
+    if (answer.rfind("200", 0) == 0) {
+      spdlog::info("event=upgraded gatekeeper={} at_ms={:.0f}", g, clock_.nowMs());
+      if (gatekeeper.old.pid > 0) ::kill(gatekeeper.old.pid, SIGTERM);
+      return;
+    }
+    clock_.at(clock_.nowMs() / 1000 + kReadyEveryS, [this, g, pid] { awaitReady(g, pid); });
+  });
+}
+
+void Fleet::reloadConfig(Gatekeeper& gatekeeper, const std::string& patch) {
+  if (!patch.empty()) patchConfig(gatekeeper.config, patch);
+  sendSignal(gatekeeper, SIGHUP);
+}
+
+void Fleet::pauseProcess(Gatekeeper& gatekeeper, double forMs) {
+  if (gatekeeper.now.pid <= 0 || gatekeeper.stopped) return;
+  if (forMs > kShortPauseMs) stoppedForLong_.insert(gatekeeper.index);
+  sendSignal(gatekeeper, SIGSTOP);
+  clock_.at(clock_.nowMs() / 1000 + forMs / 1000, [this, &gatekeeper, pid = gatekeeper.now.pid] {
+    if (gatekeeper.now.pid == pid && !gatekeeper.stopped) sendSignal(gatekeeper, SIGCONT);
+  });
+}
+
+void Fleet::shutDownGracefully(Gatekeeper& gatekeeper) {
+  if (gatekeeper.now.pid <= 0 || gatekeeper.finishing) return;
+  endedByLab_.insert(gatekeeper.index);
+  gatekeeper.finishing = true;
+  sendSignal(gatekeeper, SIGTERM);
+  const pid_t pid = gatekeeper.now.pid;
+  clock_.at(clock_.nowMs() / 1000 + kFrontNoticesS, [&gatekeeper, pid] {
+    if (gatekeeper.now.pid == pid) gatekeeper.inFront = false;
+  });
+  clock_.at(clock_.nowMs() / 1000 + kEndsAfterTermS, [this, &gatekeeper, pid] {
+    if (gatekeeper.now.pid != pid || finishing_) return;
+    record_.crashes.push_back("gatekeeper " + std::to_string(gatekeeper.index) +
+                              " still runs after SIGTERM and " + std::to_string(kEndsAfterTermS) + " s");
+  });
+}
+
+void Fleet::sendSignal(Gatekeeper& gatekeeper, int number) {
+  if (gatekeeper.now.pid > 0) ::kill(gatekeeper.now.pid, number);
+}
+
+void Fleet::reap() {
+  for (Gatekeeper& gatekeeper : gatekeepers_) {
+    reapOldProcess(gatekeeper);
+    reapProcess(gatekeeper);
+  }
+}
+
+void Fleet::reapOldProcess(Gatekeeper& gatekeeper) {
+  int status = 0;
+  if (gatekeeper.old.pid <= 0 || ::waitpid(gatekeeper.old.pid, &status, WNOHANG) != gatekeeper.old.pid)
+    return;
+  gatekeeper.old = {};
+  if (status == 0)
+    observed_.noted.push_back({"upgrades", gatekeeper.index, clock_.nowMs()});
+  else
+    record_.crashes.push_back("upgrade of gatekeeper " + std::to_string(gatekeeper.index) +
+                              ": the old process ended with " + std::to_string(status));
+}
+
+void Fleet::reapProcess(Gatekeeper& gatekeeper) {
+  int status = 0;
+  if (gatekeeper.now.pid <= 0 || ::waitpid(gatekeeper.now.pid, &status, WNOHANG) != gatekeeper.now.pid)
+    return;
+  gatekeeper.now = {};
+  if (gatekeeper.finishing) {
+    judge_.down(gatekeeper.index, clock_.nowMs());
+    if (status != 0)
+      record_.crashes.push_back("gatekeeper " + std::to_string(gatekeeper.index) +
+                                " was told to end and ended with status " + std::to_string(status));
+  }
+  if (endedByLab_.contains(gatekeeper.index) || finishing_) return;
+  record_.crashes.push_back("gatekeeper " + std::to_string(gatekeeper.index) + " ended by itself, status " +
+                            std::to_string(status));
+  judge_.down(gatekeeper.index, clock_.nowMs());
+}
+
+void Fleet::checkHealth() {
+  reap();
+  front_.check();
+  if (finishing_) return;
+  auto next = std::make_shared<asio::steady_timer>(io_, kHealthEvery);
+  next->async_wait([this, next](const Error&) { checkHealth(); });
+}
+
+void Fleet::waitForFront() {
+  const auto limit = Clock::now() + kStartTimeout;
+  while (Clock::now() < limit) {
+    io_.run_for(std::chrono::milliseconds(100));
+    if (front_.allIn()) return;
+  }
+  spdlog::warn("event=not_all_ready after_s={}", kStartTimeout.count());
+}
+
+void Fleet::finish() {
+  finishing_ = true;
+  for (const Gatekeeper& gatekeeper : gatekeepers_) measure(gatekeeper);
+  for (Gatekeeper& gatekeeper : gatekeepers_) {
+    if (gatekeeper.stopped) sendSignal(gatekeeper, SIGCONT);
+    sendSignal(gatekeeper, SIGTERM);
+  }
+  judge_.close(clock_.nowMs());
+  const auto limit = Clock::now() + kEndTimeout;
+  for (Gatekeeper& gatekeeper : gatekeepers_) {
+    awaitEnd(gatekeeper.index, gatekeeper.now, limit);
+    awaitEnd(gatekeeper.index, gatekeeper.old, limit);
+  }
+  fs::remove(fs::path(options_.out) / "pids");
+  io_.stop();
+}
+
+void Fleet::awaitEnd(int index, Process& process, Clock::time_point limit) {
+  while (process.pid > 0 && Clock::now() < limit && ::waitpid(process.pid, nullptr, WNOHANG) == 0)
+    std::this_thread::sleep_for(kEndPoll);
+  if (process.pid > 0 && ::waitpid(process.pid, nullptr, WNOHANG) == 0) {
+    spdlog::warn("event=kill_at_end gatekeeper={} pid={}", index, process.pid);
+    ::kill(process.pid, SIGKILL);
+    ::waitpid(process.pid, nullptr, 0);
+  }
+  process = {};
+}
+
+void Fleet::endByLab(Gatekeeper& gatekeeper, int signalNumber) {
+  endedByLab_.insert(gatekeeper.index);
+  judge_.down(gatekeeper.index, clock_.nowMs());
+  sendSignal(gatekeeper, signalNumber);
+}
+
+void Fleet::stopProcess(Gatekeeper& gatekeeper) {
+  judge_.down(gatekeeper.index, clock_.nowMs());
+  sendSignal(gatekeeper, SIGSTOP);
+  gatekeeper.stopped = true;
+  stoppedForLong_.insert(gatekeeper.index);
+}
+
+void Fleet::continueProcess(Gatekeeper& gatekeeper) {
+  sendSignal(gatekeeper, SIGCONT);
+  judge_.up(gatekeeper.index, clock_.nowMs());
+  gatekeeper.stopped = false;
+}
+
+void Fleet::restartProcess(Gatekeeper& gatekeeper) {
+  if (gatekeeper.now.pid > 0) {
+    sendSignal(gatekeeper, SIGKILL);
+    ::waitpid(gatekeeper.now.pid, nullptr, 0);
+    gatekeeper.now = {};
+  }
+  endedByLab_.erase(gatekeeper.index);
+  judge_.down(gatekeeper.index, clock_.nowMs());
+  launch(gatekeeper);
+  judge_.up(gatekeeper.index, clock_.nowMs());
+}
+
+}  // namespace wingslip::lab
--- a/tools/lab/store.cpp
+++ b/tools/lab/store.cpp
@@ -3,7 +3,9 @@
 #include <algorithm>
 #include <boost/beast/core.hpp>
 #include <boost/beast/http.hpp>
+#include <map>
 #include <nlohmann/json.hpp>
+#include <optional>
 
 #include "leader_election/base64.hpp"
 #include "net.hpp"
@@ -16,8 +18,8 @@
 
 namespace {
 
-constexpr auto kBeat = std::chrono::milliseconds(20);  // between looks for sessions whose time is over
-constexpr std::size_t kMostSeconds = 3600;
+constexpr auto kExpiryEvery = std::chrono::milliseconds(20);  // between looks for sessions whose time is over
+constexpr std::size_t kMaxCountedSeconds = 3600;
 
 std::string unescaped(const std::string& text) {
   std::string out;
@@ -40,12 +42,19 @@
   return n * (unit == "ms" ? 1 : unit == "s" ? 1000 : 60000);
 }
 
-struct Target {
+}  // namespace
+
+struct Store::Target {
   std::string path;
   std::map<std::string, std::string> query;
+
+  std::optional<std::string> parameter(const std::string& name) const {
+    const auto found = query.find(name);
+    return found == query.end() ? std::optional<std::string>() : found->second;
+  }
 };
 
-Target targetOf(const std::string& text) {
+Store::Target Store::parseTarget(const std::string& text) {
   Target out;
   const auto question = text.find('?');
   out.path = text.substr(0, question);
@@ -53,16 +62,15 @@
   std::string rest = text.substr(question + 1);
   while (!rest.empty()) {
     const auto end = rest.find('&');
-    const std::string one = rest.substr(0, end);
-    const auto equals = one.find('=');
-    out.query[one.substr(0, equals)] = equals == std::string::npos ? "" : unescaped(one.substr(equals + 1));
+    const std::string parameter = rest.substr(0, end);
+    const auto equals = parameter.find('=');
+    out.query[parameter.substr(0, equals)] =
+        equals == std::string::npos ? "" : unescaped(parameter.substr(equals + 1));
     rest = end == std::string::npos ? "" : rest.substr(end + 1);
   }
   return out;
 }
 
-}  // namespace
-
 struct Store::Client {
   explicit Client(tcp::socket s) : socket(std::move(s)) {}
   tcp::socket socket;
@@ -92,7 +100,7 @@
 
 void Store::beat() {
   state_.expire(nowMs_());
-  beat_.expires_after(kBeat);
+  beat_.expires_after(kExpiryEvery);
   beat_.async_wait([this](const Error& error) {
     if (!error) beat();
   });
@@ -112,73 +120,86 @@
   });
 }
 
-void Store::serve(const std::shared_ptr<Client>& client) {
+void Store::countCall() {
   ++calls_;
   const auto second = static_cast<std::size_t>(std::max(0.0, nowMs_() / 1000));
-  if (second < kMostSeconds) {
-    if (bySecond_.size() <= second) bySecond_.resize(second + 1);
-    ++bySecond_[second];
-  }
-  if (mode_ == Mode::silent) return;  // held, and nothing said
+  if (second >= kMaxCountedSeconds) return;
+  if (bySecond_.size() <= second) bySecond_.resize(second + 1);
+  ++bySecond_[second];
+}
+
+void Store::serve(const std::shared_ptr<Client>& client) {
+  countCall();
+  if (mode_ == Mode::silent) return;  // the connection stays open, and nothing is answered
   if (mode_ == Mode::errors) return answer(client, 500, "rpc error: no leader");
-  const Target target = targetOf(std::string(client->request.target()));
-  const std::string body = client->request.body();
-  const double now = nowMs_();
-  const auto yes = [&](std::optional<bool> done) {
-    if (!done) return answer(client, 500, "rpc error: invalid session");
-    answer(client, 200, *done ? "true" : "false");
-  };
-  const auto after = [&](const char* prefix) -> std::optional<std::string> {
+  const Target target = parseTarget(std::string(client->request.target()));
+  const auto after = [&](const std::string& prefix) -> std::optional<std::string> {
     if (target.path.rfind(prefix, 0) != 0) return std::nullopt;
-    return unescaped(target.path.substr(std::string(prefix).size()));
+    return unescaped(target.path.substr(prefix.size()));
   };
-  if (target.path == "/v1/session/create") {
-    const json j = json::parse(body, nullptr, false);
-    if (!j.is_object()) return answer(client, 400, "Request decode failed");
-    return answer(
-        client, 200,
-        json{{"ID", state_.createSession(now, j.value("Name", ""), milliseconds(j.value("TTL", "10s")),
-                                         milliseconds(j.value("LockDelay", "15s")))}}
-            .dump());
-  }
-  if (const auto id = after("/v1/session/renew/")) {
-    if (!state_.renew(now, *id)) return answer(client, 404, "Session id not found");
-    return answer(client, 200, json::array({{{"ID", *id}}}).dump());
-  }
+  if (target.path == "/v1/session/create") return createSession(client);
+  if (const auto id = after("/v1/session/renew/")) return renewSession(client, *id);
   if (const auto id = after("/v1/session/destroy/")) {
-    state_.destroy(now, *id);
+    state_.destroy(nowMs_(), *id);
     return answer(client, 200, "true");
   }
   const auto key = after("/v1/kv/");
   if (!key) return answer(client, 404, "");
-  const auto query = [&](const char* name) {
-    const auto found = target.query.find(name);
-    return found == target.query.end() ? std::optional<std::string>() : found->second;
+  if (client->request.method() == http::verb::put) return put(client, target, *key);
+  read(client, target, *key);
+}
+
+void Store::createSession(const std::shared_ptr<Client>& client) {
+  const json request = json::parse(client->request.body(), nullptr, false);
+  if (!request.is_object()) return answer(client, 400, "Request decode failed");
+  const std::string id =
+      state_.createSession(nowMs_(), request.value("Name", ""), milliseconds(request.value("TTL", "10s")),
+                           milliseconds(request.value("LockDelay", "15s")));
+  answer(client, 200, json{{"ID", id}}.dump());
+}
+
+void Store::renewSession(const std::shared_ptr<Client>& client, const std::string& id) {
+  if (!state_.renew(nowMs_(), id)) return answer(client, 404, "Session id not found");
+  answer(client, 200, json::array({{{"ID", id}}}).dump());
+}
+
+void Store::put(const std::shared_ptr<Client>& client, const Target& target, const std::string& key) {
+  const std::string& body = client->request.body();
+  const auto answerDone = [&](std::optional<bool> done) {
+    if (!done) return answer(client, 500, "rpc error: invalid session");
+    answer(client, 200, *done ? "true" : "false");
   };
-  if (client->request.method() == http::verb::put) {
-    if (const auto session = query("acquire")) return yes(state_.acquire(now, *key, *session, body));
-    if (const auto session = query("release")) return yes(state_.release(now, *key, *session));
-    if (const auto index = query("cas"))
-      return yes(state_.compareAndSet(now, *key, std::strtoull(index->c_str(), nullptr, 10), body));
-    return answer(client, 400, "");
-  }
-  const bool recurse = query("recurse").has_value();
-  const std::uint64_t index = std::strtoull(query("index").value_or("0").c_str(), nullptr, 10);
-  if (index == 0 || state_.changedAt(*key, recurse) != index) return answerRead(client, *key, recurse);
-  auto timer = std::make_shared<asio::steady_timer>(
-      io_, std::chrono::milliseconds(static_cast<long>(milliseconds(query("wait").value_or("5m")))));
-  waiting_.push_back({client, *key, recurse, index, timer});
+  if (const auto session = target.parameter("acquire"))
+    return answerDone(state_.acquire(nowMs_(), key, *session, body));
+  if (const auto session = target.parameter("release"))
+    return answerDone(state_.release(nowMs_(), key, *session));
+  if (const auto index = target.parameter("cas"))
+    return answerDone(state_.compareAndSet(nowMs_(), key, std::strtoull(index->c_str(), nullptr, 10), body));
+  answer(client, 400, "");
+}
+
+void Store::read(const std::shared_ptr<Client>& client, const Target& target, const std::string& key) {
+  const bool recurse = target.parameter("recurse").has_value();
+  const std::uint64_t index = std::strtoull(target.parameter("index").value_or("0").c_str(), nullptr, 10);
+  if (index == 0 || state_.changedAt(key, recurse) != index) return answerRead(client, key, recurse);
+  const double waitMs = milliseconds(target.parameter("wait").value_or("5m"));
+  auto timer =
+      std::make_shared<asio::steady_timer>(io_, std::chrono::milliseconds(static_cast<long>(waitMs)));
+  waiting_.push_back({client, key, recurse, index, timer});
   timer->async_wait([this, client](const Error& error) {
-    if (error) return;
-    const auto found =
-        std::find_if(waiting_.begin(), waiting_.end(), [&](const Waiting& w) { return w.client == client; });
-    if (found == waiting_.end()) return;
-    const Waiting w = *found;
-    waiting_.erase(found);
-    answerRead(client, w.key, w.recurse);
+    if (!error) endWait(client);
   });
 }
 
+void Store::endWait(const std::shared_ptr<Client>& client) {
+  const auto found =
+      std::find_if(waiting_.begin(), waiting_.end(), [&](const Waiting& w) { return w.client == client; });
+  if (found == waiting_.end()) return;
+  const Waiting waiting = *found;
+  waiting_.erase(found);
+  answerRead(client, waiting.key, waiting.recurse);
+}
+
 void Store::changed(const std::string& key) {
   for (auto at = waiting_.begin(); at != waiting_.end();) {
     const bool mine = at->recurse ? key.rfind(at->key, 0) == 0 : key == at->key;
--- a/tools/lab/store.hpp
+++ b/tools/lab/store.hpp
@@ -40,6 +40,7 @@
 
  private:
   struct Client;
+  struct Target;  ///< a request's path and query
   struct Waiting {
     std::shared_ptr<Client> client;
     std::string key;
@@ -50,7 +51,15 @@
   void wire();
   void beat();
   void accept();
+  void countCall();
+  static Target parseTarget(const std::string& text);
   void serve(const std::shared_ptr<Client>& client);
+  void createSession(const std::shared_ptr<Client>& client);
+  void renewSession(const std::shared_ptr<Client>& client, const std::string& id);
+  void put(const std::shared_ptr<Client>& client, const Target& target, const std::string& key);
+  /// With an index, the answer waits for a change past it.
+  void read(const std::shared_ptr<Client>& client, const Target& target, const std::string& key);
+  void endWait(const std::shared_ptr<Client>& client);
   void answer(const std::shared_ptr<Client>& client, unsigned status, const std::string& body,
               std::uint64_t index = 0);
   void answerRead(const std::shared_ptr<Client>& client, const std::string& key, bool recurse);
