--- a/tools/lab/distribution_simulation.cpp
+++ b/tools/lab/distribution_simulation.cpp
@@ -212,11 +212,11 @@
 
   struct ReplicaNode : ControlReplica::Outside {
     ReplicaNode(Simulation& owner, int number)
-        : simulation(owner), index(number), name("r" + std::to_string(number)) {}
+        : simulation(owner), index(number), name(std::string("r").append(std::to_string(number))) {}
     void begin(const Snapshot& disk) {
       std::vector<std::string> peers;
       for (int i = 0; i < simulation.options_.zones; ++i)
-        if (i != index) peers.push_back("r" + std::to_string(i));
+        if (i != index) peers.push_back(std::string("r").append(std::to_string(i)));
       core = std::make_unique<ControlReplica>(ReplicaLimits{}, name, peers, simulation.random_(), *this);
       core->restore(disk);
       up = true;
@@ -242,7 +242,7 @@
     SubscriberNode(Simulation& owner, int number)
         : simulation(owner),
           index(number),
-          name("s" + std::to_string(number)),
+          name(std::string("s").append(std::to_string(number))),
           zone(number % owner.options_.zones) {}
     void begin(const Snapshot& from) {
       core = std::make_unique<Subscriber>(
@@ -300,7 +300,8 @@
   }
   const std::vector<ReplicaAddress>& addresses() {
     if (addresses_.empty())
-      for (int i = 0; i < options_.zones; ++i) addresses_.push_back({"r" + std::to_string(i), locationOf(i)});
+      for (int i = 0; i < options_.zones; ++i)
+        addresses_.push_back({std::string("r").append(std::to_string(i)), locationOf(i)});
     return addresses_;
   }
   Milliseconds delayBetween(int zone, int otherZone) {
--- a/tools/lab/fleet_run.hpp
+++ b/tools/lab/fleet_run.hpp
@@ -10,18 +10,19 @@
 #include <string>
 #include <vector>
 
+#include "discovery_agent.hpp"
 #include "expectations.hpp"
 #include "fleet.hpp"
 #include "front.hpp"
 #include "gatekeeper_config.hpp"
 #include "idle_clients.hpp"
 #include "links.hpp"
-#include "net.hpp"
 #include "open_load.hpp"
 #include "process.hpp"
 #include "rough_clients.hpp"
 #include "run_clock.hpp"
 #include "run_report.hpp"
+#include "stand_in_worker.hpp"
 #include "store.hpp"
 
 namespace wingslip::lab {
--- a/tools/lab/gatekeeper_config.cpp
+++ b/tools/lab/gatekeeper_config.cpp
@@ -16,7 +16,7 @@
 constexpr int kPeersToldInLargeFleet = 2;
 constexpr std::uint64_t kSeedStep = 7919;  // between the seeds of two runs' gatekeepers
 
-std::string gatekeeperName(int gatekeeper) { return "g" + std::to_string(gatekeeper); }
+std::string gatekeeperName(int gatekeeper) { return std::string("g").append(std::to_string(gatekeeper)); }
 
 std::string local(unsigned short port) { return "127.0.0.1:" + std::to_string(port); }
 
--- a/tools/lab/links.hpp
+++ b/tools/lab/links.hpp
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "net.hpp"
+#include "fault_proxy.hpp"
 #include "scenario.hpp"
 
 namespace wingslip::lab {
--- a/tools/lab/scale_cases_process.cpp
+++ b/tools/lab/scale_cases_process.cpp
@@ -15,12 +15,14 @@
 #include <string>
 #include <thread>
 
-#include "net.hpp"
+#include "discovery_agent.hpp"
+#include "loopback_listener.hpp"
 #include "net/overload_manager.hpp"
 #include "probe.hpp"
 #include "process.hpp"
 #include "replication/replica_node.hpp"
 #include "scale_cases.hpp"
+#include "stand_in_worker.hpp"
 
 namespace wingslip::lab {
 namespace {
--- /dev/null
+++ b/tools/lab/stand_in_worker.cpp
@@ -0,0 +1,186 @@
+#include "stand_in_worker.hpp"
+
+#include <boost/asio/write.hpp>
+#include <boost/beast/core.hpp>
+#include <boost/beast/http.hpp>
+#include <charconv>
+#include <cmath>
+
+namespace wingslip::lab {
+namespace beast = boost::beast;
+namespace http = beast::http;
+using Error = boost::system::error_code;
+
+namespace {
+
+constexpr double kSecondAnswerMs = 2;  // after the first
+constexpr double kMostRestMs = 400;    // before a connection that rests is closed
+
+std::uint64_t hexId(std::string_view text) {
+  std::uint64_t id = 0;
+  const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), id, 16);
+  return error == std::errc() && end == text.data() + text.size() ? id : 0;
+}
+
+}  // namespace
+
+class WorkerSession : public std::enable_shared_from_this<WorkerSession> {
+ public:
+  WorkerSession(Worker& worker, std::shared_ptr<tcp::socket> socket)
+      : w_(worker), socket_(std::move(socket)), timer_(w_.io_) {}
+
+  void read() {
+    request_ = {};
+    http::async_read(*socket_, buffer_, request_,
+                     [self = shared_from_this()](const Error& error, std::size_t) {
+                       if (error) return self->end();
+                       self->serve();
+                     });
+  }
+
+ private:
+  void end() { w_.open_.erase(socket_); }
+
+  void serve() {
+    const auto idHeader = request_.find("Req-Id");
+    if (idHeader == request_.end()) return answer(http::status::not_found, "no id\n", false);
+    const std::string idText(idHeader->value());
+    const std::uint64_t id = hexId(idText);
+    Error error;
+    const tcp::endpoint from = socket_->remote_endpoint(error);
+    const auto link = error ? w_.links_.end() : w_.links_.find({w_.port_, from.port()});
+    const int gatekeeper = link == w_.links_.end() ? -1 : link->second;
+    const std::string body = "lab worker " + std::to_string(w_.index_) + " answers " + idText + "\n";
+    w_.judge_.attempt(id, w_.index_, gatekeeper, w_.nowMs_(), body);
+    if (w_.mode.silent) return;  // holds the connection and says nothing
+    if (w_.mode.draining || w_.inFlight >= w_.s_.workerInFlight)
+      return answer(http::status::service_unavailable, "declined\n", true);
+    const RoughWorkers& rough = w_.s_.roughWorkers;
+    if (w_.strikes(rough.hang)) return;
+    if (w_.strikes(rough.reset)) return reset(*socket_), end();
+    ++w_.inFlight;
+    std::lognormal_distribution<double> service(std::log(std::max(w_.s_.serviceMs, 0.01)), w_.s_.spread);
+    double ms = service(w_.random_);
+    if (w_.s_.coldS > 0) {
+      const double age = (w_.nowMs_() - w_.startedMs_) / 1000;
+      ms *= 1 + 3 * std::max(0.0, 1 - age / w_.s_.coldS);
+    }
+    timer_.expires_after(std::chrono::microseconds(static_cast<long>(ms * 1000)));
+    timer_.async_wait([self = shared_from_this(), body](const Error& e) {
+      --self->w_.inFlight;
+      if (e) return self->end();
+      self->answerRoughly(body);
+    });
+  }
+
+  void answerRoughly(const std::string& body) {
+    const RoughWorkers& rough = w_.s_.roughWorkers;
+    if (w_.strikes(rough.error)) return answer(http::status::internal_server_error, "error\n", false);
+    if (w_.strikes(rough.broken))
+      return say("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" +
+                     body.substr(0, body.size() / 2),
+                 true);
+    if (w_.strikes(rough.unframed)) return say("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + body, false);
+    if (w_.strikes(rough.twice)) sayLater(body);
+    answer(http::status::ok, body, false);
+    if (w_.strikes(rough.closes)) closeLater();
+  }
+
+  // Writes the text and ends the connection, in good order or by a reset.
+  void say(std::string text, bool byReset) {
+    auto out = std::make_shared<std::string>(std::move(text));
+    asio::async_write(*socket_, asio::buffer(*out),
+                      [self = shared_from_this(), out, byReset](const Error&, std::size_t) {
+                        Error ignored;
+                        if (byReset)
+                          reset(*self->socket_);
+                        else
+                          self->socket_->close(ignored);
+                        self->end();
+                      });
+  }
+
+  // The same answer again, of which nobody has any use.
+  void sayLater(const std::string& body) {
+    auto text = std::make_shared<std::string>(
+        "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body);
+    later(kSecondAnswerMs, [self = shared_from_this(), text] {
+      asio::async_write(*self->socket_, asio::buffer(*text), [self, text](const Error&, std::size_t) {});
+    });
+  }
+
+  void closeLater() {
+    later(std::uniform_real_distribution<>(0, kMostRestMs)(w_.random_), [self = shared_from_this()] {
+      Error ignored;
+      self->socket_->shutdown(tcp::socket::shutdown_send, ignored);
+    });
+  }
+
+  template <class Then>
+  void later(double ms, Then then) {
+    auto timer = std::make_shared<asio::steady_timer>(w_.io_);
+    timer->expires_after(std::chrono::microseconds(static_cast<long>(ms * 1000)));
+    timer->async_wait([timer, then](const Error& error) {
+      if (!error) then();
+    });
+  }
+
+  void answer(http::status status, const std::string& body, bool declined) {
+    auto reply = std::make_shared<http::response<http::string_body>>(status, 11);
+    reply->set("Srv-Load", "inflight=" + std::to_string(w_.inFlight) + ",queue=0,util=" +
+                               std::to_string(std::min(1.0, w_.inFlight / double(w_.s_.workerInFlight))));
+    if (declined) reply->set("Srv-Declined", "1");
+    reply->body() = body;
+    reply->prepare_payload();
+    reply->keep_alive(true);
+    http::async_write(*socket_, *reply, [self = shared_from_this(), reply](const Error& error, std::size_t) {
+      if (error) return self->end();
+      self->read();
+    });
+  }
+
+  Worker& w_;
+  std::shared_ptr<tcp::socket> socket_;
+  asio::steady_timer timer_;
+  beast::flat_buffer buffer_;
+  http::request<http::string_body> request_;
+};
+
+Worker::Worker(asio::io_context& io, int index, const Scenario& s, Judge& judge, const LinkOf& links,
+               std::function<double()> nowMs, std::uint64_t seed)
+    : io_(io), index_(index), s_(s), judge_(judge), links_(links), nowMs_(std::move(nowMs)), random_(seed) {
+  acceptor_ = std::make_unique<tcp::acceptor>(listenAt(io));
+  port_ = acceptor_->local_endpoint().port();
+  startedMs_ = -1e9;  // long warm
+  accept();
+}
+
+void Worker::accept() {
+  auto socket = std::make_shared<tcp::socket>(io_);
+  acceptor_->async_accept(*socket, [this, socket, acceptor = acceptor_.get()](const Error& error) {
+    if (error || acceptor != acceptor_.get()) return;
+    ++accepted_;
+    // The proxy acknowledges in its own time, which would hold small writes back on top of the link's delay.
+    Error ignored;
+    socket->set_option(tcp::no_delay(true), ignored);
+    open_.insert(socket);
+    std::make_shared<WorkerSession>(*this, socket)->read();
+    accept();
+  });
+}
+
+bool Worker::strikes(double share) {
+  return share > 0 && std::uniform_real_distribution<>()(random_) < share;
+}
+
+void Worker::restart() {
+  acceptor_->close();
+  for (const auto& socket : std::set(open_)) reset(*socket);
+  open_.clear();
+  mode = {};
+  startedMs_ = nowMs_();
+  acceptor_ = std::make_unique<tcp::acceptor>(listenAt(io_, port_));
+  accept();
+}
+
+}  // namespace wingslip::lab
--- a/tools/lab/store.cpp
+++ b/tools/lab/store.cpp
@@ -8,7 +8,7 @@
 #include <optional>
 
 #include "leader_election/base64.hpp"
-#include "net.hpp"
+#include "loopback_listener.hpp"
 
 namespace wingslip::lab {
 namespace beast = boost::beast;
