--- a/src/gatekeeper/gatekeeper_operators.cpp
+++ b/src/gatekeeper/gatekeeper_operators.cpp
@@ -60,11 +60,11 @@
 }
 
 std::string Gatekeeper::duties() const {
-  return coordinator_ ? coordinator_->duties() : "400 no store is configured\n";
+  return coordinator_ ? coordinator_->dutiesAnswer() : "400 no store is configured\n";
 }
 
 std::string Gatekeeper::roster() const {
-  return coordinator_ ? coordinator_->roster() : "400 no store is configured\n";
+  return coordinator_ ? coordinator_->rosterAnswer() : "400 no store is configured\n";
 }
 
 ByHand Gatekeeper::exclude(const std::string& id) {
--- a/src/leader_election/coordinator.cpp
+++ b/src/leader_election/coordinator.cpp
@@ -14,36 +14,43 @@
 
 namespace asio = boost::asio;
 
-constexpr const char* kRoster = "roster";
-constexpr auto kLeaveWithin = std::chrono::milliseconds(100);
-constexpr Time kSeenWithin = 300;  // for the holder to see that this one drains before its registration goes
+constexpr const char* kMembershipTask = "roster";  // in the store's keys
+constexpr auto kEndSessionTimeout = std::chrono::milliseconds(100);
+// For the leader to read that this process drains before its registration goes.
+constexpr Time kDrainingVisibleMs = 300;
+constexpr const char* kNothing = "-";
 
-LeaderElection::Self selfOf(const Coordination& where, const std::string& name) {
+ProcessIdentity identityOf(const Coordination& settings, const std::string& name) {
   const auto unixNow =
       std::chrono::duration_cast<std::chrono::seconds>(std::chrono::system_clock::now().time_since_epoch());
-  char instance[20];  // from the system's own chance: two processes of a gatekeeper share its seed
-  std::random_device chance;
-  std::snprintf(instance, sizeof instance, "%08x%08x", chance(), chance());
-  return {where.prefix, name, instance, WINGSLIP_GATEKEEPER_BUILD, unixNow.count()};
+  char instance[20];
+  std::random_device systemRandom;  // not from the seed, which both processes of an upgrade share
+  std::snprintf(instance, sizeof instance, "%08x%08x", systemRandom(), systemRandom());
+  return {settings.prefix, name, instance, WINGSLIP_GATEKEEPER_BUILD, unixNow.count()};
+}
+
+const std::string& orNothing(const std::string& text) {
+  static const std::string nothing = kNothing;
+  return text.empty() ? nothing : text;
 }
 
 }  // namespace
 
-Coordinator::Coordinator(asio::io_context& io, const Coordination& where, const std::string& name,
-                         unsigned candidates, std::uint64_t seed, OverloadManager& pressure)
-    : duties_(timingFor(where.ttlMs, where.lockDelayMs, candidates), selfOf(where, name),
-              seed ^ std::random_device()(), *this),
-      rosterDuty_(duties_, kRoster, where.ttlMs),
-      client_(io, where.store, pressure,
-              [this](std::uint64_t id, const Reply& reply, const std::string& error) {
-                if (!error.empty() && error != lastError_) told("store: " + error);
-                lastError_ = error;
-                duties_.replied(now(), id, reply);
-                turn();
-              }),
+Coordinator::Coordinator(asio::io_context& io, const Coordination& settings, const std::string& name,
+                         unsigned candidates, std::uint64_t seed, OverloadManager& overloadManager)
+    : election_(timingFor(settings.ttlMs, settings.lockDelayMs, candidates), identityOf(settings, name),
+                seed ^ std::random_device()(), *this),
+      membership_(election_, kMembershipTask, settings.ttlMs),
+      storeClient_(io, settings.store, overloadManager,
+                   [this](std::uint64_t callId, const StoreReply& reply, const std::string& error) {
+                     if (!error.empty() && error != lastStoreError_) logEvent("store: " + error);
+                     lastStoreError_ = error;
+                     election_.onReply(now(), callId, reply);
+                     runDue();
+                   }),
       timer_(io),
-      end_(io) {
-  duties_.add(kRoster, rosterDuty_);
+      leaveTimer_(io) {
+  election_.addTask(kMembershipTask, membership_);
 }
 
 Time Coordinator::now() const {
@@ -52,102 +59,121 @@
 }
 
 void Coordinator::start() {
-  duties_.start(now());
-  turn();
+  election_.start(now());
+  runDue();
 }
 
 void Coordinator::drain() {
-  duties_.drain(now());
+  election_.drain(now());
   drainedAt_ = now();
-  turn();
+  runDue();
+}
+
+void Coordinator::leave(Time maxWaitMs, std::function<void()> done) {
+  if (onLeft_) return;
+  onLeft_ = std::move(done);
+  leaveBy_ = now() + maxWaitMs;
+  runDue();
 }
 
-void Coordinator::leave(Time within, std::function<void()> done) {
-  if (done_) return;
-  done_ = std::move(done);
-  leaveBy_ = now() + within;
-  turn();
+bool Coordinator::isReadyToLeave() const {
+  if (!onLeft_ || isEnding_) return false;
+  return now() >= leaveBy_ || (election_.isDrained() && now() >= drainedAt_ + kDrainingVisibleMs);
 }
 
-void Coordinator::turn() {
-  duties_.tick(now());
-  rosterDuty_.tick(now());
-  if (done_ && !ending_ && (now() >= leaveBy_ || (duties_.settled() && now() >= drainedAt_ + kSeenWithin))) {
-    ending_ = true;
-    duties_.leave(now());
-    end_.expires_after(kLeaveWithin);
-    end_.async_wait([this](const boost::system::error_code& error) {
-      if (!error) done_();
-    });
+void Coordinator::runDue() {
+  election_.runDue(now());
+  membership_.runDue(now());
+  if (isReadyToLeave()) endSession();
+  armTimer();
+}
+
+void Coordinator::endSession() {
+  isEnding_ = true;
+  election_.endSession(now());
+  leaveTimer_.expires_after(kEndSessionTimeout);
+  leaveTimer_.async_wait([this](const boost::system::error_code& error) {
+    if (!error) onLeft_();
+  });
+}
+
+Time Coordinator::nextDueAt() const {
+  const Time at = std::min(election_.nextDueAt(), membership_.nextDueAt());
+  if (!onLeft_ || isEnding_) return at;
+  const Time leaveAt = election_.isDrained() ? std::min(leaveBy_, drainedAt_ + kDrainingVisibleMs) : leaveBy_;
+  return std::min(at, leaveAt);
+}
+
+void Coordinator::armTimer() {
+  const Time at = nextDueAt();
+  if (!std::isfinite(at)) {
+    timer_.cancel();
+    return;
   }
-  Time at = std::min(duties_.nextAt(), rosterDuty_.nextAt());
-  if (done_ && !ending_)
-    at = std::min(at, duties_.settled() ? std::min(leaveBy_, drainedAt_ + kSeenWithin) : leaveBy_);
-  if (!std::isfinite(at)) return void(timer_.cancel());
-  const auto wait = static_cast<std::int64_t>(std::max(0.0, at - now()) * 1000) + 1;
-  timer_.expires_after(std::chrono::microseconds(wait));
+  const auto waitUs = static_cast<std::int64_t>(std::max(0.0, at - now()) * 1000) + 1;
+  timer_.expires_after(std::chrono::microseconds(waitUs));
   timer_.async_wait([this](const boost::system::error_code& error) {
-    if (!error) turn();
+    if (!error) runDue();
   });
 }
 
+// --- Operators -------------------------------------------------------------------------------------------
+
 std::string Coordinator::telemetry() const {
   std::string out;
-  const auto line = [&](const char* name, std::uint64_t value, const char* kind) {
+  const auto add = [&](const std::string& name, std::uint64_t value, const char* kind) {
     out += std::string("svc.duty.") + name + ":" + std::to_string(value) + "|" + kind + "\n";
   };
-  const LeaderElection::Counts& c = duties_.counts();
-  const auto status = duties_.status();
-  line("held",
-       static_cast<std::uint64_t>(std::count_if(status.begin(), status.end(),
-                                                [](const auto& s) { return s.state == State::holding; })),
-       "g");
-  line("acquired", c.acquired, "c");
-  line("lost", c.lost, "c");
-  line("lapsed", c.lapsed, "c");
-  line("given_up", c.givenUp, "c");
-  line("acts", c.acts, "c");
-  line("refused_by_fence", c.refusedByFence, "c");
-  line("renewals_failed", c.renewalsFailed, "c");
-  line("calls_failed", c.callsFailed, "c");
-  line("sessions_lost", c.sessionsLost, "c");
-  line("store_went_back", c.wentBack, "c");
-  line("stale_records", c.staleRecords, "c");
-  line("malformed", c.malformed + rosterDuty_.unreadable(), "c");
-  auto rows = rosterDuty_.roster().counts();
-  for (const auto state : {RosterRow::State::here, RosterRow::State::draining, RosterRow::State::left,
-                           RosterRow::State::missing})
-    line((std::string("roster_") + nameOf(state)).c_str(), rows[state], "g");
+  const ElectionCounts& counts = election_.counts();
+  const std::vector<TaskStatus> status = election_.status();
+  const auto isLeading = [](const TaskStatus& task) { return task.state == State::leading; };
+  add("held", static_cast<std::uint64_t>(std::count_if(status.begin(), status.end(), isLeading)), "g");
+  add("acquired", counts.acquired, "c");
+  add("lost", counts.lost, "c");
+  add("lapsed", counts.leasesExpired, "c");
+  add("given_up", counts.steppedDown, "c");
+  add("acts", counts.recordsWritten, "c");
+  add("refused_by_fence", counts.refusedByFence, "c");
+  add("renewals_failed", counts.renewalsFailed, "c");
+  add("calls_failed", counts.callsFailed, "c");
+  add("sessions_lost", counts.sessionsLost, "c");
+  add("store_went_back", counts.storeRollbacks, "c");
+  add("stale_records", counts.staleRecords, "c");
+  add("malformed", counts.malformed + membership_.unreadableRecords(), "c");
+  auto members = membership_.record().counts();
+  for (const auto state : {MemberState::here, MemberState::draining, MemberState::left, MemberState::missing})
+    add(std::string("roster_") + operatorsNameOf(state), members[state], "g");
   return out;
 }
 
-std::string Coordinator::duties() const {
-  const auto all = duties_.status();
+std::string Coordinator::dutiesAnswer() const {
+  const std::vector<TaskStatus> all = election_.status();
   std::string out = "200 " + std::to_string(all.size()) + " duties\n";
-  for (const auto& s : all)
-    out += s.duty + " state=" + nameOf(s.state) + " holder=" + (s.holder.empty() ? "-" : s.holder) +
-           " token=" + std::to_string(s.token) +
-           " since_s=" + std::to_string(static_cast<long>((now() - s.since) / 1000)) +
-           " last_error=" + (s.lastError.empty() ? "-" : s.lastError) + "\n";
+  for (const TaskStatus& status : all) {
+    const auto sinceS = static_cast<long>((now() - status.sinceAt) / 1000);
+    out += status.task + " state=" + operatorsNameOf(status.state) + " holder=" + orNothing(status.leader) +
+           " token=" + std::to_string(status.token) + " since_s=" + std::to_string(sinceS) +
+           " last_error=" + orNothing(status.lastError) + "\n";
+  }
   return out + "EOF\n";
 }
 
-std::string Coordinator::roster() const {
-  const Roster& roster = rosterDuty_.roster();
-  auto counts = roster.counts();
-  std::string first =
-      "200 version=" + std::to_string(roster.version()) + " token=" + std::to_string(rosterDuty_.token());
-  using RowState = RosterRow::State;
-  constexpr RowState kOrder[] = {RowState::missing, RowState::draining, RowState::left, RowState::here};
-  for (const RowState state : kOrder)
-    first += std::string(" ") + nameOf(state) + "=" + std::to_string(counts[state]);
-  OperatorResponse out(first);
-  for (const RowState state : kOrder)
-    for (const auto& [name, row] : roster.rows())
-      if (row.state == state)
-        out.add(name + " " + nameOf(state) + " processes=" + std::to_string(row.processes) +
-                " build=" + row.build + " started=" + std::to_string(row.started) +
-                " since_version=" + std::to_string(row.since));
+std::string Coordinator::rosterAnswer() const {
+  const MembershipRecord& record = membership_.record();
+  auto counts = record.counts();
+  std::string firstLine =
+      "200 version=" + std::to_string(record.version()) + " token=" + std::to_string(membership_.token());
+  constexpr MemberState kOrder[] = {MemberState::missing, MemberState::draining, MemberState::left,
+                                    MemberState::here};
+  for (const MemberState state : kOrder)
+    firstLine += std::string(" ") + operatorsNameOf(state) + "=" + std::to_string(counts[state]);
+  OperatorResponse out(firstLine);
+  for (const MemberState state : kOrder)
+    for (const auto& [name, member] : record.members())
+      if (member.state == state)
+        out.add(name + " " + operatorsNameOf(state) + " processes=" + std::to_string(member.processes) +
+                " build=" + member.build + " started=" + std::to_string(member.startedUnixS) +
+                " since_version=" + std::to_string(member.sinceVersion));
   return out.end();
 }
 
--- a/src/leader_election/coordinator.hpp
+++ b/src/leader_election/coordinator.hpp
@@ -1,5 +1,5 @@
-// The duties' driver: their cores, the store's client and one timer on the program's loop, and what operators
-// ask of them. Made only where the configuration names a store.
+/// Runs the leader election in the program: the state machine, the store's client and one timer on the loop,
+/// and the answers to operators. Made only where the configuration names a store.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -10,44 +10,58 @@
 
 #include "config/config.hpp"
 #include "leader_election/leader_election.hpp"
-#include "leader_election/roster.hpp"
+#include "leader_election/membership_task.hpp"
 #include "leader_election/store_client.hpp"
 #include "net/overload_manager.hpp"
 #include "net/rate_limited_log.hpp"
 
 namespace wingslip::leader_election {
 
-class Coordinator : private Outside {
+/// Used on the loop's thread. The loop and the overload manager must outlive it.
+class Coordinator : private ElectionHost {
  public:
-  // `candidates`: how many gatekeepers there are, as the settings say.
-  Coordinator(boost::asio::io_context& io, const Coordination& where, const std::string& name,
-              unsigned candidates, std::uint64_t seed, OverloadManager& pressure);
+  /// `candidates`: how many gatekeepers there are, as the settings say.
+  Coordinator(boost::asio::io_context& io, const Coordination& settings, const std::string& name,
+              unsigned candidates, std::uint64_t seed, OverloadManager& overloadManager);
 
   void start();
-  void drain();  // SIGTERM, or another store from now on: acts stop, locks go back
-  // After `drain`: once what was held is given back, or after `within` ms, ends the session; `done` 100 ms
-  // later.
-  void leave(Time within, std::function<void()> done);
+  /// SIGTERM, or another store from now on: acts stop, locks go back.
+  void drain();
+  /// After `drain`: ends the session once locks are given back, or after `maxWaitMs`; `done` follows 100 ms
+  /// later.
+  void leave(Time maxWaitMs, std::function<void()> done);
 
-  std::string telemetry() const;  // lines `svc.duty.NAME:VALUE|c` and `|g`
-  std::string duties() const;     // of operators: a line `200 ...`, then one a duty, then EOF
-  std::string roster() const;     // the same: one a name, those who are not there first, 6 KiB at most
+  /// Lines `svc.duty.NAME:VALUE|c` and `|g`.
+  [[nodiscard]] std::string telemetry() const;
+  /// The answer to the operators' call `duties`: a line `200 ...`, then one a task, then EOF.
+  [[nodiscard]] std::string dutiesAnswer() const;
+  /// The answer to the operators' call `roster`: one line a member, those that are not there first, 6 KiB at
+  /// most.
+  [[nodiscard]] std::string rosterAnswer() const;
 
  private:
-  void ask(const Ask& ask) override { client_.ask(ask); }
-  void drop(std::uint64_t ask) override { client_.drop(ask); }
-  void told(const std::string& line) override { log_.say(line); }
-  Time now() const;
-  void turn();  // after every event: what is due, and when the next is
-
-  LeaderElection duties_;
-  RosterDuty rosterDuty_;
-  StoreClient client_;
-  boost::asio::steady_timer timer_, end_;
-  std::string lastError_;
-  std::function<void()> done_;
-  Time leaveBy_ = 0, drainedAt_ = 0;
-  bool ending_ = false;
+  void callStore(const StoreCall& call) override { storeClient_.call(call); }
+  void cancelCall(std::uint64_t callId) override { storeClient_.cancel(callId); }
+  void logEvent(const std::string& line) override { log_.say(line); }
+
+  [[nodiscard]] Time now() const;
+  [[nodiscard]] bool isReadyToLeave() const;
+  [[nodiscard]] Time nextDueAt() const;
+  /// After every event: does what is due and sets the timer for what is next.
+  void runDue();
+  void endSession();
+  void armTimer();
+
+  LeaderElection election_;
+  MembershipTask membership_;
+  StoreClient storeClient_;
+  boost::asio::steady_timer timer_;
+  boost::asio::steady_timer leaveTimer_;
+  std::string lastStoreError_;
+  std::function<void()> onLeft_;
+  Time leaveBy_ = 0;
+  Time drainedAt_ = 0;
+  bool isEnding_ = false;
   RateLimitedLog log_{"duty"};
 };
 
--- a/src/leader_election/store_client.hpp
+++ b/src/leader_election/store_client.hpp
@@ -1,49 +1,44 @@
-// Calls to a coordination store in the manner of Consul's HTTP API (session, kv), on the program's loop.
+/// Calls to the coordination store over HTTP, on the program's loop.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
+#include <cstdint>
 #include <functional>
 #include <string>
-#include <string_view>
 #include <unordered_map>
 
-#include "leader_election/leader_election.hpp"
+#include "leader_election/election_types.hpp"
 #include "net/http_client.hpp"
 #include "net/overload_manager.hpp"
 
 namespace wingslip::leader_election {
 
+/// Used on the loop's thread. The loop and the overload manager must outlive it.
 class StoreClient {
  public:
-  static constexpr std::size_t kMostCalls = 8;  // at once; more are answered as failed
-  static constexpr std::size_t kMostBody = std::size_t{2} << 20;
+  static constexpr std::size_t kMaxConcurrentCalls = 8;  ///< further ones fail
+  static constexpr std::size_t kMaxBodyBytes = std::size_t{2} << 20;
+
+  /// `error`: one line, empty where the store gave a usable answer.
+  using OnReply =
+      std::function<void(std::uint64_t callId, const StoreReply& reply, const std::string& error)>;
 
-  using Replied = std::function<void(std::uint64_t ask, const Reply& reply, const std::string& error)>;
   StoreClient(boost::asio::io_context& io, const boost::asio::ip::tcp::endpoint& store,
-              OverloadManager& pressure, Replied replied);
+              OverloadManager& overloadManager, OnReply onReply);
 
-  // Answered once, from a handler of its own, never from within.
-  void ask(const Ask& ask);
-  void drop(std::uint64_t ask);  // ends the call; it is not answered
+  /// Replied once, from a handler of its own, never from within.
+  void call(const StoreCall& call);
+  /// Ends the call; there is no reply.
+  void cancel(std::uint64_t callId);
 
  private:
-  void ended(std::uint64_t id, const HttpClient::Response* response, const std::string& error);
+  void onResponse(std::uint64_t callId, const HttpClient::Response* response, const std::string& error);
 
   const boost::asio::ip::tcp::endpoint store_;
-  const Replied replied_;
-  std::unordered_map<std::uint64_t, Call> kinds_;
-  HttpClient calls_;
-};
-
-// The method and target of a call, and its body; pure.
-struct HttpCall {
-  bool put = false;
-  std::string target, body;
+  const OnReply onReply_;
+  std::unordered_map<std::uint64_t, StoreOperation> operations_;  // under way, by call
+  HttpClient httpClient_;
 };
-HttpCall httpCallOf(const Ask& ask);
-// Reads an answer: its status, its `X-Consul-Index` ("" where it is missing) and its body. Throws
-// std::runtime_error with one plain line on anything that is not an answer to this call.
-Reply readReply(Call call, unsigned status, std::string_view index, const std::string& body);
 
 }  // namespace wingslip::leader_election
--- a/tools/lab/capacity_model.cpp
+++ b/tools/lab/capacity_model.cpp
@@ -6,7 +6,7 @@
 #include <memory>
 #include <utility>
 
-#include "leader_election/roster.hpp"
+#include "leader_election/membership_record.hpp"
 
 namespace wingslip::lab {
 namespace {
@@ -276,7 +276,7 @@
   row.mechanism = "the roster, as the one that holds the duty";
   row.carriedBy = "`src/leader_election/`";
   row.measured = {"duties"};
-  row.budget = limitedTo(static_cast<double>(wingslip::leader_election::Roster::kMostRows));
+  row.budget = limitedTo(static_cast<double>(wingslip::leader_election::MembershipRecord::kMaxMembers));
   row.need = [slopes](const Day& day) {
     Need need;
     need.stateBytes = slopes->at("duties", "registered_bytes", day.gatekeepers);
--- a/tools/lab/scale_cases.cpp
+++ b/tools/lab/scale_cases.cpp
@@ -6,7 +6,7 @@
 
 std::vector<ScaleCase> allScaleCases() {
   std::vector<ScaleCase> out;
-  for (auto cases : {decisionCases, readingCases, replicaCases, dutyCases, watchCases}) {
+  for (auto cases : {decisionCases, readingCases, replicaCases, electionCases, watchCases}) {
     std::vector<ScaleCase> some = cases();
     std::move(some.begin(), some.end(), std::back_inserter(out));
   }
--- a/tools/lab/scale_cases.hpp
+++ b/tools/lab/scale_cases.hpp
@@ -12,7 +12,7 @@
 std::vector<ScaleCase> decisionCases();  // the module called directly: choice, lists, settings, customers
 std::vector<ScaleCase> readingCases();   // texts: lists of workers, configuration files
 std::vector<ScaleCase> replicaCases();   // hollow members of the shared state
-std::vector<ScaleCase> dutyCases();      // candidates before the stand-in coordination store
+std::vector<ScaleCase> electionCases();  // candidates before the stand-in coordination store
 std::vector<ScaleCase> watchCases();     // watches before one discovery
 std::vector<ScaleCase> processCases();   // gatekeeper processes on loopback
 
--- a/tools/lab/scale_cases_duty.cpp
+++ b/tools/lab/scale_cases_election.cpp
@@ -1,35 +1,36 @@
-// Scale cases of duties, on hollow candidates before the stand-in coordination store in virtual time.
+/// Scale cases of the leader election, on simulated candidates before the stand-in coordination store in
+/// virtual time.
 #include <stdexcept>
 
-#include "hollow_duty.hpp"
 #include "scale_cases.hpp"
+#include "simulated_candidates.hpp"
 
 namespace wingslip::lab {
 namespace {
 
 constexpr std::uint64_t kSeed = 1;
-constexpr double kSettleEachMs = 40;   // a candidate: asks are spread over 20 ms each at first
-constexpr double kSettleMs = 60000;    // and what the first holder needs
+constexpr double kSettleEachMs = 40;   // a candidate: first calls are spread over 20 ms each
+constexpr double kSettleMs = 60000;    // and what the first leader needs
 constexpr double kIdleMs = 60000;      // two waits of a read
-constexpr double kTakeOverMs = 60000;  // most from a holder's crash to the next holder
+constexpr double kTakeOverMs = 60000;  // most from a leader's crash to the next leader
 constexpr double kStepMs = 100;
 
-std::vector<Figure> measureDuties(std::size_t candidates, const CaseLimits&) {
-  HollowCandidates fleet(candidates, kSeed);
+std::vector<Figure> measureElection(std::size_t candidates, const CaseLimits&) {
+  SimulatedCandidates fleet(candidates, kSeed);
   fleet.run(kSettleMs + kSettleEachMs * static_cast<double>(candidates));
-  if (fleet.holders() != 1) throw std::runtime_error("not one candidate holds the duty");
-  const HollowCandidates::Traffic before = fleet.traffic();
+  if (fleet.leaders() != 1) throw std::runtime_error("not one candidate holds the duty");
+  const SimulatedCandidates::Traffic before = fleet.traffic();
   fleet.run(kIdleMs);
-  const HollowCandidates::Traffic idle = fleet.traffic();
+  const SimulatedCandidates::Traffic idle = fleet.traffic();
   const double registered = static_cast<double>(fleet.registered());
   const double registeredBytes = static_cast<double>(fleet.registeredBytes());
-  fleet.crashHolder();
+  fleet.crashLeader();
   double takeOverMs = 0;
-  while (fleet.holders() == 0 && takeOverMs < kTakeOverMs) {
+  while (fleet.leaders() == 0 && takeOverMs < kTakeOverMs) {
     fleet.run(kStepMs);
     takeOverMs += kStepMs;
   }
-  const HollowCandidates::Traffic after = fleet.traffic();
+  const SimulatedCandidates::Traffic after = fleet.traffic();
   const double seconds = kIdleMs / 1000;
   const double idleCalls = static_cast<double>(idle.calls - before.calls) / seconds;
   return {{"calls", "calls/s", idleCalls},
@@ -43,14 +44,14 @@
 
 }  // namespace
 
-std::vector<ScaleCase> dutyCases() {
+std::vector<ScaleCase> electionCases() {
   return {{"duties",
            "candidates",
            RunKind::hollow,
            {4, 8, 16, 32},
            {16, 32, 64, 128},
            {16, 32, 64, 128, 256, 512},
-           measureDuties}};
+           measureElection}};
 }
 
 }  // namespace wingslip::lab
