--- a/src/leader_election/base64.hpp
+++ b/src/leader_election/base64.hpp
@@ -1,4 +1,4 @@
-// Base64 (RFC 4648), in which the store gives values: Boost's iterators, with padding and errors handled.
+/// Base64 (RFC 4648), the form in which the store returns values.
 #pragma once
 
 #include <boost/archive/iterators/base64_from_binary.hpp>
@@ -10,15 +10,15 @@
 
 namespace wingslip::leader_election {
 
-inline std::string toBase64(std::string_view bytes) {
+[[nodiscard]] inline std::string toBase64(std::string_view bytes) {
   using namespace boost::archive::iterators;
   using Encode = base64_from_binary<transform_width<const char*, 6, 8>>;
   std::string out(Encode(bytes.data()), Encode(bytes.data() + bytes.size()));
   return out.append((3 - bytes.size() % 3) % 3, '=');
 }
 
-// None: not Base64.
-inline std::optional<std::string> fromBase64(std::string_view text) {
+/// Nothing: not Base64.
+[[nodiscard]] inline std::optional<std::string> fromBase64(std::string_view text) {
   using namespace boost::archive::iterators;
   using Decode = transform_width<binary_from_base64<const char*>, 8, 6>;
   if (text.size() % 4 != 0) return std::nullopt;
@@ -27,8 +27,12 @@
   try {
     std::string out;
     out.reserve(text.size() * 3 / 4);
-    Decode at(text.data());
-    for (std::size_t i = 0; i < text.size() * 6 / 8; ++i, ++at) out += *at;
+    const std::size_t bytes = text.size() * 6 / 8;
+    Decode byte(text.data());
+    for (std::size_t i = 0; i < bytes; ++i) {
+      out += *byte;
+      ++byte;
+    }
     return out;
   } catch (const dataflow_exception&) {
     return std::nullopt;
--- a/src/leader_election/candidacy.hpp
+++ b/src/leader_election/candidacy.hpp
@@ -11,6 +11,7 @@
 /// | acquiring      | refused, or no answer                                     | waiting        |
 /// | provingToken   | our token is written to the record, or is found there     | leading        |
 /// | provingToken   | the lease ends                                            | leaseUncertain |
+/// | provingToken   | the claim is refused, or no answer                        | provingToken   |
 /// | provingToken   | the lock is held by another                               | standby        |
 /// | leading        | the lease ends                                            | leaseUncertain |
 /// | leading        | lock or record belongs to another                         | standby        |
@@ -19,15 +20,15 @@
 /// | leaseUncertain | new session, or a reply on the lock                       | as standby     |
 /// | releasing      | the lock is given back, no answer, or the session ended   | coolingDown    |
 /// | coolingDown    | two TTLs after stepping down                              | as standby     |
-/// | any but releasing and coolingDown | the session ended                      | standby        |
-/// | acquiring, provingToken, leading, leaseUncertain | `drain`                 | releasing      |
-/// | standby, waiting, coolingDown     | `drain`                                | coolingDown    |
 ///
-/// "as standby": the transitions of standby follow at once. While draining, coolingDown has no end, and
-/// standby after a lost session or lock is coolingDown.
+/// From every state:
+///  - The session ended: standby, but releasing goes to coolingDown, and coolingDown stays.
+///  - `drain`: releasing where the lock may be ours (acquiring, provingToken, leading, leaseUncertain), else
+///    coolingDown. While draining, coolingDown has no end, and a lost lock leads there, not to standby.
+/// "as standby": the transitions of standby follow at once.
 ///
-/// `candidacy.cpp` has the lock and the way to it, `leadership.cpp` what a process does once it holds the
-/// lock: claim a token, write the record, look at the registrations.
+/// Implemented in `candidacy.cpp`: the lock and the way to it. In `leadership.cpp`: what a process does once
+/// it holds the lock, which is to claim a token, write the record and look at the registrations.
 #pragma once
 
 #include <cstddef>
--- a/src/leader_election/leader_election.hpp
+++ b/src/leader_election/leader_election.hpp
@@ -2,19 +2,20 @@
 /// fencing token. Events and monotonic time in, calls to the store out; no I/O, no clock.
 ///
 /// Who may act as leader after a partition, and why can there never be two?
-///  - The leader acts only while its lease is valid. Cut off from the store it cannot renew, and stops by its
-///  own
-///    clock before the store can end its session. Nobody else gets the lock before that.
-///  - The next leader is whoever acquires the lock after the old session ended, and then writes a higher
-///  token to
-///    the task's record. Until that is written it does not act either.
-///  - Cut off together with some of the fleet, the leader is not kept: only a process that reaches the store
-///  leads.
-///  - This holds while a call takes effect within its time-out or never, and clocks run within `clockDrift`
-///  of each
-///    other. Where that fails (a pause between check and send, a restored store) two may believe that they
-///    lead; then the token decides: the older one's writes fail at the compare-and-set, and readers refuse
-///    its record.
+///
+/// The old leader acts only while its lease is valid. Cut off from the store it cannot renew, and by its own
+/// clock it stops before the store can end its session. Nobody else gets the lock before that.
+///
+/// The new leader is whoever acquires the lock after the old session ended. It acts only once its higher
+/// token is in the task's record. Gatekeepers elect nobody among themselves: what counts is who reaches the
+/// store, not which side of the partition has more gatekeepers. A side that does not reach the store has no
+/// leader.
+///
+/// This holds while a call takes effect within its time-out or never, and clocks run within `clockDrift` of
+/// each other. Where that fails (a pause between check and send, a restored store) two processes may believe
+/// that they lead. Then the token decides: the older one's writes fail at the compare-and-set, and readers
+/// refuse a record under a lower token.
+///
 /// `docs/design.md` has the whole argument; `candidacy.hpp` the states and transitions.
 #pragma once
 
