--- a/src/gatekeeper/gatekeeper_operators.cpp
+++ b/src/gatekeeper/gatekeeper_operators.cpp
@@ -29,9 +29,9 @@
 void Gatekeeper::replicated(const replication::Row& row) {
   if (row.table != kExcluded || row.key.empty()) return;
   const bool excluded = exclusions_.ids().contains(row.key);
-  if (row.gone != excluded || !exclusions_.hasRoomFor(row.key)) return;
+  if (row.tombstone != excluded || !exclusions_.hasRoomFor(row.key)) return;
   const auto before = exclusions_.ids();
-  exclusions_.note(row.key, !row.gone);  // many come together: written once for all of them
+  exclusions_.note(row.key, !row.tombstone);  // many come together: written once for all of them
   applyExclusions(before);
 }
 
--- a/src/replication/replica.hpp
+++ b/src/replication/replica.hpp
@@ -1,9 +1,10 @@
-// State that the gatekeepers of a fleet share: who is a member (SWIM) and tables in which the last writer
-// wins (a hybrid logical clock, then the origin's name). The core: events and monotonic time in, messages and
-// merged rows out; no I/O, no clock. It carries; who reads the rows decides. `docs/design.md` has the bounds.
+/// One gatekeeper's copy of the state that the fleet replicates: SWIM membership and last-writer-wins tables,
+/// spread by gossip and repaired by anti-entropy. The state machine without I/O: events and monotonic time
+/// in, requests and merged rows out. It carries rows; whoever reads them decides. `docs/design.md` has the
+/// bounds.
 #pragma once
 
-#include <functional>
+#include <cstdint>
 #include <map>
 #include <optional>
 #include <random>
@@ -11,144 +12,129 @@
 #include <unordered_map>
 #include <vector>
 
+#include "replication/anti_entropy.hpp"
+#include "replication/environment.hpp"
+#include "replication/failure_detector.hpp"
+#include "replication/membership.hpp"
 #include "replication/message.hpp"
+#include "replication/replicated_table.hpp"
 
 namespace wingslip::replication {
 
-using Time = double;  // ms of a monotonic clock
-
 struct Timing {
-  Time probeEvery = 1000;    // one member is probed in each
-  Time gossipEvery = 200;    // while there is news
-  Time repairEvery = 10000;  // one member's copy is compared with this one
-  unsigned fanout = 3;       // members that news goes to at a time
-  unsigned indirect = 3;     // members asked to reach one that does not answer
-  Time answerWithin() const { return probeEvery / 3; }
+  Time probePeriodMs = 1000;         ///< one member is probed in each
+  Time gossipPeriodMs = 200;         ///< while there are updates
+  Time antiEntropyPeriodMs = 10000;  ///< one member's copy is compared with this one in each
+  unsigned fanout = 3;               ///< members that an update is gossiped to in a period
+  unsigned indirectProbes = 3;       ///< members asked to probe one that does not answer
+  [[nodiscard]] Time probeTimeoutMs() const { return probePeriodMs / 3; }
 };
 
+/// Not thread-safe: all calls come from one thread, and `Environment` is called on it.
 class Replica {
  public:
-  static constexpr std::size_t kRanges = 16;
-  static constexpr std::size_t kMostMembers = 1024,
-                               kMostRows = 4096;           // rows: of all tables; the oldest fall out
-  static constexpr std::size_t kMostRowBytes = 48 * 1024;  // of the rows in a message
-  static constexpr std::int64_t kMostAhead =
-      24 * 3600 * 1000;  // ms: a stamp further in the future is no stamp
-
-  struct Send {
-    std::uint64_t id = 0;
-    std::string name, address;
-    Message message;
-    Time within = 0;
-  };
-  // Every send is answered once, by `answered`. `changed` tells of each row that is new here, own ones apart.
-  class Outside {
-   public:
-    virtual ~Outside() = default;
-    virtual void send(const Send& send) = 0;
-    virtual void changed(const Row& row) = 0;
-    virtual void told(const std::string& line) = 0;
-    virtual std::int64_t unixMs() const = 0;  // may step; only stamps rest on it
-  };
   struct Counts {
-    std::uint64_t sent = 0, received = 0, failed = 0, refusedOld = 0, refusedOther = 0, refusedRows = 0,
-                  merged = 0, repaired = 0, suspicions = 0, refuted = 0, deaths = 0;
-  };
-  struct Member {
-    MemberRow row;
-    Time since = 0;
-    unsigned tellings = 0;  // of its last change, still to be told
+    std::uint64_t sent = 0;
+    std::uint64_t received = 0;
+    std::uint64_t failed = 0;           ///< requests without a valid response
+    std::uint64_t rejectedStale = 0;    ///< messages of an earlier process, or of another than was asked
+    std::uint64_t rejectedForeign = 0;  ///< messages of another fleet
+    std::uint64_t rejectedRows = 0;     ///< rows whose timestamp is too far ahead
+    std::uint64_t merged = 0;           ///< rows taken from others
+    std::uint64_t repaired = 0;         ///< comparisons that found a difference
   };
 
-  // `peers`: names and addresses of some members, by which the fleet is found; for them these addresses go
-  // before the told ones.
-  Replica(const Timing& timing, const std::string& fleet, const MemberRow& self,
-          const std::map<std::string, std::string>& peers, std::uint64_t seed, Outside& outside);
+  /// @param seeds names and addresses of some members, by which the fleet is found.
+  /// @param environment outlives the replica.
+  Replica(const Timing& timing, const std::string& fleet, const MemberRecord& self,
+          const std::map<std::string, std::string>& seeds, std::uint64_t seed, Environment& environment);
 
-  // What was left on disk, before `start`.
-  void restore(const std::vector<MemberRow>& members, const std::vector<Row>& rows);
+  /// What a snapshot had; before `start`.
+  void restore(const std::vector<MemberRecord>& members, const std::vector<Row>& rows);
   void start(Time now);
+  /// Does what is due. Call it at `nextTickAt`.
   void tick(Time now);
-  Time nextAt() const;
+  /// Infinity: nothing is due any more.
+  [[nodiscard]] Time nextTickAt() const;
 
-  // A peer's message, answered by the return value; nothing: it is not heard.
-  std::optional<Message> received(Time now, const Message& message);
-  void answered(Time now, std::uint64_t id, const std::optional<Message>& answer);
+  /// Another member's request. Returns the response; nothing where the request is rejected.
+  std::optional<Message> onRequest(Time now, const Message& request);
+  /// The end of request `id`: its response, or nothing where it failed or timed out.
+  void onResponse(Time now, std::uint64_t id, const std::optional<Message>& response);
 
   void set(Time now, const std::string& table, const std::string& key, const std::string& value);
+  /// Leaves a tombstone.
   void remove(Time now, const std::string& table, const std::string& key);
-  const Row* find(const std::string& table, const std::string& key) const;
-
-  void leave(Time now);  // tells some that this one leaves; nothing is sent after it
-
-  const std::map<std::string, Member>& members() const { return members_; }  // but this one
-  const MemberRow& self() const { return self_; }
-  std::vector<Row> rows() const;
-  std::size_t alive() const;  // others
-  // Whether this copy has been equal to another's since the start.
-  bool caughtUp() const { return caughtUp_; }
-  bool superseded() const {
-    return superseded_;
-  }  // another process of this name and a higher generation is there
-  std::vector<std::uint64_t> digest() const;
-  const Counts& counts() const { return counts_; }
-  Time lastRepair() const { return lastRepair_; }
+  /// Null: no such row. A removed one is found as a tombstone.
+  [[nodiscard]] const Row* find(const std::string& table, const std::string& key) const {
+    return table_.find(table, key);
+  }
+
+  /// Announces to some members that this one leaves; the replica sends nothing after it.
+  void leave();
+
+  /// Members of the fleet but this one.
+  [[nodiscard]] const std::map<std::string, Membership::Member>& members() const {
+    return membership_.members();
+  }
+  [[nodiscard]] const MemberRecord& self() const { return membership_.self(); }
+  [[nodiscard]] const Membership::Counts& membershipCounts() const { return membership_.counts(); }
+  /// Other members that are alive or suspect.
+  [[nodiscard]] std::size_t liveCount() const { return membership_.liveCount(); }
+  [[nodiscard]] std::vector<Row> rows() const { return table_.rows(); }
+  [[nodiscard]] Digest digest() const { return digestOf(table_, membership_); }
+  /// Whether this copy has been equal to another one since the start.
+  [[nodiscard]] bool caughtUp() const { return caughtUp_; }
+  /// Whether another process has this name and a higher generation; this one is silent then.
+  [[nodiscard]] bool isSuperseded() const { return membership_.isSuperseded(); }
+  [[nodiscard]] const Counts& counts() const { return counts_; }
+  /// When this copy was last compared with another; negative: never.
+  [[nodiscard]] Time lastSyncAt() const { return lastSyncAt_; }
 
  private:
-  struct Held {
-    Row row;
-    unsigned tellings = 0;
-  };
-  using Key = std::pair<std::string, std::string>;
-  struct Out {
-    std::string to;
-    Kind kind = Kind::ping;
+  struct PendingRequest {
+    std::string recipient;
+    MessageKind kind = MessageKind::probe;
     std::string target;
   };
-
-  void send(Time now, const std::string& to, Kind kind, const std::string& target = "");
-  void sendMessage(const std::string& to, Message&& message);
-  Message compose(Kind kind, const std::string& to);
-  void hear(Time now, const Message& message);
-  void mergeMember(Time now, const MemberRow& row);
-  bool mergeRow(const Row& row, bool own);
-  void refute(std::uint64_t incarnation);
-  void dropOldest();
-  void trim();
-  void probe(Time now);
-  void suspect(Time now, const std::string& name);
-  void bury(Time now);
-  void gossip(Time now);
-  void repair(Time now, const std::string& with);
-  void findSomebody(Time now);
-  void answerSync(const Message& asked, Message& answer);
-  void takeRange(const std::vector<unsigned>& ranges, Message& into);
-  unsigned tellings() const;
-  Time suspicion() const;
-  std::string addressOf(const std::string& name) const;
-  std::vector<std::string> some(std::size_t n, const std::string& but = "");
-  static unsigned rangeOf(const Row& row);
-  bool news() const;
+  enum class RowSource { local, remote };
+
+  Message composeMessage(MessageKind kind, const std::string& recipient);
+  void send(const std::string& recipient, MessageKind kind, const std::string& target = "");
+  void sendMessage(const std::string& recipient, Message&& message);
+  Time timeoutMs(MessageKind kind) const;
+  bool isRunning() const { return started_ && !left_; }
+  bool accepts(const PendingRequest& request, const Message& response);
+  void merge(Time now, const Message& message);
+  void mergeRow(const Row& row, RowSource source);
+  void onRequestFailed(const PendingRequest& request);
+  void onAcknowledgement(const std::string& member);
+  void onSyncResponse(Time now, const std::string& member, const Message& response);
+  void addContents(const std::vector<unsigned>& ranges, Message& message);
+  void probeNext(Time now);
+  void gossip();
+  void contactLostMember();
+  bool hasUpdates() const { return membership_.hasUpdates() || table_.hasUpdates(); }
+  Time randomBetween(Time low, Time high) { return std::uniform_real_distribution<Time>(low, high)(random_); }
 
   const Timing timing_;
   const std::string fleet_;
-  MemberRow self_;
-  const std::map<std::string, std::string> peers_;
-  Outside& outside_;
+  Environment& environment_;
   std::mt19937_64 random_;
-  HybridClock clock_;
-  std::map<std::string, Member> members_;
-  std::map<Key, Held> rows_;
-  std::unordered_map<std::uint64_t, Out> out_;
-  std::uint64_t lastSend_ = 0;
-  unsigned selfTellings_ = 0;
-  std::vector<std::string> order_;  // of probes, shuffled each time round
-  std::string probed_;
-  bool probeAnswered_ = true;
-  std::map<std::string, std::string> reaching_;  // name -> who asked
-  Time probeAt_ = 0, gossipAt_ = 0, repairAt_ = 0, findAt_ = 0, lastRepair_ = -1;
-  unsigned repairsInRow_ = 0;
-  bool started_ = false, caughtUp_ = false, superseded_ = false, left_ = false;
+  Membership membership_;
+  FailureDetector failureDetector_;
+  ReplicatedTable table_;
+  std::unordered_map<std::uint64_t, PendingRequest> pending_;  // by id
+  std::uint64_t lastRequestId_ = 0;
+  Time probeAt_ = 0;
+  Time gossipAt_ = 0;
+  Time antiEntropyAt_ = 0;
+  Time lostMemberAt_ = 0;
+  Time lastSyncAt_ = -1;
+  unsigned syncsInSequence_ = 0;
+  bool started_ = false;
+  bool caughtUp_ = false;
+  bool left_ = false;
   Counts counts_;
 };
 
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -298,7 +298,7 @@
   EXPECT_EQ(shapeOf("membership", "messages").shape, Shape::constant);
   EXPECT_LT(shapeOf("membership", "messages").offset, 3);
   EXPECT_LT(shapeOf("membership", "bytes").slope, 10) << "bytes a second and member";
-  // A change is told three times the logarithm of the members (src/replication/replica.cpp).
+  // A change is told three times the logarithm of the members (src/replication/membership.cpp).
   EXPECT_EQ(shapeOf("membership", "row_messages").shape, Shape::logarithmic);
   EXPECT_NEAR(shapeOf("membership", "row_messages").slope, 3, 0.5);
 }
--- a/tools/lab/hollow_replica.cpp
+++ b/tools/lab/hollow_replica.cpp
@@ -7,8 +7,10 @@
 
 namespace wingslip::lab {
 
-using wingslip::replication::MemberRow;
+using wingslip::replication::Environment;
+using wingslip::replication::MemberRecord;
 using wingslip::replication::Message;
+using wingslip::replication::OutgoingRequest;
 using wingslip::replication::Replica;
 using wingslip::replication::Row;
 using wingslip::replication::Timing;
@@ -22,8 +24,8 @@
 
 std::string nameFor(std::size_t index) { return "gatekeeper-" + std::to_string(index); }
 
-MemberRow rowFor(std::size_t index, std::uint64_t generation) {
-  MemberRow out;
+MemberRecord rowFor(std::size_t index, std::uint64_t generation) {
+  MemberRecord out;
   out.name = nameFor(index);
   out.address = "10.0." + std::to_string(index / 250) + "." + std::to_string(index % 250) + ":7946";
   out.generation = generation;
@@ -35,18 +37,18 @@
   out.table = "t";
   out.key = "key-" + std::to_string(index);
   out.value = std::string(kRowBytes, 'v');
-  out.stamp.ms = kUnixStart - 1000;
-  out.stamp.count = static_cast<std::uint32_t>(index);
-  out.stamp.origin = nameFor(0);
+  out.timestamp.physicalMs = kUnixStart - 1000;
+  out.timestamp.counter = static_cast<std::uint32_t>(index);
+  out.timestamp.origin = nameFor(0);
   return out;
 }
 
 }  // namespace
 
-struct HollowReplicas::Member : Replica::Outside {
+struct HollowReplicas::Member : Environment {
   Member(HollowReplicas& f, std::size_t i) : fleet(f), index(i) {}
 
-  void begin(const std::vector<MemberRow>& members, const std::vector<Row>& rows) {
+  void begin(const std::vector<MemberRecord>& members, const std::vector<Row>& rows) {
     ++generation;
     core = std::make_unique<Replica>(Timing{}, kFleet, rowFor(index, generation),
                                      std::map<std::string, std::string>{}, fleet.random_(), *this);
@@ -55,7 +57,7 @@
     arm();
   }
   void arm() {
-    const Time next = core->nextAt();
+    const Time next = core->nextTickAt();
     if (!std::isfinite(next)) return;
     const std::uint64_t mine = ++armed;
     fleet.at(next, [this, mine] {
@@ -64,11 +66,11 @@
       arm();
     });
   }
-  void send(const Replica::Send& what) override { fleet.carry(*this, what); }
-  void changed(const Row& row) override {
+  void send(const OutgoingRequest& request) override { fleet.carry(*this, request); }
+  void onRowChanged(const Row& row) override {
     fleet.heard_ += row.key == "new-" + std::to_string(fleet.written_);
   }
-  void told(const std::string&) override {}
+  void log(const std::string&) override {}
   std::int64_t unixMs() const override { return kUnixStart + static_cast<std::int64_t>(fleet.events_.now()); }
 
   HollowReplicas& fleet;
@@ -78,7 +80,7 @@
 };
 
 HollowReplicas::HollowReplicas(std::size_t members, std::size_t rows, std::uint64_t seed) : random_(seed) {
-  std::vector<MemberRow> all;
+  std::vector<MemberRecord> all;
   for (std::size_t i = 0; i < members; ++i) all.push_back(rowFor(i, 1));
   std::vector<Row> stored;
   for (std::size_t i = 0; i < rows; ++i) stored.push_back(storedRow(i));
@@ -103,16 +105,16 @@
   }
 }
 
-void HollowReplicas::carry(Member& from, const Replica::Send& send) {
-  const std::vector<std::uint8_t> request = wingslip::replication::encode(send.message);
+void HollowReplicas::carry(Member& from, const OutgoingRequest& outgoing) {
+  const std::vector<std::uint8_t> request = wingslip::replication::encode(outgoing.message);
   ++traffic_.messages;
   traffic_.bytes += request.size();
-  const std::size_t to = std::stoul(send.name.substr(send.name.rfind('-') + 1));
-  const std::uint64_t id = send.id, generation = from.generation;
+  const std::size_t to = std::stoul(outgoing.recipient.substr(outgoing.recipient.rfind('-') + 1));
+  const std::uint64_t id = outgoing.id, generation = from.generation;
   at(events_.now() + delay(), [this, &from, to, id, generation, request] {
     Member& member = *members_[to];
     const auto answer =
-        member.core->received(events_.now(), wingslip::replication::decode(request.data(), request.size()));
+        member.core->onRequest(events_.now(), wingslip::replication::decode(request.data(), request.size()));
     member.arm();
     std::optional<Message> heard;
     if (answer) {
@@ -123,7 +125,7 @@
     }
     at(events_.now() + delay(), [this, &from, id, generation, heard] {
       if (from.generation != generation) return;  // asked by a process that is gone
-      from.core->answered(events_.now(), id, heard);
+      from.core->onResponse(events_.now(), id, heard);
       from.arm();
     });
   });
@@ -146,15 +148,15 @@
 
 void HollowReplicas::restartLast() {
   Member& last = *members_.back();
-  std::vector<MemberRow> known;
-  for (const auto& [name, member] : last.core->members()) known.push_back(member.row);
+  std::vector<MemberRecord> known;
+  for (const auto& [name, member] : last.core->members()) known.push_back(member.record);
   const std::vector<Row> rows = last.core->rows();
   last.begin(known, rows);
 }
 
 std::size_t HollowReplicas::leastAlive() const {
   std::size_t out = members_.size();
-  for (const auto& member : members_) out = std::min(out, member->core->alive());
+  for (const auto& member : members_) out = std::min(out, member->core->liveCount());
   return out;
 }
 
--- a/tools/lab/hollow_replica.hpp
+++ b/tools/lab/hollow_replica.hpp
@@ -42,7 +42,7 @@
   using Time = wingslip::replication::Time;
   struct Member;
   void at(Time when, std::function<void()> what);
-  void carry(Member& from, const wingslip::replication::Replica::Send& send);
+  void carry(Member& from, const wingslip::replication::OutgoingRequest& request);
   Time delay();
 
   std::mt19937_64 random_;
--- a/tools/lab/scale_cases_replica.cpp
+++ b/tools/lab/scale_cases_replica.cpp
@@ -9,7 +9,8 @@
 namespace wingslip::lab {
 namespace {
 
-using wingslip::replication::Replica;
+using wingslip::replication::Membership;
+using wingslip::replication::ReplicatedTable;
 
 constexpr std::uint64_t kSeed = 1;
 constexpr double kSettleMs = 8000;  // until what the start made new has been told
@@ -127,9 +128,9 @@
       {"member_cap",
        "members",
        RunKind::hollow,
-       {Replica::kMostMembers + 8},
-       {Replica::kMostMembers + 100},
-       {Replica::kMostMembers + 100},
+       {Membership::kMaxMembers + 8},
+       {Membership::kMaxMembers + 100},
+       {Membership::kMaxMembers + 100},
        measureMemberCap},
       {"rows",
        "rows",
@@ -141,9 +142,9 @@
       {"row_cap",
        "rows",
        RunKind::hollow,
-       {Replica::kMostRows + 10},
-       {Replica::kMostRows + 100},
-       {Replica::kMostRows + 100},
+       {ReplicatedTable::kMaxRows + 10},
+       {ReplicatedTable::kMaxRows + 100},
+       {ReplicatedTable::kMaxRows + 100},
        measureRowCap},
   };
 }
