--- a/src/distribution/change_log.hpp
+++ b/src/distribution/change_log.hpp
@@ -1,5 +1,5 @@
-// The log: consecutive records after a base version. Records at or before the base were compacted away; a
-// copy older than the base cannot be brought up to date by records.
+/// The log: consecutive records after a base version. Records at or before the base were compacted away; a
+/// copy older than the base cannot be brought up to date by records.
 #pragma once
 
 #include <deque>
@@ -11,7 +11,7 @@
 
 class ChangeLog {
  public:
-  // Forgets all records; the next one has version `base` + 1.
+  /// Forgets all records; the next one has version `base` + 1.
   void reset(Version base, Term baseTerm);
 
   Version base() const { return base_; }
@@ -19,19 +19,19 @@
   Version lastVersion() const { return base_ + records_.size(); }
   Term lastTerm() const { return records_.empty() ? baseTerm_ : records_.back()->term; }
 
-  // Nothing for versions before the base and after the last.
+  /// Nothing for versions before the base and after the last.
   std::optional<Term> termAt(Version version) const;
-  // The version must be after the base and not after the last.
+  /// The version must be after the base and not after the last.
   const RecordPointer& at(Version version) const { return records_[version - base_ - 1]; }
-  // Records after `version` up to and including `last`: at least one, then while they fit into `maxBytes`.
+  /// Records after `version` up to and including `last`: at least one, then while they fit into `maxBytes`.
   std::vector<RecordPointer> after(Version version, Version last, std::size_t maxBytes) const;
-  // The version that was written for this request, while the log still holds it.
+  /// The version that was written for this request, while the log still holds it.
   std::optional<Version> findRequest(const std::string& requestId) const;
 
-  // Takes the record only if it is of the next version and of no older term than the last one.
+  /// Takes the record only if it is of the next version and of no older term than the last one.
   bool append(RecordPointer record);
   void truncateAfter(Version version);
-  // Drops the oldest records until `maxRecords` are left, none of them after `upTo`.
+  /// Drops the oldest records until `maxRecords` are left, none of them after `upTo`.
   void compact(Version upTo, std::size_t maxRecords);
 
  private:
--- a/src/distribution/control_replica.cpp
+++ b/src/distribution/control_replica.cpp
@@ -2,26 +2,31 @@
 
 #include <algorithm>
 
+#include "distribution/inbound.hpp"
+
 namespace wingslip::distribution {
 
 ControlReplica::ControlReplica(const ReplicaLimits& limits, const std::string& name,
-                               const std::vector<std::string>& peers, std::uint64_t seed, Outside& outside)
+                               const std::vector<std::string>& peers, std::uint64_t seed,
+                               Environment& environment)
     : limits_(limits),
       name_(name),
       peers_(peers),
-      outside_(outside),
+      environment_(environment),
       random_(seed),
-      log_([&outside](const std::string& line) { outside.log(line); }),
+      log_([&environment](const std::string& line) { environment.log(line); }),
       sessions_(
           limits.sessions, state_,
-          [&outside](const std::string& to, Message message) { outside.send(to, std::move(message)); },
-          [&outside](const std::string& subscriber, const Refusal& refusal) {
-            outside.refused(subscriber, refusal);
+          [&environment](const std::string& to, Message message) {
+            environment.send(to, std::move(message));
+          },
+          [&environment](const std::string& subscriber, const RejectedChange& change) {
+            environment.onChangeRejected(subscriber, change);
           }) {}
 
 void ControlReplica::restore(const Snapshot& snapshot) {
   state_.restore(snapshot);
-  if (state_.tableFitsLog()) return;
+  if (state_.tableMatchesLog()) return;
   ++counts_.tableDiffers;
   sessions_.setServing(false);
 }
@@ -32,28 +37,26 @@
   stepDown(now, "a new term of its own");
   writer_ = std::make_unique<Writer>(
       now, term, peers_, limits_.maxUncommitted, state_,
-      [this](const std::string& to, Message message) { outside_.send(to, std::move(message)); });
-  writer_->tick(now, outside_.unixTime());
+      [this](const std::string& to, Message message) { environment_.send(to, std::move(message)); });
+  writer_->tick(now, environment_.unixTime());
   return true;
 }
 
 PublishResult ControlReplica::publish(Milliseconds now, const std::string& requestId,
                                       const std::vector<Edit>& edits) {
-  if (!writer_) return {PublishStatus::not_writer, 0, "this replica is not the writer"};
-  const PublishResult result = writer_->publish(now, outside_.unixTime(), requestId, edits);
-  if (result.status == PublishStatus::pending) unpublished_[requestId] = result.version;
+  if (!writer_) return {PublishStatus::notWriter, 0, "this replica is not the writer"};
+  const PublishResult result = writer_->publish(now, environment_.unixTime(), requestId, edits);
+  if (result.status == PublishStatus::pending) uncommittedRequests_[requestId] = result.version;
   compact();
   return result;
 }
 
 void ControlReplica::receiveBytes(Milliseconds now, const std::string& from, const std::uint8_t* bytes,
                                   std::size_t size) {
-  try {
-    receive(now, from, decode(bytes, size));
-  } catch (const CodecError& error) {
+  if (const auto message = decodeOrLog(now, from, bytes, size, log_))
+    receive(now, from, *message);
+  else
     ++counts_.malformed;
-    log_.line(now, "event=message_refused from=" + from + " reason=\"" + error.what() + "\"");
-  }
 }
 
 void ControlReplica::receive(Milliseconds now, const std::string& from, const Message& message) {
@@ -61,11 +64,11 @@
 }
 
 void ControlReplica::tick(Milliseconds now) {
-  if (writer_) writer_->tick(now, outside_.unixTime());
+  if (writer_) writer_->tick(now, environment_.unixTime());
   if (repair_ && now - repairProgressAt_ > limits_.repairTimeout) repair_.reset();
   if (!repair_ && now >= fetchAt_ && !sessions_.serving() && !peers_.empty())
     requestRepair(now, peers_[random_() % peers_.size()]);
-  if (!repair_ && now >= fetchAt_ && !hearsWriter(now)) fetchFromPeer(now);
+  if (!repair_ && now >= fetchAt_ && !isWriterAlive(now)) fetchFromPeer(now);
   sessions_.tick(now);
 }
 
@@ -89,7 +92,7 @@
 void ControlReplica::handle(Milliseconds now, const std::string& from, const Changes& message) {
   if (!isPeer(from) || from != fetchedFrom_) return unexpected(now, from, "changes");
   fetchedFrom_.clear();
-  state_.hearWriterTime(message.writerTime);
+  state_.advanceWriterTime(message.writerTime);
   if (repair_) return;
   for (const RecordPointer& record : message.records) {
     if (record->version <= state_.committed()) continue;
@@ -119,7 +122,7 @@
     repair_.reset();
     return log_.line(now, "event=repair_damaged from=" + from);
   }
-  outside_.send(from, Acknowledge{state_.committed(), repair_->id(), repair_->nextPart(), {}});
+  environment_.send(from, Acknowledge{state_.committed(), repair_->id(), repair_->nextPart(), {}});
   if (step != TransferStep::complete) return;
   if (repair_->version() >= state_.committed()) {
     state_.promise(repair_->term());
@@ -130,19 +133,20 @@
   repair_.reset();
 }
 
-void ControlReplica::handle(Milliseconds now, const std::string& from, const Refused& message) {
-  if (!isPeer(from) || (from != fetchedFrom_ && from != repairFrom_)) return unexpected(now, from, "refusal");
+void ControlReplica::handle(Milliseconds now, const std::string& from, const Rejection& message) {
+  if (!isPeer(from) || (from != fetchedFrom_ && from != repairFrom_))
+    return unexpected(now, from, "rejection");
   fetchedFrom_.clear();
-  if (message.code == RefusalCode::different_history) {
+  if (message.code == RejectionCode::differentHistory) {
     ++counts_.conflictingHistories;
     return log_.line(now, "event=history_conflict from=" + from);
   }
-  if (message.code == RefusalCode::behind_horizon) return requestRepair(now, from);
+  if (message.code == RejectionCode::behindHorizon) return requestRepair(now, from);
   if (repair_ && from == repairFrom_) repair_.reset();
 }
 
-void ControlReplica::handle(Milliseconds now, const std::string& from, const Claim& message) {
-  if (!isPeer(from)) return unexpected(now, from, "claim");
+void ControlReplica::handle(Milliseconds now, const std::string& from, const Prepare& message) {
+  if (!isPeer(from)) return unexpected(now, from, "prepare");
   Promise promise;
   promise.accepted = acceptTerm(message.term);
   promise.term = state_.promisedTerm();
@@ -155,7 +159,7 @@
     if (message.committed >= log.base())
       promise.records = log.after(message.committed, log.lastVersion(), Writer::kMaxAppendBytes);
   }
-  outside_.send(from, std::move(promise));
+  environment_.send(from, std::move(promise));
 }
 
 void ControlReplica::handle(Milliseconds now, const std::string& from, const Promise& message) {
@@ -165,41 +169,41 @@
     state_.promise(message.term);
     return stepDown(now, "a later term was promised");
   }
-  writer_->receivePromise(now, outside_.unixTime(), from, message);
+  writer_->receivePromise(now, environment_.unixTime(), from, message);
   afterWriter(now);
 }
 
 void ControlReplica::handle(Milliseconds now, const std::string& from, const Append& message) {
   if (!isPeer(from)) return unexpected(now, from, "records");
-  Appended answer;
+  AppendResponse answer;
   answer.sentAt = message.sentAt;
   if (!acceptTerm(message.term)) {
     answer.term = state_.promisedTerm();
-    outside_.send(from, answer);
+    environment_.send(from, answer);
     return log_.line(now, "event=old_term_refused from=" + from);
   }
   if (writer_) stepDown(now, "records of a later term");
-  writerHeardAt_ = now;
-  state_.hearWriterTime(message.writerTime);
+  writerReceivedAt_ = now;
+  state_.advanceWriterTime(message.writerTime);
   answer.term = message.term;
-  answer.accepted = takeRecords(message);
+  answer.accepted = appendRecords(message);
   answer.version = answer.accepted ? message.previousVersion + message.records.size()
                                    : std::min(state_.log().lastVersion(), message.previousVersion - 1);
   if (answer.accepted && !repair_) commitTo(now, std::min(message.committed, answer.version));
-  outside_.send(from, answer);
+  environment_.send(from, answer);
   // What the writer no longer has in its log comes by ranges.
   if (!answer.accepted && message.previousVersion > state_.log().lastVersion() && !repair_ && now >= fetchAt_)
     fetchFromPeer(now);
 }
 
-void ControlReplica::handle(Milliseconds now, const std::string& from, const Appended& message) {
+void ControlReplica::handle(Milliseconds now, const std::string& from, const AppendResponse& message) {
   if (!isPeer(from)) return unexpected(now, from, "answer");
   if (!writer_) return;
   if (message.term > writer_->term()) {
     state_.promise(message.term);
     return stepDown(now, "a later term was promised");
   }
-  writer_->receiveAppended(now, outside_.unixTime(), from, message);
+  writer_->receiveAppendResponse(now, environment_.unixTime(), from, message);
   afterWriter(now);
 }
 
@@ -217,7 +221,7 @@
 }
 
 // Whether the log now agrees with the writer's up to the end of these records.
-bool ControlReplica::takeRecords(const Append& append) {
+bool ControlReplica::appendRecords(const Append& append) {
   const ChangeLog& log = state_.log();
   if (append.previousVersion > log.lastVersion()) return false;
   if (append.previousVersion > state_.committed() &&
@@ -239,7 +243,7 @@
 }
 
 void ControlReplica::afterWriter(Milliseconds now) {
-  tellPublished();
+  notifyCommitted();
   compact();
   if (!writer_->tableDiffers()) return;
   stepDown(now, "this copy differs");
@@ -253,28 +257,29 @@
   if (!repair_ && !peers_.empty()) requestRepair(now, peers_[random_() % peers_.size()]);
 }
 
-void ControlReplica::tellPublished() {
-  for (auto place = unpublished_.begin(); place != unpublished_.end();) {
-    if (place->second > state_.committed()) {
-      ++place;
+void ControlReplica::notifyCommitted() {
+  for (auto request = uncommittedRequests_.begin(); request != uncommittedRequests_.end();) {
+    if (request->second > state_.committed()) {
+      ++request;
       continue;
     }
-    outside_.published(place->first, place->second);
-    place = unpublished_.erase(place);
+    environment_.onChangeCommitted(request->first, request->second);
+    request = uncommittedRequests_.erase(request);
   }
 }
 
 // What is not committed is not answered: whoever published it asks the next writer, with the same request id.
 void ControlReplica::stepDown(Milliseconds now, const char* why) {
-  unpublished_.clear();
+  uncommittedRequests_.clear();
   if (!writer_) return;
   log_.line(now, std::string("event=writer_stepped_down reason=\"") + why + "\"");
   writer_.reset();
 }
 
-bool ControlReplica::hearsWriter(Milliseconds now) const {
-  const Milliseconds heardAt = writer_ && writer_->ready() ? writer_->majorityHeardAt() : writerHeardAt_;
-  return heardAt > 0 && now - heardAt <= limits_.writerSilence;
+bool ControlReplica::isWriterAlive(Milliseconds now) const {
+  const Milliseconds lastReceivedAt =
+      writer_ && writer_->ready() ? writer_->majorityRespondedAt() : writerReceivedAt_;
+  return lastReceivedAt > 0 && now - lastReceivedAt <= limits_.writerSilence;
 }
 
 void ControlReplica::fetchFromPeer(Milliseconds now) {
@@ -282,7 +287,7 @@
   if (peers_.empty()) return;
   fetchedFrom_ = peers_[random_() % peers_.size()];
   ++counts_.fetches;
-  outside_.send(fetchedFrom_, Fetch{state_.committed(), state_.committedTerm()});
+  environment_.send(fetchedFrom_, Fetch{state_.committed(), state_.committedTerm()});
 }
 
 void ControlReplica::requestRepair(Milliseconds now, const std::string& peer) {
@@ -296,7 +301,7 @@
   repairProgressAt_ = now;
   fetchAt_ = now + limits_.fetchInterval;
   ++counts_.repairs;
-  outside_.send(peer, std::move(request));
+  environment_.send(peer, std::move(request));
 }
 
 void ControlReplica::unexpected(Milliseconds now, const std::string& from, const char* what) {
--- a/src/distribution/entry.cpp
+++ b/src/distribution/entry.cpp
@@ -1,9 +1,9 @@
 #include "distribution/entry.hpp"
 
-#define XXH_INLINE_ALL
-#include <xxhash.h>
-
 #include <set>
+#include <string_view>
+
+#include "codec/hash.hpp"
 
 namespace wingslip::distribution {
 namespace {
@@ -14,9 +14,8 @@
 Hash hashOf(const Entry& entry) {
   const std::array<std::uint64_t, 4> head{static_cast<std::uint64_t>(entry.key.kind), entry.key.name.size(),
                                           entry.version, entry.term};
-  const Hash headHash = XXH64(head.data(), sizeof head, 0);
-  const Hash nameHash = XXH64(entry.key.name.data(), entry.key.name.size(), headHash);
-  return XXH64(entry.value.data(), entry.value.size(), nameHash);
+  const std::string_view headBytes(reinterpret_cast<const char*>(head.data()), sizeof head);
+  return hash64(entry.value, hash64(entry.key.name, hash64(headBytes)));
 }
 
 }  // namespace
--- a/src/distribution/entry_table.cpp
+++ b/src/distribution/entry_table.cpp
@@ -1,10 +1,9 @@
 #include "distribution/entry_table.hpp"
 
-#define XXH_INLINE_ALL
-#include <xxhash.h>
-
 #include <algorithm>
 
+#include "codec/hash.hpp"
+
 namespace wingslip::distribution {
 namespace {
 
@@ -23,7 +22,7 @@
 }
 
 std::size_t EntryTable::rangeOf(const EntryKey& key) {
-  return XXH64(key.name.data(), key.name.size(), static_cast<std::uint64_t>(key.kind)) % kRanges;
+  return hash64(key.name, static_cast<std::uint64_t>(key.kind)) % kRanges;
 }
 
 EntryPointer EntryTable::find(const EntryKey& key) const {
--- a/src/distribution/limited_log.hpp
+++ b/src/distribution/limited_log.hpp
@@ -1,4 +1,4 @@
-// Log lines at a bounded rate; those left out are counted and the count goes with the next line.
+/// Log lines at a bounded rate; those left out are counted and the count goes with the next line.
 #pragma once
 
 #include <functional>
@@ -23,7 +23,8 @@
   }
 
  private:
-  static constexpr double kLinesPerSecond = 1, kBurstLines = 10;
+  static constexpr double kLinesPerSecond = 1;
+  static constexpr double kBurstLines = 10;
 
   std::function<void(const std::string&)> write_;
   TokenBucket bucket_{kLinesPerSecond, kBurstLines};
--- a/src/distribution/placement.cpp
+++ b/src/distribution/placement.cpp
@@ -1,25 +1,23 @@
 #include "distribution/placement.hpp"
 
-#define XXH_INLINE_ALL
-#include <xxhash.h>
-
 #include <algorithm>
 #include <cstdint>
 #include <tuple>
 
+#include "codec/hash.hpp"
+
 namespace wingslip::distribution {
 namespace {
 
-enum class Distance : unsigned { same_zone, same_region, elsewhere };
+enum class Distance : unsigned { sameZone, sameRegion, elsewhere };
 
 Distance distanceOf(const Location& a, const Location& b) {
   if (a.region != b.region) return Distance::elsewhere;
-  return a.zone == b.zone ? Distance::same_zone : Distance::same_region;
+  return a.zone == b.zone ? Distance::sameZone : Distance::sameRegion;
 }
 
 std::uint64_t weightOf(const std::string& subscriber, const std::string& replica) {
-  const std::uint64_t seed = XXH64(subscriber.data(), subscriber.size(), 0);
-  return XXH64(replica.data(), replica.size(), seed);
+  return hash64(replica, hash64(subscriber));
 }
 
 }  // namespace
--- a/src/distribution/placement.hpp
+++ b/src/distribution/placement.hpp
@@ -1,5 +1,5 @@
-// Which control replicas a subscriber asks, in which order: those of its zone, then of its region, then any.
-// Among equals a rendezvous hash decides, so that the subscribers of a lost replica spread evenly.
+/// Which control replicas a subscriber asks, in which order: those of its zone, then of its region, then any.
+/// Among equals a rendezvous hash decides, so that the subscribers of a lost replica spread evenly.
 #pragma once
 
 #include <string>
@@ -8,7 +8,8 @@
 namespace wingslip::distribution {
 
 struct Location {
-  std::string region, zone;
+  std::string region;
+  std::string zone;
 };
 
 struct ReplicaAddress {
--- a/src/distribution/replica_state.cpp
+++ b/src/distribution/replica_state.cpp
@@ -52,7 +52,7 @@
   log_.reset(version, term);
 }
 
-bool ReplicaState::tableFitsLog() const {
+bool ReplicaState::tableMatchesLog() const {
   if (committed_ <= log_.base() || committed_ > log_.lastVersion()) return true;
   return log_.at(committed_)->rootHash == table_.rootHash();
 }
--- a/src/distribution/subscriber.cpp
+++ b/src/distribution/subscriber.cpp
@@ -2,27 +2,25 @@
 
 #include <algorithm>
 
+#include "distribution/inbound.hpp"
+
 namespace wingslip::distribution {
 namespace {
 
 constexpr unsigned kMaxDoublings = 10;
 
-std::string cutTo(std::string text, std::size_t maxBytes) {
-  if (text.size() > maxBytes) text.resize(maxBytes);
-  return text;
-}
-
 }  // namespace
 
 Subscriber::Subscriber(const SubscriberLimits& limits, const std::vector<std::string>& replicas,
-                       const std::string& build, Validator validator, std::uint64_t seed, Outside& outside)
+                       const std::string& build, Validator validator, std::uint64_t seed,
+                       Environment& environment)
     : limits_(limits),
       replicas_(replicas),
       build_(build),
       validator_(std::move(validator)),
-      outside_(outside),
+      environment_(environment),
       random_(seed),
-      log_([&outside](const std::string& line) { outside.log(line); }) {}
+      log_([&environment](const std::string& line) { environment.log(line); }) {}
 
 void Subscriber::restore(const Snapshot& snapshot) {
   version_ = snapshot.version;
@@ -32,14 +30,15 @@
   table_.forEach([&entries](const EntryPointer& entry) { entries.push_back(entry); });
   const auto faults = findFaultyVersions(entries);
   const bool sameBuild = snapshot.build == build_;
-  for (const HeldBackEntry& held : snapshot.heldBack)
-    if (sameBuild || faults.contains(held.refused)) holdBack(held.key, held.lastGood, held.refused);
+  for (const RejectedEntry& rejected : snapshot.rejectedEntries)
+    if (sameBuild || faults.contains(rejected.rejectedVersion))
+      rejected_.add(rejected.key, rejected.lastKnownGood, rejected.rejectedVersion);
   for (const EntryPointer& entry : entries)
-    if (faults.contains(entry->version) && !heldBack_.contains(entry->key))
-      holdBack(entry->key, nullptr, entry->version);
-  for (const Refusal& refusal : snapshot.refusals)
-    if (heldBackOf_.contains(refusal.version)) addRefusal(refusal.version, refusal.reason);
-  for (const auto& [version, reason] : faults) addRefusal(version, reason);
+    if (faults.contains(entry->version) && !rejected_.find(entry->key))
+      rejected_.add(entry->key, nullptr, entry->version);
+  for (const RejectedChange& change : snapshot.rejectedChanges)
+    if (rejected_.containsVersion(change.version)) rejected_.addReason(change.version, change.reason);
+  for (const auto& [version, reason] : faults) rejected_.addReason(version, reason);
 }
 
 Snapshot Subscriber::snapshot() const {
@@ -47,8 +46,8 @@
   out.version = version_;
   out.term = term_;
   out.table = table_;
-  for (const auto& [key, held] : heldBack_) out.heldBack.push_back({key, held.lastGood, held.refused});
-  for (const auto& [version, reason] : refusals_) out.refusals.push_back({version, reason});
+  out.rejectedEntries = rejected_.entries();
+  out.rejectedChanges = rejected_.changes();
   out.build = build_;
   out.logBase = version_;
   out.logBaseTerm = term_;
@@ -66,34 +65,32 @@
     return;
   }
   if (state_ == State::connecting) {
-    if (now - askedAt_ >= limits_.connectTimeout) fail(now, "no answer");
+    if (now - subscribedAt_ >= limits_.connectTimeout) fail(now, "no answer");
     return;
   }
-  if (now - heardAt_ >= limits_.silenceTimeout) return fail(now, "silence");
-  if (rank_ > 0 && now >= homeAt_ && !repair_) {
+  if (now - lastReceivedAt_ >= limits_.silenceTimeout) return fail(now, "silence");
+  if (rank_ > 0 && now >= preferredRetryAt_ && !repair_) {
     rank_ = 0;
     return subscribe(now);
   }
   if (now - acknowledgedAt_ >= limits_.acknowledgeInterval) acknowledge(now);
 }
 
-Milliseconds Subscriber::nextAt() const {
+Milliseconds Subscriber::nextTickAt() const {
   if (state_ == State::waiting) return connectAt_;
-  if (state_ == State::connecting) return askedAt_ + limits_.connectTimeout;
+  if (state_ == State::connecting) return subscribedAt_ + limits_.connectTimeout;
   Milliseconds at =
-      std::min(heardAt_ + limits_.silenceTimeout, acknowledgedAt_ + limits_.acknowledgeInterval);
-  if (rank_ > 0 && !repair_) at = std::min(at, homeAt_);
+      std::min(lastReceivedAt_ + limits_.silenceTimeout, acknowledgedAt_ + limits_.acknowledgeInterval);
+  if (rank_ > 0 && !repair_) at = std::min(at, preferredRetryAt_);
   return at;
 }
 
 void Subscriber::receiveBytes(Milliseconds now, const std::string& from, const std::uint8_t* bytes,
                               std::size_t size) {
-  try {
-    receive(now, from, decode(bytes, size));
-  } catch (const CodecError& error) {
+  if (const auto message = decodeOrLog(now, from, bytes, size, log_))
+    receive(now, from, *message);
+  else
     ++counts_.malformed;
-    log_.line(now, "event=message_refused from=" + from + " reason=\"" + error.what() + "\"");
-  }
 }
 
 void Subscriber::receive(Milliseconds now, const std::string& from, const Message& message) {
@@ -102,79 +99,86 @@
 }
 
 EntryPointer Subscriber::find(const EntryKey& key) const {
-  const auto held = heldBack_.find(key);
-  return held == heldBack_.end() ? table_.find(key) : held->second.lastGood;
+  const RejectedEntries::Override* rejected = rejected_.find(key);
+  return rejected ? rejected->lastKnownGood : table_.find(key);
 }
 
 void Subscriber::handle(Milliseconds now, const Changes& message) {
   writerTime_ = std::max(writerTime_, message.writerTime);
   // Only parts count as life during a repair: the request for them may have been lost.
   if (repair_) return;
-  heardAt_ = now;
+  lastReceivedAt_ = now;
   if (state_ == State::connecting) {
     state_ = State::connected;
     attempts_ = 0;
-    homeAt_ = now + limits_.homeInterval +
-              std::uniform_int_distribution<Milliseconds>(0, limits_.homeInterval)(random_);
+    preferredRetryAt_ =
+        now + limits_.preferredRetryInterval +
+        std::uniform_int_distribution<Milliseconds>(0, limits_.preferredRetryInterval)(random_);
   }
   if (message.previousVersion == version_ && message.previousTerm != term_) {
     ++counts_.conflictingHistories;
     return fail(now, "another history");
   }
-  std::vector<InForceChange> changes;
-  Step step = Step::applied;
+  std::vector<EffectiveChange> changes;
+  RecordOutcome outcome = RecordOutcome::applied;
   const Version before = version_;
   for (const RecordPointer& record : message.records) {
-    step = take(*record, changes);
-    if (step != Step::applied && step != Step::doubled) break;
+    outcome = take(*record, changes);
+    if (outcome != RecordOutcome::applied && outcome != RecordOutcome::duplicate) break;
   }
-  if (version_ != before) outside_.applied(version_, changes);
-  if (step == Step::conflict) return fail(now, "another history");
+  if (version_ != before) environment_.onChangesApplied(version_, changes);
+  if (outcome == RecordOutcome::conflict) return fail(now, "another history");
   const bool sameVersion = version_ == message.committed;
-  if (step == Step::damaged || (sameVersion && table_.rootHash() != message.rootHash)) {
+  if (outcome == RecordOutcome::damaged || (sameVersion && table_.rootHash() != message.rootHash)) {
     ++counts_.hashDiffers;
     log_.line(now, "event=copy_differs version=" + std::to_string(version_));
     return requestRepair(now);
   }
   if (!message.records.empty()) acknowledge(now);
-  if (step == Step::gap) resubscribe(now);
+  if (outcome == RecordOutcome::gap) resubscribe(now);
+}
+
+Subscriber::RecordOutcome Subscriber::take(const ChangeRecord& record,
+                                           std::vector<EffectiveChange>& changes) {
+  const RecordOutcome outcome = check(record);
+  if (outcome != RecordOutcome::applied) return outcome;
+  if (const auto fault = findFault(record)) {
+    ++counts_.rejectedChanges;
+    for (const LoggedEdit& edit : record.edits)
+      rejected_.add(edit.entry->key, find(edit.entry->key), record.version);
+    rejected_.addReason(record.version, *fault);
+  } else {
+    for (const LoggedEdit& edit : record.edits) {
+      rejected_.remove(edit.entry->key);
+      changes.push_back({edit.entry->key, edit.removes ? nullptr : edit.entry});
+    }
+  }
+  table_.apply(record);
+  version_ = record.version;
+  term_ = record.term;
+  ++counts_.applied;
+  return RecordOutcome::applied;
 }
 
-Subscriber::Step Subscriber::take(const ChangeRecord& record, std::vector<InForceChange>& changes) {
+Subscriber::RecordOutcome Subscriber::check(const ChangeRecord& record) {
   if (record.version == version_ && record.term != term_) {
     ++counts_.conflictingHistories;
-    return Step::conflict;
+    return RecordOutcome::conflict;
   }
   if (record.version <= version_) {
-    ++counts_.doubled;
-    return Step::doubled;
+    ++counts_.duplicates;
+    return RecordOutcome::duplicate;
   }
   if (record.version != version_ + 1) {
     ++counts_.gaps;
-    return Step::gap;
+    return RecordOutcome::gap;
   }
   if (record.term < term_) {
     ++counts_.oldTerms;
-    return Step::conflict;
+    return RecordOutcome::conflict;
   }
-  if (table_.rootHashAfter(record.edits) != record.rootHash) return Step::damaged;
-  const auto fault = findFault(record);
-  if (fault) {
-    ++counts_.refusedChanges;
-    for (const LoggedEdit& edit : record.edits)
-      holdBack(edit.entry->key, find(edit.entry->key), record.version);
-    addRefusal(record.version, *fault);
-  } else {
-    for (const LoggedEdit& edit : record.edits) {
-      release(edit.entry->key);
-      changes.push_back({edit.entry->key, edit.removes ? nullptr : edit.entry});
-    }
-  }
-  table_.apply(record);
-  version_ = record.version;
-  term_ = record.term;
-  ++counts_.applied;
-  return Step::applied;
+  const bool hashFits = table_.rootHashAfter(record.edits) == record.rootHash;
+  return hashFits ? RecordOutcome::applied : RecordOutcome::damaged;
 }
 
 std::optional<std::string> Subscriber::findFault(const ChangeRecord& record) const {
@@ -186,7 +190,7 @@
 }
 
 void Subscriber::handle(Milliseconds now, const RangeContents& message) {
-  heardAt_ = now;
+  lastReceivedAt_ = now;
   if (!repair_) return unexpected(now);
   const TransferStep step = repair_->take(message);
   if (step == TransferStep::damaged) {
@@ -205,23 +209,23 @@
   subscribe(now);
 }
 
-void Subscriber::handle(Milliseconds now, const Refused& message) {
-  heardAt_ = now;
-  if (message.code == RefusalCode::behind_horizon && !repair_) return requestRepair(now);
-  if (message.code == RefusalCode::different_history) ++counts_.conflictingHistories;
+void Subscriber::handle(Milliseconds now, const Rejection& message) {
+  lastReceivedAt_ = now;
+  if (message.code == RejectionCode::behindHorizon && !repair_) return requestRepair(now);
+  if (message.code == RejectionCode::differentHistory) ++counts_.conflictingHistories;
   fail(now, nameOf(message.code));
 }
 
 void Subscriber::subscribe(Milliseconds now) {
   state_ = State::connecting;
-  askedAt_ = now;
-  outside_.send(replica(), Subscribe{version_, term_, build_});
+  subscribedAt_ = now;
+  environment_.send(replica(), Subscribe{version_, term_, build_});
 }
 
 void Subscriber::resubscribe(Milliseconds now) {
-  if (now - askedAt_ < limits_.resubscribeInterval) return;
-  askedAt_ = now;
-  outside_.send(replica(), Subscribe{version_, term_, build_});
+  if (now - subscribedAt_ < limits_.resubscribeInterval) return;
+  subscribedAt_ = now;
+  environment_.send(replica(), Subscribe{version_, term_, build_});
 }
 
 void Subscriber::fail(Milliseconds now, const char* why) {
@@ -244,8 +248,8 @@
     message.transfer = repair_->id();
     message.nextPart = repair_->nextPart();
   }
-  for (const auto& [version, reason] : refusals_) message.refusals.push_back({version, reason});
-  outside_.send(replica(), std::move(message));
+  message.rejectedChanges = rejected_.changes();
+  environment_.send(replica(), std::move(message));
 }
 
 void Subscriber::requestRepair(Milliseconds now) {
@@ -257,9 +261,9 @@
   if (staged_->size() > 0) request.hashes = staged_->rangeHashes();
   repair_ = std::make_unique<TransferReceiver>(request.transfer, *staged_);
   state_ = State::connected;
-  heardAt_ = now;
+  lastReceivedAt_ = now;
   ++counts_.repairs;
-  outside_.send(replica(), std::move(request));
+  environment_.send(replica(), std::move(request));
 }
 
 void Subscriber::dropRepair() {
@@ -274,7 +278,7 @@
 }
 
 void Subscriber::adopt(const EntryTable& table, Version version, Term term) {
-  std::vector<InForceChange> changes;
+  std::vector<EffectiveChange> changes;
   std::vector<EntryPointer> entries;
   for (std::size_t i = 0; i < EntryTable::kRanges; ++i)
     if (table_.rangeHash(i) != table.rangeHash(i))
@@ -282,21 +286,21 @@
   const auto faults = findFaultyVersions(entries);
   for (const EntryPointer& entry : entries) {
     if (faults.contains(entry->version)) {
-      holdBack(entry->key, find(entry->key), entry->version);
-      addRefusal(entry->version, faults.at(entry->version));
+      rejected_.add(entry->key, find(entry->key), entry->version);
+      rejected_.addReason(entry->version, faults.at(entry->version));
       continue;
     }
-    release(entry->key);
+    rejected_.remove(entry->key);
     changes.push_back({entry->key, entry});
   }
   table_ = table;
   version_ = version;
   term_ = term;
-  outside_.applied(version_, changes);
+  environment_.onChangesApplied(version_, changes);
 }
 
 void Subscriber::compareRange(const RangePointer& before, const RangePointer& after,
-                              std::vector<EntryPointer>& entries, std::vector<InForceChange>& changes) {
+                              std::vector<EntryPointer>& entries, std::vector<EffectiveChange>& changes) {
   std::map<EntryKey, Hash> old;
   if (before)
     for (const EntryPointer& entry : before->entries) old[entry->key] = entry->hash;
@@ -309,7 +313,7 @@
     }
   }
   for (const auto& [key, hash] : old) {
-    release(key);
+    rejected_.remove(key);
     changes.push_back({key, nullptr});
   }
 }
@@ -322,26 +326,4 @@
   return faults;
 }
 
-void Subscriber::holdBack(const EntryKey& key, const EntryPointer& lastGood, Version refused) {
-  // The count first: releasing the key's older refusal must not settle this one.
-  ++heldBackOf_[refused];
-  release(key);
-  heldBack_[key] = {lastGood, refused};
-}
-
-void Subscriber::release(const EntryKey& key) {
-  const auto held = heldBack_.find(key);
-  if (held == heldBack_.end()) return;
-  const Version refused = held->second.refused;
-  heldBack_.erase(held);
-  if (--heldBackOf_[refused] > 0) return;
-  heldBackOf_.erase(refused);
-  refusals_.erase(refused);
-}
-
-void Subscriber::addRefusal(Version version, const std::string& reason) {
-  refusals_[version] = cutTo(reason, kMaxReasonBytes);
-  if (refusals_.size() > kMaxRefusals) refusals_.erase(refusals_.begin());
-}
-
 }  // namespace wingslip::distribution
--- a/src/distribution/subscriber_sessions.cpp
+++ b/src/distribution/subscriber_sessions.cpp
@@ -10,13 +10,17 @@
 }  // namespace
 
 SubscriberSessions::SubscriberSessions(const SessionLimits& limits, const ReplicaState& state, Send send,
-                                       RefusalHeard heard)
-    : limits_(limits), state_(state), send_(std::move(send)), refusalHeard_(std::move(heard)) {}
+                                       RejectionCallback onChangeRejected)
+    : limits_(limits),
+      state_(state),
+      send_(std::move(send)),
+      onChangeRejected_(std::move(onChangeRejected)) {}
 
 void SubscriberSessions::receive(Milliseconds now, const std::string& from, const Subscribe& subscribe) {
-  if (const auto refusal = findRefusal(subscribe.version, subscribe.term)) return refuse(from, *refusal);
+  if (const auto rejection = findRejection(subscribe.version, subscribe.term))
+    return reject(from, *rejection);
   Session* session = openSession(now, from, limits_.bytesPerSecond);
-  if (session == nullptr) return refuse(from, RefusalCode::busy);
+  if (session == nullptr) return reject(from, RejectionCode::busy);
   endTransfer(*session);
   session->streaming = true;
   session->sent = subscribe.version;
@@ -30,22 +34,33 @@
   const auto found = sessions_.find(from);
   if (found == sessions_.end()) return;
   Session& session = found->second;
-  session.heardAt = now;
-  if (session.streaming && acknowledge.version > session.acknowledged &&
-      acknowledge.version <= state_.committed()) {
-    session.acknowledged = acknowledge.version;
-    session.sent = std::max(session.sent, acknowledge.version);
-    session.progressAt = now;
-    session.resendTimeout = limits_.resendTimeout;
-  }
-  if (acknowledge.refusals != session.refusals) {
-    for (const Refusal& refusal : acknowledge.refusals) {
-      if (std::count(session.refusals.begin(), session.refusals.end(), refusal) > 0) continue;
-      ++counts_.refusalsHeard;
-      refusalHeard_(from, refusal);
-    }
-    session.refusals = acknowledge.refusals;
+  session.lastReceivedAt = now;
+  takeAcknowledgedVersion(now, session, acknowledge.version);
+  takeRejectedChanges(from, session, acknowledge.rejectedChanges);
+  takeAcknowledgedParts(now, session, acknowledge);
+}
+
+void SubscriberSessions::takeAcknowledgedVersion(Milliseconds now, Session& session, Version version) {
+  if (!session.streaming || version <= session.acknowledged || version > state_.committed()) return;
+  session.acknowledged = version;
+  session.sent = std::max(session.sent, version);
+  session.progressAt = now;
+  session.resendTimeout = limits_.resendTimeout;
+}
+
+void SubscriberSessions::takeRejectedChanges(const std::string& subscriber, Session& session,
+                                             const std::vector<RejectedChange>& changes) {
+  if (changes == session.rejectedChanges) return;
+  for (const RejectedChange& change : changes) {
+    if (std::count(session.rejectedChanges.begin(), session.rejectedChanges.end(), change) > 0) continue;
+    ++counts_.rejectedChanges;
+    onChangeRejected_(subscriber, change);
   }
+  session.rejectedChanges = changes;
+}
+
+void SubscriberSessions::takeAcknowledgedParts(Milliseconds now, Session& session,
+                                               const Acknowledge& acknowledge) {
   if (!session.transfer || acknowledge.transfer != session.transfer->id()) return;
   if (acknowledge.nextPart <= session.acknowledgedParts) return;
   if (acknowledge.nextPart > session.transfer->partCount()) return;
@@ -60,17 +75,17 @@
 
 void SubscriberSessions::receive(Milliseconds now, const std::string& from, const RangeRequest& request,
                                  bool fromReplica) {
-  if (!serving_) return refuse(from, RefusalCode::not_serving);
-  if (request.version > state_.committed()) return refuse(from, RefusalCode::subscriber_ahead);
+  if (!serving_) return reject(from, RejectionCode::notServing);
+  if (request.version > state_.committed()) return reject(from, RejectionCode::subscriberAhead);
   const std::optional<Term> term = state_.log().termAt(request.version);
-  if (term && *term != request.term) return refuse(from, RefusalCode::different_history);
+  if (term && *term != request.term) return reject(from, RejectionCode::differentHistory);
   const double rate = fromReplica ? limits_.peerBytesPerSecond : limits_.bytesPerSecond;
   Session* session = openSession(now, from, rate);
-  if (session == nullptr) return refuse(from, RefusalCode::busy);
-  session->heardAt = now;
-  if (session->transfer && session->transfer->id() == request.transfer) return;  // doubled
+  if (session == nullptr) return reject(from, RejectionCode::busy);
+  session->lastReceivedAt = now;
+  if (session->transfer && session->transfer->id() == request.transfer) return;  // a duplicate
   endTransfer(*session);
-  if (transfers_ >= limits_.maxTransfers) return refuse(from, RefusalCode::busy);
+  if (transfers_ >= limits_.maxTransfers) return reject(from, RejectionCode::busy);
   session->transfer =
       std::make_unique<TransferSender>(request, state_.table(), state_.committed(), state_.committedTerm());
   session->streaming = false;
@@ -83,7 +98,7 @@
 }
 
 void SubscriberSessions::receive(const std::string& from, const Fetch& fetch) {
-  if (const auto refusal = findRefusal(fetch.version, fetch.term)) return refuse(from, *refusal);
+  if (const auto rejection = findRejection(fetch.version, fetch.term)) return reject(from, *rejection);
   Changes changes = position();
   changes.previousVersion = fetch.version;
   changes.previousTerm = fetch.term;
@@ -93,18 +108,18 @@
 
 void SubscriberSessions::tick(Milliseconds now) {
   const bool flush = now >= nextFlush_;
-  if (flush) nextFlush_ = now + limits_.gatherTime;
-  for (auto place = sessions_.begin(); place != sessions_.end();) {
-    const std::string& name = place->first;
-    Session& session = place->second;
-    if (now - session.heardAt > limits_.sessionTimeout) {
+  if (flush) nextFlush_ = now + limits_.batchInterval;
+  for (auto item = sessions_.begin(); item != sessions_.end();) {
+    const std::string& name = item->first;
+    Session& session = item->second;
+    if (now - session.lastReceivedAt > limits_.sessionTimeout) {
       endTransfer(session);
       ++counts_.sessionsExpired;
-      place = sessions_.erase(place);
+      item = sessions_.erase(item);
       continue;
     }
     if (!serving_) {
-      ++place;
+      ++item;
       continue;
     }
     resendIfStuck(now, session);
@@ -112,38 +127,38 @@
     if (session.streaming && flush) sendChanges(now, name, session);
     if (session.streaming && now - session.sentAt >= limits_.heartbeatInterval)
       sendHeartbeat(now, name, session);
-    ++place;
+    ++item;
   }
 }
 
-std::optional<RefusalCode> SubscriberSessions::findRefusal(Version version, Term term) const {
-  if (!serving_) return RefusalCode::not_serving;
-  if (version > state_.committed()) return RefusalCode::subscriber_ahead;
+std::optional<RejectionCode> SubscriberSessions::findRejection(Version version, Term term) const {
+  if (!serving_) return RejectionCode::notServing;
+  if (version > state_.committed()) return RejectionCode::subscriberAhead;
   const std::optional<Term> held = state_.log().termAt(version);
-  if (!held) return RefusalCode::behind_horizon;
-  if (*held != term) return RefusalCode::different_history;
+  if (!held) return RejectionCode::behindHorizon;
+  if (*held != term) return RejectionCode::differentHistory;
   return std::nullopt;
 }
 
-void SubscriberSessions::refuse(const std::string& to, RefusalCode code) {
+void SubscriberSessions::reject(const std::string& to, RejectionCode code) {
   switch (code) {
-    case RefusalCode::behind_horizon:
-      ++counts_.refusedBehindHorizon;
+    case RejectionCode::behindHorizon:
+      ++counts_.rejectedBehindHorizon;
       break;
-    case RefusalCode::subscriber_ahead:
-      ++counts_.refusedAhead;
+    case RejectionCode::subscriberAhead:
+      ++counts_.rejectedAhead;
       break;
-    case RefusalCode::different_history:
-      ++counts_.refusedHistory;
+    case RejectionCode::differentHistory:
+      ++counts_.rejectedHistory;
       break;
-    case RefusalCode::busy:
-      ++counts_.refusedBusy;
+    case RejectionCode::busy:
+      ++counts_.rejectedBusy;
       break;
-    case RefusalCode::not_serving:
-      ++counts_.refusedNotServing;
+    case RejectionCode::notServing:
+      ++counts_.rejectedNotServing;
       break;
   }
-  send_(to, Refused{code, code == RefusalCode::busy ? limits_.transferRetryTime : 0});
+  send_(to, Rejection{code, code == RejectionCode::busy ? limits_.transferRetryTime : 0});
 }
 
 SubscriberSessions::Session* SubscriberSessions::openSession(Milliseconds now, const std::string& name,
@@ -153,7 +168,7 @@
     if (sessions_.size() >= limits_.maxSessions) return nullptr;
     found = sessions_.emplace(name, Session(TokenBucket(bytesPerSecond, limits_.burstBytes))).first;
   }
-  found->second.heardAt = now;
+  found->second.lastReceivedAt = now;
   return &found->second;
 }
 
@@ -194,7 +209,7 @@
 void SubscriberSessions::sendChanges(Milliseconds now, const std::string& name, Session& session) {
   if (session.sent < state_.log().base()) {
     session.streaming = false;
-    return refuse(name, RefusalCode::behind_horizon);
+    return reject(name, RejectionCode::behindHorizon);
   }
   const Version last = std::min(state_.committed(), session.acknowledged + limits_.maxRecordsInFlight);
   while (session.sent < last && session.bucket.available(now)) {
--- a/src/distribution/token_bucket.hpp
+++ b/src/distribution/token_bucket.hpp
@@ -1,5 +1,5 @@
-// A token bucket in virtual time. A taker may go into debt by one message, so that a message larger than the
-// burst is not stuck; the mean never exceeds the rate.
+/// A token bucket in virtual time. A taker may go into debt by one message, so that a message larger than the
+/// burst is not stuck; the mean never exceeds the rate.
 #pragma once
 
 #include <algorithm>
@@ -10,10 +10,10 @@
 
 class TokenBucket {
  public:
-  // `rate`: tokens a second; `burst`: the most that gathers while nothing is taken.
+  /// `rate`: tokens a second; `burst`: the most that gathers while nothing is taken.
   TokenBucket(double rate, double burst) : rate_(rate), burst_(burst), tokens_(burst) {}
 
-  // Whether something may be taken now.
+  /// Whether something may be taken now.
   bool available(Milliseconds now) {
     refill(now);
     return tokens_ > 0;
@@ -30,7 +30,9 @@
     filledAt_ = now;
   }
 
-  double rate_, burst_, tokens_;
+  double rate_;
+  double burst_;
+  double tokens_;
   Milliseconds filledAt_ = 0;
 };
 
--- a/src/distribution/writer.cpp
+++ b/src/distribution/writer.cpp
@@ -12,7 +12,7 @@
       state_(state),
       send_(std::move(send)),
       nextHeartbeat_(now),
-      majorityHeardAt_(now) {
+      majorityRespondedAt_(now) {
   for (const std::string& peer : peers) peers_[peer] = Progress{};
 }
 
@@ -20,7 +20,7 @@
                               const std::vector<Edit>& edits) {
   if (requestId.empty() || requestId.size() > kMaxRequestIdBytes)
     return {PublishStatus::invalid, 0, "a request id of a wrong length"};
-  if (!ready_) return {PublishStatus::not_writer, 0, "no majority has promised this term yet"};
+  if (!ready_) return {PublishStatus::notWriter, 0, "no majority has promised this term yet"};
   if (const auto version = state_.log().findRequest(requestId)) {
     const bool done = *version <= state_.committed();
     return {done ? PublishStatus::committed : PublishStatus::pending, *version, ""};
@@ -29,7 +29,7 @@
   if (const auto fault = findOversizedRange(edits)) return {PublishStatus::invalid, 0, *fault};
   if (state_.log().lastVersion() - state_.committed() >= maxUncommitted_)
     return {PublishStatus::busy, 0, "too many changes are not yet committed"};
-  if (now - majorityHeardAt_ > kMajorityTimeout)
+  if (now - majorityRespondedAt_ > kMajorityTimeout)
     return {PublishStatus::busy, 0, "no majority of the replicas answers"};
   const RecordPointer record = state_.makeRecord(term_, requestId, edits);
   state_.append(record);
@@ -43,22 +43,22 @@
   if (now < nextHeartbeat_) return;
   nextHeartbeat_ = now + kHeartbeatInterval;
   if (!ready_) {
-    claim();
+    sendPrepare();
     if (peers_.empty()) becomeReady(now, unixTime);
     return;
   }
   if (peers_.empty()) {
-    majorityHeardAt_ = now;
-    state_.hearWriterTime(unixTime);
+    majorityRespondedAt_ = now;
+    state_.advanceWriterTime(unixTime);
   }
   // What was sent and not answered is sent again.
   for (auto& [peer, progress] : peers_) progress.sent = progress.matched;
   broadcast(unixTime);
 }
 
-void Writer::claim() {
+void Writer::sendPrepare() {
   for (const auto& [peer, progress] : peers_)
-    if (!promised_.contains(peer)) send_(peer, Claim{term_, state_.committed()});
+    if (!promised_.contains(peer)) send_(peer, Prepare{term_, state_.committed()});
 }
 
 void Writer::receivePromise(Milliseconds now, Milliseconds unixTime, const std::string& from,
@@ -93,7 +93,7 @@
 
 void Writer::becomeReady(Milliseconds now, Milliseconds unixTime) {
   ready_ = true;
-  majorityHeardAt_ = now;
+  majorityRespondedAt_ = now;
   for (auto& [peer, progress] : peers_) progress.sent = state_.log().lastVersion();
   state_.append(state_.makeRecord(term_, "", {}));
   broadcast(unixTime);
@@ -120,8 +120,8 @@
   send_(peer, std::move(append));
 }
 
-void Writer::receiveAppended(Milliseconds now, Milliseconds unixTime, const std::string& from,
-                             const Appended& appended) {
+void Writer::receiveAppendResponse(Milliseconds now, Milliseconds unixTime, const std::string& from,
+                                   const AppendResponse& appended) {
   const auto found = peers_.find(from);
   if (!ready_ || found == peers_.end() || appended.term != term_) return;
   Progress& progress = found->second;
@@ -154,8 +154,8 @@
 void Writer::advanceWriterTime(Milliseconds now) {
   const Milliseconds round = reachedByMajority(INT64_MAX, &Progress::answeredRound);
   if (round <= state_.writerTime() || round == INT64_MAX) return;
-  state_.hearWriterTime(round);
-  majorityHeardAt_ = now;
+  state_.advanceWriterTime(round);
+  majorityRespondedAt_ = now;
 }
 
 std::optional<std::string> Writer::findOversizedRange(const std::vector<Edit>& edits) const {
--- a/src/distribution/writer.hpp
+++ b/src/distribution/writer.hpp
@@ -1,6 +1,7 @@
-// The writer's part of a control replica. Who is the writer, and its term, is decided outside (a lease with a
-// fencing token). The writer first takes the newest log of a majority of the replicas, each of which promises
-// to refuse older terms; a change counts as made once a majority holds it and a record of the writer's term.
+/// The writer's part of a control replica. Who is the writer, and its term, is decided outside (a lease
+/// with a fencing token). The writer first takes the newest log of a majority of the replicas, each of which
+/// promises to reject older terms; a change counts as made once a majority holds it and a record of the
+/// writer's term.
 #pragma once
 
 #include <functional>
@@ -12,15 +13,15 @@
 namespace wingslip::distribution {
 
 enum class PublishStatus {
-  committed,   // a majority holds the change
-  pending,     // written; `published` tells when it is committed
-  not_writer,  // this replica is not the writer, or has not yet heard a majority
-  invalid,     // no change by itself
-  busy,        // too many changes are not yet committed, or no majority answers
+  committed,  ///< a majority holds the change
+  pending,    ///< appended; `onChangeCommitted` reports when it is committed
+  notWriter,  ///< this replica is not the writer, or no majority has answered yet
+  invalid,    ///< the edits are no valid change
+  busy,       ///< too many changes are not yet committed, or no majority answers
 };
 
 struct PublishResult {
-  PublishStatus status = PublishStatus::not_writer;
+  PublishStatus status = PublishStatus::notWriter;
   Version version = 0;
   std::string reason;
 };
@@ -30,18 +31,20 @@
   using Send = std::function<void(const std::string& replica, Message message)>;
 
   static constexpr Milliseconds kHeartbeatInterval = 500;
-  static constexpr Milliseconds kMajorityTimeout = 10'000;  // no publishing when none answered for so long
+  /// Without responses of a majority for so long, changes are rejected as busy.
+  static constexpr Milliseconds kMajorityTimeout = 10'000;
   static constexpr std::size_t kMaxAppendBytes = 128 * 1024;
-  static constexpr std::size_t kMaxRangeBytes = 256 * 1024;  // of the entries of a range, to fit in a message
+  /// Of the entries of a range, so that it fits in a message.
+  static constexpr std::size_t kMaxRangeBytes = 256 * 1024;
 
-  // `peers`: all replicas but this one. `maxUncommitted`: records under way, more are refused as busy.
+  /// `peers`: all replicas but this one. `maxUncommitted`: records under way, more are rejected as busy.
   Writer(Milliseconds now, Term term, const std::vector<std::string>& peers, std::size_t maxUncommitted,
          ReplicaState& state, Send send);
 
   Term term() const { return term_; }
   bool ready() const { return ready_; }
-  Milliseconds majorityHeardAt() const { return majorityHeardAt_; }
-  // A committed record does not fit this replica's table: the copy must be repaired, the term is over.
+  Milliseconds majorityRespondedAt() const { return majorityRespondedAt_; }
+  /// A committed record does not fit this replica's table: the copy must be repaired, the term is over.
   bool tableDiffers() const { return tableDiffers_; }
 
   PublishResult publish(Milliseconds now, Milliseconds unixTime, const std::string& requestId,
@@ -49,8 +52,8 @@
   void tick(Milliseconds now, Milliseconds unixTime);
   void receivePromise(Milliseconds now, Milliseconds unixTime, const std::string& from,
                       const Promise& promise);
-  void receiveAppended(Milliseconds now, Milliseconds unixTime, const std::string& from,
-                       const Appended& appended);
+  void receiveAppendResponse(Milliseconds now, Milliseconds unixTime, const std::string& from,
+                             const AppendResponse& appended);
 
  private:
   struct Progress {
@@ -59,7 +62,7 @@
     Milliseconds answeredRound = 0;  // `sentAt` of the newest Append it answered
   };
 
-  void claim();
+  void sendPrepare();
   bool adoptLog(const Promise& promise);
   void becomeReady(Milliseconds now, Milliseconds unixTime);
   void sendAppend(const std::string& peer, Progress& progress, Milliseconds unixTime);
@@ -80,7 +83,7 @@
   bool ready_ = false;
   bool tableDiffers_ = false;
   Milliseconds nextHeartbeat_ = 0;
-  Milliseconds majorityHeardAt_ = 0;
+  Milliseconds majorityRespondedAt_ = 0;
 };
 
 }  // namespace wingslip::distribution
--- a/tests/distribution_fleet.hpp
+++ b/tests/distribution_fleet.hpp
@@ -50,7 +50,7 @@
 
   std::vector<std::string> faults;
   std::uint64_t committed() const { return history_.empty() ? 0 : history_.rbegin()->first; }
-  std::uint64_t repairs = 0, refusals = 0, conflicts = 0, restarts = 0, differing = 0;
+  std::uint64_t repairs = 0, rejectedChanges = 0, conflicts = 0, restarts = 0, differing = 0;
 
  private:
   static constexpr std::size_t kMaxFaults = 5;
@@ -68,7 +68,7 @@
     Hash rootHash = 0;
   };
 
-  struct ReplicaNode : ControlReplica::Outside {
+  struct ReplicaNode : ControlReplica::Environment {
     ReplicaNode(ScheduledFleet& owner, int index) : fleet(owner), name("r" + std::to_string(index)) {}
     void begin(const Snapshot& disk) {
       std::vector<std::string> peers;
@@ -93,8 +93,8 @@
     }
     void observe() { observed = fleet.observe(core->state(), observed); }
     void send(const std::string& to, Message message) override { fleet.transmit(name, to, message); }
-    void published(const std::string& requestId, Version) override { fleet.confirm(requestId); }
-    void refused(const std::string&, const Refusal&) override { ++fleet.refusals; }
+    void onChangeCommitted(const std::string& requestId, Version) override { fleet.confirm(requestId); }
+    void onChangeRejected(const std::string&, const RejectedChange&) override { ++fleet.rejectedChanges; }
     void log(const std::string&) override {}
     Milliseconds unixTime() override { return fleet.now_ + 1; }
 
@@ -106,7 +106,7 @@
     int epoch = 0;
   };
 
-  struct SubscriberNode : Subscriber::Outside {
+  struct SubscriberNode : Subscriber::Environment {
     SubscriberNode(ScheduledFleet& owner, int index)
         : fleet(owner), name("s" + std::to_string(index)), build(index % 2 == 0 ? "even" : "odd") {}
     void begin(const Snapshot& from) {
@@ -132,7 +132,7 @@
       arm();
     }
     void arm() {
-      const Milliseconds at = std::max(core->nextAt(), fleet.now_ + 1);
+      const Milliseconds at = std::max(core->nextTickAt(), fleet.now_ + 1);
       if (armedEpoch == epoch && armedAt > fleet.now_ && armedAt <= at) return;
       armedAt = at;
       armedEpoch = epoch;
@@ -144,7 +144,7 @@
       });
     }
     void send(const std::string& to, Message message) override { fleet.transmit(name, to, message); }
-    void applied(Version version, const std::vector<InForceChange>&) override {
+    void onChangesApplied(Version version, const std::vector<EffectiveChange>&) override {
       if (version < lastApplied) fleet.fail(name + " went back to version " + std::to_string(version));
       lastApplied = version;
       fleet.see(name, version, core->term(), core->table().rootHash());
@@ -343,7 +343,8 @@
     for (const EntryKey& key :
          {EntryKey{EntryKind::route, "a" + pair}, EntryKey{EntryKind::limit, "b" + pair}}) {
       snapshot.table.put(makeEntry(key, "differs", 1, 1));
-      std::erase_if(snapshot.heldBack, [&key](const HeldBackEntry& held) { return held.key == key; });
+      std::erase_if(snapshot.rejectedEntries,
+                    [&key](const RejectedEntry& rejected) { return rejected.key == key; });
     }
     ++differing;
     node.up = false;
--- a/tools/lab/distribution_run.cpp
+++ b/tools/lab/distribution_run.cpp
@@ -114,9 +114,9 @@
   return static_cast<double>(info.uordblks) + static_cast<double>(info.hblkhd);
 }
 
-struct Silent : Subscriber::Outside {
+struct Silent : Subscriber::Environment {
   void send(const std::string&, Message message) override { bytesOut += encode(message).size(); }
-  void applied(Version, const std::vector<InForceChange>&) override {}
+  void onChangesApplied(Version, const std::vector<EffectiveChange>&) override {}
   void log(const std::string&) override {}
   std::size_t bytesOut = 0;
 };
@@ -157,8 +157,8 @@
 // takes.
 CostResult measureCost(int entries) {
   CostResult result;
-  Silent outside;
-  Subscriber subscriber({}, {"r0"}, "build", acceptAll, 1, outside);
+  Silent environment;
+  Subscriber subscriber({}, {"r0"}, "build", acceptAll, 1, environment);
   const Snapshot configuration = makeConfiguration(entries, 1);
   const auto messages = encodeChanges(configuration, kCostChanges);
   const std::string file = encodeSnapshot(configuration);
--- a/tools/lab/distribution_simulation.cpp
+++ b/tools/lab/distribution_simulation.cpp
@@ -210,7 +210,7 @@
     double changesPerSecond = 0;
   };
 
-  struct ReplicaNode : ControlReplica::Outside {
+  struct ReplicaNode : ControlReplica::Environment {
     ReplicaNode(Simulation& owner, int number)
         : simulation(owner), index(number), name("r" + std::to_string(number)) {}
     void begin(const Snapshot& disk) {
@@ -225,8 +225,8 @@
     void send(const std::string& to, Message message) override {
       simulation.transmit(true, index, to, std::move(message));
     }
-    void published(const std::string& requestId, Version) override { simulation.confirm(requestId); }
-    void refused(const std::string&, const Refusal&) override {}
+    void onChangeCommitted(const std::string& requestId, Version) override { simulation.confirm(requestId); }
+    void onChangeRejected(const std::string&, const RejectedChange&) override {}
     void log(const std::string&) override {}
     Milliseconds unixTime() override { return simulation.now_ + 1; }
 
@@ -238,7 +238,7 @@
     bool up = false;
   };
 
-  struct SubscriberNode : Subscriber::Outside {
+  struct SubscriberNode : Subscriber::Environment {
     SubscriberNode(Simulation& owner, int number)
         : simulation(owner),
           index(number),
@@ -257,7 +257,7 @@
       arm();
     }
     void arm() {
-      const Milliseconds when = std::max(core->nextAt(), simulation.now_ + 1);
+      const Milliseconds when = std::max(core->nextTickAt(), simulation.now_ + 1);
       if (armedAt > simulation.now_ && armedAt <= when) return;
       armedAt = when;
       simulation.at(when, {EventKind::subscriber_tick, index});
@@ -265,7 +265,7 @@
     void send(const std::string& to, Message message) override {
       simulation.transmit(false, index, to, std::move(message));
     }
-    void applied(Version to, const std::vector<InForceChange>&) override {
+    void onChangesApplied(Version to, const std::vector<EffectiveChange>&) override {
       simulation.delivered(*this, to);
       version = to;
     }
