--- a/src/decision/gateway.cpp
+++ b/src/decision/gateway.cpp
@@ -13,11 +13,15 @@
 #include <map>
 #include <memory>
 #include <optional>
-#include <stdexcept>
 #include <string_view>
 #include <tuple>
 #include <unordered_map>
 
+#include "decision/decay.hpp"
+#include "decision/random.hpp"
+#include "decision/request_class.hpp"
+#include "decision/settings_check.hpp"
+
 namespace wingslip::decision {
 namespace {
 
@@ -79,8 +83,6 @@
 constexpr double kSlowMost = 20;   // usual latencies that one answer counts for at most
 constexpr double kKindNews =
     0.02;  // weight of an answer in its kind's latency; higher: the kind follows one worker
-constexpr Time kBaseSpan = 1000;     // ms that one answer stands for at most
-constexpr double kUsualOfAim = 0.2;  // usual latency of a class without answers
 constexpr double kTie = 0.02;  // of a worker's cost, by chance; 0: gateways alike all take the first listed
 constexpr double kShunned =
     10000;                         // cost factor of an ejected or silent worker: only where there is no other
@@ -93,7 +95,6 @@
     4;                            // gateways left to each worker then; fewer: some worker is seen by none
 constexpr double kOutside = 2.5;  // cost factor of one that is not its own
 constexpr double kTried = 30;     // of one that has failed this request
-constexpr Time kBaseTau = 20000;  // ms, memory of a class's usual latency
 constexpr Time kOthersKeep =
     2400;  // ms until a worker without reports counts as the average; longer: old news decides
 constexpr Time kOthersSpan = 50;         // ms that a report stands for at least; 0: two at once count as one
@@ -137,25 +138,6 @@
 
 constexpr int kSlots = 16;  // four metered periods in quarter periods
 
-std::uint64_t mix(std::uint64_t z) {
-  z = (z ^ (z >> 30)) * 0xbf58476d1ce4e5b9ULL;
-  z = (z ^ (z >> 27)) * 0x94d049bb133111ebULL;
-  return z ^ (z >> 31);
-}
-
-class Random {  // splitmix64: the same numbers with every library
- public:
-  explicit Random(std::uint64_t seed) : state_(seed) {}
-  double next() { return static_cast<double>(mix(state_ += 0x9e3779b97f4a7c15ULL) >> 11) * 0x1.0p-53; }
-
- private:
-  std::uint64_t state_;
-};
-
-double toward(double old, double sample, Time dt, Time tau) {
-  return old + (sample - old) * (1 - std::exp(-std::max(dt, 0.0) / tau));
-}
-
 struct Customer {
   CustomerId id = 0;
   unsigned plan = 0;
@@ -197,16 +179,9 @@
   Time backAt = 0;  // let in again by hand: cold from then on, whatever the list says of its start
 };
 
-// A class with what was learned of it. Open requests keep theirs when the settings change.
-struct Profile {
-  ClassSettings told;
-  Time base = 0, baseAt = 0;  // usual latency
-};
-using ProfilePtr = std::shared_ptr<Profile>;
-
 struct Held {
   Request ask;
-  ProfilePtr klass;
+  RequestClassPtr klass;
   PlanSettings plan;  // as it was when the request came: changed settings may number plans anew
   unsigned most = 0;  // attempts that the settings grant
   Time arrived = 0;
@@ -232,26 +207,18 @@
          result == AttemptResult::overloaded || result == AttemptResult::reset;
 }
 
-void require(bool holds, const char* what) {
-  if (!holds) throw std::invalid_argument(std::string("settings: ") + what);
-}
-
-bool sane(double value) { return std::isfinite(value) && value >= 0; }
-
 }  // namespace
 
 class Gateway::Core {
  public:
   Core(const Settings& settings, std::uint64_t salt, Time now, Actions& actions)
-      : set_(settings),
+      : set_(checked(settings)),
+        classes_(set_.classes, now),
         actions_(actions),
         random_(salt),
         bucketSince_(now),
         ceilingSince_(now),
         summaryAt_(now) {
-    check(set_);
-    for (const ClassSettings& told : set_.classes)
-      classes_.push_back(std::make_shared<Profile>(Profile{told, 0, now}));
     if (set_.pollsEndpoints) actions_.pollEndpoints();
   }
 
@@ -281,7 +248,7 @@
     held.unknown = unknown;
     held.arrived = now;
     Worker* worker = pick(now, held);
-    pressed_ = std::min(kPressedMost, toward(pressed_, worker ? 0 : 1, now - pressedAt_, kPressedTau));
+    pressed_ = std::min(kPressedMost, approach(pressed_, worker ? 0 : 1, now - pressedAt_, kPressedTau));
     pressedAt_ = now;
     if (!worker) {
       ++rejections_.noWorker;
@@ -351,7 +318,7 @@
     for (const auto& [id, held] : held_) {
       const Customer* customer = peek(held.ask.customer);
       const bool beyond = customer && held.plan.rate > 0 && customer->store < 0;
-      order.emplace_back(held.answering, !beyond, worthFor(held.ask, held.klass->told, held.plan), id);
+      order.emplace_back(held.answering, !beyond, worthFor(held.ask, held.klass->settings, held.plan), id);
     }
     std::sort(order.begin(), order.end());
     for (const auto& [answering, inside, worth, id] : order) {
@@ -403,19 +370,8 @@
   }
 
   void onSettings(Time now, const Settings& to) {
-    check(to);
-    std::unordered_map<std::string_view, const Profile*> learned;  // by name; of one name the last
-    for (const ProfilePtr& old : classes_) learned[old->told.name] = old.get();
-    std::vector<ProfilePtr> classes;
-    for (const ClassSettings& told : to.classes) {
-      classes.push_back(std::make_shared<Profile>(Profile{told, 0, now}));
-      const auto found = learned.find(told.name);
-      if (found == learned.end()) continue;
-      classes.back()->base = found->second->base;
-      classes.back()->baseAt = found->second->baseAt;
-    }
-    classes_ = std::move(classes);
-    longestBase_ = kUnknown;
+    checkSettings(to);
+    classes_.replace(to.classes, now);
     for (auto& [id, held] : held_) held.most = std::min(held.most, to.maxAttempts);
     movePlans(now, to);
     set_ = to;
@@ -473,10 +429,10 @@
     return out;
   }
 
-  double warmWorkerRate(Time now) const { return toward(perWarm_, 0, now - warmAt_, kWarmTau); }
+  double warmWorkerRate(Time now) const { return approach(perWarm_, 0, now - warmAt_, kWarmTau); }
 
   void seedWarmWorkerRate(Time now, double rate) {
-    if (!sane(rate)) return;
+    if (!isFiniteNonNegative(rate)) return;
     perWarm_ = rate;
     warmAt_ = now;
   }
@@ -487,30 +443,15 @@
 
  private:
   static constexpr std::uint64_t kAskTag = ~std::uint64_t{0};
-  static constexpr Time kUnknown = -1;
-
-  static void check(const Settings& set) {
-    require(set.gatewayCount >= 1 && set.gatewayIndex < set.gatewayCount, "gateway number out of range");
-    require(!set.classes.empty(), "no classes");
-    require(!set.plans.empty(), "no plans");
-    require(sane(set.quotaReadingPeriodMs) && sane(set.slowStartMs) && sane(set.drainGraceMs) &&
-                sane(set.maxRetryAfterMs) && sane(set.slowStartShare) && sane(set.overloadMultiple) &&
-                sane(set.overloadWindowMs) && sane(set.maxUnits) && sane(set.crossZonePrice) &&
-                sane(set.pollTimeoutMs),
-            "a figure is negative or not finite");
-    for (const auto& c : set.classes)
-      require(sane(c.latencyObjectiveMs) && sane(c.deadlineMs) && sane(c.idempotencyWindowMs) &&
-                  sane(c.priorityWeight) && sane(c.lateAnswerValue),
-              "a class's figure is negative or not finite");
-    for (const auto& p : set.plans)
-      require(sane(p.rate) && sane(p.burst) && sane(p.ceilingRate) && sane(p.ceilingBurst) &&
-                  sane(p.ceilingSlack) && sane(p.price) && sane(p.overQuotaValue) && sane(p.overQuotaCost),
-              "a plan's figure is negative or not finite");
+
+  static const Settings& checked(const Settings& settings) {
+    checkSettings(settings);
+    return settings;
   }
 
   struct Flight {  // one attempt under way
     CustomerId customer = 0;
-    ProfilePtr klass;
+    RequestClassPtr klass;
   };
 
   static std::uint64_t outKey(RequestId id, unsigned attempt) {
@@ -551,7 +492,7 @@
     fresh.customerGateways = std::max(1u, std::min(ask.customerGateways, set_.gatewayCount));
     fresh.at = fresh.readingAt = now;
     fresh.units = std::max(0.0, ask.units);
-    usualUnits_ = usualUnits_ > 0 ? toward(usualUnits_, fresh.units, 1, kPooledUnits) : fresh.units;
+    usualUnits_ = usualUnits_ > 0 ? approach(usualUnits_, fresh.units, 1, kPooledUnits) : fresh.units;
     fresh.tokens = freshTokens(plan, fresh.customerGateways, now);
     fresh.store = plan.burst;
     fresh.in.fill(1);
@@ -655,9 +596,9 @@
     if (now - c.readingAt >
         2 * set_.quotaReadingPeriodMs) {  // a gateway that lets nothing in is told nothing
       c.fraction = std::min(1.0, c.fraction + span / std::max(kClimb, kClimbGaps * c.readingGap));
-      c.allOpen = toward(c.allOpen, 0, span, kForget);
+      c.allOpen = approach(c.allOpen, 0, span, kForget);
     }
-    c.meanOpen = toward(c.meanOpen, c.open, span, kOpenTau);
+    c.meanOpen = approach(c.meanOpen, c.open, span, kOpenTau);
     c.credit = std::min(kPaceMost * c.units, c.credit + plan.rate * share(c) * dt);
     touchSlot(c, now, taken);
     c.at = std::max(c.at, now);
@@ -670,16 +611,17 @@
     if (plan.ceilingRate > 0 && c.ceiling < units)
       return 1000 * (units - c.ceiling) * c.customerGateways / plan.ceilingRate;
     const double want = std::min(units, plan.burst);
-    c.units = toward(c.units, units, 1, kUnitsKeep);
+    c.units = approach(c.units, units, 1, kUnitsKeep);
     if (plan.rate > 0 && c.tokens < want) {
       ++rejections_.localQuota;
       return 1000 * (want - c.tokens) / plan.rate;
     }
-    if (plan.maxConcurrent > 0 && c.open >= plan.maxConcurrent) return usual(*classes_[ask.classIndex]);
+    if (plan.maxConcurrent > 0 && c.open >= plan.maxConcurrent)
+      return classes_[ask.classIndex]->usualLatencyMs();
     const double others = plan.rate > 0 ? c.meanOpen * (1 - share(c)) / share(c) : c.allOpen * (1 - share(c));
     const double chance = plan.maxConcurrent > 0 ? chanceUnder(plan.maxConcurrent - c.open, others) : 1;
     const bool crowded = chance * (1 + plan.overQuotaCost) < plan.overQuotaCost + pressed_;
-    if (crowded) return usual(*classes_[ask.classIndex]);
+    if (crowded) return classes_[ask.classIndex]->usualLatencyMs();
     noteDemand(c, units, 0);
     const bool empty = plan.rate > 0 && isEmpty(c, want);
     c.in[static_cast<std::size_t>(c.slot % kSlots)] = empty ? c.fraction : 1;
@@ -731,8 +673,8 @@
     // A period holds few requests: by one usual request at the rate itself, chance alone looks like less.
     const double chance = usualUnits_ / (plan.rate * set_.quotaReadingPeriodMs / 1000);
     const double use = (percent / 100.0 + chance) / (1 + chance), units = std::max(0.0, held.ask.units);
-    const double worth = units * plan.price * held.klass->told.priorityWeight;
-    usualWorth_ = usualWorth_ > 0 ? toward(usualWorth_, worth, 1, kWorthKeep) : worth;
+    const double worth = units * plan.price * held.klass->settings.priorityWeight;
+    usualWorth_ = usualWorth_ > 0 ? approach(usualWorth_, worth, 1, kWorthKeep) : worth;
     if (usualWorth_ <= 0 || usualUnits_ <= 0) return;
     const double beyond = use > 1 ? 1 - 1 / use : 0;
     const double error = worth / usualWorth_ *
@@ -804,7 +746,7 @@
                        (percent != c.reading && since >= kNewReading * set_.quotaReadingPeriodMs) ||
                        since >= set_.quotaReadingPeriodMs;
     if (!fresh) return;
-    c.readingGap = c.reading < 0 ? since : toward(c.readingGap, since, 1, 3);
+    c.readingGap = c.reading < 0 ? since : approach(c.readingGap, since, 1, 3);
     c.reading = percent;
     c.readingAt = now;
     fill(c, now);
@@ -859,8 +801,8 @@
     if (!w.own) return false;  // the budget is dealt out among those whose own it is
     const double sharers = std::max(1.0, static_cast<double>(set_.gatewayCount) / subsets_);
     const double least = set_.overloadMultiple / std::max(set_.overloadWindowMs, 1.0) / sharers;
-    const double known = std::max(toward(warmRate_, 0, now - warmAt_, kRateTau) / std::max(1u, warmWorkers_),
-                                  warmWorkerRate(now));
+    const double known = std::max(
+        approach(warmRate_, 0, now - warmAt_, kRateTau) / std::max(1u, warmWorkers_), warmWorkerRate(now));
     w.coldTokens =
         std::min(1.0, w.coldTokens + kColdMargin * warm * std::max(known, least) * (now - w.coldAt));
     w.coldAt = now;
@@ -870,13 +812,13 @@
   void noteGood(const Worker& w, Time now) {
     if (warmth(w, now) < 1) return;
     const Time since = now - warmAt_;
-    warmRate_ = toward(warmRate_, 0, since, kRateTau) + 1 / kRateTau;
+    warmRate_ = approach(warmRate_, 0, since, kRateTau) + 1 / kRateTau;
     warmAt_ = now;
     warmWorkers_ = 0;
     for (const Worker& other : workers_)
       warmWorkers_ += other.own && other.listed.phase == WorkerPhase::ready && warmth(other, now) >= 1 &&
                       other.ejectedUntil <= now;
-    perWarm_ = toward(perWarm_, warmRate_ / std::max(1u, warmWorkers_), since, kWarmSmooth);
+    perWarm_ = approach(perWarm_, warmRate_ / std::max(1u, warmWorkers_), since, kWarmSmooth);
   }
 
   // --- 3. Server choice and health ----------------------------------------------------------------------
@@ -895,7 +837,7 @@
     for (auto& [hash, w] : order) w->own = subsets_ == 1;
     if (subsets_ == 1) return;
     const std::uint64_t round = set_.gatewayIndex / subsets_;
-    for (auto& [hash, w] : order) hash = mix(w->listed.worker ^ mix(round));
+    for (auto& [hash, w] : order) hash = mixBits(w->listed.worker ^ mixBits(round));
     const auto before = [](const auto& a, const auto& b) {
       return a.first != b.first ? a.first < b.first : a.second->listed.worker < b.second->listed.worker;
     };
@@ -931,27 +873,15 @@
     for (std::size_t i = 0; i < workers_.size(); ++i) placeOf_[workers_[i].listed.worker] = i;
   }
 
-  static Time usual(const Profile& klass) {
-    return klass.base > 0 ? klass.base : klass.told.latencyObjectiveMs * kUsualOfAim;
-  }
-
   double load(const Worker& w, Time now) const {
-    return w.inFlight + toward(w.others, meanOthers_, now - w.othersAt, kOthersKeep);
+    return w.inFlight + approach(w.others, meanOthers_, now - w.othersAt, kOthersKeep);
   }
 
   // Attempts out and no answer for several usual latencies: cut off, paused or dead, whatever the list says.
   // Seen long before the time-outs; may hurt where a single attempt is very long, so it takes two.
   bool silent(const Worker& w, Time now) {
     if (w.inFlight < 2) return false;
-    return now - w.heardAt > kSilent * longestBase();
-  }
-
-  // The longest usual latency of all classes; 0: none has answered.
-  Time longestBase() {
-    if (longestBase_ != kUnknown) return longestBase_;
-    longestBase_ = 0;
-    for (const ProfilePtr& klass : classes_) longestBase_ = std::max(longestBase_, klass->base);
-    return longestBase_;
+    return now - w.heardAt > kSilent * classes_.longestLatencyMs();
   }
 
   // Left alone as long as there is any other.
@@ -985,7 +915,7 @@
   }
 
   bool inGroup(const Held& held, const Worker& w) const {
-    const ClassSettings& klass = held.klass->told;
+    const ClassSettings& klass = held.klass->settings;
     if (!held.mayHaveRun || klass.idempotency == Idempotency::idempotent ||
         klass.deduplicationScope == DeduplicationScope::all)
       return true;
@@ -1024,8 +954,8 @@
     if (fromWorker(end.result)) w.heardAt = now;
     if (!end.loadReport.empty()) noteReport(w, now, end.loadReport);
     const AttemptResult result = end.result;
-    Profile& klass = *flight.klass;
-    steerLimits(w, now, klass.told.latencyObjectiveMs, end);
+    RequestClass& klass = *flight.klass;
+    steerLimits(w, now, klass.settings.latencyObjectiveMs, end);
     if (result == AttemptResult::overloaded) {
       w.fullFor = std::clamp(2 * w.fullFor, kFullPause, kFullMost);
       w.fullUntil = now + w.fullFor;
@@ -1034,14 +964,9 @@
     if (result == AttemptResult::cancelled || result == AttemptResult::notSent) return;
     if (result == AttemptResult::ok || result == AttemptResult::error || result == AttemptResult::timeout) {
       if (result == AttemptResult::ok) {
-        const Time base = klass.base;
-        klass.base = klass.base > 0 ? toward(klass.base, end.latencyMs,
-                                             std::min(kBaseSpan, now - klass.baseAt), kBaseTau)
-                                    : end.latencyMs;
-        klass.baseAt = now;
-        if (base >= longestBase_ || klass.base >= longestBase_) longestBase_ = kUnknown;
+        classes_.noteLatency(klass, now, end.latencyMs);
       }
-      const double ratio = std::min(kSlowMost, end.latencyMs / usual(klass));
+      const double ratio = std::min(kSlowMost, end.latencyMs / klass.usualLatencyMs());
       if (result != AttemptResult::error && (result == AttemptResult::ok || ratio > slow(w)))
         noteSlow(w, now, ratio);
     }
@@ -1086,7 +1011,7 @@
   // The most attempts lately out: what was out at one moment says little where a request takes less time than
   // lies between two, and a limit drawn from it would refuse the next burst to idle workers.
   void notePeak(Time now) {
-    peak_ = std::max<double>(inFlight_, toward(peak_, 0, now - peakAt_, kPeakTau));
+    peak_ = std::max<double>(inFlight_, approach(peak_, 0, now - peakAt_, kPeakTau));
     peakAt_ = now;
   }
 
@@ -1099,22 +1024,22 @@
         sample = report[i] * (set_.gatewayCount - 1) / set_.gatewayCount;
       if (sample < 0 && set_.loadReportFields[i] != "inflight") continue;
       sample = std::max(0.0, sample);
-      w.others = toward(w.others, sample, now - w.othersAt + kOthersSpan, kOthersTau);
+      w.others = approach(w.others, sample, now - w.othersAt + kOthersSpan, kOthersTau);
       w.othersAt = now;
-      meanOthers_ = toward(meanOthers_, sample, 1,
-                           static_cast<double>(std::max<std::size_t>(kOthersMean, workers_.size())));
+      meanOthers_ = approach(meanOthers_, sample, 1,
+                             static_cast<double>(std::max<std::size_t>(kOthersMean, workers_.size())));
     }
   }
 
   // --- 4. Attempts and final answers --------------------------------------------------------------------
 
   void send(Time now, Held& held, Worker& worker) {
-    const ClassSettings& klass = held.klass->told;
+    const ClassSettings& klass = held.klass->settings;
     const Time left = held.ask.expiresAt - now;
     Time timeout = 0;
     const bool last = held.attempts + 1 >= std::min(held.most, kMostAttempts);
     if (klass.idempotency != Idempotency::notIdempotent && !last && budget_ >= 1) {
-      timeout = std::max(kPatience * usual(*held.klass), kPatienceOfAim * klass.latencyObjectiveMs);
+      timeout = std::max(kPatience * held.klass->usualLatencyMs(), kPatienceOfAim * klass.latencyObjectiveMs);
       if (timeout >= left) timeout = 0;
     }
     held.sentAt = now;
@@ -1132,7 +1057,7 @@
 
   // Another attempt where the class and the time allow one, else the final answer.
   void again(Time now, Held& held) {
-    const ClassSettings& klass = held.klass->told;
+    const ClassSettings& klass = held.klass->settings;
     const bool bound = held.mayHaveRun && klass.idempotency != Idempotency::idempotent;
     if (held.attempts >= std::min(held.most, kMostAttempts) || now >= held.ask.expiresAt ||
         (bound && klass.idempotency == Idempotency::notIdempotent) ||
@@ -1147,7 +1072,7 @@
 
   // A refusal says that trying again is harmless; where that is not known the answer is a failure.
   void giveUp(Time, Held& held) {
-    const ClassSettings& klass = held.klass->told;
+    const ClassSettings& klass = held.klass->settings;
     const RequestId id = held.ask.id;
     const bool harmless =
         !held.mayHaveRun || klass.idempotency == Idempotency::idempotent ||
@@ -1173,7 +1098,7 @@
 
   // Whether a new request is among the share that has to go: the mark moves until that share is under it.
   bool tooMany(const Request& ask) {
-    const double worth = worthFor(ask, classes_[ask.classIndex]->told, set_.plans[ask.planIndex]) *
+    const double worth = worthFor(ask, classes_[ask.classIndex]->settings, set_.plans[ask.planIndex]) *
                          (1 + kTie * random_.next());
     if (cut_ <= 0) cut_ = worth;
     const bool under = worth < cut_;
@@ -1217,7 +1142,7 @@
   }
 
   Settings set_;
-  std::vector<ProfilePtr> classes_;
+  RequestClasses classes_;
   Actions& actions_;
   Random random_;
   std::list<Customer> table_;  // least recent first
@@ -1226,7 +1151,6 @@
   double meanOthers_ = 0;             // of load reports: what the others have out at a worker
   std::vector<Worker> workers_;       // in the order of their listing
   std::unordered_map<WorkerId, std::size_t> placeOf_;  // of each in workers_
-  Time longestBase_ = kUnknown;                        // of classes_; kUnknown: to be looked for anew
   std::unordered_map<WorkerId, Time> barred_;          // put out by hand, and since when
   std::unordered_map<RequestId, Held> held_;
   std::unordered_map<std::uint64_t, Flight> out_;
