--- a/src/decision/gateway.cpp
+++ b/src/decision/gateway.cpp
@@ -6,70 +6,27 @@
 #include "wingslip/decision/gateway.hpp"
 
 #include <algorithm>
-#include <array>
 #include <cmath>
 #include <cstdio>
-#include <list>
 #include <map>
 #include <memory>
-#include <optional>
 #include <string_view>
 #include <tuple>
 #include <unordered_map>
 
+#include "decision/admission.hpp"
+#include "decision/customer_quota.hpp"
+#include "decision/customer_registry.hpp"
 #include "decision/decay.hpp"
 #include "decision/random.hpp"
 #include "decision/request_class.hpp"
 #include "decision/settings_check.hpp"
+#include "decision/unknown_customers.hpp"
 
 namespace wingslip::decision {
 namespace {
 
 // --- Tuned values --------------------------------------------------------------------------------------
-// Quota.
-constexpr std::size_t kTable = 4096;     // customers held (the source's default); fewer: heavy ones return
-constexpr std::size_t kEvictScan = 32;   // oldest entries looked at for one that loses nothing by eviction
-constexpr double kFractionFloor = 0.05;  // lowest admit fraction (design); lower: no reading ever lifts it
-constexpr Time kClimb = 5000;  // ms from the floor back to 1 without readings; longer: refuses on old news
-constexpr double kClimbGaps =
-    3;                           // and at least this many usual gaps between readings, where they come rarely
-constexpr Time kForget = 60000;  // ms, memory of the usual demand and others' peaks; shorter: gateways swing
-constexpr Time kNews = 3000;  // ms, memory of readings and own sends in the use; longer: late to see a spike
-constexpr double kMeterLag = 800;  // ms from a metered period's end to its reading; errors blur the use
-constexpr double kDoubt = 0.5;     // requests that an assumed demand counts for; higher: late to believe news
-constexpr double kUsualDemand = 1;  // of the rate: demand of a customer that nothing is known of
-constexpr double kShareWeight =
-    4;  // requests that a share of 1/customerGateways counts for; lower: one request is news
-constexpr double kUnitsKeep = 8;        // requests behind the usual size
-constexpr double kPooledUnits = 50;     // new customers behind the gateway's usual size of a request
-constexpr double kNewReading = 0.3;     // metered periods after which another value is a new reading
-constexpr Time kOpenTau = 1000;         // ms, memory of own attempts out
-constexpr Time kShareTau = 10000;       // ms, memory of the share; longer: slow after traffic moves
-constexpr double kLogisticScale = 1.7;  // of a normal spread in the logistic one that stands for it
-constexpr double kPaceMost =
-    1.5;  // usual requests that a gateway's part of the rate saves up while the store is empty
-constexpr double kCaution =
-    1;  // spreads of doubt kept from the estimate; higher: refuses with room; lower: goes past
-constexpr double kTarget = 0.6;       // of the rate, what the fraction aims at
-constexpr Time kPressedTau = 4000;    // ms, memory of how often the workers are full
-constexpr double kPressedMost = 0.8;  // higher: nothing is let in on a doubtful estimate
-constexpr double kDebt =
-    2;  // metered periods of the rate that the estimate may owe; 0: noise only ever adds room
-// Where a customer's gateways are so many that a request at each outruns its store, see `strangersChance`.
-constexpr double kBeyondMost = 0.09;  // of the worth let in inside quotas, what work beyond them may cost
-constexpr double kFewGateways = 4;    // never outrun it; fewer: one large first request makes them seem to
-constexpr double kLeastStore = 12;    // usual requests; fewer: strangers of small bursts are never let in
-constexpr double kReachFirst =
-    0.13;  // of the burst; higher: a start lets in more than the fleet's stores hold
-constexpr double kReachLeast = 0.08;      // lower: where all requests are alike, hardly a stranger is let in
-constexpr double kReachMost = 1.5;        // all are let in
-constexpr double kReachStep = 0.4;        // of the reach by a usual request; higher: one reading decides
-constexpr double kReachSpread = 1.0 / 3;  // of the reach, by chance; 0: large requests are never let in
-constexpr double kWorthKeep = 50;         // requests behind the usual worth of one
-// A metered peak of attempts out stands about kPeakSpread deviations and kPeakStep over their mean.
-constexpr double kPeakSpread = 1.2;  // higher: caps go past
-constexpr double kPeakStep = 0.5;
-constexpr double kPeakNews = 0.3;  // weight of a new peak; higher: one crowd closes a cap
 // Guards.
 constexpr double kColdMargin = 0.8;  // of a cold worker's told share; above 1 eats into the rule's multiple
 constexpr Time kRateTau = 4000;  // ms, memory of the rate of good answers that cold workers are held against
@@ -136,33 +93,6 @@
 constexpr Time kLogEvery = 2000;       // ms between log lines
 constexpr Time kSummaryEvery = 5000;   // ms between lines on what was refused and why
 
-constexpr int kSlots = 16;  // four metered periods in quarter periods
-
-struct Customer {
-  CustomerId id = 0;
-  unsigned plan = 0;
-  unsigned customerGateways = 1;
-  Time at = 0;          // bucket, store and ceiling are filled up to here
-  double tokens = 0;    // this gateway's bucket
-  double store = 0;     // estimate of the customer's global store
-  double ceiling = 0;   // this gateway's part of the hard ceiling
-  double fraction = 1;  // admit fraction
-  int reading = -1;
-  Time readingAt = 0, readingGap = 0;  // the last reading, and the usual time between two
-  double credit = 0;                   // units that the fraction has let in here and that are unused
-  double units = 0;                    // usual units of a request
-  double newsUnits = 0,
-         newsTime = 0;               // all gateways' demand as seen lately: units, and seconds they stand for
-  double oldUnits = 0, oldTime = 0;  // the same over a longer memory
-  double ownUse = 0, allUse = 0;     // decayed sums behind the share
-  unsigned open = 0;                 // attempts out
-  double meanOpen = 0, allOpen = 0;  // own on average; all gateways' by their metered peaks
-  std::array<double, kSlots> sent{};   // own units by quarter period
-  std::array<double, kSlots> taken{};  // what the others are held to have taken from the estimate
-  std::array<double, kSlots> in{};     // admit fraction in force
-  long slot = 0;
-};
-
 struct Worker {
   Endpoint listed;
   unsigned inFlight = 0;
@@ -191,7 +121,6 @@
   WorkerId ranAt = 0;       // the first that may have; its group and window bind keyed repeats
   unsigned ranZone = 0, ranCell = 0;
   Time ranSince = 0, sentAt = 0;
-  double unknown = 0;  // the chance with which its customer was let in as a stranger; 0: it was known
   std::vector<WorkerId> tried;
   bool answering = false;  // its client has begun to get the answer
 };
@@ -216,8 +145,10 @@
         classes_(set_.classes, now),
         actions_(actions),
         random_(salt),
-        bucketSince_(now),
-        ceilingSince_(now),
+        quota_(set_),
+        customers_(set_, quota_, random_, now),
+        unknownCustomers_(set_, customers_.usualRequestSize()),
+        admission_(set_, quota_.fleet(), unknownCustomers_, random_),
         summaryAt_(now) {
     if (set_.pollsEndpoints) actions_.pollEndpoints();
   }
@@ -231,13 +162,16 @@
       actions_.reject(ask.id, kRetryAfter);
       return;
     }
-    Customer& customer = lookUp(now, ask);
+    Customer& customer = customers_.obtain(now, ask);
     summarize(now);
-    const double unknown = isStranger(customer) ? strangersChance(ask) : 0;
-    if (const auto wait = admit(customer, ask, unknown)) return refuse(ask.id, *wait);
+    const Time usualLatencyMs = classes_[ask.classIndex]->usualLatencyMs();
+    if (const auto rejection = admission_.check(customer, ask, usualLatencyMs, overload_.active)) {
+      countRejection(rejections_, rejection->reason);
+      return refuse(ask.id, rejection->retryAfterMs);
+    }
     if ((overload_.memoryShort && ask.memoryBytes > kLeastBytes) ||
         (overload_.shedFraction > 0 && tooMany(ask))) {
-      ++rejections_.overload;
+      countRejection(rejections_, RejectionReason::overload);
       return refuse(ask.id, overload_.expectedMs);
     }
     Held held;
@@ -245,16 +179,14 @@
     held.klass = classes_[ask.classIndex];
     held.plan = set_.plans[ask.planIndex];
     held.most = set_.maxAttempts;
-    held.unknown = unknown;
     held.arrived = now;
     Worker* worker = pick(now, held);
-    pressed_ = std::min(kPressedMost, approach(pressed_, worker ? 0 : 1, now - pressedAt_, kPressedTau));
-    pressedAt_ = now;
+    admission_.noteWorkerChoice(now, worker != nullptr);
     if (!worker) {
-      ++rejections_.noWorker;
+      countRejection(rejections_, RejectionReason::noWorker);
       return refuse(ask.id, kRetryAfter);
     }
-    debit(customer, ask.units);
+    CustomerQuota::debit(customer, ask.units);
     send(now, held_.emplace(ask.id, held).first->second, *worker);
   }
 
@@ -265,20 +197,22 @@
     if (sent == out_.end()) return;  // repeated or unknown
     const Flight flight = std::move(sent->second);
     out_.erase(sent);
-    Customer* customer = peek(flight.customer);
-    if (customer && customer->open > 0) noteOpen(*customer, now, -1);
+    Customer* customer = customers_.find(flight.customer);
+    if (customer) quota_.noteAttemptEnded(*customer, now);
     if (worker) judge(*worker, now, flight, end);
     if (end.result == AttemptResult::ok) budget_ = std::min(kBudgetMost, budget_ + kBudgetStep);
     if (end.result == AttemptResult::timeout) budget_ = std::max(0.0, budget_ - 1);
     if (customer && end.quotaUsePercent >= 0) {
-      if (found != held_.end() && outruns(*customer)) noteUse(found->second, end.quotaUsePercent);
-      read(*customer, now, end.quotaUsePercent);
+      if (found != held_.end() && unknownCustomers_.outrunsQuota(*customer))
+        unknownCustomers_.noteReading(found->second.ask, found->second.plan,
+                                      found->second.klass->settings.priorityWeight, end.quotaUsePercent);
+      quota_.noteReading(*customer, now, end.quotaUsePercent);
     }
     if (found == held_.end()) return;
     Held& held = found->second;
     held.out = false;
     if (set_.correctsUnits && end.result == AttemptResult::ok && customer && end.actualUnits > 0)
-      settle(*customer, now, held.ask.units - end.actualUnits);
+      quota_.creditBack(*customer, now, held.ask.units - end.actualUnits);
     if (end.requestFinished || end.result == AttemptResult::ok) {
       held_.erase(found);
       return;
@@ -316,8 +250,8 @@
     if (!(overload_.excessBytes > 0)) return;
     std::vector<std::tuple<bool, bool, double, RequestId>> order;
     for (const auto& [id, held] : held_) {
-      const Customer* customer = peek(held.ask.customer);
-      const bool beyond = customer && held.plan.rate > 0 && customer->store < 0;
+      const Customer* customer = customers_.find(held.ask.customer);
+      const bool beyond = customer && held.plan.rate > 0 && customer->fleetTokens < 0;
       order.emplace_back(held.answering, !beyond, worthFor(held.ask, held.klass->settings, held.plan), id);
     }
     std::sort(order.begin(), order.end());
@@ -373,30 +307,11 @@
     checkSettings(to);
     classes_.replace(to.classes, now);
     for (auto& [id, held] : held_) held.most = std::min(held.most, to.maxAttempts);
-    movePlans(now, to);
+    customers_.applySettings(now, to);
     set_ = to;
     assign();  // the number of gateways, or this one's, may be another
   }
 
-  // Customers follow their plan's name. Those of a dropped plan are forgotten, as all are where the metered
-  // period changes, since their use is kept by its quarters.
-  void movePlans(Time now, const Settings& to) {
-    std::unordered_map<std::string_view, unsigned> numbers;  // by name; of one name the first
-    for (unsigned i = 0; i < to.plans.size(); ++i) numbers.try_emplace(to.plans[i].name, i);
-    for (auto it = table_.begin(); it != table_.end();) {
-      fill(*it, now);
-      const auto found = numbers.find(set_.plans[it->plan].name);
-      if (found != numbers.end() && to.quotaReadingPeriodMs == set_.quotaReadingPeriodMs) {
-        it->plan = found->second;
-        ++it;
-        continue;
-      }
-      index_.erase(it->id);
-      it = table_.erase(it);
-      bucketSince_ = ceilingSince_ = now;
-    }
-  }
-
   // Apart from the list and from health, so that no news of the worker ends it.
   void exclude(Time now, WorkerId id) { barred_.try_emplace(id, now); }
 
@@ -438,7 +353,7 @@
   }
 
   const RejectionCounts& rejectionCounts() const { return rejections_; }
-  std::size_t trackedCustomers() const { return index_.size(); }
+  std::size_t trackedCustomers() const { return customers_.size(); }
   std::size_t requestsInFlight() const { return held_.size(); }
 
  private:
@@ -465,320 +380,6 @@
     worker.limit = std::max(1.0, kLimitFirst / set_.gatewayCount);
   }
 
-  // --- 1. Quota -----------------------------------------------------------------------------------------
-
-  Customer* peek(CustomerId id) {
-    const auto found = index_.find(id);
-    return found == index_.end() ? nullptr : &*found->second;
-  }
-
-  // The customer's entry, filled up to now and moved to the recent end of the table.
-  Customer& lookUp(Time now, const Request& ask) {
-    const PlanSettings& plan = set_.plans[ask.planIndex];
-    if (const auto found = index_.find(ask.customer); found != index_.end()) {
-      table_.splice(table_.end(), table_, found->second);
-      // The set may have changed; what is over its new part of the ceiling is gone at once (fill).
-      found->second->customerGateways = std::max(1u, std::min(ask.customerGateways, set_.gatewayCount));
-      fill(*found->second, now);
-      if (found->second->plan != ask.planIndex) changePlan(*found->second, ask.planIndex);
-      return *found->second;
-    }
-    if (index_.size() >= kTable) evict(now);
-    table_.emplace_back();
-    Customer& fresh = table_.back();
-    index_[ask.customer] = std::prev(table_.end());
-    fresh.id = ask.customer;
-    fresh.plan = ask.planIndex;
-    fresh.customerGateways = std::max(1u, std::min(ask.customerGateways, set_.gatewayCount));
-    fresh.at = fresh.readingAt = now;
-    fresh.units = std::max(0.0, ask.units);
-    usualUnits_ = usualUnits_ > 0 ? approach(usualUnits_, fresh.units, 1, kPooledUnits) : fresh.units;
-    fresh.tokens = freshTokens(plan, fresh.customerGateways, now);
-    fresh.store = plan.burst;
-    fresh.in.fill(1);
-    fresh.credit = random_.next() * fresh.units;
-    fresh.oldTime = share(fresh) * (now - bucketSince_) / 1000;
-    fresh.newsTime = share(fresh) * std::min(kNews, now - bucketSince_) / 1000;
-    // The ceiling's store lives on over restarts and evictions, so nothing is taken to be left in it but
-    // what has come in since this gateway could last have sent for the customer.
-    fresh.ceiling =
-        std::min(plan.ceilingBurst, plan.ceilingRate * (now - ceilingSince_) / 1000) / fresh.customerGateways;
-    fresh.slot = slotAt(now);
-    return fresh;
-  }
-
-  // A customer that comes under another plan has that one's quota from now on. Nothing is filled by it, and
-  // what was metered against the old rate says nothing of the new one.
-  void changePlan(Customer& c, unsigned to) {
-    const PlanSettings& plan = set_.plans[to];
-    c.plan = to;
-    c.tokens = std::min(c.tokens, plan.burst);
-    c.store = std::min(c.store, plan.burst);
-    c.ceiling = std::min(c.ceiling, plan.ceilingBurst / c.customerGateways);
-    c.reading = -1;
-    c.fraction = 1;
-  }
-
-  // What a bucket holds by now that was made at this gateway's start, or when one that lost by it was
-  // evicted. Tokens are spent in whole requests: where the gateways are so many that burst over them holds
-  // none, one usual request is the least that a bucket starts with, or all of them would refuse the first
-  // requests of a customer whose store is full. It may hurt where most of the set see a heavy customer at
-  // once.
-  double freshTokens(const PlanSettings& plan, unsigned customerGateways, Time now) const {
-    const double start = std::max(plan.burst / customerGateways, usualUnits_);
-    return std::min(plan.burst, start + plan.rate * (now - bucketSince_) / 1000);
-  }
-
-  // Drops the oldest entry that loses nothing by it, so that a stream of one-off customers does not bring
-  // heavy ones back refilled; else the oldest.
-  void evict(Time now) {
-    auto victim = table_.begin();
-    std::size_t seen = 0;
-    for (auto it = table_.begin(); it != table_.end() && seen < kEvictScan; ++it, ++seen) {
-      fill(*it, now);
-      const PlanSettings& plan = set_.plans[it->plan];
-      if (it->open == 0 && it->fraction >= 1 && it->tokens >= freshTokens(plan, it->customerGateways, now) &&
-          it->ceiling >= plan.ceilingBurst / it->customerGateways) {
-        victim = it;
-        break;
-      }
-    }
-    if (victim->tokens < freshTokens(set_.plans[victim->plan], victim->customerGateways, now))
-      bucketSince_ = now;
-    if (victim->ceiling < set_.plans[victim->plan].ceilingBurst / victim->customerGateways)
-      ceilingSince_ = now;
-    index_.erase(victim->id);
-    table_.erase(victim);
-  }
-
-  double debt(const PlanSettings& plan) const { return kDebt * plan.rate * set_.quotaReadingPeriodMs / 1000; }
-
-  // The part of the customer's use that this gateway sends.
-  double share(const Customer& c) const {
-    const double doubt = kShareWeight * c.units + 1e-9;
-    return std::min(1.0, (c.ownUse + doubt / c.customerGateways) / (c.allUse + doubt));
-  }
-
-  // All gateways' demand in units a second: what is seen lately against what is usual, and that against what
-  // nothing is known of, each by its weight.
-  double demand(const Customer& c) const {
-    const double doubt = kDoubt * c.units;
-    const double assumed = std::max(1e-6, kUsualDemand * set_.plans[c.plan].rate);
-    const double usual = (c.oldUnits + doubt) / (c.oldTime + doubt / assumed);
-    return (c.newsUnits + doubt) / (c.newsTime + doubt / usual);
-  }
-
-  // What the other gateways take from the store in units a second.
-  double othersUse(const Customer& c) const {
-    return demand(c) * (1 - share(c)) * c.in[static_cast<std::size_t>(c.slot % kSlots)];
-  }
-
-  void noteDemand(Customer& c, double units, double seconds) {
-    c.newsUnits += units, c.oldUnits += units;
-    c.newsTime += seconds, c.oldTime += seconds;
-  }
-
-  void fill(Customer& c, Time now) {
-    const PlanSettings& plan = set_.plans[c.plan];
-    const Time span = std::max(0.0, now - c.at);
-    const double dt = span / 1000;
-    c.tokens = std::min(plan.burst, c.tokens + plan.rate * dt);
-    const double owes = -debt(plan), full = c.store + plan.rate * dt;
-    const double taken = std::clamp(othersUse(c) * dt, 0.0, std::max(0.0, full - owes));
-    c.store = std::min(plan.burst, full - taken);
-    c.ceiling = std::min(plan.ceilingBurst / c.customerGateways,
-                         c.ceiling + plan.ceilingRate * dt / c.customerGateways);
-    const double keepNews = std::exp(-span / kNews), keep = std::exp(-span / kForget);
-    c.newsUnits *= keepNews, c.newsTime = c.newsTime * keepNews + share(c) * dt;
-    c.oldUnits *= keep, c.oldTime = c.oldTime * keep + share(c) * dt;
-    const double keepShare = std::exp(-span / kShareTau);
-    c.ownUse *= keepShare, c.allUse *= keepShare;
-    if (now - c.readingAt >
-        2 * set_.quotaReadingPeriodMs) {  // a gateway that lets nothing in is told nothing
-      c.fraction = std::min(1.0, c.fraction + span / std::max(kClimb, kClimbGaps * c.readingGap));
-      c.allOpen = approach(c.allOpen, 0, span, kForget);
-    }
-    c.meanOpen = approach(c.meanOpen, c.open, span, kOpenTau);
-    c.credit = std::min(kPaceMost * c.units, c.credit + plan.rate * share(c) * dt);
-    touchSlot(c, now, taken);
-    c.at = std::max(c.at, now);
-  }
-
-  // Nothing: admitted. Else the time after which the customer may find room.
-  std::optional<Time> admit(Customer& c, const Request& ask, double unknown) {
-    const PlanSettings& plan = set_.plans[c.plan];
-    const double units = std::max(0.0, ask.units);
-    if (plan.ceilingRate > 0 && c.ceiling < units)
-      return 1000 * (units - c.ceiling) * c.customerGateways / plan.ceilingRate;
-    const double want = std::min(units, plan.burst);
-    c.units = approach(c.units, units, 1, kUnitsKeep);
-    if (plan.rate > 0 && c.tokens < want) {
-      ++rejections_.localQuota;
-      return 1000 * (want - c.tokens) / plan.rate;
-    }
-    if (plan.maxConcurrent > 0 && c.open >= plan.maxConcurrent)
-      return classes_[ask.classIndex]->usualLatencyMs();
-    const double others = plan.rate > 0 ? c.meanOpen * (1 - share(c)) / share(c) : c.allOpen * (1 - share(c));
-    const double chance = plan.maxConcurrent > 0 ? chanceUnder(plan.maxConcurrent - c.open, others) : 1;
-    const bool crowded = chance * (1 + plan.overQuotaCost) < plan.overQuotaCost + pressed_;
-    if (crowded) return classes_[ask.classIndex]->usualLatencyMs();
-    noteDemand(c, units, 0);
-    const bool empty = plan.rate > 0 && isEmpty(c, want);
-    c.in[static_cast<std::size_t>(c.slot % kSlots)] = empty ? c.fraction : 1;
-    // The fraction times the demand is the rate: what it lets in here is this gateway's share of the rate,
-    // measured out over time, so that a demand misjudged by some gateways does not add up past the quota.
-    if (empty && (overload_.active || c.credit < units)) {
-      ++rejections_.fleetQuota;
-      return 1000 * std::max(units - c.credit, 0.0) / (plan.rate * share(c));
-    }
-    if (!empty && unknown > 0 && unknown < 1 && random_.next() >= unknown) {
-      ++rejections_.unknownCustomer;
-      return 1000 * units / plan.rate;
-    }
-    // Where each gateway sees it once or twice, what was let in before its store was known to be empty is
-    // most.
-    if (empty || outruns(c)) c.credit = std::max(c.credit - units, -c.units);
-    return std::nullopt;
-  }
-
-  // Whether a request at each of its gateways, before the meter tells any of them, is more than its store.
-  bool outruns(const Customer& c) const {
-    const PlanSettings& plan = set_.plans[c.plan];
-    return plan.rate > 0 && plan.overQuotaCost > plan.overQuotaValue && set_.quotaReadingPeriodMs > 0 &&
-           c.customerGateways * std::min(usualUnits_, plan.burst / kFewGateways) > plan.burst;
-  }
-
-  bool isStranger(const Customer& c) const {
-    return outruns(c) && (c.reading < 0 || c.at - c.readingAt > kNews);
-  }
-
-  // With how much chance a request of a customer is let in that nothing is known of. Where gateways are so
-  // many that each sees most customers once, the meter tells of one only after its request, and work beyond
-  // quotas is what all of them let in unknown. It is large requests that a store run down by others does not
-  // hold, so a stranger's store is taken to hold `reach_` of its burst, by chance some more or less, and less
-  // the dearer work beyond it is.
-  double strangersChance(const Request& ask) const {
-    const PlanSettings& plan = set_.plans[ask.planIndex];
-    const double store = std::max({plan.burst, kLeastStore * usualUnits_, 1e-9});
-    const double size =
-        std::max(0.0, ask.units) * (plan.overQuotaCost - plan.overQuotaValue) / (reach_ * store);
-    return std::clamp((1 + kReachSpread - size) / (2 * kReachSpread), kFractionFloor, 1.0);
-  }
-
-  // The reach is steered by what was let in: of one metered past its rate what is over the rate was beyond
-  // its quota, and all that costs kBeyondMost of what was inside. Hurts those who keep to their quotas by
-  // what it refuses them; where work beyond quotas costs less, nobody is refused by it.
-  void noteUse(const Held& held, int percent) {
-    const PlanSettings& plan = held.plan;
-    // A period holds few requests: by one usual request at the rate itself, chance alone looks like less.
-    const double chance = usualUnits_ / (plan.rate * set_.quotaReadingPeriodMs / 1000);
-    const double use = (percent / 100.0 + chance) / (1 + chance), units = std::max(0.0, held.ask.units);
-    const double worth = units * plan.price * held.klass->settings.priorityWeight;
-    usualWorth_ = usualWorth_ > 0 ? approach(usualWorth_, worth, 1, kWorthKeep) : worth;
-    if (usualWorth_ <= 0 || usualUnits_ <= 0) return;
-    const double beyond = use > 1 ? 1 - 1 / use : 0;
-    const double error = worth / usualWorth_ *
-                         ((plan.overQuotaCost - plan.overQuotaValue) * beyond - kBeyondMost * (1 - beyond));
-    reach_ =
-        std::clamp(reach_ * std::exp(-kReachStep * std::clamp(error, -1.0, 1.0)), kReachLeast, kReachMost);
-  }
-
-  // Whether a try would more likely than pays find the global store without its units: the estimate against
-  // what is not known of it, at the plan's own price of being wrong.
-  bool isEmpty(const Customer& c, double want) const {
-    const PlanSettings& plan = set_.plans[c.plan];
-    double price = (plan.overQuotaCost - plan.overQuotaValue + pressed_) / (1 - pressed_);
-    if (price <= 0) return false;
-    if (outruns(c) && !isStranger(c)) price /= std::min(reach_, 1.0);
-    // Own sends are known; what the others have sent since the last reading's period is not.
-    const double age =
-        std::min((c.at - c.readingAt + set_.quotaReadingPeriodMs) / 1000, plan.burst / plan.rate);
-    const double doubt = std::sqrt(std::min(demand(c), plan.rate) * (1 - share(c)) * c.units * age);
-    return c.store < want + (std::log(price) / kLogisticScale + kCaution) * doubt;
-  }
-
-  // Chance that the other gateways, with `mean` attempts out as a rule, have fewer than `room` out now.
-  static double chanceUnder(unsigned room, double mean) {
-    double term = std::exp(-mean), sum = 0;
-    for (unsigned i = 0; i < room && i < 64; ++i) sum += term, term *= mean / (i + 1);
-    return sum;
-  }
-
-  void debit(Customer& c, double units) {
-    c.tokens -= units;
-    c.ceiling -= units;
-    c.store -= units;
-    c.sent[static_cast<std::size_t>(c.slot % kSlots)] += units;
-  }
-
-  void settle(Customer& c, Time now, double back) {
-    fill(c, now);
-    const PlanSettings& plan = set_.plans[c.plan];
-    c.tokens = std::min(plan.burst, c.tokens + back);
-    c.store = std::min(plan.burst, c.store + back);
-  }
-
-  long slotAt(Time now) const {
-    return static_cast<long>(now / (std::max(set_.quotaReadingPeriodMs, 1000.0) / 4));
-  }
-
-  // Moves on to the quarter period of now; `taken` is spread over those that have passed.
-  void touchSlot(Customer& c, Time now, double taken) {
-    const long to = slotAt(now), passed = std::max(0L, to - c.slot);
-    const double each = taken / static_cast<double>(passed + 1);
-    const auto from = static_cast<std::size_t>(c.slot % kSlots);
-    c.taken[from] += each;
-    for (c.slot = std::max(c.slot, to - kSlots); c.slot < to;) {
-      const auto next = static_cast<std::size_t>(++c.slot % kSlots);
-      c.sent[next] = 0, c.taken[next] = each, c.in[next] = c.in[from];
-    }
-  }
-
-  void noteOpen(Customer& c, Time now, int change) {
-    fill(c, now);
-    c.open = static_cast<unsigned>(static_cast<int>(c.open) + change);
-  }
-
-  // A reading rides on every answer for a metered period; only a new one counts.
-  void read(Customer& c, Time now, int percent) {
-    const Time since = now - c.readingAt;
-    const bool fresh = c.reading < 0 ||
-                       (percent != c.reading && since >= kNewReading * set_.quotaReadingPeriodMs) ||
-                       since >= set_.quotaReadingPeriodMs;
-    if (!fresh) return;
-    c.readingGap = c.reading < 0 ? since : approach(c.readingGap, since, 1, 3);
-    c.reading = percent;
-    c.readingAt = now;
-    fill(c, now);
-    const PlanSettings& plan = set_.plans[c.plan];
-    if (plan.rate <= 0) {
-      const double over = std::max(0.0, percent / 100.0 * plan.maxConcurrent - kPeakStep);
-      const double root = std::sqrt(kPeakSpread * kPeakSpread / 4 + over) - kPeakSpread / 2;
-      c.allOpen += kPeakNews * (root * root - c.allOpen);
-      return;
-    }
-    const Time slotLength = std::max(set_.quotaReadingPeriodMs, 1000.0) / 4;
-    const int lag = static_cast<int>(std::lround(kMeterLag / slotLength));
-    double own = 0, in = 0, taken = 0;
-    for (int i = lag; i < lag + 4 && i < kSlots; ++i) {
-      const auto at = static_cast<std::size_t>((c.slot - i + kSlots) % kSlots);
-      own += c.sent[at];
-      in += c.in[at] / 4;
-      taken += c.taken[at];
-    }
-    const double period = set_.quotaReadingPeriodMs / 1000;
-    const double others = std::max(0.0, percent / 100.0 * plan.rate * period - own);
-    const double before = othersUse(c);
-    c.ownUse += own, c.allUse += own + others;
-    noteDemand(c, others, period * (1 - share(c)) * in);
-    // The reading tells what the fraction of its own period let in, whatever the fraction is by now.
-    c.fraction = std::clamp(kTarget * plan.rate / demand(c), kFractionFloor, 1.0);
-    // What the estimate took for the metered period gives way to what was metered, and the time since then to
-    // the use as it is now known.
-    c.store += taken - others + (before - othersUse(c)) * kMeterLag / 1000;
-    c.store = std::clamp(c.store, -debt(plan), plan.burst);
-  }
-
   // --- 2. Guards ----------------------------------------------------------------------------------------
 
   // 1 for a warm worker, else the told lower bound of what it can do.
@@ -1051,7 +652,7 @@
     notePeak(now);
     if (++worker.inFlight == 1) worker.heardAt = now;
     worker.coldTokens -= 1;
-    if (Customer* customer = peek(held.ask.customer)) noteOpen(*customer, now, 1);
+    if (Customer* customer = customers_.find(held.ask.customer)) quota_.noteAttemptStarted(*customer, now);
     actions_.startAttempt(held.ask.id, worker.listed.worker, timeout);
   }
 
@@ -1126,17 +727,18 @@
     };
     const RejectionCounts& then = summarized_;
     char line[280];
-    std::snprintf(
-        line, sizeof line,
-        "refused: bucket %u store %u unknown %u (reach %.2f) worker %u (gateway's limit %u) "
-        "pressed %u; limit %.1f out %u "
-        "pressed %.2f; "
-        "workers ready %u ejected %u cold %u full %u",
-        since(rejections_.localQuota, then.localQuota), since(rejections_.fleetQuota, then.fleetQuota),
-        since(rejections_.unknownCustomer, then.unknownCustomer), reach_,
-        since(rejections_.noWorker, then.noWorker),
-        since(rejections_.concurrencyLimit, then.concurrencyLimit),
-        since(rejections_.overload, then.overload), limit_, inFlight_, pressed_, ready, ejected, cold, full);
+    std::snprintf(line, sizeof line,
+                  "refused: bucket %u store %u unknown %u (reach %.2f) worker %u (gateway's limit %u) "
+                  "pressed %u; limit %.1f out %u "
+                  "pressed %.2f; "
+                  "workers ready %u ejected %u cold %u full %u",
+                  since(rejections_.localQuota, then.localQuota),
+                  since(rejections_.fleetQuota, then.fleetQuota),
+                  since(rejections_.unknownCustomer, then.unknownCustomer), unknownCustomers_.reach(),
+                  since(rejections_.noWorker, then.noWorker),
+                  since(rejections_.concurrencyLimit, then.concurrencyLimit),
+                  since(rejections_.overload, then.overload), limit_, inFlight_, admission_.workerShortage(),
+                  ready, ejected, cold, full);
     summarized_ = rejections_;
     actions_.log(line);
   }
@@ -1145,8 +747,10 @@
   RequestClasses classes_;
   Actions& actions_;
   Random random_;
-  std::list<Customer> table_;  // least recent first
-  std::unordered_map<CustomerId, std::list<Customer>::iterator> index_;
+  CustomerQuota quota_;
+  CustomerRegistry customers_;
+  UnknownCustomers unknownCustomers_;
+  Admission admission_;
   std::map<unsigned, double> kinds_;  // latency over the class's usual of each kind of worker
   double meanOthers_ = 0;             // of load reports: what the others have out at a worker
   std::vector<Worker> workers_;       // in the order of their listing
@@ -1154,18 +758,12 @@
   std::unordered_map<WorkerId, Time> barred_;          // put out by hand, and since when
   std::unordered_map<RequestId, Held> held_;
   std::unordered_map<std::uint64_t, Flight> out_;
-  Time bucketSince_, ceilingSince_;
-  double usualUnits_ = 0;       // of the first requests of customers
-  double usualWorth_ = 0;       // of strangers' requests
-  double reach_ = kReachFirst;  // of the burst, what a stranger's store is taken to hold
-  unsigned inFlight_ = 0;       // attempts out, at all workers
-  double limit_ = 0;            // and how many may be
+  unsigned inFlight_ = 0;  // attempts out, at all workers
+  double limit_ = 0;       // and how many may be
   Time limitAt_ = 0;
   double peak_ = 0;  // the most lately out
   Time peakAt_ = 0;
-  unsigned subsets_ = 1;  // into which all workers are dealt out
-  double pressed_ = 0;    // share of admitted tries that find no worker
-  Time pressedAt_ = 0;
+  unsigned subsets_ = 1;         // into which all workers are dealt out
   double budget_ = kBudgetMost;  // early time-outs and repeats after them that are left
   double warmRate_ = 0;          // good answers of warm workers a ms
   Time warmAt_ = 0;
