--- a/src/decision/admission.cpp
+++ b/src/decision/admission.cpp
@@ -32,7 +32,6 @@
     case RejectionReason::noWorker:
       ++counts.noWorker;
       break;
-    case RejectionReason::malformed:
     case RejectionReason::hardCeiling:
     case RejectionReason::concurrencyCap:
       break;
--- a/src/decision/admission.hpp
+++ b/src/decision/admission.hpp
@@ -12,7 +12,6 @@
 
 /// Why a request was rejected before its first attempt.
 enum class RejectionReason {
-  malformed,        ///< no such class or plan, or a figure that is not finite
   hardCeiling,      ///< this gateway's part of the customer's hard ceiling is used up
   localQuota,       ///< the customer's bucket at this gateway is empty
   concurrencyCap,   ///< its attempts in flight are, or more likely than pays would be, at their cap
--- /dev/null
+++ b/src/decision/worker_table.cpp
@@ -0,0 +1,75 @@
+/// The workers: updates of their list, and exclusion by hand.
+#include "decision/worker_table.hpp"
+
+#include "decision/concurrency_limit.hpp"
+
+namespace wingslip::decision {
+
+void WorkerTable::merge(Time now, EndpointUpdate kind, const std::vector<Endpoint>& list) {
+  if (kind != EndpointUpdate::delta)
+    for (UpstreamWorker& worker : workers_) worker.endpoint.phase = WorkerPhase::removed;
+  for (const Endpoint& endpoint : list) {
+    UpstreamWorker* worker = find(endpoint.worker);
+    if (!worker) {
+      indexes_[endpoint.worker] = workers_.size();
+      worker = &workers_.emplace_back();
+      start(*worker, now);
+    } else if (endpoint.startedAt != worker->endpoint.startedAt) {
+      reset(*worker, now);
+    }
+    worker->endpoint = endpoint;
+  }
+}
+
+void WorkerTable::dropRemoved() {
+  const auto dropped = std::erase_if(workers_, [](const UpstreamWorker& worker) {
+    return worker.endpoint.phase == WorkerPhase::removed && worker.inFlight == 0;
+  });
+  if (dropped == 0) return;
+  indexes_.clear();
+  for (std::size_t i = 0; i < workers_.size(); ++i) indexes_[workers_[i].endpoint.worker] = i;
+}
+
+// A restarted process: what was learned of the one before is void.
+void WorkerTable::reset(UpstreamWorker& worker, Time now) {
+  const Endpoint endpoint = worker.endpoint;
+  const unsigned inFlight = worker.inFlight;
+  worker = UpstreamWorker{};
+  worker.endpoint = endpoint;
+  worker.inFlight = inFlight;
+  start(worker, now);
+}
+
+// Warm-up tokens start at random, so that gateways alike do not all send at the same moment.
+void WorkerTable::start(UpstreamWorker& worker, Time now) {
+  worker.latencyRatioAt = now;
+  worker.othersAt = now;
+  worker.warmUpTokensAt = now;
+  worker.warmUpTokens = random_.next();
+  worker.limit = initialWorkerLimit(settings_.gatewayCount);
+}
+
+// The worker may have been restarted in between without the list telling so yet.
+void WorkerTable::include(Time now, WorkerId id) {
+  const auto found = excludedSince_.find(id);
+  if (found == excludedSince_.end()) return;
+  const Time excludedSince = found->second;
+  excludedSince_.erase(found);
+  UpstreamWorker* worker = find(id);
+  if (!worker) return;
+  reset(*worker, now);
+  worker->lastHeardAt = now;
+  if (worker->endpoint.startedAt < excludedSince) worker->includedAt = now;
+}
+
+WorkerCounts WorkerTable::counts(Time now) const {
+  WorkerCounts out;
+  for (const UpstreamWorker& worker : workers_) {
+    if (worker.endpoint.phase == WorkerPhase::removed) continue;
+    ++out.listed;
+    if (!worker.isReady() || isExcluded(worker.endpoint.worker) || worker.isEjected(now)) ++out.avoided;
+  }
+  return out;
+}
+
+}  // namespace wingslip::decision
