--- a/src/decision/gateway.cpp
+++ b/src/decision/gateway.cpp
@@ -7,17 +7,18 @@
 
 #include <algorithm>
 #include <cmath>
-#include <cstdio>
 #include <memory>
-#include <tuple>
+#include <optional>
 #include <utility>
 
 #include "decision/admission.hpp"
 #include "decision/concurrency_limit.hpp"
 #include "decision/customer_quota.hpp"
 #include "decision/customer_registry.hpp"
+#include "decision/decision_log.hpp"
 #include "decision/load_balancer.hpp"
 #include "decision/load_report.hpp"
+#include "decision/load_shedding.hpp"
 #include "decision/outlier_detection.hpp"
 #include "decision/random.hpp"
 #include "decision/request_class.hpp"
@@ -35,11 +36,6 @@
 constexpr Time kPollRetryMs = 250;   // after a call for the list of endpoints that failed
 constexpr Time kWorkerRetryMs = 40;  // between looks for a worker that may repeat a request
 constexpr std::uint64_t kPollTimerTag = ~std::uint64_t{0};  // other tags are requests
-constexpr double kCutStep = 0.1;       // of the worth for what it holds that is let in; lower: follows late
-constexpr double kLeastBytes = 16384;  // below it requests hold alike: descriptors and time count, not bytes
-constexpr Time kLogEvery = 2000;       // ms between log lines
-constexpr Time kSummaryEvery = 5000;   // ms between lines on what was refused and why
-constexpr double kTie = 0.02;
 
 // Whether the worker's process had a part in this end: a client that leaves says nothing of it.
 bool isFromWorker(AttemptResult result) {
@@ -70,7 +66,8 @@
         slowStart_(settings_),
         loadReports_(settings_),
         loadBalancer_(settings_, random_, workers_, outliers_, slowStart_, loadReports_),
-        summaryAt_(now) {
+        loadShedding_(random_),
+        log_(actions, now) {
     if (settings_.pollsEndpoints) actions_.pollEndpoints();
   }
   // The modules refer to each other.
@@ -81,7 +78,7 @@
     if (requests_.find(request.id)) return;
     if (!isWellFormed(request)) return actions_.reject(request.id, kRetryAfterMs);
     Customer& customer = customers_.obtain(now, request);
-    summarize(now);
+    logSummary(now);
     if (const auto rejection = checkAdmission(customer, request)) return reject(request.id, *rejection);
     PendingRequest pending = pendingRequest(now, request);
     UpstreamWorker* worker = chooseWorker(now, pending);
@@ -129,31 +126,21 @@
     if (PendingRequest* pending = requests_.find(id)) pending->responseStarted = true;
   }
 
-  // What is held gives back what memory asks for: customers beyond their quota first, then the least worth
-  // for what it holds; one whose answer has begun only where there is no other left.
-  void onOverload(const OverloadSignal& pressure) {
-    overload_ = pressure;
-    if (!(overload_.excessBytes > 0)) return;
-    std::vector<std::tuple<bool, bool, double, RequestId>> order;
-    for (const auto& [id, held] : requests_.all()) {
-      const Customer* customer = customers_.find(held.request.customer);
-      const bool beyond = customer && held.plan.rate > 0 && customer->fleetTokens < 0;
-      order.emplace_back(held.responseStarted, !beyond,
-                         worthFor(held.request, held.requestClass->settings, held.plan), id);
-    }
-    std::sort(order.begin(), order.end());
-    for (const auto& [answering, inside, worth, id] : order) {
-      if (overload_.excessBytes <= 0) return;
-      PendingRequest& held = *requests_.find(id);
-      overload_.excessBytes -= held.request.memoryBytes;
-      held.mayHaveRun = held.mayHaveRun || held.hasAttemptInFlight;
-      ++rejections_.overload;
-      if (!answering) {
-        endUnanswered(held);
-        continue;
-      }
-      requests_.erase(id);
-      actions_.fail(id);
+  // Requests in flight give back what memory asks for.
+  void onOverload(const OverloadSignal& signal) {
+    loadShedding_.onSignal(signal);
+    double excessBytes = signal.excessBytes;
+    if (!(excessBytes > 0)) return;
+    const auto isOverQuota = [this](const PendingRequest& pending) {
+      const Customer* customer = customers_.find(pending.request.customer);
+      return customer && pending.plan.rate > 0 && customer->fleetTokens < 0;
+    };
+    for (const ReleaseCandidate& candidate : LoadShedding::releaseOrder(requests_, isOverQuota)) {
+      if (excessBytes <= 0) return;
+      PendingRequest* pending = requests_.find(candidate.id);
+      if (!pending) continue;
+      excessBytes -= pending->request.memoryBytes;
+      giveUp(*pending);
     }
   }
 
@@ -201,11 +188,11 @@
   // By the customer's quota, then by what the host can bear.
   std::optional<Rejection> checkAdmission(Customer& customer, const Request& request) {
     const Time usualLatencyMs = classes_[request.classIndex]->usualLatencyMs();
-    if (auto rejection = admission_.check(customer, request, usualLatencyMs, overload_.active))
+    if (auto rejection = admission_.check(customer, request, usualLatencyMs, loadShedding_.signal().active))
       return rejection;
-    if ((overload_.memoryShort && request.memoryBytes > kLeastBytes) ||
-        (overload_.shedFraction > 0 && tooMany(request)))
-      return Rejection{RejectionReason::overload, overload_.expectedMs};
+    if (loadShedding_.mustReject(request, classes_[request.classIndex]->settings,
+                                 settings_.plans[request.planIndex]))
+      return Rejection{RejectionReason::overload, loadShedding_.signal().expectedMs};
     return std::nullopt;
   }
 
@@ -262,7 +249,7 @@
       OutlierDetection::noteSuccess(worker);
       resetOverloadPause(worker);
     } else if (OutlierDetection::noteFailure(worker, now)) {
-      log(now, "worker ejected: attempts in a row failed");
+      log_.note(now, "worker ejected: attempts in a row failed");
     }
   }
 
@@ -319,60 +306,46 @@
 
   // Under overload no client is asked back before it is likely to be over, nor all at the same moment.
   void sendRejection(RequestId id, Time retryAfterMs) {
-    if (overload_.active) retryAfterMs = std::max(retryAfterMs, overload_.expectedMs);
+    const OverloadSignal& overload = loadShedding_.signal();
+    if (overload.active) retryAfterMs = std::max(retryAfterMs, overload.expectedMs);
     const Time mostMs = settings_.maxRetryAfterMs > 0 ? settings_.maxRetryAfterMs : retryAfterMs;
     retryAfterMs = std::clamp(retryAfterMs, 1.0, std::max(1.0, mostMs));
-    actions_.reject(id, overload_.active ? retryAfterMs * (1 - random_.next() / 2) : retryAfterMs);
+    actions_.reject(id, overload.active ? retryAfterMs * (1 - random_.next() / 2) : retryAfterMs);
   }
 
-  static double worthFor(const Request& ask, const ClassSettings& klass, const PlanSettings& plan) {
-    return klass.priorityWeight * plan.price * ask.units / std::max(ask.memoryBytes, kLeastBytes);
-  }
-
-  // Whether a new request is among the share that has to go: the mark moves until that share is under it.
-  bool tooMany(const Request& ask) {
-    const double worth = worthFor(ask, classes_[ask.classIndex]->settings, settings_.plans[ask.planIndex]) *
-                         (1 + kTie * random_.next());
-    if (cut_ <= 0) cut_ = worth;
-    const bool under = worth < cut_;
-    cut_ *= std::exp(kCutStep * (overload_.shedFraction - under));
-    return under;
+  // Given up for the host's sake, with an attempt in flight or without.
+  void giveUp(PendingRequest& pending) {
+    countRejection(rejections_, RejectionReason::overload);
+    if (pending.responseStarted) {
+      const RequestId id = pending.request.id;
+      requests_.erase(id);
+      return actions_.fail(id);
+    }
+    pending.mayHaveRun = pending.mayHaveRun || pending.hasAttemptInFlight;
+    endUnanswered(pending);
   }
 
-  void log(Time now, const char* line) {
-    if (now - loggedAt_ < kLogEvery) return;
-    loggedAt_ = now;
-    actions_.log(line);
+  void logSummary(Time now) {
+    if (!log_.isSummaryDue(now)) return;
+    DecisionFigures figures;
+    figures.unknownCustomerReach = unknownCustomers_.reach();
+    figures.concurrencyLimit = concurrencyLimit_.limit();
+    figures.attemptsInFlight = concurrencyLimit_.inFlight();
+    figures.workerShortage = admission_.workerShortage();
+    figures.workers = readyWorkerCounts(now);
+    log_.summarize(now, rejections_, figures);
   }
 
-  // What was refused since the last line and on which belief, so that a log tells the causes apart.
-  void summarize(Time now) {
-    if (now - summaryAt_ < kSummaryEvery) return;
-    summaryAt_ = now;
-    unsigned ready = 0, ejected = 0, cold = 0, full = 0;
-    for (const UpstreamWorker& w : workers_.all()) {
-      if (!w.isReady()) continue;
-      ++ready, ejected += w.isEjected(now), cold += !slowStart_.isWarm(w, now), full += isPaused(w, now);
+  ReadyWorkerCounts readyWorkerCounts(Time now) const {
+    ReadyWorkerCounts counts;
+    for (const UpstreamWorker& worker : workers_.all()) {
+      if (!worker.isReady()) continue;
+      ++counts.ready;
+      if (worker.isEjected(now)) ++counts.ejected;
+      if (!slowStart_.isWarm(worker, now)) ++counts.warmingUp;
+      if (isPaused(worker, now)) ++counts.overloaded;
     }
-    const auto since = [](std::uint64_t count, std::uint64_t before) {
-      return static_cast<unsigned>(count - before);
-    };
-    const RejectionCounts& then = summarized_;
-    char line[280];
-    std::snprintf(line, sizeof line,
-                  "refused: bucket %u store %u unknown %u (reach %.2f) worker %u (gateway's limit %u) "
-                  "pressed %u; limit %.1f out %u "
-                  "pressed %.2f; "
-                  "workers ready %u ejected %u cold %u full %u",
-                  since(rejections_.localQuota, then.localQuota),
-                  since(rejections_.fleetQuota, then.fleetQuota),
-                  since(rejections_.unknownCustomer, then.unknownCustomer), unknownCustomers_.reach(),
-                  since(rejections_.noWorker, then.noWorker),
-                  since(rejections_.concurrencyLimit, then.concurrencyLimit),
-                  since(rejections_.overload, then.overload), concurrencyLimit_.limit(),
-                  concurrencyLimit_.inFlight(), admission_.workerShortage(), ready, ejected, cold, full);
-    summarized_ = rejections_;
-    actions_.log(line);
+    return counts;
   }
 
   Settings settings_;
@@ -391,11 +364,9 @@
   GatewayConcurrencyLimit concurrencyLimit_;
   RetryPolicy retryPolicy_;
   RequestTable requests_;
-  OverloadSignal overload_;
-  double cut_ = 0;  // worth for what it holds under which a new request is too many
-  Time loggedAt_ = -kLogEvery;
-  RejectionCounts rejections_, summarized_;  // since the start; and as they were at the last line
-  Time summaryAt_ = 0;
+  LoadShedding loadShedding_;
+  DecisionLog log_;
+  RejectionCounts rejections_;
 };
 
 Gateway::Gateway(const Settings& settings, std::uint64_t salt, Time now, Actions& actions)
