--- a/src/decision/gateway.cpp
+++ b/src/decision/gateway.cpp
@@ -1,8 +1,8 @@
-// The decision module: events in, actions out. Its interface is include/wingslip/decision/gateway.hpp.
-//
-// Core tells the story of a request and leaves each decision to its module: admission, load_shedding,
-// concurrency_limit and load_balancer before its first attempt; what an outcome teaches each of them; and
-// retry_policy for another attempt or the final answer.
+/// The decision module: events in, actions out. Its interface is include/wingslip/decision/gateway.hpp.
+///
+/// Core tells the story of a request and leaves each decision to its module: admission, load_shedding,
+/// concurrency_limit and load_balancer before its first attempt, worker_feedback and customer_quota at an
+/// attempt's outcome, retry_policy for another attempt or the final answer.
 #include "wingslip/decision/gateway.hpp"
 
 #include <algorithm>
@@ -27,6 +27,7 @@
 #include "decision/settings_check.hpp"
 #include "decision/slow_start.hpp"
 #include "decision/unknown_customers.hpp"
+#include "decision/worker_feedback.hpp"
 #include "decision/worker_table.hpp"
 
 namespace wingslip::decision {
@@ -37,12 +38,6 @@
 constexpr Time kWorkerRetryMs = 40;  // between looks for a worker that may repeat a request
 constexpr std::uint64_t kPollTimerTag = ~std::uint64_t{0};  // other tags are requests
 
-// Whether the worker's process had a part in this end: a client that leaves says nothing of it.
-bool isFromWorker(AttemptResult result) {
-  return result == AttemptResult::ok || result == AttemptResult::error ||
-         result == AttemptResult::overloaded || result == AttemptResult::reset;
-}
-
 const Settings& checked(const Settings& settings) {
   checkSettings(settings);
   return settings;
@@ -66,6 +61,7 @@
         slowStart_(settings_),
         loadReports_(settings_),
         loadBalancer_(settings_, random_, workers_, outliers_, slowStart_, loadReports_),
+        workerFeedback_(classes_, workers_, outliers_, slowStart_, loadReports_, concurrencyLimit_),
         loadShedding_(random_),
         log_(actions, now) {
     if (settings_.pollsEndpoints) actions_.pollEndpoints();
@@ -95,7 +91,8 @@
     UpstreamWorker* worker = workers_.find(outcome.worker);
     Customer* customer = customers_.find(attempt->customer);
     if (customer) quota_.noteAttemptEnded(*customer, now);
-    if (worker) noteOutcomeOfWorker(*worker, now, *attempt->requestClass, outcome);
+    if (worker && workerFeedback_.note(*worker, now, *attempt->requestClass, outcome))
+      log_.note(now, "worker ejected: attempts in a row failed");
     retryPolicy_.noteResult(outcome.result);
     if (customer) noteQuotaReading(*customer, now, pending, outcome.quotaUsePercent);
     if (!pending) return;
@@ -206,8 +203,7 @@
     return pending;
   }
 
-  // A request that may have run is not held back by the gateway's own limit: its client still waits for what
-  // the workers have already begun.
+  // One that may have run is not held to the gateway's limit: its final answer might be a failure.
   UpstreamWorker* chooseWorker(Time now, const PendingRequest& pending) {
     if (!pending.mayHaveRun && !concurrencyLimit_.hasCapacity(random_)) {
       ++rejections_.concurrencyLimit;
@@ -231,35 +227,6 @@
     actions_.startAttempt(request.id, worker.endpoint.worker, timeoutMs);
   }
 
-  // What the end of an attempt tells of its worker and of all workers.
-  void noteOutcomeOfWorker(UpstreamWorker& worker, Time now, RequestClass& requestClass,
-                           const AttemptOutcome& outcome) {
-    const AttemptResult result = outcome.result;
-    if (worker.inFlight > 0) --worker.inFlight;
-    concurrencyLimit_.noteAttemptEnded();
-    if (isFromWorker(result)) worker.lastHeardAt = now;
-    if (!outcome.loadReport.empty()) loadReports_.note(worker, now, outcome.loadReport, workers_.size());
-    steerLimits(worker, now, timingOf(outcome, requestClass.settings.latencyObjectiveMs));
-    if (result == AttemptResult::overloaded) return pauseOverloaded(worker, now);
-    if (result == AttemptResult::cancelled || result == AttemptResult::notSent) return;
-    if (result == AttemptResult::ok) classes_.noteLatency(requestClass, now, outcome.latencyMs);
-    outliers_.noteLatency(worker, now, result, outcome.latencyMs, requestClass.usualLatencyMs());
-    if (result == AttemptResult::ok) {
-      slowStart_.noteGoodAnswer(worker, now, workers_.all());
-      OutlierDetection::noteSuccess(worker);
-      resetOverloadPause(worker);
-    } else if (OutlierDetection::noteFailure(worker, now)) {
-      log_.note(now, "worker ejected: attempts in a row failed");
-    }
-  }
-
-  void steerLimits(UpstreamWorker& worker, Time now, AnswerTiming timing) {
-    steerWorkerLimit(worker, now, timing);
-    const bool tellsOfWorkerOnly =
-        timing.isLate && (outliers_.isSlowForItsType(worker) || !slowStart_.isWarm(worker, now));
-    concurrencyLimit_.steer(now, timing, tellsOfWorkerOnly);
-  }
-
   // `pending` is null where the request has ended before its attempt.
   void noteQuotaReading(Customer& customer, Time now, const PendingRequest* pending, int percent) {
     if (percent < 0) return;
@@ -362,6 +329,7 @@
   LoadReports loadReports_;
   LoadBalancer loadBalancer_;
   GatewayConcurrencyLimit concurrencyLimit_;
+  WorkerFeedback workerFeedback_;
   RetryPolicy retryPolicy_;
   RequestTable requests_;
   LoadShedding loadShedding_;
--- a/src/decision/slow_start.cpp
+++ b/src/decision/slow_start.cpp
@@ -7,7 +7,7 @@
 namespace wingslip::decision {
 namespace {
 
-constexpr double kSafetyShare = 0.8;  // of a warming worker's capacity; the rest is kept for misjudged rates
+constexpr double kSafetyShare = 0.8;  // of a warming worker's capacity; 1 would use up overloadMultiple
 constexpr Time kRateMemoryMs = 4000;
 constexpr Time kRateSmoothingMs = 2000;          // over which the rate of one warm worker is learned
 constexpr Time kWarmWorkerRateMemoryMs = 60000;  // while no worker is warm, as in a release of all
