--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -12,119 +12,128 @@
 namespace {
 
 Settings manyGateways() {
-  Settings s = settings();
-  s.gatewayCount = 100;
-  s.plans[0].rate = 1.4, s.plans[0].burst = 16;
-  return s;
+  Settings settings = testSettings();
+  settings.gatewayCount = 100;
+  settings.plans[0].rate = 1.4;
+  settings.plans[0].burst = 16;
+  return settings;
 }
 
 std::vector<Endpoint> workers(WorkerId count) {
   std::vector<Endpoint> out;
-  for (WorkerId w = 1; w <= count; ++w) out.push_back(member(w));
+  for (WorkerId worker = 1; worker <= count; ++worker) out.push_back(endpoint(worker));
   return out;
 }
 
-// Burst over the gateways is less than one request here. The store of a customer that nobody has seen is
-// full, so its first request of the usual size is let in at every gateway; larger ones wait until the bucket
-// has filled.
+// Burst over the gateways is less than one request here. The quota of a customer that nobody has seen is
+// full, so its first request of the usual size is admitted at every gateway; larger ones wait until the
+// bucket has filled.
 TEST(Fleet, ABucketStartsWithOneUsualRequestAtLeast) {
-  Bench b(manyGateways());
-  b.list(workers(60));
-  unsigned in = 0;
-  for (CustomerId c = 1; c <= 40; ++c) {
-    b.now += 10;
-    const RequestId id = b.ask(0, 0, c, 2, 80);
-    if (!b.wasSent(id)) continue;
-    ++in;
-    b.end(id, AttemptResult::ok, 50);
+  GatewayHarness harness(manyGateways());
+  harness.updateEndpoints(workers(60));
+  unsigned admitted = 0;
+  for (CustomerId customer = 1; customer <= 40; ++customer) {
+    harness.now += 10;
+    const RequestId id = harness.sendRequest(0, 0, customer, 2, 80);
+    if (!harness.wasForwarded(id)) continue;
+    ++admitted;
+    harness.endAttempt(id, AttemptResult::ok, 50);
   }
-  EXPECT_EQ(in, 40u);
-  EXPECT_TRUE(b.wasRefused(b.ask(0, 0, 100, 8, 80)));
-  EXPECT_TRUE(b.wasRefused(b.ask(0, 0, 1, 2, 80)));  // it was one request, not one each time
+  EXPECT_EQ(admitted, 40u);
+  EXPECT_TRUE(harness.wasRejected(harness.sendRequest(0, 0, 100, 8, 80)));
+  EXPECT_TRUE(
+      harness.wasRejected(harness.sendRequest(0, 0, 1, 2, 80)));  // it was one request, not one each time
 }
 
 // A worker that has just started answers several times slower than a warm one, whatever it is sent. That says
 // nothing of how much the warm ones bear.
-TEST(Fleet, LateAnswersOfAColdWorkerLeaveTheGatewaysLimit) {
-  Settings s = settings();
-  s.gatewayCount = 1;
-  s.plans[0].rate = 1000, s.plans[0].burst = 100000;
-  Bench b(s, 100000);
-  b.list({member(1), member(2, 0, b.now)});
-  b.gateway.seedWarmWorkerRate(b.now, 0.1);
-  const RequestId held[] = {b.ask(2, 0, 900), b.ask(2, 0, 901)};  // the warm one is busy for a while
+TEST(Fleet, LateAnswersOfAWarmingWorkerLeaveTheGatewaysLimit) {
+  Settings settings = testSettings();
+  settings.gatewayCount = 1;
+  settings.plans[0].rate = 1000;
+  settings.plans[0].burst = 100000;
+  GatewayHarness harness(settings, 100000);
+  harness.updateEndpoints({endpoint(1), endpoint(2, 0, harness.now)});
+  harness.gateway.seedWarmWorkerRate(harness.now, 0.1);
+  const RequestId held[] = {harness.sendRequest(2, 0, 900),
+                            harness.sendRequest(2, 0, 901)};  // the warm one is busy for a while
   unsigned late = 0;
   for (int i = 0; i < 100; ++i) {
-    b.now += 50;
-    const RequestId id = b.ask(2, 0, b.last);
-    if (!b.wasSent(id)) continue;
-    const bool cold = b.lastWorker() == 2;
-    late += cold;
-    b.end(id, AttemptResult::ok, cold ? 900 : 100);
+    harness.now += 50;
+    const RequestId id = harness.sendRequest(2, 0, harness.lastRequest);
+    if (!harness.wasForwarded(id)) continue;
+    const bool warmingUp = harness.lastWorker() == 2;
+    late += warmingUp;
+    harness.endAttempt(id, AttemptResult::ok, warmingUp ? 900 : 100);
   }
   ASSERT_GE(late, 20u);
-  for (const RequestId id : held) b.end(id, AttemptResult::ok, 100);
+  for (const RequestId id : held) harness.endAttempt(id, AttemptResult::ok, 100);
   unsigned out = 0;
-  while (b.wasSent(b.ask(2, 0, b.last))) ++out;
+  while (harness.wasForwarded(harness.sendRequest(2, 0, harness.lastRequest))) ++out;
   EXPECT_GE(out, 10u);
 }
 
 // Of a hundred gateways with few requests each, every one keeps to a part of the workers, and every worker
 // has as many gateways as any other; a worker that leaves the list moves few. A few gateways use all workers.
-TEST(Fleet, GatewaysShareOutTheWorkersEvenly) {
-  const auto used = [](unsigned gateways, unsigned self, const std::vector<Endpoint>& list) {
-    Settings s = settings();
-    s.gatewayCount = gateways, s.gatewayIndex = self;
-    s.plans[0].rate = 1000, s.plans[0].burst = 100000;
-    Bench b(s);
-    b.list(list);
+TEST(Fleet, SubsetsCoverTheWorkersEvenly) {
+  const auto used = [](unsigned gateways, unsigned gatewayIndex, const std::vector<Endpoint>& list) {
+    Settings settings = testSettings();
+    settings.gatewayCount = gateways;
+    settings.gatewayIndex = gatewayIndex;
+    settings.plans[0].rate = 1000;
+    settings.plans[0].burst = 100000;
+    GatewayHarness harness(settings);
+    harness.updateEndpoints(list);
     std::set<WorkerId> out;
     for (int i = 0; i < 200; ++i) {
-      b.now += 100;
-      const RequestId id = b.ask(2, 0, b.last, 1, gateways);
-      if (!b.wasSent(id)) continue;
-      out.insert(b.lastWorker());
-      b.end(id, AttemptResult::ok, 50);
+      harness.now += 100;
+      const RequestId id = harness.sendRequest(2, 0, harness.lastRequest, 1, gateways);
+      if (!harness.wasForwarded(id)) continue;
+      out.insert(harness.lastWorker());
+      harness.endAttempt(id, AttemptResult::ok, 50);
     }
     return out;
   };
   const std::vector<Endpoint> all = workers(60);
-  std::map<WorkerId, unsigned> sharers;
-  unsigned moved = 0;
-  for (unsigned self = 0; self < 100; ++self) {
-    const std::set<WorkerId> own = used(100, self, all);
-    EXPECT_LE(own.size(), 13u);
-    for (const WorkerId w : own) ++sharers[w];
-    if (self >= 10) continue;
-    std::set<WorkerId> then = used(100, self, {all.begin(), all.end() - 1});
-    for (const WorkerId w : own) moved += w != all.back().worker && !then.contains(w);
+  std::map<WorkerId, unsigned> gatewaysOfWorker;
+  unsigned movedWorkers = 0;
+  for (unsigned gatewayIndex = 0; gatewayIndex < 100; ++gatewayIndex) {
+    const std::set<WorkerId> subset = used(100, gatewayIndex, all);
+    EXPECT_LE(subset.size(), 13u);
+    for (const WorkerId worker : subset) ++gatewaysOfWorker[worker];
+    if (gatewayIndex >= 10) continue;
+    std::set<WorkerId> then = used(100, gatewayIndex, {all.begin(), all.end() - 1});
+    for (const WorkerId worker : subset)
+      movedWorkers += worker != all.back().worker && !then.contains(worker);
   }
-  EXPECT_EQ(sharers.size(), 60u);
-  for (const auto& [worker, count] : sharers) {
+  EXPECT_EQ(gatewaysOfWorker.size(), 60u);
+  for (const auto& [worker, count] : gatewaysOfWorker) {
     EXPECT_GE(count, 16u);
     EXPECT_LE(count, 20u);
   }
-  EXPECT_LE(moved, 10u);  // one for each of the ten that were looked at
+  EXPECT_LE(movedWorkers, 10u);  // one for each of the ten that were looked at
   EXPECT_EQ(used(3, 1, workers(9)).size(), 9u);
 }
 
 // Sixteen times the workers, each a sixteenth as large, and the same traffic at each gateway: it goes on
 // using few of them, within the bound on connections made (2.5 times and 40), and every worker keeps its
-// sharers.
+// number of gateways.
 TEST(Fleet, ALongerListMakesAGatewayUseFewMoreWorkers) {
-  const auto used = [](unsigned gateways, unsigned self, WorkerId count) {
-    Settings s = settings();
-    s.gatewayCount = gateways, s.gatewayIndex = self;
-    s.plans[0].rate = 1000, s.plans[0].burst = 100000;
-    Bench b(s);
-    b.list(workers(count));
+  const auto used = [](unsigned gateways, unsigned gatewayIndex, WorkerId count) {
+    Settings settings = testSettings();
+    settings.gatewayCount = gateways;
+    settings.gatewayIndex = gatewayIndex;
+    settings.plans[0].rate = 1000;
+    settings.plans[0].burst = 100000;
+    GatewayHarness harness(settings);
+    harness.updateEndpoints(workers(count));
     std::set<WorkerId> out;
     for (int i = 0; i < 800; ++i) {
-      b.now += 50;
-      const RequestId id = b.ask(2, 0, b.last, 1, gateways);
-      if (!b.wasSent(id)) continue;
-      out.insert(b.lastWorker());
-      b.end(id, AttemptResult::ok, 50);
+      harness.now += 50;
+      const RequestId id = harness.sendRequest(2, 0, harness.lastRequest, 1, gateways);
+      if (!harness.wasForwarded(id)) continue;
+      out.insert(harness.lastWorker());
+      harness.endAttempt(id, AttemptResult::ok, 50);
     }
     return out;
   };
@@ -137,71 +146,78 @@
     const std::size_t then = used(g.gatewaysThen, 7, 16 * g.workers).size();
     EXPECT_LE(then, 2.5 * static_cast<double>(before) + 40) << g.gatewaysThen << " gateways";
   }
-  std::map<WorkerId, unsigned> sharers;
-  for (unsigned self = 0; self < 40; ++self)
-    for (const WorkerId w : used(40, self, 416)) ++sharers[w];
-  EXPECT_EQ(sharers.size(), 416u);
-  for (const auto& [worker, count] : sharers) EXPECT_GE(count, 3u) << worker;
+  std::map<WorkerId, unsigned> gatewaysOfWorker;
+  for (unsigned gatewayIndex = 0; gatewayIndex < 40; ++gatewayIndex)
+    for (const WorkerId worker : used(40, gatewayIndex, 416)) ++gatewaysOfWorker[worker];
+  EXPECT_EQ(gatewaysOfWorker.size(), 416u);
+  for (const auto& [worker, count] : gatewaysOfWorker) EXPECT_GE(count, 3u) << worker;
 }
 
-// Workers that drain for a while leave the others where they are: no gateway has to open connections to
+// Workers that drain for a while leave the others in their subsets: no gateway has to open connections to
 // workers that it did not use before.
-TEST(Fleet, WorkersThatDrainMoveNoOthers) {
-  Settings s = settings();
-  s.gatewayCount = 40, s.gatewayIndex = 37;
-  s.plans[0].rate = 1000, s.plans[0].burst = 100000;
-  Bench b(s);
+TEST(Fleet, DrainingWorkersLeaveTheSubsetAsItIs) {
+  Settings settings = testSettings();
+  settings.gatewayCount = 40;
+  settings.gatewayIndex = 37;
+  settings.plans[0].rate = 1000;
+  settings.plans[0].burst = 100000;
+  GatewayHarness harness(settings);
   std::vector<Endpoint> list = workers(416);
-  b.list(list);
+  harness.updateEndpoints(list);
   const auto used = [&] {
     std::set<WorkerId> out;
     for (int i = 0; i < 800; ++i) {
-      b.now += 50;
-      const RequestId id = b.ask(2, 0, b.last, 1, s.gatewayCount);
-      if (!b.wasSent(id)) continue;
-      out.insert(b.lastWorker());
-      b.end(id, AttemptResult::ok, 50);
+      harness.now += 50;
+      const RequestId id = harness.sendRequest(2, 0, harness.lastRequest, 1, settings.gatewayCount);
+      if (!harness.wasForwarded(id)) continue;
+      out.insert(harness.lastWorker());
+      harness.endAttempt(id, AttemptResult::ok, 50);
     }
     return out;
   };
   const std::set<WorkerId> before = used();
   for (std::size_t i = 0; i < list.size(); i += 8) list[i].phase = WorkerPhase::draining;
-  b.list(list);
+  harness.updateEndpoints(list);
   for (const WorkerId worker : used()) EXPECT_TRUE(before.contains(worker)) << worker;
 }
 
-// The budget of a cold worker holds over all gateways together, though only some of them use it, and is used.
-TEST(Fleet, TogetherGatewaysKeepToAColdWorkersBudgetAndUseIt) {
-  Settings s = settings();
-  s.gatewayCount = 100;
-  s.plans[0].rate = 1000, s.plans[0].burst = 100000;
-  std::vector<std::unique_ptr<Bench>> all;
-  for (unsigned self = 0; self < s.gatewayCount; ++self) {
-    s.gatewayIndex = self;
-    all.push_back(std::make_unique<Bench>(s, 100000, 1 + self));
-    all.back()->list(workers(60));
+// The budget of a warming worker holds over all gateways together, though only some of them use it, and is
+// used.
+TEST(Fleet, GatewaysTogetherKeepToAWarmingWorkersBudgetAndUseIt) {
+  Settings settings = testSettings();
+  settings.gatewayCount = 100;
+  settings.plans[0].rate = 1000;
+  settings.plans[0].burst = 100000;
+  std::vector<std::unique_ptr<GatewayHarness>> all;
+  for (unsigned gatewayIndex = 0; gatewayIndex < settings.gatewayCount; ++gatewayIndex) {
+    settings.gatewayIndex = gatewayIndex;
+    all.push_back(std::make_unique<GatewayHarness>(settings, 100000, 1 + gatewayIndex));
+    all.back()->updateEndpoints(workers(60));
   }
   const double perMs = 0.7;
   std::vector<Time> sends;  // to the worker that restarts at 110,000
   for (Time now = 100000; now < 118000; now += 1 / perMs) {
     if (now >= 110000 && now < 110000 + 1 / perMs)
-      for (const auto& b : all) {
-        b->now = now;
-        b->list({member(60, 0, 110000)}, EndpointUpdate::delta);
+      for (const auto& harness : all) {
+        harness->now = now;
+        harness->updateEndpoints({endpoint(60, 0, 110000)}, EndpointUpdate::delta);
       }
-    Bench& b = *all[static_cast<std::size_t>(now * 7919) % all.size()];
-    b.now = now;
-    const RequestId id = b.ask(2, 0, b.last, 1, 100);
-    if (!b.wasSent(id)) continue;
-    if (b.lastWorker() == 60 && now > 110000) sends.push_back(now);
-    b.end(id, AttemptResult::ok, 100);
+    GatewayHarness& harness = *all[static_cast<std::size_t>(now * 7919) % all.size()];
+    harness.now = now;
+    const RequestId id = harness.sendRequest(2, 0, harness.lastRequest, 1, 100);
+    if (!harness.wasForwarded(id)) continue;
+    if (harness.lastWorker() == 60 && now > 110000) sends.push_back(now);
+    harness.endAttempt(id, AttemptResult::ok, 100);
   }
   const double warm = perMs / 60;  // what a warm worker gets
   for (const Time from : sends) {
-    const auto within = std::count_if(sends.begin(), sends.end(),
-                                      [&](Time t) { return t >= from && t < from + s.overloadWindowMs; });
-    const double warmth = s.slowStartShare + (1 - s.slowStartShare) * (from - 110000) / s.slowStartMs;
-    EXPECT_LE(static_cast<double>(within), s.overloadMultiple * warmth * warm * s.overloadWindowMs + 4)
+    const auto within = std::count_if(sends.begin(), sends.end(), [&](Time t) {
+      return t >= from && t < from + settings.overloadWindowMs;
+    });
+    const double capacityShare =
+        settings.slowStartShare + (1 - settings.slowStartShare) * (from - 110000) / settings.slowStartMs;
+    EXPECT_LE(static_cast<double>(within),
+              settings.overloadMultiple * capacityShare * warm * settings.overloadWindowMs + 4)
         << from;
   }
   EXPECT_GE(sends.size(), 20u);  // of 8,000 ms at 0.2 to 0.84 of a warm one's 11.7 a second
@@ -209,49 +225,54 @@
 
 // The same for fleets of every size with uneven traffic that shifts, when half of the gateways have just
 // started: beyond the budget of N requests only 2 x root of N + 2 are put down to chance.
-TEST(Fleet, AColdWorkersBudgetHoldsForFleetsOfEverySize) {
+TEST(Fleet, AWarmingWorkersBudgetHoldsForFleetsOfEverySize) {
   for (const unsigned gateways : {1u, 5u, 20u, 30u, 300u, 350u}) {
     for (std::uint64_t seed = 1; seed <= 4; ++seed) {
-      Settings s = settings();
-      s.gatewayCount = gateways;
-      s.plans[0].rate = 1000, s.plans[0].burst = 100000;
+      Settings settings = testSettings();
+      settings.gatewayCount = gateways;
+      settings.plans[0].rate = 1000;
+      settings.plans[0].burst = 100000;
       std::mt19937_64 random(seed);
       const auto chance = [&] { return std::uniform_real_distribution<>(0, 1)(random); };
       const unsigned count = gateways < 100 ? 10 : 60;
-      std::vector<std::unique_ptr<Bench>> all;
-      for (s.gatewayIndex = 0; s.gatewayIndex < gateways; ++s.gatewayIndex) {
-        all.push_back(std::make_unique<Bench>(s, 100000, seed * 1000 + s.gatewayIndex));
-        all.back()->list(workers(count));
+      std::vector<std::unique_ptr<GatewayHarness>> all;
+      for (settings.gatewayIndex = 0; settings.gatewayIndex < gateways; ++settings.gatewayIndex) {
+        all.push_back(
+            std::make_unique<GatewayHarness>(settings, 100000, seed * 1000 + settings.gatewayIndex));
+        all.back()->updateEndpoints(workers(count));
       }
       const double perMs = 0.02 * count, warm = perMs / count;  // twenty a second at each worker
       std::vector<Time> sends;
       Time now = 100000;
       const auto drive = [&](Time until, double lean) {
         for (; now < until; now += 1 / perMs) {
-          Bench& b = *all[static_cast<std::size_t>(std::pow(chance(), lean) * gateways)];
-          b.now = now;
-          const RequestId id = b.ask(2, 0, b.last, 1, gateways);
-          if (!b.wasSent(id)) continue;
-          if (b.lastWorker() == count && now >= 112000) sends.push_back(now);
-          b.end(id, AttemptResult::ok, 50);
+          GatewayHarness& harness = *all[static_cast<std::size_t>(std::pow(chance(), lean) * gateways)];
+          harness.now = now;
+          const RequestId id = harness.sendRequest(2, 0, harness.lastRequest, 1, gateways);
+          if (!harness.wasForwarded(id)) continue;
+          if (harness.lastWorker() == count && now >= 112000) sends.push_back(now);
+          harness.endAttempt(id, AttemptResult::ok, 50);
         }
       };
       drive(112000, 2);  // most comes to the first ones
-      for (s.gatewayIndex = 0; s.gatewayIndex < gateways; ++s.gatewayIndex) {
-        if (s.gatewayIndex % 2 == 1) {
-          all[s.gatewayIndex] = std::make_unique<Bench>(s, now, seed * 7000 + s.gatewayIndex);
-          all[s.gatewayIndex]->list(workers(count));
+      for (settings.gatewayIndex = 0; settings.gatewayIndex < gateways; ++settings.gatewayIndex) {
+        if (settings.gatewayIndex % 2 == 1) {
+          all[settings.gatewayIndex] =
+              std::make_unique<GatewayHarness>(settings, now, seed * 7000 + settings.gatewayIndex);
+          all[settings.gatewayIndex]->updateEndpoints(workers(count));
         }
-        all[s.gatewayIndex]->now = now;
-        all[s.gatewayIndex]->list({member(count, 0, now)}, EndpointUpdate::delta);
+        all[settings.gatewayIndex]->now = now;
+        all[settings.gatewayIndex]->updateEndpoints({endpoint(count, 0, now)}, EndpointUpdate::delta);
       }
       drive(120000, 0.5);  // and now to the last
       for (const Time from : sends) {
-        const auto within = std::count_if(sends.begin(), sends.end(),
-                                          [&](Time t) { return t >= from && t < from + s.overloadWindowMs; });
-        const double budget = s.overloadMultiple *
-                              (s.slowStartShare + (1 - s.slowStartShare) * (from - 112000) / s.slowStartMs) *
-                              warm * s.overloadWindowMs;
+        const auto within = std::count_if(sends.begin(), sends.end(), [&](Time t) {
+          return t >= from && t < from + settings.overloadWindowMs;
+        });
+        const double budget = settings.overloadMultiple *
+                              (settings.slowStartShare +
+                               (1 - settings.slowStartShare) * (from - 112000) / settings.slowStartMs) *
+                              warm * settings.overloadWindowMs;
         ASSERT_LE(static_cast<double>(within), budget + 2 * std::sqrt(budget) + 2)
             << gateways << " gateways, seed " << seed << ", " << from - 112000 << " ms after the start";
       }
@@ -260,80 +281,95 @@
   }
 }
 
-// Customers' stores as they truly are, and the meter that tells of them a period late.
+// Customers' quotas as they truly are, and the readings that report them a period late.
 struct Quotas {
-  struct One {
-    double store = 16, ideal = 16, used = 0, metered = -1;
+  struct CustomerState {
+    double tokens = 16;       // of the quota, as it truly is
+    double idealTokens = 16;  // if only requests inside the quota were admitted
+    double used = 0;          // units of this period
+    double metered = -1;      // percent of the rate, of the period before
     Time at = 0;
   };
   const PlanSettings plan;
-  std::map<CustomerId, One> all;
+  std::map<CustomerId, CustomerState> all;
   double inside = 0, beyond = 0, offered = 0;
 
-  // A try for this many units, let in or not.
-  void note(CustomerId id, Time now, double units, bool in) {
-    One& c = all[id];
-    const double fill = plan.rate * (now - std::exchange(c.at, now)) / 1000;
-    c.store = std::min(plan.burst, c.store + fill), c.ideal = std::min(plan.burst, c.ideal + fill);
-    if (c.ideal >= units) c.ideal -= units, offered += units;
-    if (!in) return;
-    c.used += units;
-    if (c.store >= units)
-      c.store -= units, inside += units;
-    else
+  // A request of this many units, admitted or not.
+  void note(CustomerId id, Time now, double units, bool admitted) {
+    CustomerState& customer = all[id];
+    const double fill = plan.rate * (now - std::exchange(customer.at, now)) / 1000;
+    customer.tokens = std::min(plan.burst, customer.tokens + fill);
+    customer.idealTokens = std::min(plan.burst, customer.idealTokens + fill);
+    if (customer.idealTokens >= units) {
+      customer.idealTokens -= units;
+      offered += units;
+    }
+    if (!admitted) return;
+    customer.used += units;
+    if (customer.tokens >= units) {
+      customer.tokens -= units;
+      inside += units;
+    } else {
       beyond += units;
+    }
   }
   void endPeriod() {
-    for (auto& [id, c] : all) c.metered = 100 * std::exchange(c.used, 0) / plan.rate;
+    for (auto& [id, customer] : all) customer.metered = 100 * std::exchange(customer.used, 0) / plan.rate;
   }
 };
 
-// One of ten customers asks for four times its rate, and each gateway sees a customer once or twice in all:
-// work beyond quotas costs a tenth of what is asked inside, and most of what is inside is served.
-TEST(Fleet, TogetherGatewaysHoldQuotasOfCustomersThatEachSeesOnce) {
+// CustomerState of ten customers asks for four times its rate, and each gateway sees a customer once or twice
+// in all: work beyond quotas costs a tenth of what is asked inside, and most of what is inside is served.
+TEST(Fleet, GatewaysTogetherHoldQuotasOfCustomersThatEachSeesOnce) {
   for (const std::uint64_t seed : {1u, 2u}) {
-    Settings s = settings();
-    s.gatewayCount = 200, s.maxUnits = 8;
-    s.plans[0].rate = 2, s.plans[0].burst = 16;
+    Settings settings = testSettings();
+    settings.gatewayCount = 200;
+    settings.maxUnits = 8;
+    settings.plans[0].rate = 2;
+    settings.plans[0].burst = 16;
     std::mt19937_64 random(seed);
     const auto chance = [&] { return std::uniform_real_distribution<>(0, 1)(random); };
-    std::vector<std::unique_ptr<Bench>> fleet;
-    for (s.gatewayIndex = 0; s.gatewayIndex < s.gatewayCount; ++s.gatewayIndex) {
-      fleet.push_back(std::make_unique<Bench>(s, 100000, seed * 1000 + s.gatewayIndex));
-      fleet.back()->list(workers(60));
+    std::vector<std::unique_ptr<GatewayHarness>> fleet;
+    for (settings.gatewayIndex = 0; settings.gatewayIndex < settings.gatewayCount; ++settings.gatewayIndex) {
+      fleet.push_back(
+          std::make_unique<GatewayHarness>(settings, 100000, seed * 1000 + settings.gatewayIndex));
+      fleet.back()->updateEndpoints(workers(60));
     }
-    Quotas quotas{s.plans[0], {}};
+    Quotas quotas{settings.plans[0], {}};
     for (Time now = 100000; now < 125000; now += 2) {
-      if (std::fmod(now, s.quotaReadingPeriodMs) < 2) quotas.endPeriod();
+      if (std::fmod(now, settings.quotaReadingPeriodMs) < 2) quotas.endPeriod();
       if (chance() > 0.9) continue;
       const bool heavy = chance() < 0.56;  // 100 customers at 4 times the rate, 900 at 0.35
       const CustomerId id = 1 + static_cast<CustomerId>(chance() * (heavy ? 100 : 900)) + (heavy ? 0 : 100);
       static constexpr double kSizes[] = {1, 1, 1, 1, 2, 2, 4, 8};
       const double units = kSizes[static_cast<std::size_t>(chance() * 8)];
-      Bench& b = *fleet[static_cast<std::size_t>(chance() * s.gatewayCount)];
-      b.now = now;
-      const RequestId request = b.ask(0, 0, id, units, s.gatewayCount);
-      const bool in = b.wasSent(request);
-      quotas.note(id, now, units, in);
-      if (in) b.end(request, AttemptResult::ok, 50, static_cast<int>(quotas.all[id].metered));
+      GatewayHarness& harness = *fleet[static_cast<std::size_t>(chance() * settings.gatewayCount)];
+      harness.now = now;
+      const RequestId request = harness.sendRequest(0, 0, id, units, settings.gatewayCount);
+      const bool admitted = harness.wasForwarded(request);
+      quotas.note(id, now, units, admitted);
+      if (admitted)
+        harness.endAttempt(request, AttemptResult::ok, 50, static_cast<int>(quotas.all[id].metered));
     }
     EXPECT_LT(quotas.beyond / quotas.offered, 0.13) << seed;
     EXPECT_GT(quotas.inside / quotas.offered, 0.6) << seed;
   }
 }
 
-// Where gateways are few each has met its customers before long, and nobody is refused for being new.
-TEST(Fleet, AFewGatewaysLetNewCustomersIn) {
-  Settings s = settings();
-  s.gatewayCount = 3, s.maxUnits = 8;
-  s.plans[0].rate = 2, s.plans[0].burst = 16;
-  Bench b(s, 100000);
-  b.list(workers(8));
-  b.now += 20000;  // buckets of customers not seen yet have filled
-  for (CustomerId c = 1; c <= 100; ++c) {
-    const RequestId id = b.ask(0, 0, c, 8, 3);
-    ASSERT_TRUE(b.wasSent(id)) << c;
-    b.end(id, AttemptResult::ok, 50, 400);
+// Where gateways are few each has met its customers before long, and nobody is rejected for being new.
+TEST(Fleet, FewGatewaysAdmitNewCustomers) {
+  Settings settings = testSettings();
+  settings.gatewayCount = 3;
+  settings.maxUnits = 8;
+  settings.plans[0].rate = 2;
+  settings.plans[0].burst = 16;
+  GatewayHarness harness(settings, 100000);
+  harness.updateEndpoints(workers(8));
+  harness.now += 20000;  // buckets of customers not seen yet have filled
+  for (CustomerId customer = 1; customer <= 100; ++customer) {
+    const RequestId id = harness.sendRequest(0, 0, customer, 8, 3);
+    ASSERT_TRUE(harness.wasForwarded(id)) << customer;
+    harness.endAttempt(id, AttemptResult::ok, 50, 400);
   }
 }
 
--- a/tests/pressure_test.cpp
+++ b/tests/pressure_test.cpp
@@ -392,9 +392,9 @@
 namespace {
 
 // Enough workers and quota that nothing but the pressure refuses.
-struct Pressed : Bench {
+struct Pressed : GatewayHarness {
   static Settings wide() {
-    Settings s = settings();
+    Settings s = testSettings();
     s.maxRetryAfterMs = 4000;
     for (PlanSettings& plan : s.plans)
       plan.rate = 1000, plan.burst = 2000, plan.maxConcurrent = 0, plan.ceilingRate = 0;
@@ -402,14 +402,14 @@
     s.plans[1].price = 2;
     return s;
   }
-  explicit Pressed(const Settings& s = wide(), std::uint64_t salt = 7) : Bench(s, 0, salt) {
+  explicit Pressed(const Settings& s = wide(), std::uint64_t salt = 7) : GatewayHarness(s, 0, salt) {
     std::vector<Endpoint> workers;
-    for (WorkerId id = 1; id <= 40; ++id) workers.push_back(member(id));
-    list(workers);
+    for (WorkerId id = 1; id <= 40; ++id) workers.push_back(endpoint(id));
+    updateEndpoints(workers);
   }
   RequestId askFor(double bytes, unsigned klass = 0, unsigned plan = 0, CustomerId customer = 1) {
-    gateway.onRequest(now, {++last, klass, plan, customer, now + 3000, 1, 2, bytes});
-    return last;
+    gateway.onRequest(now, {++lastRequest, klass, plan, customer, now + 3000, 1, 2, bytes});
+    return lastRequest;
   }
   void press(double share, double excess = 0, Time lasts = 1000) {
     gateway.onOverload(now, {true, excess > 0, share, excess, lasts});
@@ -423,13 +423,13 @@
     for (Pressed* p : {&plain, &told}) {
       p->now += 7;
       const RequestId id = p->askFor(p == &told ? 1e6 : 0, static_cast<unsigned>(i % 3), 0, 1 + i % 5);
-      if (i % 2 && p->wasSent(id)) p->end(id, AttemptResult::ok, 50, 30);
+      if (i % 2 && p->wasForwarded(id)) p->endAttempt(id, AttemptResult::ok, 50, 30);
     }
   }
-  EXPECT_EQ(plain.recorder.sends.size(), told.recorder.sends.size());
-  EXPECT_EQ(plain.recorder.refused, told.recorder.refused);
-  for (std::size_t i = 0; i < plain.recorder.sends.size(); ++i)
-    EXPECT_EQ(plain.recorder.sends[i].worker, told.recorder.sends[i].worker);
+  EXPECT_EQ(plain.recorder.startedAttempts.size(), told.recorder.startedAttempts.size());
+  EXPECT_EQ(plain.recorder.rejected, told.recorder.rejected);
+  for (std::size_t i = 0; i < plain.recorder.startedAttempts.size(); ++i)
+    EXPECT_EQ(plain.recorder.startedAttempts[i].worker, told.recorder.startedAttempts[i].worker);
 }
 
 TEST(Shedding, ThoseBeyondTheirQuotaAreRefusedFirst) {
@@ -439,8 +439,8 @@
   p.press(0);  // pressed, but nothing has to be shed
   unsigned refused = 0;
   for (int i = 0; i < 12; ++i) {
-    EXPECT_TRUE(p.wasSent(p.askFor(1000, 0, 0, 1))) << "within its quota";
-    refused += p.wasRefused(p.askFor(1000, 0, 1, 2));
+    EXPECT_TRUE(p.wasForwarded(p.askFor(1000, 0, 0, 1))) << "within its quota";
+    refused += p.wasRejected(p.askFor(1000, 0, 1, 2));
   }
   EXPECT_GE(refused, 8u);
 }
@@ -449,15 +449,15 @@
   Pressed p;
   const RequestId small = p.askFor(2000), large = p.askFor(200000), dear = p.askFor(200000, 0, 1);
   p.press(0, 1000);
-  EXPECT_TRUE(p.wasRefused(large));
-  EXPECT_FALSE(p.wasRefused(small) || p.wasRefused(dear));
+  EXPECT_TRUE(p.wasRejected(large));
+  EXPECT_FALSE(p.wasRejected(small) || p.wasRejected(dear));
   p.press(0, 1000);
-  EXPECT_TRUE(p.wasRefused(dear));
+  EXPECT_TRUE(p.wasRejected(dear));
   p.press(0, 0);
-  EXPECT_FALSE(p.wasRefused(small));
+  EXPECT_FALSE(p.wasRejected(small));
   EXPECT_EQ(p.gateway.requestsInFlight(), 1u);
-  p.end(large, AttemptResult::cancelled);  // what comes of it later changes nothing
-  EXPECT_EQ(p.recorder.finals[large], 1u);
+  p.endAttempt(large, AttemptResult::cancelled);  // what comes of it later changes nothing
+  EXPECT_EQ(p.recorder.finalAnswers[large], 1u);
 }
 
 TEST(Shedding, WhatIsBeingAnsweredGoesLastAndFails) {
@@ -465,8 +465,8 @@
   const RequestId answered = p.askFor(400000), other = p.askFor(2000);
   p.gateway.onResponseStarted(p.now, answered);
   p.press(0, 1500);
-  EXPECT_TRUE(p.wasRefused(other));
-  EXPECT_FALSE(p.hasFailed(answered) || p.wasRefused(answered));
+  EXPECT_TRUE(p.wasRejected(other));
+  EXPECT_FALSE(p.hasFailed(answered) || p.wasRejected(answered));
   p.press(0, 1500);
   EXPECT_TRUE(p.hasFailed(answered));
   EXPECT_EQ(p.gateway.requestsInFlight(), 0u);
@@ -477,7 +477,7 @@
   Pressed p;
   const RequestId safe = p.askFor(1e6, 0), unsafe = p.askFor(1e6, 2);
   p.press(0, 1e9);
-  EXPECT_TRUE(p.wasRefused(safe));
+  EXPECT_TRUE(p.wasRejected(safe));
   EXPECT_TRUE(p.hasFailed(unsafe));
 }
 
@@ -489,8 +489,8 @@
     p.now += 5;
     const bool cheap = i % 2;
     const RequestId id = p.askFor(1000, 0, cheap ? 0 : 1, 1 + i % 50);
-    (cheap ? refusedCheap : refusedDear) += p.wasRefused(id);
-    if (p.wasSent(id)) p.end(id, AttemptResult::ok, 50);
+    (cheap ? refusedCheap : refusedDear) += p.wasRejected(id);
+    if (p.wasForwarded(id)) p.endAttempt(id, AttemptResult::ok, 50);
   }
   EXPECT_NEAR(refusedCheap + refusedDear, 0.3 * n, 0.06 * n);
   EXPECT_GT(refusedCheap, 20 * refusedDear);
@@ -503,7 +503,7 @@
     Pressed p(Pressed::wide(), salt);
     const RequestId id = p.askFor(1e6);
     p.press(0, 1, 2000);
-    waits.push_back(p.recorder.refused.at(id));
+    waits.push_back(p.recorder.rejected.at(id));
   }
   std::sort(waits.begin(), waits.end());
   EXPECT_GE(waits.front(), 1000);
@@ -517,7 +517,7 @@
   Pressed p;
   const RequestId id = p.askFor(1e6);
   p.press(0, 1, 1e9);
-  EXPECT_LE(p.recorder.refused.at(id), 4000);  // the settings' most
+  EXPECT_LE(p.recorder.rejected.at(id), 4000);  // the settings' most
 }
 
 }  // namespace
--- a/tests/recorder.hpp
+++ b/tests/recorder.hpp
@@ -1,4 +1,4 @@
-// A recording action sink and small builders: the module alone, without the bench.
+/// The decision module alone under test: a recorder of its actions, a harness that feeds it events, settings.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -9,110 +9,130 @@
 
 namespace wingslip::decision::test {
 
-struct Sent {
+/// An attempt that the module began.
+struct StartedAttempt {
   RequestId id;
   WorkerId worker;
-  Time timeout;
+  Time timeoutMs;
   unsigned attempt;
 };
 
+/// Records all actions, and checks that each request has one final answer.
 class Recorder : public Actions {
  public:
-  std::vector<Sent> sends;
-  std::map<RequestId, Time> refused;
-  std::map<RequestId, unsigned> failed, finals, attempts;
+  std::vector<StartedAttempt> startedAttempts;
+  std::map<RequestId, Time> rejected;
+  std::map<RequestId, unsigned> failed, finalAnswers, attemptCounts;
   std::vector<std::pair<Time, std::uint64_t>> timers;
-  std::vector<std::string> lines;
-  unsigned subscriptions = 0;
+  std::vector<std::string> logLines;
+  unsigned polls = 0;
 
-  void startAttempt(RequestId id, WorkerId worker, Time timeout) override {
-    EXPECT_EQ(finals[id], 0u) << "an attempt after the final answer of " << id;
-    sends.push_back({id, worker, timeout, attempts[id]++});
+  void startAttempt(RequestId id, WorkerId worker, Time timeoutMs) override {
+    EXPECT_EQ(finalAnswers[id], 0u) << "an attempt after the final answer of " << id;
+    startedAttempts.push_back({id, worker, timeoutMs, attemptCounts[id]++});
   }
-  void reject(RequestId id, Time retryAfter) override {
-    refused[id] = retryAfter;
-    EXPECT_GT(retryAfter, 0);
-    EXPECT_EQ(++finals[id], 1u);
+  void reject(RequestId id, Time retryAfterMs) override {
+    rejected[id] = retryAfterMs;
+    EXPECT_GT(retryAfterMs, 0);
+    EXPECT_EQ(++finalAnswers[id], 1u);
   }
   void fail(RequestId id) override {
     ++failed[id];
-    EXPECT_EQ(++finals[id], 1u);
+    EXPECT_EQ(++finalAnswers[id], 1u);
   }
-  void setTimer(Time wait, std::uint64_t tag) override { timers.emplace_back(wait, tag); }
-  void pollEndpoints() override { ++subscriptions; }
-  void log(const std::string& line) override { lines.push_back(line); }
+  void setTimer(Time waitMs, std::uint64_t tag) override { timers.emplace_back(waitMs, tag); }
+  void pollEndpoints() override { ++polls; }
+  void log(const std::string& line) override { logLines.push_back(line); }
 };
 
-inline Settings settings() {
-  Settings s;
-  s.gatewayCount = 2;
-  s.maxAttempts = 4;
-  s.maxRetryAfterMs = 2000;
-  s.quotaReadingPeriodMs = 1000;
-  s.slowStartShare = 0.2;
-  s.slowStartMs = 10000;
-  s.overloadMultiple = 2;
-  s.overloadWindowMs = 1000;
-  s.drainGraceMs = 1000;
-  ClassSettings safe;
-  safe.latencyObjectiveMs = 1000, safe.deadlineMs = 3000, safe.idempotency = Idempotency::idempotent;
-  ClassSettings keyed = safe;
-  keyed.idempotency = Idempotency::withKey, keyed.deduplicationScope = DeduplicationScope::zone,
-  keyed.idempotencyWindowMs = 2000;
-  ClassSettings unsafe = safe;
-  unsafe.idempotency = Idempotency::notIdempotent;
-  s.classes = {safe, keyed, unsafe};
+/// Classes: idempotent, with a key, not idempotent. Plans: a rate, a concurrency cap, a rate with a hard
+/// ceiling.
+inline Settings testSettings() {
+  Settings out;
+  out.gatewayCount = 2;
+  out.maxAttempts = 4;
+  out.maxRetryAfterMs = 2000;
+  out.quotaReadingPeriodMs = 1000;
+  out.slowStartShare = 0.2;
+  out.slowStartMs = 10000;
+  out.overloadMultiple = 2;
+  out.overloadWindowMs = 1000;
+  out.drainGraceMs = 1000;
+  ClassSettings idempotent;
+  idempotent.latencyObjectiveMs = 1000;
+  idempotent.deadlineMs = 3000;
+  idempotent.idempotency = Idempotency::idempotent;
+  ClassSettings withKey = idempotent;
+  withKey.idempotency = Idempotency::withKey;
+  withKey.deduplicationScope = DeduplicationScope::zone;
+  withKey.idempotencyWindowMs = 2000;
+  ClassSettings notIdempotent = idempotent;
+  notIdempotent.idempotency = Idempotency::notIdempotent;
+  out.classes = {idempotent, withKey, notIdempotent};
   PlanSettings rate;
-  rate.rate = 10, rate.burst = 20, rate.overQuotaCost = 1;
-  PlanSettings open;
-  open.maxConcurrent = 2;
+  rate.rate = 10;
+  rate.burst = 20;
+  rate.overQuotaCost = 1;
+  PlanSettings concurrencyCap;
+  concurrencyCap.maxConcurrent = 2;
   PlanSettings ceiling = rate;
-  ceiling.ceilingRate = 20, ceiling.ceilingBurst = 40;
-  s.plans = {rate, open, ceiling};
-  return s;
+  ceiling.ceilingRate = 20;
+  ceiling.ceilingBurst = 40;
+  out.plans = {rate, concurrencyCap, ceiling};
+  return out;
 }
 
-inline Endpoint member(WorkerId id, unsigned zone = 0, Time started = 0) {
-  Endpoint m;
-  m.worker = id, m.zone = zone, m.startedAt = started;
-  return m;
+inline Endpoint endpoint(WorkerId id, unsigned zone = 0, Time started = 0) {
+  Endpoint out;
+  out.worker = id;
+  out.zone = zone;
+  out.startedAt = started;
+  return out;
 }
 
-class Bench {  // one gateway with its recorder
+/// One gateway with its recorder, at a time that the test sets.
+class GatewayHarness {
  public:
-  explicit Bench(const Settings& s = settings(), Time start = 0, std::uint64_t salt = 7)
-      : now(start), gateway(s, salt, start, recorder) {}
+  explicit GatewayHarness(const Settings& settings = testSettings(), Time start = 0, std::uint64_t salt = 7)
+      : now(start), gateway(settings, salt, start, recorder) {}
 
-  void list(const std::vector<Endpoint>& members, EndpointUpdate kind = EndpointUpdate::snapshot) {
-    gateway.onEndpoints(now, kind, members);
+  void updateEndpoints(const std::vector<Endpoint>& endpoints,
+                       EndpointUpdate kind = EndpointUpdate::snapshot) {
+    gateway.onEndpoints(now, kind, endpoints);
   }
-  RequestId ask(unsigned klass = 0, unsigned plan = 0, CustomerId customer = 1, double units = 1,
-                unsigned setSize = 2, Time patience = 3000) {
-    gateway.onRequest(now, {++last, klass, plan, customer, now + patience, units, setSize});
-    return last;
+  RequestId sendRequest(unsigned requestClass = 0, unsigned planIndex = 0, CustomerId customer = 1,
+                        double units = 1, unsigned customerGateways = 2, Time deadlineMs = 3000) {
+    gateway.onRequest(
+        now, {++lastRequest, requestClass, planIndex, customer, now + deadlineMs, units, customerGateways});
+    return lastRequest;
   }
-  // Ends the newest attempt of a request.
-  void end(RequestId id, AttemptResult result, Time elapsed = 100, int percent = -1, bool finished = false,
-           double trueUnits = 0) {
-    for (auto it = recorder.sends.rbegin(); it != recorder.sends.rend(); ++it) {
+  /// Ends the newest attempt of a request.
+  void endAttempt(RequestId id, AttemptResult result, Time latencyMs = 100, int quotaUsePercent = -1,
+                  bool finished = false, double actualUnits = 0) {
+    for (auto it = recorder.startedAttempts.rbegin(); it != recorder.startedAttempts.rend(); ++it) {
       if (it->id != id) continue;
       AttemptOutcome out;
-      out.id = id, out.result = result, out.attempt = it->attempt, out.worker = it->worker;
-      out.latencyMs = elapsed, out.quotaUsePercent = percent, out.actualUnits = trueUnits;
+      out.id = id;
+      out.result = result;
+      out.attempt = it->attempt;
+      out.worker = it->worker;
+      out.latencyMs = latencyMs;
+      out.quotaUsePercent = quotaUsePercent;
+      out.actualUnits = actualUnits;
       out.requestFinished = finished || result == AttemptResult::ok;
       gateway.onAttemptOutcome(now, out);
       return;
     }
     FAIL() << "no attempt of " << id;
   }
-  bool wasSent(RequestId id) const { return recorder.attempts.contains(id); }
-  unsigned attempts(RequestId id) const { return wasSent(id) ? recorder.attempts.at(id) : 0; }
-  bool wasRefused(RequestId id) const { return recorder.refused.contains(id); }
+  bool wasForwarded(RequestId id) const { return recorder.attemptCounts.contains(id); }
+  unsigned attemptCount(RequestId id) const { return wasForwarded(id) ? recorder.attemptCounts.at(id) : 0; }
+  bool wasRejected(RequestId id) const { return recorder.rejected.contains(id); }
   bool hasFailed(RequestId id) const { return recorder.failed.contains(id); }
-  WorkerId lastWorker() const { return recorder.sends.back().worker; }
+  WorkerId lastWorker() const { return recorder.startedAttempts.back().worker; }
 
   Time now;
-  RequestId last = 0;
+  RequestId lastRequest = 0;
   Recorder recorder;
   Gateway gateway;
 };
