--- a/src/decision/admission.cpp
+++ b/src/decision/admission.cpp
@@ -80,6 +80,7 @@
 }
 
 bool Admission::isCapLikelyReached(const Customer& customer, const PlanSettings& plan) const {
+  if (plan.maxConcurrent == 0) return false;
   const double probability =
       concurrency_cap::probabilityOfCapacity(customer, plan, FleetQuota::share(customer));
   return probability * (1 + plan.overQuotaCost) < plan.overQuotaCost + workerShortage_;
--- a/src/decision/concurrency_cap.cpp
+++ b/src/decision/concurrency_cap.cpp
@@ -4,12 +4,9 @@
 #include <algorithm>
 #include <cmath>
 
-#include "decision/decay.hpp"
-
 namespace wingslip::decision::concurrency_cap {
 namespace {
 
-constexpr Time kInFlightMemoryMs = 1000;
 constexpr Time kFleetMeanMemoryMs = 60000;
 // A metered peak stands about kPeakDeviations deviations and kPeakOffset attempts over the mean.
 constexpr double kPeakDeviations = 1.2;
@@ -30,11 +27,6 @@
 
 }  // namespace
 
-void advance(Customer& customer, Time elapsedMs) {
-  customer.meanInFlight =
-      approach(customer.meanInFlight, customer.attemptsInFlight, elapsedMs, kInFlightMemoryMs);
-}
-
 void fadeFleetMean(Customer& customer, Time elapsedMs) {
   customer.fleetMeanInFlight = approach(customer.fleetMeanInFlight, 0, elapsedMs, kFleetMeanMemoryMs);
 }
@@ -46,7 +38,6 @@
 }
 
 double probabilityOfCapacity(const Customer& customer, const PlanSettings& plan, double share) {
-  if (plan.maxConcurrent == 0) return 1;
   const double others =
       plan.rate > 0 ? customer.meanInFlight * (1 - share) / share : customer.fleetMeanInFlight * (1 - share);
   return probabilityBelow(plan.maxConcurrent - customer.attemptsInFlight, others);
--- a/src/decision/concurrency_cap.hpp
+++ b/src/decision/concurrency_cap.hpp
@@ -2,12 +2,16 @@
 #pragma once
 
 #include "decision/customer.hpp"
+#include "decision/decay.hpp"
 #include "wingslip/decision/settings.hpp"
 
 namespace wingslip::decision::concurrency_cap {
 
 /// Averages this gateway's attempts in flight over time.
-void advance(Customer& customer, Time elapsedMs);
+inline void advance(Customer& customer, Time elapsedMs) {
+  constexpr Time kMemoryMs = 1000;
+  customer.meanInFlight = approach(customer.meanInFlight, customer.attemptsInFlight, elapsedMs, kMemoryMs);
+}
 /// Lets the other gateways' metered peak fade while no reading comes.
 void fadeFleetMean(Customer& customer, Time elapsedMs);
 /// A reading of a customer without a quota on its rate: the peak of attempts in flight, in percent of the
@@ -17,7 +21,7 @@
 inline bool isReached(const Customer& customer, const PlanSettings& plan) {
   return plan.maxConcurrent > 0 && customer.attemptsInFlight >= plan.maxConcurrent;
 }
-/// Probability that one more attempt is under the cap over all gateways; 1 where the plan has none.
+/// Probability that one more attempt is under the cap over all gateways. Of a plan with a cap.
 /// @param share this gateway's share of the customer's use.
 [[nodiscard]] double probabilityOfCapacity(const Customer& customer, const PlanSettings& plan, double share);
 
--- a/src/decision/fleet_quota.cpp
+++ b/src/decision/fleet_quota.cpp
@@ -3,6 +3,8 @@
 
 #include <cmath>
 
+#include "decision/decay.hpp"
+
 namespace wingslip::decision {
 namespace {
 
@@ -35,8 +37,8 @@
 }
 
 // Units per second that the other gateways take from the fleet's quota.
-double FleetQuota::othersRate(const Customer& customer) const {
-  return demand(customer) * (1 - share(customer)) * customer.history.admitFraction[customer.history.newest()];
+double FleetQuota::othersRate(const Customer& customer, double ownShare) const {
+  return demand(customer) * (1 - ownShare) * customer.history.admitFraction[customer.history.newest()];
 }
 
 void FleetQuota::noteDemand(Customer& customer, double units, double seconds) {
@@ -63,16 +65,18 @@
   const double seconds = elapsedMs / 1000;
   const double lowest = -maxDebt(plan);
   const double filled = customer.fleetTokens + plan.rate * seconds;
-  const double othersUnits = std::clamp(othersRate(customer) * seconds, 0.0, std::max(0.0, filled - lowest));
+  const double ownShare = share(customer);
+  const double othersUnits =
+      std::clamp(othersRate(customer, ownShare) * seconds, 0.0, std::max(0.0, filled - lowest));
   customer.fleetTokens = std::min(plan.burst, filled - othersUnits);
 
-  const double keepRecent = std::exp(-elapsedMs / kRecentDemandMemoryMs);
-  const double keepUsual = std::exp(-elapsedMs / kUsualDemandMemoryMs);
+  const double keepRecent = decayFactor(elapsedMs, kRecentDemandMemoryMs);
+  const double keepUsual = decayFactor(elapsedMs, kUsualDemandMemoryMs);
   customer.recentDemand.units *= keepRecent;
-  customer.recentDemand.seconds = customer.recentDemand.seconds * keepRecent + share(customer) * seconds;
+  customer.recentDemand.seconds = customer.recentDemand.seconds * keepRecent + ownShare * seconds;
   customer.usualDemand.units *= keepUsual;
-  customer.usualDemand.seconds = customer.usualDemand.seconds * keepUsual + share(customer) * seconds;
-  const double keepShare = std::exp(-elapsedMs / kShareMemoryMs);
+  customer.usualDemand.seconds = customer.usualDemand.seconds * keepUsual + ownShare * seconds;
+  const double keepShare = decayFactor(elapsedMs, kShareMemoryMs);
   customer.ownUse *= keepShare;
   customer.allUse *= keepShare;
   return othersUnits;
@@ -108,16 +112,17 @@
   }
   const double periodS = settings_.quotaReadingPeriodMs / 1000;
   const double meteredOthers = std::max(0.0, percent / 100.0 * plan.rate * periodS - ownUnits);
-  const double rateBefore = othersRate(customer);
+  const double rateBefore = othersRate(customer, share(customer));
   customer.ownUse += ownUnits;
   customer.allUse += ownUnits + meteredOthers;
+  const double ownShare = share(customer);
   // The reading tells what the fraction of its own period admitted, whatever the fraction is by now.
-  noteDemand(customer, meteredOthers, periodS * (1 - share(customer)) * fraction);
+  noteDemand(customer, meteredOthers, periodS * (1 - ownShare) * fraction);
   customer.admitFraction = std::clamp(kTargetUse * plan.rate / demand(customer), kMinAdmitFraction, 1.0);
   // What was assumed for the metered period gives way to what was metered, and the time since then to the
   // others' rate as it is now known.
   customer.fleetTokens +=
-      assumedOthers - meteredOthers + (rateBefore - othersRate(customer)) * kReadingDelayMs / 1000;
+      assumedOthers - meteredOthers + (rateBefore - othersRate(customer, ownShare)) * kReadingDelayMs / 1000;
   customer.fleetTokens = std::clamp(customer.fleetTokens, -maxDebt(plan), plan.burst);
 }
 
--- a/src/decision/fleet_quota.hpp
+++ b/src/decision/fleet_quota.hpp
@@ -11,8 +11,7 @@
 
 namespace wingslip::decision {
 
-/// The estimate's rules; the state is the customer's own. Reads the settings it was made with, which outlive
-/// it.
+/// The estimate's rules; the state is the customer's own. The settings it was made with outlive it.
 class FleetQuota {
  public:
   explicit FleetQuota(const Settings& settings) : settings_(settings) {}
@@ -38,9 +37,9 @@
   /// Corrects the estimate by a reading: the metered use of the last whole period, in percent of the rate.
   void correct(Customer& customer, int percent) const;
 
-  /// Units by which a request of `units` may go past the estimate before the quota counts as used up, or has
-  /// to stay away from it, at `errorPrice`: what a wrong admission costs for each wrong rejection. The spread
-  /// is what is not known of the others' use since the last reading's period.
+  /// Units that have to be left beyond those of a request, or the quota counts as used up: what is not known
+  /// of the others' use since the last reading's period, weighted by `errorPrice`, the cost of a wrong
+  /// admission over that of a wrong rejection. Negative where wrong admissions cost little.
   double margin(const Customer& customer, double errorPrice) const;
 
  private:
@@ -50,7 +49,7 @@
   Time slotLengthMs() const { return std::max(settings_.quotaReadingPeriodMs, 1000.0) / kSlotsPerPeriod; }
   long slotAt(Time now) const { return static_cast<long>(now / slotLengthMs()); }
   double maxDebt(const PlanSettings& plan) const;
-  double othersRate(const Customer& customer) const;
+  double othersRate(const Customer& customer, double ownShare) const;
   const PlanSettings& planOf(const Customer& customer) const { return settings_.plans[customer.planIndex]; }
 
   const Settings& settings_;
--- a/src/decision/load_shedding.cpp
+++ b/src/decision/load_shedding.cpp
@@ -3,6 +3,7 @@
 
 #include <algorithm>
 #include <cmath>
+#include <tuple>
 
 namespace wingslip::decision {
 namespace {
@@ -36,6 +37,12 @@
   return isShed;
 }
 
-void LoadShedding::sort(std::vector<ReleaseCandidate>& order) { std::sort(order.begin(), order.end()); }
+void LoadShedding::sort(std::vector<ReleaseCandidate>& order) {
+  const auto rank = [](const ReleaseCandidate& candidate) {
+    return std::tie(candidate.responseStarted, candidate.isWithinQuota, candidate.valuePerByte, candidate.id);
+  };
+  std::sort(order.begin(), order.end(),
+            [&](const ReleaseCandidate& a, const ReleaseCandidate& b) { return rank(a) < rank(b); });
+}
 
 }  // namespace wingslip::decision
--- a/src/decision/load_shedding.hpp
+++ b/src/decision/load_shedding.hpp
@@ -1,7 +1,6 @@
 /// Load shedding: what is given up while the host is short of memory, descriptors or time.
 #pragma once
 
-#include <compare>
 #include <vector>
 
 #include "decision/random.hpp"
@@ -18,8 +17,6 @@
   bool isWithinQuota = true;
   double valuePerByte = 0;
   RequestId id = 0;
-
-  auto operator<=>(const ReleaseCandidate&) const = default;
 };
 
 /// What it is made with outlives it.
--- a/src/decision/outlier_detection.cpp
+++ b/src/decision/outlier_detection.cpp
@@ -2,7 +2,8 @@
 #include "decision/outlier_detection.hpp"
 
 #include <algorithm>
-#include <cmath>
+
+#include "decision/decay.hpp"
 
 namespace wingslip::decision {
 namespace {
@@ -30,7 +31,7 @@
   const bool tellsLatency =
       result == AttemptResult::ok || (result == AttemptResult::timeout && ratio > slowness(worker));
   if (!tellsLatency) return;
-  const double keep = kLatencyKeep * std::exp(-(now - worker.latencyRatioAt) / kLatencyMemoryMs);
+  const double keep = kLatencyKeep * decayFactor(now - worker.latencyRatioAt, kLatencyMemoryMs);
   worker.latencyRatioSum = keep * worker.latencyRatioSum + ratio;
   worker.latencyRatioCount = keep * worker.latencyRatioCount + 1;
   worker.latencyRatioAt = now;
--- a/src/decision/request_table.hpp
+++ b/src/decision/request_table.hpp
@@ -27,7 +27,7 @@
     const auto found = requests_.find(id);
     return found == requests_.end() ? nullptr : &found->second;
   }
-  PendingRequest& add(PendingRequest pending) {
+  PendingRequest& add(PendingRequest&& pending) {
     const RequestId id = pending.request.id;
     return requests_.emplace(id, std::move(pending)).first->second;
   }
