--- /dev/null
+++ b/tests/decision_modules_test.cpp
@@ -0,0 +1,195 @@
+// Modules of the decision module alone, among them bounds that the replay's sequences do not reach.
+#include <gtest/gtest.h>
+
+#include "decision/admission.hpp"
+#include "decision/concurrency_limit.hpp"
+#include "decision/customer_registry.hpp"
+#include "decision/customer_table.hpp"
+#include "decision/load_shedding.hpp"
+#include "decision/outlier_detection.hpp"
+#include "decision/retry_policy.hpp"
+#include "decision/unknown_customers.hpp"
+#include "recorder.hpp"
+
+namespace wingslip::decision::test {
+namespace {
+
+const auto kLosesSomething = [](const Customer&) { return false; };
+const auto kIgnore = [](const Customer&) {};
+
+PendingRequest pendingRequest(unsigned requestClass) {
+  PendingRequest pending;
+  pending.requestClass = std::make_shared<RequestClass>(RequestClass{testSettings().classes[requestClass]});
+  pending.request.expiresAt = 1e6;
+  pending.maxAttempts = 100;
+  return pending;
+}
+
+TEST(CustomerTable, IsFullAtItsBound) {
+  CustomerTable table;
+  for (CustomerId id = 1; id < 4096; ++id) table.add(id);
+  EXPECT_FALSE(table.isFull());
+  table.add(4096);
+  EXPECT_TRUE(table.isFull());
+}
+
+TEST(CustomerTable, EvictsTheLeastRecentlyUsedWhereAllLoseByIt) {
+  CustomerTable table;
+  for (CustomerId id = 1; id <= 3; ++id) table.add(id);
+  table.findAndTouch(1);
+  table.evictOne(kLosesSomething, kIgnore);
+  EXPECT_EQ(table.find(2), nullptr);
+  EXPECT_NE(table.find(1), nullptr);
+}
+
+TEST(CustomerTable, LooksAtTheOldest32ForOneThatLosesNothing) {
+  for (const CustomerId losesNothing : {32u, 33u}) {
+    CustomerTable table;
+    for (CustomerId id = 1; id <= 40; ++id) table.add(id);
+    table.evictOne([&](const Customer& customer) { return customer.id == losesNothing; }, kIgnore);
+    EXPECT_EQ(table.find(losesNothing) == nullptr, losesNothing == 32);
+    EXPECT_EQ(table.find(1) == nullptr, losesNothing == 33);
+  }
+}
+
+TEST(WorkerLimit, GrowsToItsBound) {
+  UpstreamWorker worker;
+  worker.inFlight = 1000;
+  for (int i = 0; i < 100000; ++i) steerWorkerLimit(worker, i, {false, true});
+  EXPECT_EQ(worker.limit, 200);
+}
+
+TEST(WorkerLimit, SeveralLateAnswersAtATimeAreOneCut) {
+  UpstreamWorker worker;
+  worker.limit = 10;
+  worker.inFlight = 100;
+  for (int i = 0; i < 5; ++i) steerWorkerLimit(worker, 1000 + i, {true, false});
+  EXPECT_EQ(worker.limit, 0.85 * 10);
+}
+
+TEST(OverloadPause, DoublesToItsBoundAndIsResetByAGoodAnswer) {
+  UpstreamWorker worker;
+  for (const Time expectedMs : {150, 300, 600, 1200, 2000, 2000}) {
+    pauseOverloaded(worker, 0);
+    EXPECT_EQ(worker.pausedUntil, expectedMs);
+  }
+  resetOverloadPause(worker);
+  pauseOverloaded(worker, 0);
+  EXPECT_EQ(worker.pausedUntil, 150);
+}
+
+TEST(Ejection, DoublesToItsBoundAndIsEndedByAGoodAnswer) {
+  UpstreamWorker worker;
+  EXPECT_FALSE(OutlierDetection::noteFailure(worker, 0));
+  for (const Time expectedMs : {1000, 2000, 4000, 8000, 8000}) {
+    EXPECT_TRUE(OutlierDetection::noteFailure(worker, 0));
+    EXPECT_EQ(worker.ejectedUntil, expectedMs);
+  }
+  OutlierDetection::noteSuccess(worker);
+  EXPECT_FALSE(worker.isEjected(0));
+  EXPECT_FALSE(OutlierDetection::noteFailure(worker, 0));
+}
+
+TEST(OutlierDetection, AWorkerIsSilentAfterThreeUsualLatencies) {
+  RequestClasses classes(testSettings().classes, 0);
+  classes.noteLatency(*classes[0], 0, 100);
+  OutlierDetection outliers(classes);
+  UpstreamWorker worker;
+  worker.inFlight = 2;
+  EXPECT_FALSE(outliers.shouldAvoid(worker, 300));
+  EXPECT_TRUE(outliers.shouldAvoid(worker, 301));
+  worker.inFlight = 1;
+  EXPECT_FALSE(outliers.shouldAvoid(worker, 301));
+}
+
+TEST(RetryPolicy, FourAttemptsAreTheMostWhateverTheSettingsAllow) {
+  const RetryPolicy policy;
+  PendingRequest pending = pendingRequest(0);
+  pending.attempts = 3;
+  EXPECT_TRUE(policy.mayRetry(pending, 10));
+  pending.attempts = 4;
+  EXPECT_FALSE(policy.mayRetry(pending, 10));
+}
+
+TEST(RetryPolicy, OneThatMayHaveRunIsRetriedOnlyAsItsClassAllows) {
+  const RetryPolicy policy;
+  for (const unsigned requestClass : {0u, 1u, 2u}) {
+    PendingRequest pending = pendingRequest(requestClass);
+    pending.mayHaveRun = true;
+    EXPECT_EQ(policy.mayRetry(pending, 10), requestClass != 2);
+    EXPECT_EQ(isSafeToReject(pending), requestClass == 0);
+  }
+}
+
+TEST(RetryPolicy, TimeoutsUseUpTheBudgetForRepeats) {
+  RetryPolicy policy;
+  PendingRequest pending = pendingRequest(0);
+  pending.mayHaveRun = true;
+  for (int i = 0; i < 4; ++i) policy.noteResult(AttemptResult::timeout);
+  EXPECT_TRUE(policy.mayRetry(pending, 10));
+  policy.noteResult(AttemptResult::timeout);
+  EXPECT_FALSE(policy.mayRetry(pending, 10));
+  EXPECT_EQ(policy.attemptTimeoutMs(pending, 10), 0);
+}
+
+TEST(LoadShedding, ReleasesThoseOverTheirQuotaFirstAndStartedResponsesLast) {
+  RequestTable requests;
+  const auto add = [&](RequestId id, double bytes, bool responseStarted) {
+    PendingRequest pending = pendingRequest(0);
+    pending.request.id = id;
+    pending.request.memoryBytes = bytes;
+    pending.responseStarted = responseStarted;
+    requests.add(std::move(pending));
+  };
+  add(1, 1e6, true);
+  add(2, 20000, false);
+  add(3, 1e6, false);
+  add(4, 20000, false);
+  std::vector<RequestId> order;
+  for (const ReleaseCandidate& candidate : LoadShedding::releaseOrder(
+           requests, [](const PendingRequest& pending) { return pending.request.id == 4; }))
+    order.push_back(candidate.id);
+  EXPECT_EQ(order, (std::vector<RequestId>{4, 3, 2, 1}));
+}
+
+TEST(Admission, TellsTheReasonOfARejection) {
+  Settings settings = testSettings();
+  settings.gatewayCount = 1;
+  const CustomerQuota quota(settings);
+  Random random(1);
+  CustomerRegistry customers(settings, quota, random, 0);
+  const UnknownCustomers unknownCustomers(settings, customers.usualRequestSize());
+  Admission admission(settings, quota.fleet(), unknownCustomers, random);
+  const auto reason = [&](unsigned planIndex, double units) -> std::optional<RejectionReason> {
+    const Request request{1, 0, planIndex, 1 + planIndex, 3000, units};
+    Customer& customer = customers.obtain(0, request);
+    const auto rejection = admission.check(customer, request, 100, false);
+    if (!rejection) {
+      CustomerQuota::debit(customer, units);
+      quota.noteAttemptStarted(customer, 0);
+      return std::nullopt;
+    }
+    return rejection->reason;
+  };
+  EXPECT_EQ(reason(0, 20), std::nullopt);
+  EXPECT_EQ(reason(0, 1), RejectionReason::localQuota);
+  EXPECT_EQ(reason(1, 1), std::nullopt);
+  EXPECT_EQ(reason(1, 1), std::nullopt);
+  EXPECT_EQ(reason(1, 1), RejectionReason::concurrencyCap);
+  EXPECT_EQ(reason(2, 1), RejectionReason::hardCeiling);  // nothing of it is left to a gateway that starts
+}
+
+TEST(UnknownCustomers, ReachIsBounded) {
+  Settings settings = testSettings();
+  UsualRequestSize usualSize;
+  usualSize.note(1);
+  UnknownCustomers unknownCustomers(settings, usualSize);
+  Request request;
+  for (int i = 0; i < 2000; ++i) unknownCustomers.noteReading(request, settings.plans[0], 1, 0);
+  EXPECT_EQ(unknownCustomers.reach(), 1.5);
+  for (int i = 0; i < 2000; ++i) unknownCustomers.noteReading(request, settings.plans[0], 1, 10000);
+  EXPECT_EQ(unknownCustomers.reach(), 0.08);
+}
+
+}  // namespace
+}  // namespace wingslip::decision::test
