--- a/src/decision/gateway.cpp
+++ b/src/decision/gateway.cpp
@@ -1,1257 +1,340 @@
-// The decision module. Its interface (settings, events, actions) is include/wingslip/decision/gateway.hpp.
-//
-// Reading order: the tuned values; Core's events at the end of its class (request, outcome, members, timer);
-// then the sections they call: 1 quota, 2 guards (ceiling, cold workers, drains), 3 server choice and
-// health, 4 attempts and final answers. Why each departs from the source design: docs/design.md.
+/// The decision module: events in, actions out. Its interface is include/wingslip/decision/gateway.hpp.
+///
+/// Core tells the story of a request and leaves each decision to its module: admission, load_shedding,
+/// concurrency_limit and load_balancer before its first attempt, worker_feedback and customer_quota at an
+/// attempt's outcome, retry_policy for another attempt or the final answer.
 #include "wingslip/decision/gateway.hpp"
 
 #include <algorithm>
-#include <array>
 #include <cmath>
-#include <cstdio>
-#include <list>
-#include <map>
 #include <memory>
 #include <optional>
-#include <stdexcept>
-#include <string_view>
-#include <tuple>
-#include <unordered_map>
+#include <utility>
+
+#include "decision/admission.hpp"
+#include "decision/concurrency_limit.hpp"
+#include "decision/customer_quota.hpp"
+#include "decision/customer_registry.hpp"
+#include "decision/decision_log.hpp"
+#include "decision/load_balancer.hpp"
+#include "decision/load_report.hpp"
+#include "decision/load_shedding.hpp"
+#include "decision/outlier_detection.hpp"
+#include "decision/random.hpp"
+#include "decision/request_class.hpp"
+#include "decision/request_table.hpp"
+#include "decision/retry_policy.hpp"
+#include "decision/settings_check.hpp"
+#include "decision/slow_start.hpp"
+#include "decision/unknown_customers.hpp"
+#include "decision/worker_feedback.hpp"
+#include "decision/worker_table.hpp"
 
 namespace wingslip::decision {
 namespace {
 
-// --- Tuned values --------------------------------------------------------------------------------------
-// Quota.
-constexpr std::size_t kTable = 4096;     // customers held (the source's default); fewer: heavy ones return
-constexpr std::size_t kEvictScan = 32;   // oldest entries looked at for one that loses nothing by eviction
-constexpr double kFractionFloor = 0.05;  // lowest admit fraction (design); lower: no reading ever lifts it
-constexpr Time kClimb = 5000;  // ms from the floor back to 1 without readings; longer: refuses on old news
-constexpr double kClimbGaps =
-    3;                           // and at least this many usual gaps between readings, where they come rarely
-constexpr Time kForget = 60000;  // ms, memory of the usual demand and others' peaks; shorter: gateways swing
-constexpr Time kNews = 3000;  // ms, memory of readings and own sends in the use; longer: late to see a spike
-constexpr double kMeterLag = 800;  // ms from a metered period's end to its reading; errors blur the use
-constexpr double kDoubt = 0.5;     // requests that an assumed demand counts for; higher: late to believe news
-constexpr double kUsualDemand = 1;  // of the rate: demand of a customer that nothing is known of
-constexpr double kShareWeight =
-    4;  // requests that a share of 1/customerGateways counts for; lower: one request is news
-constexpr double kUnitsKeep = 8;        // requests behind the usual size
-constexpr double kPooledUnits = 50;     // new customers behind the gateway's usual size of a request
-constexpr double kNewReading = 0.3;     // metered periods after which another value is a new reading
-constexpr Time kOpenTau = 1000;         // ms, memory of own attempts out
-constexpr Time kShareTau = 10000;       // ms, memory of the share; longer: slow after traffic moves
-constexpr double kLogisticScale = 1.7;  // of a normal spread in the logistic one that stands for it
-constexpr double kPaceMost =
-    1.5;  // usual requests that a gateway's part of the rate saves up while the store is empty
-constexpr double kCaution =
-    1;  // spreads of doubt kept from the estimate; higher: refuses with room; lower: goes past
-constexpr double kTarget = 0.6;       // of the rate, what the fraction aims at
-constexpr Time kPressedTau = 4000;    // ms, memory of how often the workers are full
-constexpr double kPressedMost = 0.8;  // higher: nothing is let in on a doubtful estimate
-constexpr double kDebt =
-    2;  // metered periods of the rate that the estimate may owe; 0: noise only ever adds room
-// Where a customer's gateways are so many that a request at each outruns its store, see `strangersChance`.
-constexpr double kBeyondMost = 0.09;  // of the worth let in inside quotas, what work beyond them may cost
-constexpr double kFewGateways = 4;    // never outrun it; fewer: one large first request makes them seem to
-constexpr double kLeastStore = 12;    // usual requests; fewer: strangers of small bursts are never let in
-constexpr double kReachFirst =
-    0.13;  // of the burst; higher: a start lets in more than the fleet's stores hold
-constexpr double kReachLeast = 0.08;      // lower: where all requests are alike, hardly a stranger is let in
-constexpr double kReachMost = 1.5;        // all are let in
-constexpr double kReachStep = 0.4;        // of the reach by a usual request; higher: one reading decides
-constexpr double kReachSpread = 1.0 / 3;  // of the reach, by chance; 0: large requests are never let in
-constexpr double kWorthKeep = 50;         // requests behind the usual worth of one
-// A metered peak of attempts out stands about kPeakSpread deviations and kPeakStep over their mean.
-constexpr double kPeakSpread = 1.2;  // higher: caps go past
-constexpr double kPeakStep = 0.5;
-constexpr double kPeakNews = 0.3;  // weight of a new peak; higher: one crowd closes a cap
-// Guards.
-constexpr double kColdMargin = 0.8;  // of a cold worker's told share; above 1 eats into the rule's multiple
-constexpr Time kRateTau = 4000;  // ms, memory of the rate of good answers that cold workers are held against
-constexpr Time kWarmSmooth = 2000;  // ms over which a warm worker's part of it is learned
-constexpr Time kWarmTau =
-    60000;  // ms, memory of that while none is warm; shorter: a release starves the rest
-// Server choice and health.
-constexpr Time kSlowTau = 30000;   // ms, memory of a worker's latency
-constexpr double kSlowKeep = 0.8;  // and of its older answers; higher: late to see a slow machine
-constexpr double kSlowDoubt = 1;   // answers that its kind's usual latency counts for; 0: one answer decides
-constexpr double kSlowMost = 20;   // usual latencies that one answer counts for at most
-constexpr double kKindNews =
-    0.02;  // weight of an answer in its kind's latency; higher: the kind follows one worker
-constexpr Time kBaseSpan = 1000;     // ms that one answer stands for at most
-constexpr double kUsualOfAim = 0.2;  // usual latency of a class without answers
-constexpr double kTie = 0.02;  // of a worker's cost, by chance; 0: gateways alike all take the first listed
-constexpr double kShunned =
-    10000;                         // cost factor of an ejected or silent worker: only where there is no other
-constexpr unsigned kSharers = 20;  // gateways that use a worker as their own; fewer: uneven as their traffic
-constexpr unsigned kLeastOwn = 8;  // workers that a gateway uses at least; fewer: one bad one is felt
-// Workers that a gateway uses at most, where enough gateways are left to share each of them: its traffic does
-// not grow with the list, and each worker used takes a connection. More: connections; fewer: uneven.
-constexpr unsigned kMostOwn = 48;
-constexpr unsigned kLeastSharers =
-    4;                            // gateways left to each worker then; fewer: some worker is seen by none
-constexpr double kOutside = 2.5;  // cost factor of one that is not its own
-constexpr double kTried = 30;     // of one that has failed this request
-constexpr Time kBaseTau = 20000;  // ms, memory of a class's usual latency
-constexpr Time kOthersKeep =
-    2400;  // ms until a worker without reports counts as the average; longer: old news decides
-constexpr Time kOthersSpan = 50;         // ms that a report stands for at least; 0: two at once count as one
-constexpr std::size_t kOthersMean = 10;  // reports at least behind the fleet's mean
-constexpr double kOthersTau = 600;       // ms, memory of load reports
-constexpr double kSilent = 3;  // usual latencies without an answer, two or more out; lower: bad luck ejects
-constexpr double kZoneWeight = 15;     // cost factor per unit of cross-zone price; higher: one zone fills up
-constexpr unsigned kFailsToEject = 2;  // failures in a row; 1: a single lost packet empties the pool
-constexpr Time kEjectFirst = 1000;     // ms of the first ejection; doubles up to kEjectMost
-constexpr Time kEjectMost = 8000;
-constexpr double kLimitFirst =
-    12;  // in-flight a worker starts with, over all gateways; higher: a start overdrives
-constexpr double kLimitMost = 200;
-constexpr double kLimitLeast = 0.1;   // lower: workers that recover are found too late
-constexpr double kLimitCut = 0.85;    // factor when an answer comes late; lower: half-empty workers
-constexpr double kLimitUsed = 0.7;    // share of a limit that must be in use for it to grow
-constexpr double kAlone = 2;          // times its kind's latency, from which a worker is slow by itself
-constexpr Time kLimitHold = 200;      // ms between cuts; one crowd of late answers is one cut
-constexpr double kPoolCut = 2;        // the gateway's limit: e-folds a second while answers are late
-constexpr double kPoolSpare = 2;      // times the most lately out, the limit that a first late answer leaves
-constexpr Time kPeakTau = 4000;       // ms, memory of the most lately out; shorter: one late answer closes
-constexpr double kPoolRise = 0.6;     // and early; the two hold late answers near a quarter in overload
-constexpr double kLimitLate = 0.5;    // of the aim: an answer this late cuts the limit
-constexpr double kLimitEarly = 0.25;  // of the aim: an answer within this lets a used-up limit grow
-constexpr Time kFullPause =
-    150;  // ms without sends to a worker that answered "full"; doubles up to kFullMost
-constexpr Time kFullMost = 2000;
-// Attempts.
-constexpr unsigned kMostAttempts = 4;  // more than this on one request only adds load
-constexpr double kPatience = 5;        // usual latencies before an attempt that may be repeated is given up
-constexpr double kPatienceOfAim = 1;   // and at least this share of the aim
-constexpr double kBudgetMost = 5;      // early time-outs in a row
-constexpr double kBudgetStep = 0.05;   // earned by each good answer; higher: time-outs feed an overload
-// Under the host's pressure.
-constexpr double kCutStep = 0.1;       // of the worth for what it holds that is let in; lower: follows late
-constexpr double kLeastBytes = 16384;  // below it requests hold alike: descriptors and time count, not bytes
-constexpr Time kHoldStep = 40;         // ms between looks for a worker for a request that must not be refused
-constexpr Time kRetryAfter = 250;      // ms advised when no worker can take the request
-constexpr Time kLogEvery = 2000;       // ms between log lines
-constexpr Time kSummaryEvery = 5000;   // ms between lines on what was refused and why
+constexpr Time kRetryAfterMs = 250;  // advised when no worker can take the request
+constexpr Time kPollRetryMs = 250;   // after a call for the list of endpoints that failed
+constexpr Time kWorkerRetryMs = 40;  // between looks for a worker that may repeat a request
+constexpr std::uint64_t kPollTimerTag = ~std::uint64_t{0};  // other tags are requests
 
-constexpr int kSlots = 16;  // four metered periods in quarter periods
-
-std::uint64_t mix(std::uint64_t z) {
-  z = (z ^ (z >> 30)) * 0xbf58476d1ce4e5b9ULL;
-  z = (z ^ (z >> 27)) * 0x94d049bb133111ebULL;
-  return z ^ (z >> 31);
-}
-
-class Random {  // splitmix64: the same numbers with every library
- public:
-  explicit Random(std::uint64_t seed) : state_(seed) {}
-  double next() { return static_cast<double>(mix(state_ += 0x9e3779b97f4a7c15ULL) >> 11) * 0x1.0p-53; }
-
- private:
-  std::uint64_t state_;
-};
-
-double toward(double old, double sample, Time dt, Time tau) {
-  return old + (sample - old) * (1 - std::exp(-std::max(dt, 0.0) / tau));
+const Settings& checked(const Settings& settings) {
+  checkSettings(settings);
+  return settings;
 }
 
-struct Customer {
-  CustomerId id = 0;
-  unsigned plan = 0;
-  unsigned customerGateways = 1;
-  Time at = 0;          // bucket, store and ceiling are filled up to here
-  double tokens = 0;    // this gateway's bucket
-  double store = 0;     // estimate of the customer's global store
-  double ceiling = 0;   // this gateway's part of the hard ceiling
-  double fraction = 1;  // admit fraction
-  int reading = -1;
-  Time readingAt = 0, readingGap = 0;  // the last reading, and the usual time between two
-  double credit = 0;                   // units that the fraction has let in here and that are unused
-  double units = 0;                    // usual units of a request
-  double newsUnits = 0,
-         newsTime = 0;               // all gateways' demand as seen lately: units, and seconds they stand for
-  double oldUnits = 0, oldTime = 0;  // the same over a longer memory
-  double ownUse = 0, allUse = 0;     // decayed sums behind the share
-  unsigned open = 0;                 // attempts out
-  double meanOpen = 0, allOpen = 0;  // own on average; all gateways' by their metered peaks
-  std::array<double, kSlots> sent{};   // own units by quarter period
-  std::array<double, kSlots> taken{};  // what the others are held to have taken from the estimate
-  std::array<double, kSlots> in{};     // admit fraction in force
-  long slot = 0;
-};
-
-struct Worker {
-  Endpoint listed;
-  unsigned inFlight = 0;
-  double others = 0;  // estimate of what the other gateways have out here
-  double limit = 1;   // own in-flight allowed
-  Time limitAt = 0, fullFor = 0;
-  double slowSum = 0, slowCount = 0;  // latencies over the class's usual, fading by answer and by time
-  Time slowAt = 0, othersAt = 0, heardAt = 0;
-  unsigned fails = 0;
-  Time ejectedUntil = 0, ejectFor = 0, fullUntil = 0;
-  double coldTokens = 0;
-  Time coldAt = 0;
-  bool own = true;  // one of those that this gateway uses as a rule
-  Time backAt = 0;  // let in again by hand: cold from then on, whatever the list says of its start
-};
-
-// A class with what was learned of it. Open requests keep theirs when the settings change.
-struct Profile {
-  ClassSettings told;
-  Time base = 0, baseAt = 0;  // usual latency
-};
-using ProfilePtr = std::shared_ptr<Profile>;
-
-struct Held {
-  Request ask;
-  ProfilePtr klass;
-  PlanSettings plan;  // as it was when the request came: changed settings may number plans anew
-  unsigned most = 0;  // attempts that the settings grant
-  Time arrived = 0;
-  unsigned attempts = 0;
-  bool out = false;         // an attempt is under way
-  bool mayHaveRun = false;  // some attempt may have run
-  WorkerId ranAt = 0;       // the first that may have; its group and window bind keyed repeats
-  unsigned ranZone = 0, ranCell = 0;
-  Time ranSince = 0, sentAt = 0;
-  double unknown = 0;  // the chance with which its customer was let in as a stranger; 0: it was known
-  std::vector<WorkerId> tried;
-  bool answering = false;  // its client has begun to get the answer
-};
-
-bool provesUnrun(AttemptResult result) {
-  return result == AttemptResult::overloaded || result == AttemptResult::connectFailed ||
-         result == AttemptResult::notSent;
-}
-
-// Whether the worker's process had a part in this end: a client that leaves says nothing of it.
-bool fromWorker(AttemptResult result) {
-  return result == AttemptResult::ok || result == AttemptResult::error ||
-         result == AttemptResult::overloaded || result == AttemptResult::reset;
-}
-
-void require(bool holds, const char* what) {
-  if (!holds) throw std::invalid_argument(std::string("settings: ") + what);
-}
-
-bool sane(double value) { return std::isfinite(value) && value >= 0; }
-
 }  // namespace
 
 class Gateway::Core {
  public:
   Core(const Settings& settings, std::uint64_t salt, Time now, Actions& actions)
-      : set_(settings),
+      : settings_(checked(settings)),
         actions_(actions),
         random_(salt),
-        bucketSince_(now),
-        ceilingSince_(now),
-        summaryAt_(now) {
-    check(set_);
-    for (const ClassSettings& told : set_.classes)
-      classes_.push_back(std::make_shared<Profile>(Profile{told, 0, now}));
-    if (set_.pollsEndpoints) actions_.pollEndpoints();
-  }
-
-  // --- Events -------------------------------------------------------------------------------------------
-
-  void onRequest(Time now, const Request& ask) {
-    if (held_.contains(ask.id)) return;
-    if (ask.classIndex >= classes_.size() || ask.planIndex >= set_.plans.size() ||
-        !std::isfinite(ask.units) || !std::isfinite(ask.expiresAt)) {
-      actions_.reject(ask.id, kRetryAfter);
-      return;
-    }
-    Customer& customer = lookUp(now, ask);
-    summarize(now);
-    const double unknown = isStranger(customer) ? strangersChance(ask) : 0;
-    if (const auto wait = admit(customer, ask, unknown)) return refuse(ask.id, *wait);
-    if ((overload_.memoryShort && ask.memoryBytes > kLeastBytes) ||
-        (overload_.shedFraction > 0 && tooMany(ask))) {
-      ++rejections_.overload;
-      return refuse(ask.id, overload_.expectedMs);
-    }
-    Held held;
-    held.ask = ask;
-    held.klass = classes_[ask.classIndex];
-    held.plan = set_.plans[ask.planIndex];
-    held.most = set_.maxAttempts;
-    held.unknown = unknown;
-    held.arrived = now;
-    Worker* worker = pick(now, held);
-    pressed_ = std::min(kPressedMost, toward(pressed_, worker ? 0 : 1, now - pressedAt_, kPressedTau));
-    pressedAt_ = now;
-    if (!worker) {
-      ++rejections_.noWorker;
-      return refuse(ask.id, kRetryAfter);
-    }
-    debit(customer, ask.units);
-    send(now, held_.emplace(ask.id, held).first->second, *worker);
-  }
-
-  void onAttemptOutcome(Time now, const AttemptOutcome& end) {
-    const auto found = held_.find(end.id);
-    const auto worker = find(end.worker);
-    const auto sent = out_.find(outKey(end.id, end.attempt));
-    if (sent == out_.end()) return;  // repeated or unknown
-    const Flight flight = std::move(sent->second);
-    out_.erase(sent);
-    Customer* customer = peek(flight.customer);
-    if (customer && customer->open > 0) noteOpen(*customer, now, -1);
-    if (worker) judge(*worker, now, flight, end);
-    if (end.result == AttemptResult::ok) budget_ = std::min(kBudgetMost, budget_ + kBudgetStep);
-    if (end.result == AttemptResult::timeout) budget_ = std::max(0.0, budget_ - 1);
-    if (customer && end.quotaUsePercent >= 0) {
-      if (found != held_.end() && outruns(*customer)) noteUse(found->second, end.quotaUsePercent);
-      read(*customer, now, end.quotaUsePercent);
-    }
-    if (found == held_.end()) return;
-    Held& held = found->second;
-    held.out = false;
-    if (set_.correctsUnits && end.result == AttemptResult::ok && customer && end.actualUnits > 0)
-      settle(*customer, now, held.ask.units - end.actualUnits);
-    if (end.requestFinished || end.result == AttemptResult::ok) {
-      held_.erase(found);
-      return;
-    }
-    if (!provesUnrun(end.result) && !held.mayHaveRun) {
-      held.mayHaveRun = true;
-      held.ranAt = end.worker;
-      held.ranSince = held.sentAt;
-      if (worker) held.ranZone = worker->listed.zone, held.ranCell = worker->listed.cell;
-    }
-    if (end.result == AttemptResult::notSent || now >= held.ask.expiresAt) return giveUp(now, held);
-    again(now, held);
-  }
-
-  void onRequestComplete(Time now, RequestId id, Time expires) {
-    const auto found = held_.find(id);
-    if (found == held_.end()) return;
-    Held& held = found->second;
-    held.ask.expiresAt = expires;
-    held.arrived = held.sentAt = now;
+        classes_(settings_.classes, now),
+        quota_(settings_),
+        customers_(settings_, quota_, random_, now),
+        unknownCustomers_(settings_, customers_.usualRequestSize()),
+        admission_(settings_, quota_.fleet(), unknownCustomers_, random_),
+        workers_(settings_, random_),
+        outliers_(classes_),
+        slowStart_(settings_),
+        loadReports_(settings_),
+        loadBalancer_(settings_, random_, workers_, outliers_, slowStart_, loadReports_),
+        workerFeedback_(classes_, workers_, outliers_, slowStart_, loadReports_, concurrencyLimit_),
+        loadShedding_(random_),
+        log_(actions, now) {
+    if (settings_.pollsEndpoints) actions_.pollEndpoints();
+  }
+  // The modules refer to each other.
+  Core(const Core&) = delete;
+  Core& operator=(const Core&) = delete;
+
+  void onRequest(Time now, const Request& request) {
+    if (requests_.find(request.id)) return;
+    if (!isWellFormed(request)) return actions_.reject(request.id, kRetryAfterMs);
+    Customer& customer = customers_.obtain(now, request);
+    logSummary(now);
+    if (const auto rejection = checkAdmission(customer, request)) return reject(request.id, *rejection);
+    PendingRequest pending = pendingRequest(now, request);
+    UpstreamWorker* worker = chooseWorker(now, pending);
+    admission_.noteWorkerChoice(now, worker != nullptr);
+    if (!worker) return reject(request.id, {RejectionReason::noWorker, kRetryAfterMs});
+    CustomerQuota::debit(customer, request.units);
+    startAttempt(now, requests_.add(std::move(pending)), *worker);
+  }
+
+  void onAttemptOutcome(Time now, const AttemptOutcome& outcome) {
+    const auto attempt = requests_.takeAttempt(outcome.id, outcome.attempt);
+    if (!attempt) return;
+    PendingRequest* pending = requests_.find(outcome.id);
+    UpstreamWorker* worker = workers_.find(outcome.worker);
+    Customer* customer = customers_.find(attempt->customer);
+    if (customer) quota_.noteAttemptEnded(*customer, now);
+    if (worker && workerFeedback_.note(*worker, now, *attempt->requestClass, outcome))
+      log_.note(now, "worker ejected: attempts in a row failed");
+    retryPolicy_.noteResult(outcome.result);
+    if (customer) noteQuotaReading(*customer, now, pending, outcome.quotaUsePercent);
+    if (!pending) return;
+    pending->hasAttemptInFlight = false;
+    if (settings_.correctsUnits && outcome.result == AttemptResult::ok && customer && outcome.actualUnits > 0)
+      quota_.creditBack(*customer, now, pending->request.units - outcome.actualUnits);
+    if (outcome.requestFinished || outcome.result == AttemptResult::ok) return requests_.erase(outcome.id);
+    if (!provesNotRun(outcome.result)) noteMayHaveRun(*pending, worker);
+    if (outcome.result == AttemptResult::notSent || now >= pending->request.expiresAt)
+      return endUnanswered(*pending);
+    retryOrEnd(now, *pending);
+  }
+
+  void onRequestComplete(Time now, RequestId id, Time expiresAt) {
+    PendingRequest* pending = requests_.find(id);
+    if (!pending) return;
+    pending->request.expiresAt = expiresAt;
+    pending->arrivedAt = now;
+    pending->lastAttemptAt = now;
+    if (!pending->hasAttemptInFlight) return;
     // Until now the worker had nothing to answer.
-    if (Worker* worker = held.out ? find(held.tried.back()) : nullptr) worker->heardAt = now;
+    if (UpstreamWorker* worker = workers_.find(pending->triedWorkers.back())) worker->lastHeardAt = now;
   }
 
-  void onClientDisconnect(Time, RequestId id) { held_.erase(id); }
+  void onClientDisconnect(RequestId id) { requests_.erase(id); }
 
-  void onResponseStarted(Time, RequestId id) {
-    if (const auto found = held_.find(id); found != held_.end()) found->second.answering = true;
+  void onResponseStarted(RequestId id) {
+    if (PendingRequest* pending = requests_.find(id)) pending->responseStarted = true;
   }
 
-  // What is held gives back what memory asks for: customers beyond their quota first, then the least worth
-  // for what it holds; one whose answer has begun only where there is no other left.
-  void onOverload(Time now, const OverloadSignal& pressure) {
-    overload_ = pressure;
-    if (!(overload_.excessBytes > 0)) return;
-    std::vector<std::tuple<bool, bool, double, RequestId>> order;
-    for (const auto& [id, held] : held_) {
-      const Customer* customer = peek(held.ask.customer);
-      const bool beyond = customer && held.plan.rate > 0 && customer->store < 0;
-      order.emplace_back(held.answering, !beyond, worthFor(held.ask, held.klass->told, held.plan), id);
-    }
-    std::sort(order.begin(), order.end());
-    for (const auto& [answering, inside, worth, id] : order) {
-      if (overload_.excessBytes <= 0) return;
-      Held& held = held_.at(id);
-      overload_.excessBytes -= held.ask.memoryBytes;
-      held.mayHaveRun = held.mayHaveRun || held.out;
-      ++rejections_.overload;
-      if (!answering) {
-        giveUp(now, held);
-        continue;
-      }
-      held_.erase(id);
-      actions_.fail(id);
+  // Requests in flight give back what memory asks for.
+  void onOverload(const OverloadSignal& signal) {
+    loadShedding_.onSignal(signal);
+    double excessBytes = signal.excessBytes;
+    if (!(excessBytes > 0)) return;
+    const auto isOverQuota = [this](const PendingRequest& pending) {
+      const Customer* customer = customers_.find(pending.request.customer);
+      return customer && pending.plan.rate > 0 && customer->fleetTokens < 0;
+    };
+    for (const ReleaseCandidate& candidate : LoadShedding::releaseOrder(requests_, isOverQuota)) {
+      if (excessBytes <= 0) return;
+      PendingRequest* pending = requests_.find(candidate.id);
+      if (!pending) continue;
+      excessBytes -= pending->request.memoryBytes;
+      giveUp(*pending);
     }
   }
 
   void onTimer(Time now, std::uint64_t tag) {
-    if (tag == kAskTag) return actions_.pollEndpoints();
-    const auto found = held_.find(static_cast<RequestId>(tag));
-    if (found == held_.end() || found->second.out) return;
-    again(now, found->second);
+    if (tag == kPollTimerTag) return actions_.pollEndpoints();
+    PendingRequest* pending = requests_.find(static_cast<RequestId>(tag));
+    if (!pending || pending->hasAttemptInFlight) return;
+    retryOrEnd(now, *pending);
   }
 
   void onEndpoints(Time now, EndpointUpdate kind, const std::vector<Endpoint>& list) {
-    if (kind == EndpointUpdate::failed) return actions_.setTimer(kRetryAfter, kAskTag);
-    if (kind != EndpointUpdate::delta)
-      for (Worker& worker : workers_) worker.listed.phase = WorkerPhase::removed;
-    for (const Endpoint& entry : list) {
-      Worker* worker = find(entry.worker);
-      if (!worker) {
-        placeOf_[entry.worker] = workers_.size();
-        workers_.emplace_back();
-        worker = &workers_.back();
-        fresh(*worker, now);
-      } else if (entry.startedAt != worker->listed.startedAt) {  // restarted: what was learned is void
-        const unsigned inFlight = worker->inFlight;
-        *worker = Worker{};
-        worker->inFlight = inFlight;
-        fresh(*worker, now);
-      }
-      worker->listed = entry;
-    }
-    if (limit_ <= 0) limit_ = kLimitFirst * static_cast<double>(workers_.size()) / set_.gatewayCount;
-    const auto dropped = std::erase_if(
-        workers_, [](const Worker& w) { return w.listed.phase == WorkerPhase::removed && w.inFlight == 0; });
-    if (dropped > 0) renumberWorkers();
-    assign();
+    if (kind == EndpointUpdate::failed) return actions_.setTimer(kPollRetryMs, kPollTimerTag);
+    workers_.merge(now, kind, list);
+    concurrencyLimit_.start(workers_.size(), settings_.gatewayCount);
+    workers_.dropRemoved();
+    loadBalancer_.assignSubset();
   }
 
-  void onSettings(Time now, const Settings& to) {
-    check(to);
-    std::unordered_map<std::string_view, const Profile*> learned;  // by name; of one name the last
-    for (const ProfilePtr& old : classes_) learned[old->told.name] = old.get();
-    std::vector<ProfilePtr> classes;
-    for (const ClassSettings& told : to.classes) {
-      classes.push_back(std::make_shared<Profile>(Profile{told, 0, now}));
-      const auto found = learned.find(told.name);
-      if (found == learned.end()) continue;
-      classes.back()->base = found->second->base;
-      classes.back()->baseAt = found->second->baseAt;
-    }
-    classes_ = std::move(classes);
-    longestBase_ = kUnknown;
-    for (auto& [id, held] : held_) held.most = std::min(held.most, to.maxAttempts);
-    movePlans(now, to);
-    set_ = to;
-    assign();  // the number of gateways, or this one's, may be another
+  void onSettings(Time now, const Settings& next) {
+    checkSettings(next);
+    classes_.replace(next.classes, now);
+    for (auto& [id, pending] : requests_.all())
+      pending.maxAttempts = std::min(pending.maxAttempts, next.maxAttempts);
+    customers_.applySettings(now, next);
+    settings_ = next;
+    loadBalancer_.assignSubset();  // the number of gateways, or this one's, may be another
   }
 
-  // Customers follow their plan's name. Those of a dropped plan are forgotten, as all are where the metered
-  // period changes, since their use is kept by its quarters.
-  void movePlans(Time now, const Settings& to) {
-    std::unordered_map<std::string_view, unsigned> numbers;  // by name; of one name the first
-    for (unsigned i = 0; i < to.plans.size(); ++i) numbers.try_emplace(to.plans[i].name, i);
-    for (auto it = table_.begin(); it != table_.end();) {
-      fill(*it, now);
-      const auto found = numbers.find(set_.plans[it->plan].name);
-      if (found != numbers.end() && to.quotaReadingPeriodMs == set_.quotaReadingPeriodMs) {
-        it->plan = found->second;
-        ++it;
-        continue;
-      }
-      index_.erase(it->id);
-      it = table_.erase(it);
-      bucketSince_ = ceilingSince_ = now;
-    }
-  }
-
-  // Apart from the list and from health, so that no news of the worker ends it.
-  void exclude(Time now, WorkerId id) { barred_.try_emplace(id, now); }
-
-  // The worker may have been restarted in between, and the list may not have told yet.
-  void include(Time now, WorkerId id) {
-    const auto found = barred_.find(id);
-    if (found == barred_.end()) return;
-    const Time since = found->second;
-    barred_.erase(found);
-    Worker* worker = find(id);
-    if (!worker) return;
-    const Endpoint listed = worker->listed;
-    const unsigned inFlight = worker->inFlight;
-    *worker = Worker{};
-    worker->listed = listed;
-    worker->inFlight = inFlight;
-    fresh(*worker, now);
-    worker->heardAt = now;
-    if (listed.startedAt < since) worker->backAt = now;
-  }
-
-  WorkerCounts workerCounts(Time now) const {
-    WorkerCounts out;
-    for (const Worker& w : workers_) {
-      if (w.listed.phase == WorkerPhase::removed) continue;
-      ++out.listed;
-      out.avoided +=
-          w.listed.phase != WorkerPhase::ready || barred_.contains(w.listed.worker) || w.ejectedUntil > now;
-    }
-    return out;
-  }
-
-  double warmWorkerRate(Time now) const { return toward(perWarm_, 0, now - warmAt_, kWarmTau); }
-
-  void seedWarmWorkerRate(Time now, double rate) {
-    if (!sane(rate)) return;
-    perWarm_ = rate;
-    warmAt_ = now;
-  }
+  void exclude(Time now, WorkerId worker) { workers_.exclude(now, worker); }
+  void include(Time now, WorkerId worker) { workers_.include(now, worker); }
 
+  double warmWorkerRate(Time now) const { return slowStart_.warmWorkerRate(now); }
+  void seedWarmWorkerRate(Time now, double ratePerMs) { slowStart_.seedWarmWorkerRate(now, ratePerMs); }
+  WorkerCounts workerCounts(Time now) const { return workers_.counts(now); }
   const RejectionCounts& rejectionCounts() const { return rejections_; }
-  std::size_t trackedCustomers() const { return index_.size(); }
-  std::size_t requestsInFlight() const { return held_.size(); }
+  std::size_t trackedCustomers() const { return customers_.size(); }
+  std::size_t requestsInFlight() const { return requests_.size(); }
 
  private:
-  static constexpr std::uint64_t kAskTag = ~std::uint64_t{0};
-  static constexpr Time kUnknown = -1;
-
-  static void check(const Settings& set) {
-    require(set.gatewayCount >= 1 && set.gatewayIndex < set.gatewayCount, "gateway number out of range");
-    require(!set.classes.empty(), "no classes");
-    require(!set.plans.empty(), "no plans");
-    require(sane(set.quotaReadingPeriodMs) && sane(set.slowStartMs) && sane(set.drainGraceMs) &&
-                sane(set.maxRetryAfterMs) && sane(set.slowStartShare) && sane(set.overloadMultiple) &&
-                sane(set.overloadWindowMs) && sane(set.maxUnits) && sane(set.crossZonePrice) &&
-                sane(set.pollTimeoutMs),
-            "a figure is negative or not finite");
-    for (const auto& c : set.classes)
-      require(sane(c.latencyObjectiveMs) && sane(c.deadlineMs) && sane(c.idempotencyWindowMs) &&
-                  sane(c.priorityWeight) && sane(c.lateAnswerValue),
-              "a class's figure is negative or not finite");
-    for (const auto& p : set.plans)
-      require(sane(p.rate) && sane(p.burst) && sane(p.ceilingRate) && sane(p.ceilingBurst) &&
-                  sane(p.ceilingSlack) && sane(p.price) && sane(p.overQuotaValue) && sane(p.overQuotaCost),
-              "a plan's figure is negative or not finite");
-  }
-
-  struct Flight {  // one attempt under way
-    CustomerId customer = 0;
-    ProfilePtr klass;
-  };
-
-  static std::uint64_t outKey(RequestId id, unsigned attempt) {
-    return std::uint64_t{id} << 16 | (attempt & 0xffff);
-  }
-
-  // The cold tokens start at chance, so that gateways alike do not all send at the same moment.
-  void fresh(Worker& worker, Time now) {
-    worker.slowAt = worker.othersAt = worker.coldAt = now;
-    worker.coldTokens = random_.next();
-    worker.limit = std::max(1.0, kLimitFirst / set_.gatewayCount);
-  }
-
-  // --- 1. Quota -----------------------------------------------------------------------------------------
-
-  Customer* peek(CustomerId id) {
-    const auto found = index_.find(id);
-    return found == index_.end() ? nullptr : &*found->second;
-  }
-
-  // The customer's entry, filled up to now and moved to the recent end of the table.
-  Customer& lookUp(Time now, const Request& ask) {
-    const PlanSettings& plan = set_.plans[ask.planIndex];
-    if (const auto found = index_.find(ask.customer); found != index_.end()) {
-      table_.splice(table_.end(), table_, found->second);
-      // The set may have changed; what is over its new part of the ceiling is gone at once (fill).
-      found->second->customerGateways = std::max(1u, std::min(ask.customerGateways, set_.gatewayCount));
-      fill(*found->second, now);
-      if (found->second->plan != ask.planIndex) changePlan(*found->second, ask.planIndex);
-      return *found->second;
-    }
-    if (index_.size() >= kTable) evict(now);
-    table_.emplace_back();
-    Customer& fresh = table_.back();
-    index_[ask.customer] = std::prev(table_.end());
-    fresh.id = ask.customer;
-    fresh.plan = ask.planIndex;
-    fresh.customerGateways = std::max(1u, std::min(ask.customerGateways, set_.gatewayCount));
-    fresh.at = fresh.readingAt = now;
-    fresh.units = std::max(0.0, ask.units);
-    usualUnits_ = usualUnits_ > 0 ? toward(usualUnits_, fresh.units, 1, kPooledUnits) : fresh.units;
-    fresh.tokens = freshTokens(plan, fresh.customerGateways, now);
-    fresh.store = plan.burst;
-    fresh.in.fill(1);
-    fresh.credit = random_.next() * fresh.units;
-    fresh.oldTime = share(fresh) * (now - bucketSince_) / 1000;
-    fresh.newsTime = share(fresh) * std::min(kNews, now - bucketSince_) / 1000;
-    // The ceiling's store lives on over restarts and evictions, so nothing is taken to be left in it but
-    // what has come in since this gateway could last have sent for the customer.
-    fresh.ceiling =
-        std::min(plan.ceilingBurst, plan.ceilingRate * (now - ceilingSince_) / 1000) / fresh.customerGateways;
-    fresh.slot = slotAt(now);
-    return fresh;
-  }
-
-  // A customer that comes under another plan has that one's quota from now on. Nothing is filled by it, and
-  // what was metered against the old rate says nothing of the new one.
-  void changePlan(Customer& c, unsigned to) {
-    const PlanSettings& plan = set_.plans[to];
-    c.plan = to;
-    c.tokens = std::min(c.tokens, plan.burst);
-    c.store = std::min(c.store, plan.burst);
-    c.ceiling = std::min(c.ceiling, plan.ceilingBurst / c.customerGateways);
-    c.reading = -1;
-    c.fraction = 1;
-  }
-
-  // What a bucket holds by now that was made at this gateway's start, or when one that lost by it was
-  // evicted. Tokens are spent in whole requests: where the gateways are so many that burst over them holds
-  // none, one usual request is the least that a bucket starts with, or all of them would refuse the first
-  // requests of a customer whose store is full. It may hurt where most of the set see a heavy customer at
-  // once.
-  double freshTokens(const PlanSettings& plan, unsigned customerGateways, Time now) const {
-    const double start = std::max(plan.burst / customerGateways, usualUnits_);
-    return std::min(plan.burst, start + plan.rate * (now - bucketSince_) / 1000);
-  }
-
-  // Drops the oldest entry that loses nothing by it, so that a stream of one-off customers does not bring
-  // heavy ones back refilled; else the oldest.
-  void evict(Time now) {
-    auto victim = table_.begin();
-    std::size_t seen = 0;
-    for (auto it = table_.begin(); it != table_.end() && seen < kEvictScan; ++it, ++seen) {
-      fill(*it, now);
-      const PlanSettings& plan = set_.plans[it->plan];
-      if (it->open == 0 && it->fraction >= 1 && it->tokens >= freshTokens(plan, it->customerGateways, now) &&
-          it->ceiling >= plan.ceilingBurst / it->customerGateways) {
-        victim = it;
-        break;
-      }
-    }
-    if (victim->tokens < freshTokens(set_.plans[victim->plan], victim->customerGateways, now))
-      bucketSince_ = now;
-    if (victim->ceiling < set_.plans[victim->plan].ceilingBurst / victim->customerGateways)
-      ceilingSince_ = now;
-    index_.erase(victim->id);
-    table_.erase(victim);
-  }
-
-  double debt(const PlanSettings& plan) const { return kDebt * plan.rate * set_.quotaReadingPeriodMs / 1000; }
-
-  // The part of the customer's use that this gateway sends.
-  double share(const Customer& c) const {
-    const double doubt = kShareWeight * c.units + 1e-9;
-    return std::min(1.0, (c.ownUse + doubt / c.customerGateways) / (c.allUse + doubt));
-  }
-
-  // All gateways' demand in units a second: what is seen lately against what is usual, and that against what
-  // nothing is known of, each by its weight.
-  double demand(const Customer& c) const {
-    const double doubt = kDoubt * c.units;
-    const double assumed = std::max(1e-6, kUsualDemand * set_.plans[c.plan].rate);
-    const double usual = (c.oldUnits + doubt) / (c.oldTime + doubt / assumed);
-    return (c.newsUnits + doubt) / (c.newsTime + doubt / usual);
-  }
-
-  // What the other gateways take from the store in units a second.
-  double othersUse(const Customer& c) const {
-    return demand(c) * (1 - share(c)) * c.in[static_cast<std::size_t>(c.slot % kSlots)];
-  }
-
-  void noteDemand(Customer& c, double units, double seconds) {
-    c.newsUnits += units, c.oldUnits += units;
-    c.newsTime += seconds, c.oldTime += seconds;
-  }
-
-  void fill(Customer& c, Time now) {
-    const PlanSettings& plan = set_.plans[c.plan];
-    const Time span = std::max(0.0, now - c.at);
-    const double dt = span / 1000;
-    c.tokens = std::min(plan.burst, c.tokens + plan.rate * dt);
-    const double owes = -debt(plan), full = c.store + plan.rate * dt;
-    const double taken = std::clamp(othersUse(c) * dt, 0.0, std::max(0.0, full - owes));
-    c.store = std::min(plan.burst, full - taken);
-    c.ceiling = std::min(plan.ceilingBurst / c.customerGateways,
-                         c.ceiling + plan.ceilingRate * dt / c.customerGateways);
-    const double keepNews = std::exp(-span / kNews), keep = std::exp(-span / kForget);
-    c.newsUnits *= keepNews, c.newsTime = c.newsTime * keepNews + share(c) * dt;
-    c.oldUnits *= keep, c.oldTime = c.oldTime * keep + share(c) * dt;
-    const double keepShare = std::exp(-span / kShareTau);
-    c.ownUse *= keepShare, c.allUse *= keepShare;
-    if (now - c.readingAt >
-        2 * set_.quotaReadingPeriodMs) {  // a gateway that lets nothing in is told nothing
-      c.fraction = std::min(1.0, c.fraction + span / std::max(kClimb, kClimbGaps * c.readingGap));
-      c.allOpen = toward(c.allOpen, 0, span, kForget);
-    }
-    c.meanOpen = toward(c.meanOpen, c.open, span, kOpenTau);
-    c.credit = std::min(kPaceMost * c.units, c.credit + plan.rate * share(c) * dt);
-    touchSlot(c, now, taken);
-    c.at = std::max(c.at, now);
-  }
-
-  // Nothing: admitted. Else the time after which the customer may find room.
-  std::optional<Time> admit(Customer& c, const Request& ask, double unknown) {
-    const PlanSettings& plan = set_.plans[c.plan];
-    const double units = std::max(0.0, ask.units);
-    if (plan.ceilingRate > 0 && c.ceiling < units)
-      return 1000 * (units - c.ceiling) * c.customerGateways / plan.ceilingRate;
-    const double want = std::min(units, plan.burst);
-    c.units = toward(c.units, units, 1, kUnitsKeep);
-    if (plan.rate > 0 && c.tokens < want) {
-      ++rejections_.localQuota;
-      return 1000 * (want - c.tokens) / plan.rate;
-    }
-    if (plan.maxConcurrent > 0 && c.open >= plan.maxConcurrent) return usual(*classes_[ask.classIndex]);
-    const double others = plan.rate > 0 ? c.meanOpen * (1 - share(c)) / share(c) : c.allOpen * (1 - share(c));
-    const double chance = plan.maxConcurrent > 0 ? chanceUnder(plan.maxConcurrent - c.open, others) : 1;
-    const bool crowded = chance * (1 + plan.overQuotaCost) < plan.overQuotaCost + pressed_;
-    if (crowded) return usual(*classes_[ask.classIndex]);
-    noteDemand(c, units, 0);
-    const bool empty = plan.rate > 0 && isEmpty(c, want);
-    c.in[static_cast<std::size_t>(c.slot % kSlots)] = empty ? c.fraction : 1;
-    // The fraction times the demand is the rate: what it lets in here is this gateway's share of the rate,
-    // measured out over time, so that a demand misjudged by some gateways does not add up past the quota.
-    if (empty && (overload_.active || c.credit < units)) {
-      ++rejections_.fleetQuota;
-      return 1000 * std::max(units - c.credit, 0.0) / (plan.rate * share(c));
-    }
-    if (!empty && unknown > 0 && unknown < 1 && random_.next() >= unknown) {
-      ++rejections_.unknownCustomer;
-      return 1000 * units / plan.rate;
-    }
-    // Where each gateway sees it once or twice, what was let in before its store was known to be empty is
-    // most.
-    if (empty || outruns(c)) c.credit = std::max(c.credit - units, -c.units);
+  bool isWellFormed(const Request& request) const {
+    return request.classIndex < classes_.size() && request.planIndex < settings_.plans.size() &&
+           std::isfinite(request.units) && std::isfinite(request.expiresAt);
+  }
+
+  // By the customer's quota, then by what the host can bear.
+  std::optional<Rejection> checkAdmission(Customer& customer, const Request& request) {
+    const Time usualLatencyMs = classes_[request.classIndex]->usualLatencyMs();
+    if (auto rejection = admission_.check(customer, request, usualLatencyMs, loadShedding_.signal().active))
+      return rejection;
+    if (loadShedding_.mustReject(request, classes_[request.classIndex]->settings,
+                                 settings_.plans[request.planIndex]))
+      return Rejection{RejectionReason::overload, loadShedding_.signal().expectedMs};
     return std::nullopt;
   }
 
-  // Whether a request at each of its gateways, before the meter tells any of them, is more than its store.
-  bool outruns(const Customer& c) const {
-    const PlanSettings& plan = set_.plans[c.plan];
-    return plan.rate > 0 && plan.overQuotaCost > plan.overQuotaValue && set_.quotaReadingPeriodMs > 0 &&
-           c.customerGateways * std::min(usualUnits_, plan.burst / kFewGateways) > plan.burst;
-  }
-
-  bool isStranger(const Customer& c) const {
-    return outruns(c) && (c.reading < 0 || c.at - c.readingAt > kNews);
+  PendingRequest pendingRequest(Time now, const Request& request) const {
+    PendingRequest pending;
+    pending.request = request;
+    pending.requestClass = classes_[request.classIndex];
+    pending.plan = settings_.plans[request.planIndex];
+    pending.maxAttempts = settings_.maxAttempts;
+    pending.arrivedAt = now;
+    return pending;
   }
 
-  // With how much chance a request of a customer is let in that nothing is known of. Where gateways are so
-  // many that each sees most customers once, the meter tells of one only after its request, and work beyond
-  // quotas is what all of them let in unknown. It is large requests that a store run down by others does not
-  // hold, so a stranger's store is taken to hold `reach_` of its burst, by chance some more or less, and less
-  // the dearer work beyond it is.
-  double strangersChance(const Request& ask) const {
-    const PlanSettings& plan = set_.plans[ask.planIndex];
-    const double store = std::max({plan.burst, kLeastStore * usualUnits_, 1e-9});
-    const double size =
-        std::max(0.0, ask.units) * (plan.overQuotaCost - plan.overQuotaValue) / (reach_ * store);
-    return std::clamp((1 + kReachSpread - size) / (2 * kReachSpread), kFractionFloor, 1.0);
-  }
-
-  // The reach is steered by what was let in: of one metered past its rate what is over the rate was beyond
-  // its quota, and all that costs kBeyondMost of what was inside. Hurts those who keep to their quotas by
-  // what it refuses them; where work beyond quotas costs less, nobody is refused by it.
-  void noteUse(const Held& held, int percent) {
-    const PlanSettings& plan = held.plan;
-    // A period holds few requests: by one usual request at the rate itself, chance alone looks like less.
-    const double chance = usualUnits_ / (plan.rate * set_.quotaReadingPeriodMs / 1000);
-    const double use = (percent / 100.0 + chance) / (1 + chance), units = std::max(0.0, held.ask.units);
-    const double worth = units * plan.price * held.klass->told.priorityWeight;
-    usualWorth_ = usualWorth_ > 0 ? toward(usualWorth_, worth, 1, kWorthKeep) : worth;
-    if (usualWorth_ <= 0 || usualUnits_ <= 0) return;
-    const double beyond = use > 1 ? 1 - 1 / use : 0;
-    const double error = worth / usualWorth_ *
-                         ((plan.overQuotaCost - plan.overQuotaValue) * beyond - kBeyondMost * (1 - beyond));
-    reach_ =
-        std::clamp(reach_ * std::exp(-kReachStep * std::clamp(error, -1.0, 1.0)), kReachLeast, kReachMost);
-  }
-
-  // Whether a try would more likely than pays find the global store without its units: the estimate against
-  // what is not known of it, at the plan's own price of being wrong.
-  bool isEmpty(const Customer& c, double want) const {
-    const PlanSettings& plan = set_.plans[c.plan];
-    double price = (plan.overQuotaCost - plan.overQuotaValue + pressed_) / (1 - pressed_);
-    if (price <= 0) return false;
-    if (outruns(c) && !isStranger(c)) price /= std::min(reach_, 1.0);
-    // Own sends are known; what the others have sent since the last reading's period is not.
-    const double age =
-        std::min((c.at - c.readingAt + set_.quotaReadingPeriodMs) / 1000, plan.burst / plan.rate);
-    const double doubt = std::sqrt(std::min(demand(c), plan.rate) * (1 - share(c)) * c.units * age);
-    return c.store < want + (std::log(price) / kLogisticScale + kCaution) * doubt;
-  }
-
-  // Chance that the other gateways, with `mean` attempts out as a rule, have fewer than `room` out now.
-  static double chanceUnder(unsigned room, double mean) {
-    double term = std::exp(-mean), sum = 0;
-    for (unsigned i = 0; i < room && i < 64; ++i) sum += term, term *= mean / (i + 1);
-    return sum;
-  }
-
-  void debit(Customer& c, double units) {
-    c.tokens -= units;
-    c.ceiling -= units;
-    c.store -= units;
-    c.sent[static_cast<std::size_t>(c.slot % kSlots)] += units;
-  }
-
-  void settle(Customer& c, Time now, double back) {
-    fill(c, now);
-    const PlanSettings& plan = set_.plans[c.plan];
-    c.tokens = std::min(plan.burst, c.tokens + back);
-    c.store = std::min(plan.burst, c.store + back);
-  }
-
-  long slotAt(Time now) const {
-    return static_cast<long>(now / (std::max(set_.quotaReadingPeriodMs, 1000.0) / 4));
-  }
-
-  // Moves on to the quarter period of now; `taken` is spread over those that have passed.
-  void touchSlot(Customer& c, Time now, double taken) {
-    const long to = slotAt(now), passed = std::max(0L, to - c.slot);
-    const double each = taken / static_cast<double>(passed + 1);
-    const auto from = static_cast<std::size_t>(c.slot % kSlots);
-    c.taken[from] += each;
-    for (c.slot = std::max(c.slot, to - kSlots); c.slot < to;) {
-      const auto next = static_cast<std::size_t>(++c.slot % kSlots);
-      c.sent[next] = 0, c.taken[next] = each, c.in[next] = c.in[from];
-    }
-  }
-
-  void noteOpen(Customer& c, Time now, int change) {
-    fill(c, now);
-    c.open = static_cast<unsigned>(static_cast<int>(c.open) + change);
-  }
-
-  // A reading rides on every answer for a metered period; only a new one counts.
-  void read(Customer& c, Time now, int percent) {
-    const Time since = now - c.readingAt;
-    const bool fresh = c.reading < 0 ||
-                       (percent != c.reading && since >= kNewReading * set_.quotaReadingPeriodMs) ||
-                       since >= set_.quotaReadingPeriodMs;
-    if (!fresh) return;
-    c.readingGap = c.reading < 0 ? since : toward(c.readingGap, since, 1, 3);
-    c.reading = percent;
-    c.readingAt = now;
-    fill(c, now);
-    const PlanSettings& plan = set_.plans[c.plan];
-    if (plan.rate <= 0) {
-      const double over = std::max(0.0, percent / 100.0 * plan.maxConcurrent - kPeakStep);
-      const double root = std::sqrt(kPeakSpread * kPeakSpread / 4 + over) - kPeakSpread / 2;
-      c.allOpen += kPeakNews * (root * root - c.allOpen);
-      return;
-    }
-    const Time slotLength = std::max(set_.quotaReadingPeriodMs, 1000.0) / 4;
-    const int lag = static_cast<int>(std::lround(kMeterLag / slotLength));
-    double own = 0, in = 0, taken = 0;
-    for (int i = lag; i < lag + 4 && i < kSlots; ++i) {
-      const auto at = static_cast<std::size_t>((c.slot - i + kSlots) % kSlots);
-      own += c.sent[at];
-      in += c.in[at] / 4;
-      taken += c.taken[at];
-    }
-    const double period = set_.quotaReadingPeriodMs / 1000;
-    const double others = std::max(0.0, percent / 100.0 * plan.rate * period - own);
-    const double before = othersUse(c);
-    c.ownUse += own, c.allUse += own + others;
-    noteDemand(c, others, period * (1 - share(c)) * in);
-    // The reading tells what the fraction of its own period let in, whatever the fraction is by now.
-    c.fraction = std::clamp(kTarget * plan.rate / demand(c), kFractionFloor, 1.0);
-    // What the estimate took for the metered period gives way to what was metered, and the time since then to
-    // the use as it is now known.
-    c.store += taken - others + (before - othersUse(c)) * kMeterLag / 1000;
-    c.store = std::clamp(c.store, -debt(plan), plan.burst);
-  }
-
-  // --- 2. Guards ----------------------------------------------------------------------------------------
-
-  // 1 for a warm worker, else the told lower bound of what it can do.
-  double warmth(const Worker& w, Time now) const {
-    const Time started = std::max(w.listed.startedAt, w.backAt);
-    if (started <= 0 || set_.slowStartMs <= 0) return 1;
-    const double age = std::clamp((now - started) / set_.slowStartMs, 0.0, 1.0);
-    return set_.slowStartShare + (1 - set_.slowStartShare) * age;
-  }
-
-  // Keeps this gateway's sends to a cold worker under its share of the good answers that it has of a warm
-  // one. Every gateway does so, so all together stay under the cold worker's share of what a warm one can do,
-  // also while retries are sent many times over. One that knows no such rate (all cold, just restarted) keeps
-  // to its part of what even a worker of one request a span bears. What a warm worker has answered is
-  // remembered while a release leaves none warm: it is what the cold ones come back to. Hurts where the told
-  // lower bound is far under what the worker can do: it fills more slowly than it could.
-  bool coldRoom(Worker& w, Time now) {
-    const double warm = warmth(w, now);
-    if (warm >= 1) return true;
-    if (!w.own) return false;  // the budget is dealt out among those whose own it is
-    const double sharers = std::max(1.0, static_cast<double>(set_.gatewayCount) / subsets_);
-    const double least = set_.overloadMultiple / std::max(set_.overloadWindowMs, 1.0) / sharers;
-    const double known = std::max(toward(warmRate_, 0, now - warmAt_, kRateTau) / std::max(1u, warmWorkers_),
-                                  warmWorkerRate(now));
-    w.coldTokens =
-        std::min(1.0, w.coldTokens + kColdMargin * warm * std::max(known, least) * (now - w.coldAt));
-    w.coldAt = now;
-    return w.coldTokens >= 1;
-  }
-
-  void noteGood(const Worker& w, Time now) {
-    if (warmth(w, now) < 1) return;
-    const Time since = now - warmAt_;
-    warmRate_ = toward(warmRate_, 0, since, kRateTau) + 1 / kRateTau;
-    warmAt_ = now;
-    warmWorkers_ = 0;
-    for (const Worker& other : workers_)
-      warmWorkers_ += other.own && other.listed.phase == WorkerPhase::ready && warmth(other, now) >= 1 &&
-                      other.ejectedUntil <= now;
-    perWarm_ = toward(perWarm_, warmRate_ / std::max(1u, warmWorkers_), since, kWarmSmooth);
-  }
-
-  // --- 3. Server choice and health ----------------------------------------------------------------------
-
-  // Which workers are this gateway's own: deterministic subsetting. Each round of as many gateways as there
-  // are subsets deals out all workers once, in an order of its own by hash, so that every worker has as many
-  // gateways as any other, and a change of the list moves few. With few requests a gateway then learns soon
-  // of the workers that it uses, and opens few connections. Where gateways are few, all workers are its own.
-  void assign() {
-    std::vector<std::pair<std::uint64_t, Worker*>> order;
-    for (Worker& w : workers_)
-      if (w.listed.phase != WorkerPhase::removed)
-        order.emplace_back(0, &w);  // one that drains keeps its place
-    const std::size_t n = order.size();
-    subsets_ = subsetsOf(static_cast<unsigned>(n));
-    for (auto& [hash, w] : order) w->own = subsets_ == 1;
-    if (subsets_ == 1) return;
-    const std::uint64_t round = set_.gatewayIndex / subsets_;
-    for (auto& [hash, w] : order) hash = mix(w->listed.worker ^ mix(round));
-    const auto before = [](const auto& a, const auto& b) {
-      return a.first != b.first ? a.first < b.first : a.second->listed.worker < b.second->listed.worker;
-    };
-    // Of the sorted order only which workers are in this gateway's part matters: selection, not a sort.
-    const std::size_t part = set_.gatewayIndex % subsets_;
-    const auto first = order.begin() + static_cast<std::ptrdiff_t>(partStart(part, n));
-    const auto last = order.begin() + static_cast<std::ptrdiff_t>(partStart(part + 1, n));
-    std::nth_element(order.begin(), first, order.end(), before);
-    std::nth_element(first, last, order.end(), before);
-    for (auto it = first; it != last; ++it) it->second->own = true;
-  }
-
-  // Into how many parts the workers are dealt out: as many as leave each worker its sharers and each gateway
-  // its least; more than that where a part would be larger than a gateway's most.
-  unsigned subsetsOf(unsigned count) const {
-    const unsigned usual = std::min(set_.gatewayCount / kSharers, count / kLeastOwn);
-    const unsigned needed = (count + kMostOwn - 1) / kMostOwn;
-    return std::max({1u, usual, std::min(set_.gatewayCount / kLeastSharers, needed)});
-  }
-
-  // The lowest i with i * subsets_ / n == part.
-  std::size_t partStart(std::size_t part, std::size_t n) const {
-    return (part * n + subsets_ - 1) / subsets_;
-  }
-
-  Worker* find(WorkerId id) {
-    const auto found = placeOf_.find(id);
-    return found == placeOf_.end() ? nullptr : &workers_[found->second];
-  }
-
-  void renumberWorkers() {
-    placeOf_.clear();
-    for (std::size_t i = 0; i < workers_.size(); ++i) placeOf_[workers_[i].listed.worker] = i;
-  }
-
-  static Time usual(const Profile& klass) {
-    return klass.base > 0 ? klass.base : klass.told.latencyObjectiveMs * kUsualOfAim;
-  }
-
-  double load(const Worker& w, Time now) const {
-    return w.inFlight + toward(w.others, meanOthers_, now - w.othersAt, kOthersKeep);
-  }
-
-  // Attempts out and no answer for several usual latencies: cut off, paused or dead, whatever the list says.
-  // Seen long before the time-outs; may hurt where a single attempt is very long, so it takes two.
-  bool silent(const Worker& w, Time now) {
-    if (w.inFlight < 2) return false;
-    return now - w.heardAt > kSilent * longestBase();
-  }
-
-  // The longest usual latency of all classes; 0: none has answered.
-  Time longestBase() {
-    if (longestBase_ != kUnknown) return longestBase_;
-    longestBase_ = 0;
-    for (const ProfilePtr& klass : classes_) longestBase_ = std::max(longestBase_, klass->base);
-    return longestBase_;
-  }
-
-  // Left alone as long as there is any other.
-  bool shunned(const Worker& w, Time now) {
-    return w.ejectedUntil > now || (w.ejectFor > 0 && w.inFlight > 0) || silent(w, now);
-  }
-
-  // One limit for all that this gateway has out; a fraction of one is kept by chance.
-  bool room() { return inFlight_ + random_.next() < limit_; }
-
-  // Slow beside its kind: its late answers tell of itself, not of what the workers bear together.
-  bool slowAlone(const Worker& w) const {
-    const auto kind = kinds_.find(w.listed.machineType);
-    return kind != kinds_.end() && slow(w) > kAlone * kind->second;
-  }
-
-  // How slow a worker is, as far as its few answers tell against those of all workers of its kind.
-  double slow(const Worker& w) const {
-    const auto kind = kinds_.find(w.listed.machineType);
-    const double usual = kind == kinds_.end() ? 1 : kind->second;
-    return (kSlowDoubt * usual + w.slowSum) / (kSlowDoubt + w.slowCount);
-  }
-
-  void noteSlow(Worker& w, Time now, double ratio) {
-    const double keep = kSlowKeep * std::exp(-(now - w.slowAt) / kSlowTau);
-    w.slowSum = keep * w.slowSum + ratio;
-    w.slowCount = keep * w.slowCount + 1;
-    w.slowAt = now;
-    double& kind = kinds_.try_emplace(w.listed.machineType, 1).first->second;
-    kind += kKindNews * (ratio - kind);
-  }
-
-  bool inGroup(const Held& held, const Worker& w) const {
-    const ClassSettings& klass = held.klass->told;
-    if (!held.mayHaveRun || klass.idempotency == Idempotency::idempotent ||
-        klass.deduplicationScope == DeduplicationScope::all)
-      return true;
-    return klass.deduplicationScope == DeduplicationScope::zone ? w.listed.zone == held.ranZone
-                                                                : w.listed.cell == held.ranCell;
-  }
-
-  // The least loaded ready worker, weighted by how slow it has been. Ejected
-  // ones serve where no other is.
-  Worker* pick(Time now, const Held& held) {
-    if (!held.mayHaveRun && !room()) {
+  // One that may have run is not held to the gateway's limit: its final answer might be a failure.
+  UpstreamWorker* chooseWorker(Time now, const PendingRequest& pending) {
+    if (!pending.mayHaveRun && !concurrencyLimit_.hasCapacity(random_)) {
       ++rejections_.concurrencyLimit;
       return nullptr;
     }
-    Worker* best = nullptr;
-    double least = 0;
-    for (Worker& w : workers_) {
-      if (w.listed.phase != WorkerPhase::ready || barred_.contains(w.listed.worker)) continue;
-      if (!inGroup(held, w) || !coldRoom(w, now)) continue;
-      if (w.fullUntil > now || (!held.mayHaveRun && w.inFlight + 1 > w.limit)) continue;
-      double cost = slow(w) * (load(w, now) + 1) * warmth(w, now);
-      if (w.listed.zone != set_.zone) cost *= 1 + kZoneWeight * set_.crossZonePrice;
-      if (!w.own) cost *= kOutside;
-      cost *= 1 + kTie * random_.next();
-      if (shunned(w, now)) cost *= kShunned;
-      if (std::find(held.tried.begin(), held.tried.end(), w.listed.worker) != held.tried.end())
-        cost *= kTried;
-      if (!best || cost < least) best = &w, least = cost;
-    }
-    return best;
-  }
-
-  void judge(Worker& w, Time now, const Flight& flight, const AttemptOutcome& end) {
-    if (w.inFlight > 0) --w.inFlight;
-    if (inFlight_ > 0) --inFlight_;
-    if (fromWorker(end.result)) w.heardAt = now;
-    if (!end.loadReport.empty()) noteReport(w, now, end.loadReport);
-    const AttemptResult result = end.result;
-    Profile& klass = *flight.klass;
-    steerLimits(w, now, klass.told.latencyObjectiveMs, end);
-    if (result == AttemptResult::overloaded) {
-      w.fullFor = std::clamp(2 * w.fullFor, kFullPause, kFullMost);
-      w.fullUntil = now + w.fullFor;
-      return;
-    }
-    if (result == AttemptResult::cancelled || result == AttemptResult::notSent) return;
-    if (result == AttemptResult::ok || result == AttemptResult::error || result == AttemptResult::timeout) {
-      if (result == AttemptResult::ok) {
-        const Time base = klass.base;
-        klass.base = klass.base > 0 ? toward(klass.base, end.latencyMs,
-                                             std::min(kBaseSpan, now - klass.baseAt), kBaseTau)
-                                    : end.latencyMs;
-        klass.baseAt = now;
-        if (base >= longestBase_ || klass.base >= longestBase_) longestBase_ = kUnknown;
-      }
-      const double ratio = std::min(kSlowMost, end.latencyMs / usual(klass));
-      if (result != AttemptResult::error && (result == AttemptResult::ok || ratio > slow(w)))
-        noteSlow(w, now, ratio);
-    }
-    if (result == AttemptResult::ok) {
-      noteGood(w, now);
-      w.fails = 0;
-      w.fullFor = 0;
-      w.ejectFor = 0;
-      w.ejectedUntil = 0;
-    } else if (++w.fails >= kFailsToEject) {
-      w.ejectFor = std::clamp(2 * w.ejectFor, kEjectFirst, kEjectMost);
-      w.ejectedUntil = now + w.ejectFor;
-      log(now, "worker ejected: attempts in a row failed");
-    }
-  }
-
-  // Two in-flight limits, raised and cut by how an answer's time stands to the class's aim; they keep the
-  // queues at the workers short enough that what is sent is still worth answering, whatever made them long.
-  // The worker's own holds where a gateway has several attempts at a worker; that of the whole gateway goes
-  // as far below one for each worker as it must where gateways outnumber what the workers hold. It moves by
-  // time, not by answer, so that many answers a second say no more than a few. Late answers of a worker that
-  // is slow by itself or still cold tell of that worker: they leave it as it is.
-  void steerLimits(Worker& w, Time now, Time aim, const AttemptOutcome& end) {
-    const bool late = end.result == AttemptResult::overloaded || end.latencyMs > kLimitLate * aim;
-    const bool early = end.result == AttemptResult::ok && end.latencyMs < kLimitEarly * aim;
-    if (late && now - w.limitAt >= kLimitHold) {
-      w.limit = std::max(1.0, kLimitCut * std::min(w.limit, w.inFlight + 1.0));
-      w.limitAt = now;
-    } else if (early && w.inFlight + 1 >= kLimitUsed * w.limit) {
-      w.limit = std::min(kLimitMost, w.limit + 1 / w.limit);
-    }
-    const double span = std::min(now - limitAt_, kLimitHold) / 1000;
-    limitAt_ = now;
-    notePeak(now);
-    if (late && (slowAlone(w) || warmth(w, now) < 1)) return;
-    if (late)
-      limit_ = std::max(kLimitLeast, std::min(limit_, kPoolSpare * (peak_ + 1)) * std::exp(-kPoolCut * span));
-    else if (early && inFlight_ + 1 >= kLimitUsed * limit_)
-      limit_ *= std::exp(kPoolRise * span);
-  }
-
-  // The most attempts lately out: what was out at one moment says little where a request takes less time than
-  // lies between two, and a limit drawn from it would refuse the next burst to idle workers.
-  void notePeak(Time now) {
-    peak_ = std::max<double>(inFlight_, toward(peak_, 0, now - peakAt_, kPeakTau));
-    peakAt_ = now;
-  }
-
-  void noteReport(Worker& w, Time now, const std::vector<double>& report) {
-    const std::size_t n = std::min(report.size(), set_.loadReportFields.size());
-    for (std::size_t i = 0; i < n; ++i) {
-      double sample = -1;
-      if (set_.loadReportFields[i] == "inflight") sample = report[i] - w.inFlight - 1;
-      if (set_.loadReportFields[i] == "queue")
-        sample = report[i] * (set_.gatewayCount - 1) / set_.gatewayCount;
-      if (sample < 0 && set_.loadReportFields[i] != "inflight") continue;
-      sample = std::max(0.0, sample);
-      w.others = toward(w.others, sample, now - w.othersAt + kOthersSpan, kOthersTau);
-      w.othersAt = now;
-      meanOthers_ = toward(meanOthers_, sample, 1,
-                           static_cast<double>(std::max<std::size_t>(kOthersMean, workers_.size())));
-    }
-  }
-
-  // --- 4. Attempts and final answers --------------------------------------------------------------------
-
-  void send(Time now, Held& held, Worker& worker) {
-    const ClassSettings& klass = held.klass->told;
-    const Time left = held.ask.expiresAt - now;
-    Time timeout = 0;
-    const bool last = held.attempts + 1 >= std::min(held.most, kMostAttempts);
-    if (klass.idempotency != Idempotency::notIdempotent && !last && budget_ >= 1) {
-      timeout = std::max(kPatience * usual(*held.klass), kPatienceOfAim * klass.latencyObjectiveMs);
-      if (timeout >= left) timeout = 0;
-    }
-    held.sentAt = now;
-    held.out = true;
-    held.tried.push_back(worker.listed.worker);
-    out_[outKey(held.ask.id, held.attempts)] = Flight{held.ask.customer, held.klass};
-    ++held.attempts;
-    ++inFlight_;
-    notePeak(now);
-    if (++worker.inFlight == 1) worker.heardAt = now;
-    worker.coldTokens -= 1;
-    if (Customer* customer = peek(held.ask.customer)) noteOpen(*customer, now, 1);
-    actions_.startAttempt(held.ask.id, worker.listed.worker, timeout);
-  }
-
-  // Another attempt where the class and the time allow one, else the final answer.
-  void again(Time now, Held& held) {
-    const ClassSettings& klass = held.klass->told;
-    const bool bound = held.mayHaveRun && klass.idempotency != Idempotency::idempotent;
-    if (held.attempts >= std::min(held.most, kMostAttempts) || now >= held.ask.expiresAt ||
-        (bound && klass.idempotency == Idempotency::notIdempotent) ||
-        (bound && now > held.ranSince + klass.idempotencyWindowMs) || (held.mayHaveRun && budget_ < 1) ||
-        (klass.lateAnswerValue <= 0 && now > held.arrived + klass.latencyObjectiveMs))
-      return giveUp(now, held);
-    Worker* worker = pick(now, held);
-    if (worker) return send(now, held, *worker);
-    if (!held.mayHaveRun || now + kHoldStep >= held.ask.expiresAt) return giveUp(now, held);
-    actions_.setTimer(kHoldStep, held.ask.id);
-  }
-
-  // A refusal says that trying again is harmless; where that is not known the answer is a failure.
-  void giveUp(Time, Held& held) {
-    const ClassSettings& klass = held.klass->told;
-    const RequestId id = held.ask.id;
-    const bool harmless =
-        !held.mayHaveRun || klass.idempotency == Idempotency::idempotent ||
-        (klass.idempotency == Idempotency::withKey && klass.deduplicationScope == DeduplicationScope::all);
-    held_.erase(id);
-    if (harmless)
-      refuse(id, kRetryAfter);
+    return loadBalancer_.pick(now, pending);
+  }
+
+  void startAttempt(Time now, PendingRequest& pending, UpstreamWorker& worker) {
+    const Time timeoutMs = retryPolicy_.attemptTimeoutMs(pending, now);
+    const Request& request = pending.request;
+    pending.lastAttemptAt = now;
+    pending.hasAttemptInFlight = true;
+    pending.triedWorkers.push_back(worker.endpoint.worker);
+    requests_.addAttempt(request.id, pending.attempts, {request.customer, pending.requestClass});
+    ++pending.attempts;
+    concurrencyLimit_.noteAttemptStarted(now);
+    if (++worker.inFlight == 1) worker.lastHeardAt = now;
+    SlowStart::spendBudget(worker);
+    if (Customer* customer = customers_.find(request.customer)) quota_.noteAttemptStarted(*customer, now);
+    actions_.startAttempt(request.id, worker.endpoint.worker, timeoutMs);
+  }
+
+  // `pending` is null where the request has ended before its attempt.
+  void noteQuotaReading(Customer& customer, Time now, const PendingRequest* pending, int percent) {
+    if (percent < 0) return;
+    if (pending && unknownCustomers_.outrunsQuota(customer))
+      unknownCustomers_.noteReading(pending->request, pending->plan, pending->classSettings().priorityWeight,
+                                    percent);
+    quota_.noteReading(customer, now, percent);
+  }
+
+  // The first attempt that may have run decides where and until when the request may be repeated.
+  static void noteMayHaveRun(PendingRequest& pending, const UpstreamWorker* worker) {
+    if (pending.mayHaveRun) return;
+    pending.mayHaveRun = true;
+    pending.firstRunAt = pending.lastAttemptAt;
+    if (!worker) return;
+    pending.firstRunZone = worker->endpoint.zone;
+    pending.firstRunCell = worker->endpoint.cell;
+  }
+
+  void retryOrEnd(Time now, PendingRequest& pending) {
+    if (!retryPolicy_.mayRetry(pending, now)) return endUnanswered(pending);
+    if (UpstreamWorker* worker = chooseWorker(now, pending)) return startAttempt(now, pending, *worker);
+    // One that has not run may be rejected at once; one that may have run waits for a worker that knows it.
+    if (!pending.mayHaveRun || now + kWorkerRetryMs >= pending.request.expiresAt)
+      return endUnanswered(pending);
+    actions_.setTimer(kWorkerRetryMs, pending.request.id);
+  }
+
+  // A rejection says that sending again is harmless; where that is not known the final answer is a failure.
+  void endUnanswered(const PendingRequest& pending) {
+    const RequestId id = pending.request.id;
+    const bool isSafe = isSafeToReject(pending);
+    requests_.erase(id);
+    if (isSafe)
+      sendRejection(id, kRetryAfterMs);
     else
       actions_.fail(id);
   }
 
-  // Under pressure nobody is asked back before it is likely to be over, and nobody at the same moment.
-  void refuse(RequestId id, Time wait) {
-    if (overload_.active) wait = std::max(wait, overload_.expectedMs);
-    const Time most = set_.maxRetryAfterMs > 0 ? set_.maxRetryAfterMs : wait;
-    wait = std::clamp(wait, 1.0, std::max(1.0, most));
-    actions_.reject(id, overload_.active ? wait * (1 - random_.next() / 2) : wait);
+  void reject(RequestId id, const Rejection& rejection) {
+    countRejection(rejections_, rejection.reason);
+    sendRejection(id, rejection.retryAfterMs);
   }
 
-  static double worthFor(const Request& ask, const ClassSettings& klass, const PlanSettings& plan) {
-    return klass.priorityWeight * plan.price * ask.units / std::max(ask.memoryBytes, kLeastBytes);
+  // Under overload no client is asked back before it is likely to be over, nor all at the same moment.
+  void sendRejection(RequestId id, Time retryAfterMs) {
+    const OverloadSignal& overload = loadShedding_.signal();
+    if (overload.active) retryAfterMs = std::max(retryAfterMs, overload.expectedMs);
+    const Time mostMs = settings_.maxRetryAfterMs > 0 ? settings_.maxRetryAfterMs : retryAfterMs;
+    retryAfterMs = std::clamp(retryAfterMs, 1.0, std::max(1.0, mostMs));
+    actions_.reject(id, overload.active ? retryAfterMs * (1 - random_.next() / 2) : retryAfterMs);
   }
 
-  // Whether a new request is among the share that has to go: the mark moves until that share is under it.
-  bool tooMany(const Request& ask) {
-    const double worth = worthFor(ask, classes_[ask.classIndex]->told, set_.plans[ask.planIndex]) *
-                         (1 + kTie * random_.next());
-    if (cut_ <= 0) cut_ = worth;
-    const bool under = worth < cut_;
-    cut_ *= std::exp(kCutStep * (overload_.shedFraction - under));
-    return under;
-  }
-
-  void log(Time now, const char* line) {
-    if (now - loggedAt_ < kLogEvery) return;
-    loggedAt_ = now;
-    actions_.log(line);
-  }
-
-  // What was refused since the last line and on which belief, so that a log tells the causes apart.
-  void summarize(Time now) {
-    if (now - summaryAt_ < kSummaryEvery) return;
-    summaryAt_ = now;
-    unsigned ready = 0, ejected = 0, cold = 0, full = 0;
-    for (const Worker& w : workers_) {
-      if (w.listed.phase != WorkerPhase::ready) continue;
-      ++ready, ejected += w.ejectedUntil > now, cold += warmth(w, now)<1, full += w.fullUntil> now;
+  // Given up for the host's sake, with an attempt in flight or without.
+  void giveUp(PendingRequest& pending) {
+    countRejection(rejections_, RejectionReason::overload);
+    if (pending.responseStarted) {
+      const RequestId id = pending.request.id;
+      requests_.erase(id);
+      return actions_.fail(id);
     }
-    const auto since = [](std::uint64_t count, std::uint64_t before) {
-      return static_cast<unsigned>(count - before);
-    };
-    const RejectionCounts& then = summarized_;
-    char line[280];
-    std::snprintf(
-        line, sizeof line,
-        "refused: bucket %u store %u unknown %u (reach %.2f) worker %u (gateway's limit %u) "
-        "pressed %u; limit %.1f out %u "
-        "pressed %.2f; "
-        "workers ready %u ejected %u cold %u full %u",
-        since(rejections_.localQuota, then.localQuota), since(rejections_.fleetQuota, then.fleetQuota),
-        since(rejections_.unknownCustomer, then.unknownCustomer), reach_,
-        since(rejections_.noWorker, then.noWorker),
-        since(rejections_.concurrencyLimit, then.concurrencyLimit),
-        since(rejections_.overload, then.overload), limit_, inFlight_, pressed_, ready, ejected, cold, full);
-    summarized_ = rejections_;
-    actions_.log(line);
+    pending.mayHaveRun = pending.mayHaveRun || pending.hasAttemptInFlight;
+    endUnanswered(pending);
+  }
+
+  void logSummary(Time now) {
+    if (!log_.isSummaryDue(now)) return;
+    DecisionFigures figures;
+    figures.unknownCustomerReach = unknownCustomers_.reach();
+    figures.concurrencyLimit = concurrencyLimit_.limit();
+    figures.attemptsInFlight = concurrencyLimit_.inFlight();
+    figures.workerShortage = admission_.workerShortage();
+    figures.workers = readyWorkerCounts(now);
+    log_.summarize(now, rejections_, figures);
+  }
+
+  ReadyWorkerCounts readyWorkerCounts(Time now) const {
+    ReadyWorkerCounts counts;
+    for (const UpstreamWorker& worker : workers_.all()) {
+      if (!worker.isReady()) continue;
+      ++counts.ready;
+      if (worker.isEjected(now)) ++counts.ejected;
+      if (!slowStart_.isWarm(worker, now)) ++counts.warmingUp;
+      if (isPaused(worker, now)) ++counts.overloaded;
+    }
+    return counts;
   }
 
-  Settings set_;
-  std::vector<ProfilePtr> classes_;
+  Settings settings_;
   Actions& actions_;
   Random random_;
-  std::list<Customer> table_;  // least recent first
-  std::unordered_map<CustomerId, std::list<Customer>::iterator> index_;
-  std::map<unsigned, double> kinds_;  // latency over the class's usual of each kind of worker
-  double meanOthers_ = 0;             // of load reports: what the others have out at a worker
-  std::vector<Worker> workers_;       // in the order of their listing
-  std::unordered_map<WorkerId, std::size_t> placeOf_;  // of each in workers_
-  Time longestBase_ = kUnknown;                        // of classes_; kUnknown: to be looked for anew
-  std::unordered_map<WorkerId, Time> barred_;          // put out by hand, and since when
-  std::unordered_map<RequestId, Held> held_;
-  std::unordered_map<std::uint64_t, Flight> out_;
-  Time bucketSince_, ceilingSince_;
-  double usualUnits_ = 0;       // of the first requests of customers
-  double usualWorth_ = 0;       // of strangers' requests
-  double reach_ = kReachFirst;  // of the burst, what a stranger's store is taken to hold
-  unsigned inFlight_ = 0;       // attempts out, at all workers
-  double limit_ = 0;            // and how many may be
-  Time limitAt_ = 0;
-  double peak_ = 0;  // the most lately out
-  Time peakAt_ = 0;
-  unsigned subsets_ = 1;  // into which all workers are dealt out
-  double pressed_ = 0;    // share of admitted tries that find no worker
-  Time pressedAt_ = 0;
-  double budget_ = kBudgetMost;  // early time-outs and repeats after them that are left
-  double warmRate_ = 0;          // good answers of warm workers a ms
-  Time warmAt_ = 0;
-  unsigned warmWorkers_ = 0;
-  double perWarm_ = 0;  // a warm worker's part of that rate
-  OverloadSignal overload_;
-  double cut_ = 0;  // worth for what it holds under which a new request is too many
-  Time loggedAt_ = -kLogEvery;
-  RejectionCounts rejections_, summarized_;  // since the start; and as they were at the last line
-  Time summaryAt_ = 0;
+  RequestClasses classes_;
+  CustomerQuota quota_;
+  CustomerRegistry customers_;
+  UnknownCustomers unknownCustomers_;
+  Admission admission_;
+  WorkerTable workers_;
+  OutlierDetection outliers_;
+  SlowStart slowStart_;
+  LoadReports loadReports_;
+  LoadBalancer loadBalancer_;
+  GatewayConcurrencyLimit concurrencyLimit_;
+  WorkerFeedback workerFeedback_;
+  RetryPolicy retryPolicy_;
+  RequestTable requests_;
+  LoadShedding loadShedding_;
+  DecisionLog log_;
+  RejectionCounts rejections_;
 };
 
 Gateway::Gateway(const Settings& settings, std::uint64_t salt, Time now, Actions& actions)
@@ -1269,9 +352,9 @@
 void Gateway::onRequestComplete(Time now, RequestId id, Time expires) {
   core_->onRequestComplete(now, id, expires);
 }
-void Gateway::onClientDisconnect(Time now, RequestId id) { core_->onClientDisconnect(now, id); }
-void Gateway::onResponseStarted(Time now, RequestId id) { core_->onResponseStarted(now, id); }
-void Gateway::onOverload(Time now, const OverloadSignal& pressure) { core_->onOverload(now, pressure); }
+void Gateway::onClientDisconnect(Time, RequestId id) { core_->onClientDisconnect(id); }
+void Gateway::onResponseStarted(Time, RequestId id) { core_->onResponseStarted(id); }
+void Gateway::onOverload(Time, const OverloadSignal& pressure) { core_->onOverload(pressure); }
 void Gateway::onTimer(Time now, std::uint64_t tag) { core_->onTimer(now, tag); }
 void Gateway::exclude(Time now, WorkerId worker) { core_->exclude(now, worker); }
 void Gateway::include(Time now, WorkerId worker) { core_->include(now, worker); }
