--- a/src/config/config.hpp
+++ b/src/config/config.hpp
@@ -58,7 +58,8 @@
   std::vector<std::string> keys;
 };
 
-/// A configuration that cannot be used. `what()` is one plain line that names the key.
+/// A configuration that cannot be used. `what()` is one plain line that names the key. A malformed address or
+/// setting is told by `parseEndpoint` and `settings::SettingsError` instead, without the key of the file.
 struct ConfigError : std::runtime_error {
   explicit ConfigError(const std::string& what) : std::runtime_error("configuration: " + what) {}
 };
@@ -72,7 +73,8 @@
 /// @throws ConfigError, IncompleteConfigError.
 Config readConfig();
 
-/// Reads the file again, with the variables but BALANCER_DISCOVERY, whose value is that of the start.
+/// Reads the file again; BALANCER_NAME, BALANCER_LISTEN and BALANCER_OPS take precedence, `discovery` is the
+/// file's. `stateDir` and `acceptFd` are not set: those of the start hold.
 /// @throws ConfigError, IncompleteConfigError; ConfigError also where a key of `before` is missing.
 Config rereadConfig(const Config& before);
 
--- a/src/leader_election/candidacy.cpp
+++ b/src/leader_election/candidacy.cpp
@@ -250,7 +250,8 @@
     dueAt_ = kNever;
     return;
   }
-  // A call that is under way and could still take effect is waited for before the lock goes back.
+  // The lock goes back once a call that may still take or use it has ended. A claim under way needs no wait:
+  // it is a compare-and-set, which fails once another leader has claimed.
   const Step stepUnderWay = step_;
   const std::uint64_t stepCallId = stepCallId_;
   stopActs(now, State::releasing);
--- a/src/leader_election/coordinator.cpp
+++ b/src/leader_election/coordinator.cpp
@@ -151,9 +151,9 @@
   std::string out = "200 " + std::to_string(all.size()) + " duties\n";
   for (const TaskStatus& status : all) {
     const auto sinceS = static_cast<long>((now() - status.sinceAt) / 1000);
-    out += status.task + " state=" + operatorsNameOf(status.state) + " holder=" + orNothing(status.leader) +
-           " token=" + std::to_string(status.token) + " since_s=" + std::to_string(sinceS) +
-           " last_error=" + orNothing(status.lastError) + "\n";
+    out += status.task + " state=" + operatorsNameOf(status.state) +
+           " holder=" + orNothing(status.leaderName) + " token=" + std::to_string(status.token) +
+           " since_s=" + std::to_string(sinceS) + " last_error=" + orNothing(status.lastError) + "\n";
   }
   return out + "EOF\n";
 }
--- a/src/leader_election/election_types.hpp
+++ b/src/leader_election/election_types.hpp
@@ -16,14 +16,16 @@
 using FencingToken = std::uint64_t;
 
 struct Timing {
-  Time ttlMs = 10000;         ///< of the session at the store
-  Time lockDelayMs = 1000;    ///< a lock stays closed for this long after its leader's session ended
-  Time callTimeoutMs = 1000;  ///< a call is answered within this, or is given up and has no effect afterwards
+  Time ttlMs = 10000;       ///< of the session at the store
+  Time lockDelayMs = 1000;  ///< a lock stays closed for this long after its leader's session ended
+  Time callTimeoutMs =
+      1000;  ///< a call is answered within this or given up; assumed to have no effect after it
   Time blockingReadMs = 30000;  ///< how long a read waits for a change
   double clockDrift = 0.01;     ///< at most, between the rates of two clocks
   unsigned candidates = 1;
 
-  /// How long the lease holds after the last successful renewal was sent.
+  /// How long the lease holds after the last successful renewal was sent. Less the call time-out: a write
+  /// that is sent in the lease's last moment may take effect that much later.
   [[nodiscard]] Time leaseMs() const { return ttlMs * (1 - clockDrift) - callTimeoutMs; }
   /// Candidates spread their attempts on a free lock over this, so that they do not stampede.
   [[nodiscard]] Time spreadMs() const { return std::max(100.0, 20.0 * candidates); }
@@ -94,7 +96,8 @@
   /// This process leads no more.
   virtual void onDeposed(Time now) = 0;
   /// A record was read whose token is no lower than any seen.
-  virtual void onRecord(Time now, FencingToken token, const std::string& leader, const std::string& data) = 0;
+  virtual void onRecord(Time now, FencingToken token, const std::string& leaderInstance,
+                        const std::string& data) = 0;
   /// All registrations: at the start of the leadership, and after each change while it lasts.
   virtual void onRegistrations(Time now, const std::vector<Registration>& all) = 0;
 };
@@ -155,7 +158,7 @@
 /// One task as operators see it.
 struct TaskStatus {
   std::string task;
-  std::string leader;
+  std::string leaderName;  ///< a gatekeeper's; empty: nobody's
   std::string lastError;
   State state = State::standby;
   FencingToken token = 0;  ///< own while leading, else the highest seen
--- a/src/leader_election/leader_election.hpp
+++ b/src/leader_election/leader_election.hpp
@@ -45,7 +45,8 @@
   /// Infinity: never by time alone.
   [[nodiscard]] Time nextDueAt() const;
 
-  /// Whether an act of the task may be made at this moment.
+  /// Whether an act of the task may be made at this moment. The one act so far is the write of the task's
+  /// record, and `writeRecord` checks this by itself; a task with other acts calls it before each.
   [[nodiscard]] bool mayAct(Time now, const std::string& taskName) const;
   /// Writes the task's record; the latest data wins where a write is under way. False: this process does not
   /// lead.
--- a/src/replication/anti_entropy.hpp
+++ b/src/replication/anti_entropy.hpp
@@ -21,7 +21,8 @@
 
 [[nodiscard]] Digest digestOf(const ReplicatedTable& table, const Membership& membership);
 
-/// Empty where `remote` has another number of ranges, as an empty digest has.
+/// Empty where the digests are equal, and also where `remote` has another number of ranges, as an empty
+/// digest has.
 [[nodiscard]] std::vector<unsigned> differingRanges(const Digest& local, const Digest& remote);
 
 struct RangeContents {
--- a/src/replication/failure_detector.hpp
+++ b/src/replication/failure_detector.hpp
@@ -25,7 +25,7 @@
 
   /// `requester` waits for an acknowledgement of `target` through this member.
   void addProbeRequest(const std::string& target, const std::string& requester);
-  /// Who waits for one of `target`; each request is returned once.
+  /// Who waits for one of `target`; the last requester alone, and once.
   [[nodiscard]] std::optional<std::string> takeProbeRequester(const std::string& target);
 
  private:
--- a/src/replication/replica.hpp
+++ b/src/replication/replica.hpp
@@ -36,12 +36,13 @@
   struct Counts {
     std::uint64_t sent = 0;
     std::uint64_t received = 0;
-    std::uint64_t failed = 0;           ///< requests without a valid response
-    std::uint64_t rejectedStale = 0;    ///< messages of an earlier process, or of another than was asked
-    std::uint64_t rejectedForeign = 0;  ///< messages of another fleet
-    std::uint64_t rejectedRows = 0;     ///< rows whose timestamp is too far ahead
-    std::uint64_t merged = 0;           ///< rows taken from others
-    std::uint64_t repaired = 0;         ///< comparisons that found a difference
+    std::uint64_t failed = 0;         ///< requests without a valid response
+    std::uint64_t rejectedStale = 0;  ///< messages of an earlier process, or of another than was asked
+    std::uint64_t rejectedForeign =
+        0;                           ///< messages of another fleet or under this name, or while not running
+    std::uint64_t rejectedRows = 0;  ///< rows whose timestamp is too far ahead
+    std::uint64_t merged = 0;        ///< rows taken from others
+    std::uint64_t repaired = 0;      ///< comparisons that found a difference
   };
 
   /// @param seeds names and addresses of some members, by which the fleet is found.
@@ -83,9 +84,10 @@
   [[nodiscard]] std::size_t liveCount() const { return membership_.liveCount(); }
   [[nodiscard]] std::vector<Row> rows() const { return table_.rows(); }
   [[nodiscard]] Digest digest() const { return digestOf(table_, membership_); }
-  /// Whether this copy has been equal to another one since the start.
+  /// Whether this copy has had every row of another one since the start.
   [[nodiscard]] bool caughtUp() const { return caughtUp_; }
-  /// Whether another process has this name and a higher generation; this one is silent then.
+  /// Whether another process has this name and a higher generation; this one sends no
+  /// requests of its own then, and still answers.
   [[nodiscard]] bool isSuperseded() const { return membership_.isSuperseded(); }
   [[nodiscard]] const Counts& counts() const { return counts_; }
   /// When this copy was last compared with another; negative: never.
--- a/src/settings/key_values.hpp
+++ b/src/settings/key_values.hpp
@@ -32,6 +32,7 @@
   /// Each returns `fallback` where the key is missing.
   /// @throws SettingsError on a value of another form.
   double number(const std::string& key, double fallback) const;
+  /// A fraction is cut off.
   unsigned wholeNumber(const std::string& key, unsigned fallback) const;
   bool boolean(const std::string& key, bool fallback) const;
   std::string text(const std::string& key, const std::string& fallback) const;
--- a/src/simulator_adapter/main.cpp
+++ b/src/simulator_adapter/main.cpp
@@ -25,7 +25,7 @@
   const std::string& handleFrame(const FrameHeader& header, std::string_view body) {
     clock_ = header.clock;
     current_ = nullptr;
-    number_ = 0;
+    instanceNumber_ = 0;
     reply_.begin(header.number);
     readRecords(header, body, *this);
     return reply_.finish();
@@ -33,15 +33,15 @@
 
  private:
   void onInstance(unsigned number) override {
-    number_ = number;
+    instanceNumber_ = number;
     const auto found = gateways_.find(number);
     current_ = found == gateways_.end() ? nullptr : &found->second;
     reply_.setInstance(number);
   }
   void onStart(std::uint64_t salt, std::string_view text) override {
-    gateways_.erase(number_);
+    gateways_.erase(instanceNumber_);
     Gateway gateway(settings::parseSettings(text), salt, clock_, reply_);
-    current_ = &gateways_.emplace(number_, std::move(gateway)).first->second;
+    current_ = &gateways_.emplace(instanceNumber_, std::move(gateway)).first->second;
   }
   void onEndpoints(decision::EndpointUpdate kind, const std::vector<decision::Endpoint>& list) override {
     current().onEndpoints(clock_, kind, list);
@@ -53,7 +53,7 @@
   void onClientDisconnect(decision::RequestId id) override { current().onClientDisconnect(clock_, id); }
   void onTimer(std::uint64_t tag) override { current().onTimer(clock_, tag); }
   void onStop() override {
-    gateways_.erase(number_);
+    gateways_.erase(instanceNumber_);
     current_ = nullptr;
   }
 
@@ -65,7 +65,7 @@
   ReplyWriter reply_;
   std::map<unsigned, Gateway> gateways_;
   Gateway* current_ = nullptr;
-  unsigned number_ = 0;
+  unsigned instanceNumber_ = 0;
   decision::Time clock_ = 0;
 };
 
--- a/src/simulator_adapter/wire.cpp
+++ b/src/simulator_adapter/wire.cpp
@@ -178,7 +178,7 @@
   out.attempt = in.get<std::uint16_t>();
   out.actualUnits = in.get<std::uint16_t>();
   out.worker = in.worker();
-  out.quotaUsePercent = static_cast<int>(in.get<std::uint16_t>()) - 1;
+  out.quotaUsePercent = static_cast<int>(in.get<std::uint16_t>()) - 1;  // 0 on the wire: no reading
   out.latencyMs = in.get<double>();
   out.requestFinished = in.get<std::uint8_t>() != 0;
   out.loadReport = readLoadReport(in);
--- a/src/simulator_adapter/wire.hpp
+++ b/src/simulator_adapter/wire.hpp
@@ -1,5 +1,5 @@
-/// The simulator's line protocol: frames of events in, frames of actions out, little-endian. Nothing here
-/// decides anything.
+/// The simulator's protocol: binary frames of events in, of actions out, with their length, little-endian.
+/// Nothing here decides anything.
 #pragma once
 
 #include <cstdint>
--- a/tools/lab/fleet.cpp
+++ b/tools/lab/fleet.cpp
@@ -183,22 +183,22 @@
 }
 
 int Fleet::verdict() {
-  record_.seed = options_.seed;
-  record_.notSent = load_.notSent();
+  runRecord_.seed = options_.seed;
+  runRecord_.notSent = load_.notSent();
   for (const Gatekeeper& gatekeeper : gatekeepers_)
     for (std::string& line : brokenInvariants(gatekeeper.log, stoppedForLong_.contains(gatekeeper.index)))
-      record_.invariants.push_back(std::move(line));
-  record_.failedCalls = failedCalls();
-  for (const auto& worker : workers_) record_.workerConnections += worker->accepted();
-  for (const auto& agent : agents_) record_.listBytes += agent->bytesSaid();
-  if (store_) record_.store = StoreUse{store_->calls(), store_->callsBySecond(), claims_};
+      runRecord_.invariants.push_back(std::move(line));
+  runRecord_.failedCalls = failedCalls();
+  for (const auto& worker : workers_) runRecord_.workerConnections += worker->accepted();
+  for (const auto& agent : agents_) runRecord_.listBytes += agent->bytesSaid();
+  if (store_) runRecord_.store = StoreUse{store_->calls(), store_->callsBySecond(), claims_};
   for (const auto& [g, clients] : idleClients_) observed_.idleClients[g] = clients->counts();
-  record_.idleClients = observed_.idleClients;
+  runRecord_.idleClients = observed_.idleClients;
   const Expectations expectations(scenario_, judge_, observed_);
   for (const Expect& e : scenario_.expects)
-    if (e.fate == "figure") record_.figures.push_back({e.line, e.figure, expectations.figure(e)});
-  record_.unmet = expectations.unmet();
-  writeReport(options_.out, scenario_, judge_, record_);
+    if (e.fate == "figure") runRecord_.figures.push_back({e.line, e.figure, expectations.figure(e)});
+  runRecord_.unmet = expectations.unmet();
+  writeReport(options_.out, scenario_, judge_, runRecord_);
   return printReport(options_.out);
 }
 
--- a/tools/lab/fleet_observers.cpp
+++ b/tools/lab/fleet_observers.cpp
@@ -33,7 +33,7 @@
       leader_ = std::max(0, gatekeeper);
       observed_.noted.push_back({"claims", gatekeeper, clock_.nowMs()});
       claims_.push_back({clock_.nowMs(), gatekeeper, record["token"].get<std::uint64_t>()});
-      record_.marks.push_back({clock_.nowMs() / 1000, "g" + std::to_string(gatekeeper) + " holds"});
+      runRecord_.marks.push_back({clock_.nowMs() / 1000, "g" + std::to_string(gatekeeper) + " holds"});
     }
     const json roster = json::parse(record.value("data", ""), nullptr, false);
     if (!roster.is_object()) return;
@@ -63,7 +63,7 @@
 }
 
 void Fleet::askFigures() {
-  if (finishing_ || !observed_.figures.wanted()) return;
+  if (runIsEnding_ || !observed_.figures.wanted()) return;
   for (const Gatekeeper& gatekeeper : gatekeepers_)
     if (gatekeeper.now.pid > 0)
       askOps(io_, gatekeeper.now.ops, "telemetry", [this, g = gatekeeper.index](const std::string& answer) {
@@ -74,7 +74,7 @@
 
 void Fleet::logProgress() {
   clock_.at(clock_.nowMs() / 1000 + 10, [this] {
-    if (finishing_) return;
+    if (runIsEnding_) return;
     ProcessUse all;
     int running = 0;
     for (const Gatekeeper& gatekeeper : gatekeepers_) {
@@ -107,10 +107,11 @@
 void Fleet::measure(const Gatekeeper& gatekeeper) {
   if (gatekeeper.now.pid <= 0) return;
   const ProcessUse use = useOf(gatekeeper.now.pid);
-  record_.mostKb = std::max(record_.mostKb, use.peakKb);
-  record_.mostDescriptors = std::max(record_.mostDescriptors, use.descriptors);
-  ++record_.measured;
-  record_.all.cpuS += use.cpuS, record_.all.peakKb += use.peakKb, record_.all.descriptors += use.descriptors;
+  runRecord_.mostKb = std::max(runRecord_.mostKb, use.peakKb);
+  runRecord_.mostDescriptors = std::max(runRecord_.mostDescriptors, use.descriptors);
+  ++runRecord_.measured;
+  runRecord_.all.cpuS += use.cpuS, runRecord_.all.peakKb += use.peakKb,
+      runRecord_.all.descriptors += use.descriptors;
 }
 
 }  // namespace wingslip::lab
--- a/tools/lab/fleet_processes.cpp
+++ b/tools/lab/fleet_processes.cpp
@@ -31,7 +31,7 @@
   agents_[gatekeeper.index]->gatekeeperStarts();
   gatekeeper.stopped = false;
   gatekeeper.inFront = false;
-  gatekeeper.finishing = false;
+  gatekeeper.shuttingDown = false;
   gatekeeper.misses = 0;
   std::ofstream(fs::path(options_.out) / "pids", std::ios::app) << gatekeeper.now.pid << "\n";
 }
@@ -46,7 +46,7 @@
 void Fleet::awaitReady(int g, pid_t pid) {
   askOps(io_, gatekeepers_[g].now.ops, "readyz", [this, g, pid](const std::string& answer) {
     Gatekeeper& gatekeeper = gatekeepers_[g];
-    if (finishing_ || gatekeeper.now.pid != pid) return;
+    if (runIsEnding_ || gatekeeper.now.pid != pid) return;
     if (answer.rfind("200", 0) == 0) {
       spdlog::info("event=upgraded gatekeeper={} at_ms={:.0f}", g, clock_.nowMs());
       if (gatekeeper.old.pid > 0) ::kill(gatekeeper.old.pid, SIGTERM);
@@ -71,18 +71,18 @@
 }
 
 void Fleet::shutDownGracefully(Gatekeeper& gatekeeper) {
-  if (gatekeeper.now.pid <= 0 || gatekeeper.finishing) return;
+  if (gatekeeper.now.pid <= 0 || gatekeeper.shuttingDown) return;
   endedByLab_.insert(gatekeeper.index);
-  gatekeeper.finishing = true;
+  gatekeeper.shuttingDown = true;
   sendSignal(gatekeeper, SIGTERM);
   const pid_t pid = gatekeeper.now.pid;
   clock_.at(clock_.nowMs() / 1000 + kFrontNoticesS, [&gatekeeper, pid] {
     if (gatekeeper.now.pid == pid) gatekeeper.inFront = false;
   });
   clock_.at(clock_.nowMs() / 1000 + kEndsAfterTermS, [this, &gatekeeper, pid] {
-    if (gatekeeper.now.pid != pid || finishing_) return;
-    record_.crashes.push_back("gatekeeper " + std::to_string(gatekeeper.index) +
-                              " still runs after SIGTERM and " + std::to_string(kEndsAfterTermS) + " s");
+    if (gatekeeper.now.pid != pid || runIsEnding_) return;
+    runRecord_.crashes.push_back("gatekeeper " + std::to_string(gatekeeper.index) +
+                                 " still runs after SIGTERM and " + std::to_string(kEndsAfterTermS) + " s");
   });
 }
 
@@ -105,8 +105,8 @@
   if (status == 0)
     observed_.noted.push_back({"upgrades", gatekeeper.index, clock_.nowMs()});
   else
-    record_.crashes.push_back("upgrade of gatekeeper " + std::to_string(gatekeeper.index) +
-                              ": the old process ended with " + std::to_string(status));
+    runRecord_.crashes.push_back("upgrade of gatekeeper " + std::to_string(gatekeeper.index) +
+                                 ": the old process ended with " + std::to_string(status));
 }
 
 void Fleet::reapProcess(Gatekeeper& gatekeeper) {
@@ -114,22 +114,22 @@
   if (gatekeeper.now.pid <= 0 || ::waitpid(gatekeeper.now.pid, &status, WNOHANG) != gatekeeper.now.pid)
     return;
   gatekeeper.now = {};
-  if (gatekeeper.finishing) {
+  if (gatekeeper.shuttingDown) {
     judge_.down(gatekeeper.index, clock_.nowMs());
     if (status != 0)
-      record_.crashes.push_back("gatekeeper " + std::to_string(gatekeeper.index) +
-                                " was told to end and ended with status " + std::to_string(status));
+      runRecord_.crashes.push_back("gatekeeper " + std::to_string(gatekeeper.index) +
+                                   " was told to end and ended with status " + std::to_string(status));
   }
-  if (endedByLab_.contains(gatekeeper.index) || finishing_) return;
-  record_.crashes.push_back("gatekeeper " + std::to_string(gatekeeper.index) + " ended by itself, status " +
-                            std::to_string(status));
+  if (endedByLab_.contains(gatekeeper.index) || runIsEnding_) return;
+  runRecord_.crashes.push_back("gatekeeper " + std::to_string(gatekeeper.index) +
+                               " ended by itself, status " + std::to_string(status));
   judge_.down(gatekeeper.index, clock_.nowMs());
 }
 
 void Fleet::checkHealth() {
   reap();
   front_.check();
-  if (finishing_) return;
+  if (runIsEnding_) return;
   auto next = std::make_shared<asio::steady_timer>(io_, kHealthEvery);
   next->async_wait([this, next](const Error&) { checkHealth(); });
 }
@@ -144,7 +144,7 @@
 }
 
 void Fleet::finish() {
-  finishing_ = true;
+  runIsEnding_ = true;
   for (const Gatekeeper& gatekeeper : gatekeepers_) measure(gatekeeper);
   for (Gatekeeper& gatekeeper : gatekeepers_) {
     if (gatekeeper.stopped) sendSignal(gatekeeper, SIGCONT);
--- a/tools/lab/fleet_run.hpp
+++ b/tools/lab/fleet_run.hpp
@@ -126,12 +126,12 @@
   std::set<int> endedByLab_;      ///< gatekeepers
   std::set<int> stoppedForLong_;  ///< gatekeepers whose process stood still for long
   std::set<int> diskFaults_;      ///< gatekeepers whose writes to files fail
-  RunRecord record_;
+  RunRecord runRecord_;
   std::vector<Claim> claims_;
   std::uint64_t rosterVersion_ = 0;
-  int leader_ = 0;        ///< the last gatekeeper that claimed the leader's lock
-  int formerLeader_ = 0;  ///< the one that the last step with a role meant
-  bool finishing_ = false;
+  int leader_ = 0;      ///< the last gatekeeper that claimed the leader's lock; 0 also where it is unknown
+  int roleTarget_ = 0;  ///< the gatekeeper that the last step with the role "holder" meant
+  bool runIsEnding_ = false;
 };
 
 }  // namespace wingslip::lab
--- a/tools/lab/fleet_steps.cpp
+++ b/tools/lab/fleet_steps.cpp
@@ -9,12 +9,12 @@
 
 void Fleet::apply(const Step& planned) {
   Step step = planned;
-  if (step.role == "holder") formerLeader_ = leader_;
-  if (!step.role.empty()) step.gatekeeper = formerLeader_;
+  if (step.role == "holder") roleTarget_ = leader_;
+  if (!step.role.empty()) step.gatekeeper = roleTarget_;
   spdlog::info("event=step at_s={} do={} gatekeeper={} worker={} zone={}", step.atS, step.what,
                step.gatekeeper.value_or(-1), step.worker.value_or(-1), step.zone.value_or("-"));
-  record_.steps.push_back({step.atS, step.what, step.line});
-  record_.marks.push_back({step.atS, labelOf(step)});
+  runRecord_.steps.push_back({step.atS, step.what, step.line});
+  runRecord_.marks.push_back({step.atS, labelOf(step)});
   if (step.what.rfind("store_", 0) == 0) return applyStoreFault(step.what);
   if (const auto mode = linkModeOf(step.what)) return applyLinkFault(step, *mode);
   if (step.what == "exclude" || step.what == "include") return callOperator(step);
@@ -44,8 +44,8 @@
   if (step.what == "exclude" && inForce) judge_.excluded(index, *step.worker, clock_.nowMs());
   const bool processEnded = pid <= 0 || gatekeepers_[index].now.pid != pid || gatekeepers_[index].stopped;
   if (accepted || processEnded || diskFaults_.contains(index)) return;
-  record_.crashes.push_back("line " + std::to_string(step.line) + ": " + step.what + " was answered " +
-                            (answer.empty() ? "nothing" : answer.substr(0, 60)));
+  runRecord_.crashes.push_back("line " + std::to_string(step.line) + ": " + step.what + " was answered " +
+                               (answer.empty() ? "nothing" : answer.substr(0, 60)));
 }
 
 void Fleet::applyGatekeeperFault(const Step& step) {
--- a/tools/lab/process.hpp
+++ b/tools/lab/process.hpp
@@ -46,7 +46,7 @@
   Process now, old;                          // old: of an upgrade, until it ends
   int starts = 0;
   bool inFront = false, stopped = false;
-  bool finishing = false;  // told to end in order, and not started again
+  bool shuttingDown = false;  // told to end in order, and not started again
   int misses = 0;
 };
 
