--- a/src/config/config.hpp
+++ b/src/config/config.hpp
@@ -65,6 +65,5 @@
 };
 void checkChange(const Config& before, const Config& after);
 Config parseConfig(std::string_view json);
-boost::asio::ip::tcp::endpoint parseEndpoint(std::string_view hostPort);
 
 }  // namespace wingslip
--- a/src/endpoint_watch/endpoint_watch.cpp
+++ b/src/endpoint_watch/endpoint_watch.cpp
@@ -1,107 +1,116 @@
 #include "endpoint_watch/endpoint_watch.hpp"
 
-#include <algorithm>
-
 namespace wingslip {
 namespace {
 
-// An empty line comes every 2 s: one is 0.4 s late. What an agent has when it begins to talk again
-// after a while counts as told in that moment, also where the watch that it had broken has not been missed
-// yet: longer, and a worker that leaves is sent to after an outage of up to this less `stopWithin`. Shorter:
-// lines that are a little late reopen the watch.
-constexpr Watch::Time kSilence = 2400;
-// An agent of one's own answers at once. When it begins to talk again, what it has counts as told in that
-// moment, and there is `stopWithin` to have it: half of that for an answer that does not come, three eighths
-// for one and a half times the longest wait, the rest for the call itself. Longer: a worker that leaves is
-// sent to. Shorter: calls that a slow machine would have answered are made twice.
-constexpr double kAnswerShare = 0.5, kMostShare = 0.125;
-constexpr Watch::Time kUsualStop = 2000, kLeastStop = 400;
-constexpr Watch::Time kFirst = 50;
-// Where discovery turns calls away it serves many, some twenty calls a second, and gives one up after 2 s
-// itself. Calls that come faster than that for long each wait past its time, so that none is served any
-// more. Shorter: that; longer: late news after a loss.
-constexpr Watch::Time kSharedAnswer = 2500, kSharedMost = 1000;
-constexpr Watch::Time kFirstEach = 20, kMostEach = 160;
-// However many they are: 6 s after discovery can be reached what it has counts as told, and there are
-// `stopWithin` more; a quarter of these is left for the call itself. A call begins within this of the one
-// before.
-constexpr Watch::Time kToldAnyway = 6000;
-constexpr double kSharedSpread = 1.0 / 6;  // of the longest time between two calls; 0: all call together
+using Time = EndpointWatch::Time;
+
+// Heartbeats come every 2 s: one may be 0.4 s late. What an agent has counts as known from the moment it
+// answers again, so a longer silence would use up the drain grace.
+constexpr Time kSilenceTimeoutMs = 2400;
+
+// Parts of the drain grace: half for an answer that does not come, 1.5 times an eighth for the longest delay,
+// the rest for the request itself.
+constexpr double kAnswerTimeoutShare = 0.5;
+constexpr double kMaxBackoffShare = 0.125;
+constexpr Time kDefaultDrainGraceMs = 2000;  // also the most that is used
+constexpr Time kMinDrainGraceMs = 400;
+constexpr Time kFirstBackoffMs = 50;
+
+// A discovery service that rejects requests serves some 20 a second, and drops a request after 2 s.
+constexpr Time kRejectedAnswerTimeoutMs = 2500;
+constexpr Time kMinRejectedMaxBackoffMs = 1000;
+constexpr Time kRejectedFirstBackoffPerGatekeeperMs = 20;
+constexpr Time kRejectedMaxBackoffPerGatekeeperMs = 160;
+
+// A change counts as known 6 s after discovery can be reached, and the drain grace follows; a quarter of that
+// is left for the request itself.
+constexpr Time kKnownAfterReachableMs = 6000;
+constexpr double kGraceBeforeRequest = 0.75;
+// Share of the interval over which connects are spread, so that gatekeepers do not connect together.
+constexpr double kRejectedSpread = 1.0 / 6;
 
 }  // namespace
 
-Watch::Limits Watch::limitsFor(Time stopWithin, unsigned gatekeepers) {
-  const Time stop = stopWithin > 0 ? std::clamp(stopWithin, kLeastStop, kUsualStop) : kUsualStop;
-  Limits out;
-  out.answerTimeout = kAnswerShare * stop;
-  out.silenceTimeout = kSilence;
-  out.maxBackoff = kMostShare * stop;
-  out.firstBackoff = std::min(kFirst, out.maxBackoff);
-  out.sharedAnswerTimeout = std::max(kSharedAnswer, out.answerTimeout);
-  out.sharedFirstBackoff = std::max(kFirst, kFirstEach * gatekeepers);
-  out.sharedMaxBackoff = std::max(kSharedMost, kMostEach * gatekeepers);
-  out.sharedCallInterval = kToldAnyway + 0.75 * stop;
-  return out;
+EndpointWatch::Limits EndpointWatch::limitsFor(Time drainGraceMs, unsigned gatekeepers) {
+  const Time graceMs = drainGraceMs > 0 ? std::clamp(drainGraceMs, kMinDrainGraceMs, kDefaultDrainGraceMs)
+                                        : kDefaultDrainGraceMs;
+  Limits limits;
+  limits.silenceTimeoutMs = kSilenceTimeoutMs;
+  limits.normal.answerTimeoutMs = kAnswerTimeoutShare * graceMs;
+  limits.normal.maxBackoffMs = kMaxBackoffShare * graceMs;
+  limits.normal.firstBackoffMs = std::min(kFirstBackoffMs, limits.normal.maxBackoffMs);
+  limits.rejected.answerTimeoutMs = std::max(kRejectedAnswerTimeoutMs, limits.normal.answerTimeoutMs);
+  limits.rejected.firstBackoffMs =
+      std::max(kFirstBackoffMs, kRejectedFirstBackoffPerGatekeeperMs * gatekeepers);
+  limits.rejected.maxBackoffMs =
+      std::max(kMinRejectedMaxBackoffMs, kRejectedMaxBackoffPerGatekeeperMs * gatekeepers);
+  limits.maxRejectedIntervalMs = kKnownAfterReachableMs + kGraceBeforeRequest * graceMs;
+  return limits;
 }
 
-Watch::Act Watch::open(Time now) {
-  shared_ = false;
-  backoff_ = 0;
-  state_ = State::waiting;
-  due_ = now;
-  return look(now);
+EndpointWatch::Action EndpointWatch::start(Time now) {
+  rejected_ = false;
+  meanBackoffMs_ = 0;
+  state_ = State::backingOff;
+  nextCheckAt_ = now;
+  return checkTime(now);
 }
 
-Watch::Act Watch::up(Time) {
-  if (state_ != State::connecting) return Act::none;
-  state_ = State::asked;
-  return Act::ask;
+EndpointWatch::Action EndpointWatch::onConnected(Time) {
+  if (state_ != State::connecting) return Action::none;
+  state_ = State::awaitingAnswer;
+  return Action::sendRequest;
 }
 
-void Watch::line(Time now) {
-  if (state_ != State::asked && state_ != State::watching) return;
-  if (state_ == State::asked) since_ = now;
+void EndpointWatch::onMessage(Time now) {
+  if (state_ != State::awaitingAnswer && state_ != State::watching) return;
+  if (state_ == State::awaitingAnswer) watchingSince_ = now;
   state_ = State::watching;
-  shared_ = false;
-  due_ = now + limits_.silenceTimeout;
+  rejected_ = false;
+  nextCheckAt_ = now + limits_.silenceTimeoutMs;
 }
 
-Watch::Act Watch::lost(Time now) { return backOff(now); }
+EndpointWatch::Action EndpointWatch::onConnectionLost(Time now) { return backOff(now); }
 
-Watch::Act Watch::turnedAway(Time now) {
-  if (!shared_) backoff_ = 0;
-  shared_ = true;
+EndpointWatch::Action EndpointWatch::onRejected(Time now) {
+  if (!rejected_) meanBackoffMs_ = 0;
+  rejected_ = true;
   return backOff(now);
 }
 
-Watch::Act Watch::look(Time now) {
-  if (state_ == State::stopped || now < due_) return Act::none;
-  if (state_ != State::waiting) return backOff(now);
+EndpointWatch::Action EndpointWatch::checkTime(Time now) {
+  if (state_ == State::stopped || now < nextCheckAt_) return Action::none;
+  if (state_ != State::backingOff) return backOff(now);
   state_ = State::connecting;
-  calledAt_ = now;
-  due_ = now + (shared_ ? limits_.sharedAnswerTimeout : limits_.answerTimeout);
-  ++calls_;
-  return Act::connect;
+  connectStartedAt_ = now;
+  nextCheckAt_ = now + retryPolicy().answerTimeoutMs;
+  ++connectCount_;
+  return Action::connect;
+}
+
+// The delay is random, so that gatekeepers that lost discovery together do not connect together.
+EndpointWatch::Action EndpointWatch::backOff(Time now) {
+  if (state_ == State::stopped || state_ == State::backingOff) return Action::none;
+  const RetryPolicy& policy = retryPolicy();
+  // A watch that lasted starts over with the shortest delay; one that is lost at once each time does not.
+  const bool lasted = state_ == State::watching && now - watchingSince_ > policy.maxBackoffMs;
+  if (lasted) meanBackoffMs_ = 0;
+  meanBackoffMs_ =
+      meanBackoffMs_ > 0 ? std::min(2 * meanBackoffMs_, policy.maxBackoffMs) : policy.firstBackoffMs;
+  state_ = State::backingOff;
+  nextCheckAt_ = now + meanBackoffMs_ * std::uniform_real_distribution<>(0.5, 1.5)(random_);
+  if (rejected_) limitRejectedDelay(now);
+  return Action::close;
 }
 
-// By chance: gatekeepers that lost discovery together do not come back together. A watch that stood for a
-// while before it was lost is no reason for a longer wait; one that is lost at once each time is.
-Watch::Act Watch::backOff(Time now) {
-  if (state_ == State::stopped || state_ == State::waiting) return Act::none;
-  const Time first = shared_ ? limits_.sharedFirstBackoff : limits_.firstBackoff;
-  const Time most = shared_ ? limits_.sharedMaxBackoff : limits_.maxBackoff;
-  if (state_ == State::watching && now - since_ > most) backoff_ = 0;
-  backoff_ = backoff_ > 0 ? std::min(2 * backoff_, most) : first;
-  state_ = State::waiting;
-  due_ = now + backoff_ * std::uniform_real_distribution<>(0.5, 1.5)(random_);
-  if (shared_) {
-    const Time latest = calledAt_ + limits_.sharedCallInterval;
-    if (due_ > latest)
-      due_ = latest -
-             limits_.sharedCallInterval * kSharedSpread * std::uniform_real_distribution<>(0, 1)(random_);
-    due_ = std::max(due_, now);
-  }
-  return Act::close;
+// Guards against a change that is known too late because the fleet's size has made the delay long.
+void EndpointWatch::limitRejectedDelay(Time now) {
+  const Time intervalMs = limits_.maxRejectedIntervalMs;
+  const Time latest = connectStartedAt_ + intervalMs;
+  if (nextCheckAt_ > latest)
+    nextCheckAt_ = latest - intervalMs * kRejectedSpread * std::uniform_real_distribution<>(0, 1)(random_);
+  nextCheckAt_ = std::max(nextCheckAt_, now);
 }
 
 }  // namespace wingslip
--- a/src/endpoint_watch/start_times.cpp
+++ b/src/endpoint_watch/start_times.cpp
@@ -4,26 +4,27 @@
 
 namespace wingslip {
 
-void StartTimes::hear(double startedAtMs, Time told) {
-  if (startedAtMs > 0) offset_ = std::min(offset_, told - startedAtMs);
+void StartTimes::observe(double startedAtMs, Time receivedAt) {
+  if (startedAtMs > 0) clockOffsetMs_ = std::min(clockOffsetMs_, receivedAt - startedAtMs);
 }
 
-WorkerStart StartTimes::startOf(decision::WorkerId worker, double startedAtMs, Time told, bool live) {
-  const auto found = known_.find(worker);
-  if (found != known_.end() && found->second.startedAtMs == startedAtMs) return found->second.start;
+WorkerStart StartTimes::startOf(decision::WorkerId worker, double startedAtMs, Time receivedAt,
+                                bool isUpdate) {
+  const auto found = workers_.find(worker);
+  if (found != workers_.end() && found->second.startedAtMs == startedAtMs) return found->second.start;
   WorkerStart start;
   if (startedAtMs > 0) {
-    const Time hinted = std::min(startedAtMs + offset_, told);
-    start.warmFrom = live ? told : hinted;
-    start.processFrom = live ? std::max(hinted, told - kMostDelay) : hinted;
+    const Time estimated = std::min(startedAtMs + clockOffsetMs_, receivedAt);
+    start.slowStartFrom = isUpdate ? receivedAt : estimated;
+    start.processStartedAt = isUpdate ? std::max(estimated, receivedAt - kMaxNotificationDelayMs) : estimated;
   }
-  known_[worker] = {startedAtMs, start};
+  workers_[worker] = {startedAtMs, start};
   return start;
 }
 
-void StartTimes::trim(const std::function<bool(decision::WorkerId)>& listed) {
-  if (known_.size() <= kMostHeld) return;
-  std::erase_if(known_, [&](const auto& entry) { return !listed(entry.first); });
+void StartTimes::forgetUnlisted(const std::function<bool(decision::WorkerId)>& isListed) {
+  if (workers_.size() <= kMaxWorkers) return;
+  std::erase_if(workers_, [&](const auto& entry) { return !isListed(entry.first); });
 }
 
 }  // namespace wingslip
--- a/src/gatekeeper/gatekeeper.cpp
+++ b/src/gatekeeper/gatekeeper.cpp
@@ -33,8 +33,8 @@
 }
 
 std::chrono::steady_clock::time_point processFrom(const WorkerStart& start) {
-  if (start.processFrom <= 0) return std::chrono::steady_clock::time_point::min();
-  return DecisionClock::steady(start.processFrom);
+  if (start.processStartedAt <= 0) return std::chrono::steady_clock::time_point::min();
+  return DecisionClock::steady(start.processStartedAt);
 }
 
 }  // namespace
@@ -67,15 +67,15 @@
   monitor_.rules(workerRules(config_.settings));
   applyExclusions({});
   takeHandover();
-  Roster known;
+  EndpointList known;
   if (!config_.known.empty()) {
-    known = parseRoster(config_.known);
+    known = parseEndpointList(config_.known);
     told(known, EndpointUpdate::cached);
   }
-  discovery_ = std::make_unique<Discovery>(
+  discovery_ = std::make_unique<DiscoveryClient>(
       io, config_.discovery, std::move(known), watchLimits(config_), config_.seed,
-      [this](const Roster& roster) {
-        told(roster, roster.reset ? EndpointUpdate::snapshot : EndpointUpdate::delta);
+      [this](const EndpointList& roster) {
+        told(roster, roster.isSnapshot ? EndpointUpdate::snapshot : EndpointUpdate::delta);
       },
       pressure_);
 }
@@ -86,7 +86,7 @@
   if (ops_) ops_->start(*config_.ops);
   server_.start();
   discovery_->start();
-  settle_.expires_after(span(Watch::hasWithin(watchLimits(config_))));
+  settle_.expires_after(span(EndpointWatch::maxUpdateDelayMs(watchLimits(config_))));
   settle_.async_wait([this](const Error& error) {
     if (!error) settle();
   });
@@ -178,7 +178,7 @@
     share();
   }
   ++metrics_.reconfigOk;
-  discovery_->moveTo(config.discovery, watchLimits(config_));
+  discovery_->setAgent(config.discovery, watchLimits(config_));
   processLog().info("event=reloaded");
 }
 
@@ -233,15 +233,15 @@
 // --- From discovery --------------------------------------------------------------------------------------
 
 // One of a zone or kind that the settings do not name is of none of theirs, also after others have come in.
-Endpoint Gatekeeper::memberOf(const Instance& instance, const WorkerStart& start, const NameIndex& zones,
+Endpoint Gatekeeper::memberOf(const EndpointEntry& instance, const WorkerStart& start, const NameIndex& zones,
                               const NameIndex& kinds) const {
   Endpoint out;
   out.worker = numberOf(instance.id);
   out.phase = instance.phase;
   out.zone = zones.of(instance.zone);
-  out.machineType = kinds.of(instance.kind);
+  out.machineType = kinds.of(instance.machineType);
   out.cell = instance.cell;
-  out.startedAt = start.warmFrom;
+  out.startedAt = start.slowStartFrom;
   return out;
 }
 
@@ -252,15 +252,15 @@
   pool_.retire(worker);
 }
 
-void Gatekeeper::told(const Roster& roster, EndpointUpdate kind) {
+void Gatekeeper::told(const EndpointList& roster, EndpointUpdate kind) {
   const Time now = clock_.now();
   const bool live = listTold_ && kind != EndpointUpdate::cached;
-  for (const Instance& instance : roster.instances) starts_.hear(instance.startedAtMs, now);
+  for (const EndpointEntry& instance : roster.entries) starts_.observe(instance.startedAtMs, now);
   std::vector<Endpoint> members;
   std::unordered_set<WorkerId> unnamed;
   if (kind != EndpointUpdate::delta) unnamed = listed_;
   const NameIndex zones(config_.host.zones), kinds(config_.host.kinds);
-  for (const Instance& instance : roster.instances) {
+  for (const EndpointEntry& instance : roster.entries) {
     const WorkerId worker = numberOf(instance.id);
     const WorkerStart start = starts_.startOf(worker, instance.startedAtMs, now, live);
     members.push_back(memberOf(instance, start, zones, kinds));
@@ -268,14 +268,14 @@
     unnamed.erase(worker);
     if (instance.phase == decision::WorkerPhase::ready) {
       listed_.insert(worker);
-      monitor_.workerReady(worker, start.warmFrom);
+      monitor_.workerReady(worker, start.slowStartFrom);
       pool_.place(worker, {instance.address, processFrom(start)});
     } else {
       leave(worker, instance.phase, now);
     }
   }
   for (const WorkerId worker : unnamed) leave(worker, decision::WorkerPhase::removed, now);
-  starts_.trim([this](WorkerId worker) { return listed_.contains(worker); });
+  starts_.forgetUnlisted([this](WorkerId worker) { return listed_.contains(worker); });
   gateway_.onEndpoints(now, kind, members);
   ready_ = ready_ || !listed_.empty();
   if (kind != EndpointUpdate::cached) settle();
--- a/src/gatekeeper/gatekeeper.hpp
+++ b/src/gatekeeper/gatekeeper.hpp
@@ -13,7 +13,7 @@
 #include "endpoint_watch/start_times.hpp"
 #include "gatekeeper/client_server.hpp"
 #include "gatekeeper/decision_clock.hpp"
-#include "gatekeeper/discovery.hpp"
+#include "gatekeeper/discovery_client.hpp"
 #include "gatekeeper/exclusions.hpp"
 #include "gatekeeper/metrics.hpp"
 #include "gatekeeper/name_index.hpp"
@@ -95,12 +95,12 @@
   void pollEndpoints() override {}  // the watch is always open
   void log(const std::string& line) override;
 
-  void told(const Roster& roster, decision::EndpointUpdate kind);
+  void told(const EndpointList& roster, decision::EndpointUpdate kind);
   void leave(decision::WorkerId worker, decision::WorkerPhase phase, decision::Time now);
   void settle();
   void settleOnce();
   bool renumber(decision::Request& request, const NameIndex& classes, const NameIndex& plans) const;
-  decision::Endpoint memberOf(const Instance& instance, const WorkerStart& start, const NameIndex& zones,
+  decision::Endpoint memberOf(const EndpointEntry& instance, const WorkerStart& start, const NameIndex& zones,
                               const NameIndex& kinds) const;
   void ended(AttemptEnd&& end);
   void expire(decision::RequestId id);
@@ -150,7 +150,7 @@
   invariant::Monitor monitor_;
   SendRefusals sendRefusals_;
   std::unordered_set<decision::WorkerId> excluded_;  // by hand
-  std::unique_ptr<Discovery> discovery_;
+  std::unique_ptr<DiscoveryClient> discovery_;
   Metrics metrics_;
   ClassCounts uncounted_;  // of classes past the most that are counted
   Exclusions exclusions_;
--- a/src/gatekeeper/gatekeeper_limits.cpp
+++ b/src/gatekeeper/gatekeeper_limits.cpp
@@ -67,8 +67,8 @@
   return Pressure::limitsFor(aim);
 }
 
-Watch::Limits watchLimits(const Config& config) {
-  return Watch::limitsFor(config.settings.drainGraceMs, config.settings.gatewayCount);
+EndpointWatch::Limits watchLimits(const Config& config) {
+  return EndpointWatch::limitsFor(config.settings.drainGraceMs, config.settings.gatewayCount);
 }
 
 decision::WorkerId numberOf(const std::string& instanceId) { return std::hash<std::string>{}(instanceId); }
--- a/src/gatekeeper/gatekeeper_limits.hpp
+++ b/src/gatekeeper/gatekeeper_limits.hpp
@@ -23,7 +23,7 @@
 MemoryBudget::Shares memoryOf(const Config& config);
 
 Pressure::Limits pressureLimits(const Config& config);
-Watch::Limits watchLimits(const Config& config);
+EndpointWatch::Limits watchLimits(const Config& config);
 
 /// The module's number of a worker: the same at every gatekeeper, whatever the address, since they all run
 /// this program.
--- a/src/gatekeeper/gatekeeper_operators.cpp
+++ b/src/gatekeeper/gatekeeper_operators.cpp
@@ -134,7 +134,7 @@
   leave_.async_wait([this](const Error& error) {
     if (error || draining_) return;
     const Time now = clock_.now();
-    wingslip::leave(config_.stateDir, {now, gateway_.warmWorkerRate(now), starts_.offset()});
+    wingslip::leave(config_.stateDir, {now, gateway_.warmWorkerRate(now), starts_.clockOffsetMs()});
     handOverLater();
   });
 }
@@ -171,7 +171,7 @@
 void Gatekeeper::report() {
   const UpstreamPool::Stats pool = pool_.takeStats();
   const ClientServer::Stats server = server_.takeStats();
-  const Discovery::Stats discovery = discovery_->takeStats();
+  const DiscoveryClient::Stats discovery = discovery_->takeStats();
   const auto ended = [&](AttemptResult result) { return pool.results[static_cast<std::size_t>(result)]; };
   processLog().info(
       "event=requests served={} refused={} failed={} rejected={} held={} client_connections={} "
@@ -186,7 +186,7 @@
       ended(AttemptResult::reset), pool.resetReused, pool.resetInAnswer, ended(AttemptResult::cancelled),
       pool_.connections(), pool.mostBuffered);
   processLog().info("event=lists read={} longest_line={} lists={} calls={} invariants_broken={}",
-                    discovery.read, discovery.longestLine, discovery.lists, discovery.calls,
+                    discovery.bytesRead, discovery.longestMessageBytes, discovery.lists, discovery.connects,
                     monitor_.total());
   served_ = refused_ = failed_ = 0;
   pressure_.report();
--- a/src/replication/replica_node.cpp
+++ b/src/replication/replica_node.cpp
@@ -10,6 +10,7 @@
 #include <optional>
 #include <utility>
 
+#include "codec/socket_address.hpp"
 #include "net/answer_lines.hpp"
 #include "net/durable_file.hpp"
 #include "net/guarded_connection.hpp"
--- a/tests/back_pressure_test.cpp
+++ b/tests/back_pressure_test.cpp
@@ -7,7 +7,7 @@
 #include <fstream>
 #include <thread>
 
-#include "gatekeeper/discovery.hpp"
+#include "gatekeeper/discovery_client.hpp"
 #include "loopback.hpp"
 
 namespace wingslip::test {
@@ -467,21 +467,21 @@
 
 TEST(PiledLists, SayTheLatestOfEachWorker) {
   const auto list = [](int generation, bool reset, const json& entries) {
-    return parseRoster(roster(generation, reset, entries));
+    return parseEndpointList(roster(generation, reset, entries));
   };
-  Roster sum = list(2, false, json::array({entry("a", "127.0.0.1:1"), entry("b", "127.0.0.1:2")}));
-  addTo(sum,
-        list(3, false, json::array({entry("a", "127.0.0.1:1", "Terminating"), entry("c", "127.0.0.1:3")})));
-  ASSERT_EQ(sum.instances.size(), 3u);
+  EndpointList sum = list(2, false, json::array({entry("a", "127.0.0.1:1"), entry("b", "127.0.0.1:2")}));
+  const auto merge = [&](EndpointList later) { sum = mergeEndpointLists(std::move(sum), std::move(later)); };
+  merge(list(3, false, json::array({entry("a", "127.0.0.1:1", "Terminating"), entry("c", "127.0.0.1:3")})));
+  ASSERT_EQ(sum.entries.size(), 3u);
   EXPECT_EQ(sum.generation, 3);
-  EXPECT_EQ(sum.instances[0].phase, decision::WorkerPhase::draining);
-  EXPECT_EQ(sum.instances[2].id, "c");
-  addTo(sum, list(4, true, json::array({entry("d", "127.0.0.1:4")})));
-  EXPECT_TRUE(sum.reset);
-  ASSERT_EQ(sum.instances.size(), 1u);
-  addTo(sum, list(5, false, json::array({entry("d", "127.0.0.1:4", "Gone")})));
-  EXPECT_TRUE(sum.reset);  // still the whole list
-  EXPECT_EQ(sum.instances[0].phase, decision::WorkerPhase::removed);
+  EXPECT_EQ(sum.entries[0].phase, decision::WorkerPhase::draining);
+  EXPECT_EQ(sum.entries[2].id, "c");
+  merge(list(4, true, json::array({entry("d", "127.0.0.1:4")})));
+  EXPECT_TRUE(sum.isSnapshot);
+  ASSERT_EQ(sum.entries.size(), 1u);
+  merge(list(5, false, json::array({entry("d", "127.0.0.1:4", "Gone")})));
+  EXPECT_TRUE(sum.isSnapshot);  // still the whole list
+  EXPECT_EQ(sum.entries[0].phase, decision::WorkerPhase::removed);
 }
 
 // A flood of news while it is pressed: a worker that drains in its last line gets nothing more.
--- /dev/null
+++ b/tests/endpoint_list_test.cpp
@@ -0,0 +1,119 @@
+// Endpoint lists: framing, parsing, and what is used of a list that is old, cut or malformed.
+#include "endpoint_watch/endpoint_list.hpp"
+
+#include <gtest/gtest.h>
+
+#include <string>
+#include <vector>
+
+#include "endpoint_watch/endpoint_list_history.hpp"
+#include "endpoint_watch/json_object_framer.hpp"
+#include "growth.hpp"
+
+namespace wingslip {
+namespace {
+
+std::string entry(const std::string& id, const std::string& lifecycle, double started = 0) {
+  return R"({"instanceId":")" + id + R"(","hostPort":"127.0.0.1:1","lifecycle":")" + lifecycle +
+         R"(","startedAtMs":)" + std::to_string(started) + "}";
+}
+
+EndpointList list(long long generation, bool snapshot, const std::vector<std::string>& entries) {
+  std::string joined;
+  for (const std::string& text : entries) joined += (joined.empty() ? "" : ",") + text;
+  return parseEndpointList(R"({"generation":)" + std::to_string(generation) + R"(,"reset":)" +
+                           (snapshot ? "true" : "false") + R"(,"instances":[)" + joined + "]}");
+}
+
+TEST(JsonObjectFramer, FindsObjectsHoweverTheStreamIsCut) {
+  const std::string stream =
+      "\r\n{\"a\":\"}{\\\"\",\r\n  \"b\": [ {\n } ]\n}\n\n \n{\"c\":1}{\"d\":2}\n{\"half\":";
+  for (std::size_t piece = 1; piece <= stream.size(); ++piece) {
+    JsonObjectFramer framer;
+    std::string buffer;
+    std::vector<std::string> found;
+    std::size_t heartbeats = 0;
+    for (std::size_t at = 0; at < stream.size(); at += piece) {
+      buffer += stream.substr(at, piece);
+      while (const auto object = framer.next(buffer)) found.emplace_back(*object);
+      heartbeats += framer.takeHeartbeats();
+      buffer.erase(0, framer.takeConsumed());
+    }
+    ASSERT_EQ(found, (std::vector<std::string>{"{\"a\":\"}{\\\"\",\r\n  \"b\": [ {\n } ]\n}", "{\"c\":1}",
+                                               "{\"d\":2}"}));
+    EXPECT_EQ(heartbeats, 5u);
+    EXPECT_EQ(buffer, "{\"half\":");
+  }
+  JsonObjectFramer framer;
+  EXPECT_THROW(framer.next("\n[1]"), std::runtime_error);
+}
+
+TEST(EndpointList, MalformedTextIsRejected) {
+  const std::string good = entry("s-1", "Ready");
+  for (const std::string& malformed :
+       {entry("s-2", "Resting"), good, std::string("7"),
+        std::string(R"({"instanceId":3,"lifecycle":"Ready"})"),
+        std::string(R"({"instanceId":"s-3","lifecycle":"Ready","hostPort":"nowhere"})")})
+    EXPECT_THROW(list(1, false, {good, malformed}), std::runtime_error) << malformed;
+  EXPECT_THROW(parseEndpointList(R"({"generation":"x","instances":[]})"), std::runtime_error);
+  EXPECT_THROW(parseEndpointList(R"({"generation":1})"), std::runtime_error);
+}
+
+// A snapshot is requested once; a draining worker stays draining until a newer list or a restart says
+// otherwise.
+TEST(EndpointListHistory, AnOldListBringsNoDrainingWorkerBack) {
+  EndpointListHistory history;
+  const auto phaseOf = [](const EndpointList& of, std::size_t i) { return of.entries.at(i).phase; };
+  const auto accept = [&](EndpointList received, bool expected) {
+    EXPECT_EQ(history.accept(received), expected);
+    return received;
+  };
+  accept(list(40, true, {entry("a", "Ready"), entry("b", "Ready"), entry("c", "Ready")}), true);
+  accept(list(41, false, {entry("a", "Terminating"), entry("c", "Gone")}), true);
+  EXPECT_EQ(history.requestGeneration(), 41);
+  accept(list(39, false, {entry("a", "Ready")}), false);
+  EXPECT_EQ(history.requestGeneration(), -1);
+  EndpointList old =
+      accept(list(39, true, {entry("a", "Ready"), entry("b", "Ready"), entry("c", "Ready", 5)}), true);
+  EXPECT_EQ(phaseOf(old, 0), decision::WorkerPhase::draining);
+  EXPECT_EQ(phaseOf(old, 1), decision::WorkerPhase::ready);
+  EXPECT_EQ(phaseOf(old, 2), decision::WorkerPhase::ready) << "restarted";
+  old = accept(list(40, false, {entry("a", "Ready")}), true);
+  EXPECT_EQ(phaseOf(old, 0), decision::WorkerPhase::draining);
+  EXPECT_EQ(phaseOf(accept(list(42, false, {entry("a", "Ready")}), true), 0), decision::WorkerPhase::ready);
+}
+
+// Of one list, the first by id is forgotten first.
+TEST(EndpointListHistory, ForgetsRetiredWorkersOfTheOldestListFirst) {
+  constexpr std::size_t kMaxRetired = 8192;
+  EndpointListHistory history;
+  EndpointList first = list(1, true, {entry("b", "Terminating"), entry("a", "Terminating")});
+  ASSERT_TRUE(history.accept(first));
+  std::vector<std::string> retired;
+  for (std::size_t i = 0; i + 1 < kMaxRetired; ++i)
+    retired.push_back(entry("w-" + std::to_string(i), "Terminating"));
+  EndpointList second = list(2, false, retired);
+  ASSERT_TRUE(history.accept(second));
+  EndpointList old = list(1, true, {entry("a", "Ready"), entry("b", "Ready"), entry("w-0", "Ready")});
+  ASSERT_FALSE(history.accept(old));  // a snapshot is requested, and is as old
+  ASSERT_TRUE(history.accept(old));
+  EXPECT_EQ(old.entries[0].phase, decision::WorkerPhase::ready);
+  EXPECT_EQ(old.entries[1].phase, decision::WorkerPhase::draining);
+  EXPECT_EQ(old.entries[2].phase, decision::WorkerPhase::draining);
+}
+
+TEST(EndpointListHistory, TimeToAcceptGrowsInProportionToTheWorkers) {
+  const double factor = growth::between(2000, [](std::size_t n) {
+    std::vector<std::string> entries;
+    for (std::size_t i = 0; i < n; ++i) entries.push_back(entry("w-" + std::to_string(i), "Terminating"));
+    EndpointList received = list(1, true, entries);
+    EndpointListHistory history;
+    const double before = growth::processorTime();
+    history.accept(received);
+    return growth::processorTime() - before;
+  });
+  EXPECT_LT(factor, growth::kMost);
+}
+
+}  // namespace
+}  // namespace wingslip
--- a/tests/node_test.cpp
+++ b/tests/node_test.cpp
@@ -7,7 +7,7 @@
 #include <filesystem>
 #include <fstream>
 
-#include "gatekeeper/discovery.hpp"
+#include "gatekeeper/discovery_client.hpp"
 #include "growth.hpp"
 #include "loopback.hpp"
 #include "worker_pool_fixture.hpp"
@@ -157,11 +157,11 @@
   std::chrono::milliseconds firstAgain(unsigned gatekeepers) {
     Listener agent(io);
     OverloadManager pressure(io, sharesOf({std::size_t{64} << 20}), Pressure::Limits{});
-    std::vector<std::unique_ptr<Discovery>> all;
+    std::vector<std::unique_ptr<DiscoveryClient>> all;
     for (unsigned i = 0; i < 10; ++i) {
-      all.push_back(std::make_unique<Discovery>(
-          io, agent.address(), Roster{}, Watch::limitsFor(2000, gatekeepers), i, [](const Roster&) {},
-          pressure));
+      all.push_back(std::make_unique<DiscoveryClient>(
+          io, agent.address(), EndpointList{}, EndpointWatch::limitsFor(2000, gatekeepers), i,
+          [](const EndpointList&) {}, pressure));
       all.back()->start();
     }
     until([&] { return agent.count("GET /registry/instances") == 10; }, "all call");
@@ -410,7 +410,7 @@
   EXPECT_EQ(config.settings.classes[1].idempotency, decision::Idempotency::withKey);
   EXPECT_EQ(config.settings.plans[1].rate, 1000);
   EXPECT_EQ(config.settings.loadReportFields, (std::vector<std::string>{"util", "queue"}));
-  EXPECT_EQ(parseRoster(config.known).instances.at(0).id, "s");
+  EXPECT_EQ(parseEndpointList(config.known).entries.at(0).id, "s");
 }
 
 TEST(Configuration, SaysPlainlyWhatIsWrong) {
--- a/tools/lab/scale_cases_process.cpp
+++ b/tools/lab/scale_cases_process.cpp
@@ -15,6 +15,7 @@
 #include <string>
 #include <thread>
 
+#include "codec/socket_address.hpp"
 #include "net.hpp"
 #include "net/overload_manager.hpp"
 #include "probe.hpp"
--- a/tools/lab/scale_cases_reading.cpp
+++ b/tools/lab/scale_cases_reading.cpp
@@ -4,6 +4,7 @@
 
 #include "config/config.hpp"
 #include "endpoint_watch/endpoint_list.hpp"
+#include "endpoint_watch/json_object_framer.hpp"
 #include "probe.hpp"
 #include "scale_cases.hpp"
 
@@ -39,11 +40,11 @@
 
 std::vector<Figure> measureListText(std::size_t workers, const CaseLimits&) {
   const std::string text = listText(workers);
-  const double peak = peakOf([&] { wingslip::parseRoster(text); });
-  const double seconds = leastProcessor(kRepeats, [&] { wingslip::parseRoster(text); });
+  const double peak = peakOf([&] { wingslip::parseEndpointList(text); });
+  const double seconds = leastProcessor(kRepeats, [&] { wingslip::parseEndpointList(text); });
   const double cut = leastProcessor(kRepeats, [&] {
-    wingslip::ObjectReader reader;
-    reader.next(text);
+    wingslip::JsonObjectFramer framer;
+    framer.next(text);
   });
   return {{"text", "B", static_cast<double>(text.size())},
           {"peak", "B", peak},
--- a/tools/lab/scale_cases_watch.cpp
+++ b/tools/lab/scale_cases_watch.cpp
@@ -8,7 +8,7 @@
 namespace wingslip::lab {
 namespace {
 
-using wingslip::Watch;
+using wingslip::EndpointWatch;
 
 constexpr double kStopWithinMs = 2000;
 constexpr double kOutageMs = 60000;
@@ -16,20 +16,20 @@
 
 // Calls that one watch makes while discovery turns each of them away.
 std::uint64_t callsTurnedAway(unsigned gatekeepers, std::uint64_t seed) {
-  Watch watch(Watch::limitsFor(kStopWithinMs, gatekeepers), seed);
+  EndpointWatch watch(EndpointWatch::limitsFor(kStopWithinMs, gatekeepers), seed);
   double now = 0;
-  Watch::Act act = watch.open(now);
+  EndpointWatch::Action act = watch.start(now);
   while (now < kOutageMs) {
-    if (act == Watch::Act::connect) {
+    if (act == EndpointWatch::Action::connect) {
       now += kAnswerMs;
-      watch.up(now);
-      act = watch.turnedAway(now);
+      watch.onConnected(now);
+      act = watch.onRejected(now);
     } else {
-      now = watch.due();
-      act = watch.look(now);
+      now = watch.nextCheckAt();
+      act = watch.checkTime(now);
     }
   }
-  return watch.calls();
+  return watch.connectCount();
 }
 
 // A discovery of all gatekeepers' own that has no room for any of them.
