--- a/src/gatekeeper/client_connection.cpp
+++ b/src/gatekeeper/client_connection.cpp
@@ -7,6 +7,7 @@
 #include <variant>
 
 #include "net/socket_io.hpp"
+#include "net/tcp_state.hpp"
 
 namespace wingslip {
 namespace {
@@ -42,7 +43,7 @@
   Error ignored;
   socket_.set_option(tcp::no_delay(true), ignored);
   socket_.non_blocking(true, ignored);
-  tcpTells_ = !hasLeft(socket_);
+  tcpTells_ = !hasPeerClosed(socket_);
   listen();
   read();
 }
@@ -53,12 +54,12 @@
   http::response<http::string_body> message(answer.status, 11, answer.body);
   if (!answer.contentType.empty()) message.set(http::field::content_type, answer.contentType);
   if (answer.retryAfter > 0) message.set(http::field::retry_after, seconds(answer.retryAfter));
-  last_ = last_ || server_.draining_ || overflow_ || server_.pressure_.fewDescriptors() ||
-          (server_.pressure_.slow() && !bodyDone_);
+  last_ = last_ || server_.draining_ || overflow_ || server_.pressure_.areDescriptorsOverloaded() ||
+          (server_.pressure_.isMemoryOverloaded() && !bodyDone_);
   message.keep_alive(!last_);
   message.prepare_payload();
   state_ = State::answering;
-  wait(WaitAt::answerWrite);
+  wait(WaitQueue::responseWrite);
   pull_ = nullptr;
   giveBack();
   append(out_, message);
@@ -76,7 +77,7 @@
   if (head.length) message.content_length(*head.length);
   if (chunked_) message.chunked(true);
   state_ = State::streaming;
-  wait(WaitAt::answerWindow);
+  wait(WaitQueue::responseBodyWindow);
   pull_ = nullptr;
   giveBack();
   appendHead(out_, message);
@@ -112,7 +113,7 @@
   if (state_ != State::held) return;
   pull_ = std::move(take);
   requestBytes_ -= std::min(requestBytes_, std::exchange(passed_, 0));  // the worker has it
-  wait(WaitAt::halfRead);
+  wait(WaitQueue::incompleteRequest);
   sendContinue();
   asio::post(socket_.get_executor(), guard0([this] { offer(); }));
 }
@@ -168,7 +169,7 @@
 bool ClientServer::Connection::gone() {
   if (state_ == State::closed) return true;
   const PeerState seen = peerState(socket_);
-  if (seen == PeerState::has_sent) return endedBehind(socket_);
+  if (seen == PeerState::has_sent) return hasPeerFinishedSending(socket_);
   return seen == PeerState::ended;
 }
 
@@ -185,17 +186,17 @@
 
 void ClientServer::Connection::expire() {
   // Not its fault: there is no room to read it in.
-  if (state_ == State::reading && begun() && paused_.waits()) return noRoom(WaitAt::pausedRead);
+  if (state_ == State::reading && begun() && paused_.isPaused()) return noRoom(WaitQueue::pausedRead);
   if (state_ == State::reading && begun()) {
-    turnAway(WaitAt::halfRead);
+    turnAway(WaitQueue::incompleteRequest);
     return reject({http::status::request_timeout, "too slow"});
   }
   if (state_ == State::held && !bodyDone_) {
-    turnAway(WaitAt::halfRead);
+    turnAway(WaitQueue::incompleteRequest);
     return tooSlow();
   }
-  if (state_ == State::streaming) turnAway(WaitAt::answerWindow);
-  if (state_ == State::answering) turnAway(WaitAt::answerWrite);
+  if (state_ == State::streaming) turnAway(WaitQueue::responseBodyWindow);
+  if (state_ == State::answering) turnAway(WaitQueue::responseWrite);
   if (state_ == State::reading && unread()) return;  // its handler comes next
   if (state_ == State::reading) return endRest();
   if (state_ == State::lingering) return close(CloseReason::last_answer);
@@ -203,7 +204,7 @@
   if (state_ != State::held) close(CloseReason::write_timeout);
 }
 
-void ClientServer::Connection::noRoom(WaitAt place) {
+void ClientServer::Connection::noRoom(WaitQueue place) {
   turnAway(place);
   if (parser_->is_header_done()) {
     const auto call = readCall(parser_->get(), server_.config_);
@@ -216,7 +217,7 @@
 void ClientServer::Connection::giveWay() {
   if (!begun()) return close(CloseReason::evicted_silent);
   leaveOrder();  // ends by itself, once its answer is taken
-  noRoom(WaitAt::noRoom);
+  noRoom(WaitQueue::freeConnection);
 }
 
 void ClientServer::Connection::tooSlow() {
@@ -251,7 +252,7 @@
   const bool awaited = !bodyDone_ && (state_ == State::reading || state_ == State::held);
   if (!wantsMore()) {
     if (awaited) timer_.cancel();
-    return server_.pressure_.watch(paused_, weak_from_this(), [this] { look(); });
+    return server_.pressure_.watchPeer(paused_, weak_from_this(), [this] { look(); });
   }
   if (!hasRoom()) {
     // Nothing of a body is waited for, so none of its time runs. What comes before a request is held finds
@@ -265,8 +266,8 @@
       read();
       return true;
     };
-    return server_.pressure_.waitForRoom(paused_, Account::clients, weak_from_this(), again,
-                                         [this] { look(); });
+    return server_.pressure_.pauseUntilMemory(paused_, Account::clients, weak_from_this(), again,
+                                              [this] { look(); });
   }
   paused_.clear();
   reading_ = true;
@@ -301,12 +302,13 @@
 }
 
 bool ClientServer::Connection::hasRoom() {
-  if (!bodyDone_ && state_ == State::held && server_.pressure_.slow()) return false;
+  if (!bodyDone_ && state_ == State::held && server_.pressure_.isMemoryOverloaded()) return false;
   return room_.resize(cost(inBody_ ? kStreamStep : kReadStep));
 }
 
 void ClientServer::Connection::look() {
-  if (state_ != State::closed && !reading_ && tcpTells_ && hasLeft(socket_)) close(CloseReason::peer_ended);
+  if (state_ != State::closed && !reading_ && tcpTells_ && hasPeerClosed(socket_))
+    close(CloseReason::peer_ended);
 }
 
 bool ClientServer::Connection::wantsMore() const {
@@ -348,7 +350,7 @@
   if (body.empty() && !bodyDone_) return read();
   const auto take = std::exchange(pull_, nullptr);
   passed_ = body.size();
-  wait(bodyDone_ ? WaitAt::held : WaitAt::bodyWindow);
+  wait(bodyDone_ ? WaitQueue::inFlight : WaitQueue::requestBodyWindow);
   take(std::exchange(body, {}), bodyDone_);
   if (state_ != State::closed) read();
 }
@@ -359,8 +361,8 @@
   if (!begun_ && in_.size() > 0) {
     begun_ = true;
     if (!overflow_) leaveOrder();
-    wait(WaitAt::halfRead);
-    server_.pressure_.noteDescriptors();
+    wait(WaitQueue::incompleteRequest);
+    server_.pressure_.noteDescriptorUse();
     if (!first_) arm(server_.limits_.wholeWithin);
   }
   Error error;
@@ -412,7 +414,7 @@
 // Later ones are read as they come.
 decision::Time ClientServer::Connection::waitedUnread() {
   if (!first_ || !tcpTells_) return 0;
-  const double waited = static_cast<double>(sinceLastData(socket_).count());
+  const double waited = static_cast<double>(timeSinceLastData(socket_).count());
   server_.stats_.mostWaited = std::max(server_.stats_.mostWaited, waited);
   return waited;
 }
@@ -426,7 +428,7 @@
   version_ = message.version();
   auto call = readCall(message, server_.config_);
   if (const auto* wrong = std::get_if<Rejection>(&call)) return reject(*wrong);
-  if (overflow_ && !server_.hasRoom()) return noRoom(WaitAt::noRoom);
+  if (overflow_ && !server_.hasRoom()) return noRoom(WaitQueue::freeConnection);
   Call& found = std::get<Call>(call);
   found.whole = false;
   found.holds = cost(2 * kStreamStep) + requestBytes_;  // twice: here, and on its way to the worker
@@ -446,7 +448,7 @@
   if (const auto* wrong = std::get_if<Rejection>(&call)) return reject(*wrong);
   if (overflow_ && !server_.hasRoom()) {
     server_.handler_.turnedAway(std::get<Call>(call).klass);
-    turnAway(WaitAt::noRoom);
+    turnAway(WaitQueue::freeConnection);
     return reject(kNoRoom, server_.turnedAwayFor());
   }
   std::get<Call>(call).holds = cost(0) + requestBytes_;
@@ -457,7 +459,7 @@
 void ClientServer::Connection::hold(const Call& call, ClientMessage&& message) {
   leaveOverflow();
   state_ = State::held;
-  wait(WaitAt::held);
+  wait(WaitQueue::inFlight);
   id_ = server_.handler_.nextId();
   server_.handler_.take(id_, call, std::move(message), shared_from_this());
 }
@@ -515,9 +517,9 @@
   taken_ = nullptr;
   answerRoom_.release();
   if (!bodyDone_ && !continued_ && expects()) bodyDone_ = last_ = true;  // the body will not come
-  if (bodyDone_ || (last_ && server_.pressure_.slow())) return next();
+  if (bodyDone_ || (last_ && server_.pressure_.isMemoryOverloaded())) return next();
   state_ = State::skipping;
-  wait(WaitAt::halfRead);
+  wait(WaitQueue::incompleteRequest);
   arm(server_.limits_.skipWithin);
   go();
   if (state_ != State::closed) read();
--- a/src/gatekeeper/client_connection.hpp
+++ b/src/gatekeeper/client_connection.hpp
@@ -92,13 +92,15 @@
   enum class State { reading, held, streaming, answering, skipping, lingering, closed };
   bool begun() const { return begun_ || in_.size() > 0; }
 
-  void wait(WaitAt place) { waiting_.enter(server_.pressure_.places(), place, OverloadManager::now()); }
-  void turnAway(WaitAt place) { server_.pressure_.places().turnAway(place); }
+  void wait(WaitQueue place) {
+    waiting_.enter(server_.pressure_.waitQueues(), place, OverloadManager::now());
+  }
+  void turnAway(WaitQueue place) { server_.pressure_.waitQueues().countRejection(place); }
 
   bool owesAnswer() const;
   void arm(std::chrono::milliseconds span);
   void expire();
-  void noRoom(WaitAt place);
+  void noRoom(WaitQueue place);
 
   // In the middle of a body that is passed on as it comes.
   void tooSlow();
@@ -171,8 +173,8 @@
   ClientServer& server_;
   MemoryBudget::Charge room_;        // of this connection and of the request on it
   MemoryBudget::Charge answerRoom_;  // of an answer that is being written
-  WaitQueues::Waiting waiting_;
-  OverloadManager::Paused paused_;
+  WaitQueues::QueueEntry waiting_;
+  OverloadManager::PausedReader paused_;
   std::size_t requestBytes_ = 0;  // come of the request and not yet given away
   std::size_t passed_ = 0;        // of these, at the worker's side and not yet written
   bool overflow_;
--- a/src/gatekeeper/client_server.cpp
+++ b/src/gatekeeper/client_server.cpp
@@ -8,6 +8,7 @@
 
 #include "gatekeeper/client_connection.hpp"
 #include "net/listener.hpp"
+#include "net/tcp_state.hpp"
 
 namespace wingslip {
 namespace {
@@ -39,21 +40,21 @@
       overflowTimer_(io),
       pressure_(pressure),
       chance_(config.seed ^ 0x5bd1e995) {
-  pressure_.places().read(WaitAt::acceptQueue, [this](double now) {
+  pressure_.waitQueues().setReader(WaitQueue::acceptBacklog, [this](double now) {
     WaitQueues::Figures out;
-    out.waiting = queuedAt(acceptor_);
-    if (out.waiting > 0 && noRoom_.in(WaitAt::noRoom)) out.oldest = now - noRoom_.since();
+    out.waiting = acceptBacklogLength(acceptor_);
+    if (out.waiting > 0 && noRoom_.isIn(WaitQueue::freeConnection)) out.oldestMs = now - noRoom_.since();
     return out;
   });
   refillOverflowRooms();
-  pressure_.whenRoom([this] {
-    if (noRoom_.in(WaitAt::noRoom)) accept();
+  pressure_.setConnectionRetry([this] {
+    if (noRoom_.isIn(WaitQueue::freeConnection)) accept();
   });
 }
 
 ClientServer::~ClientServer() {
-  pressure_.whenRoom(nullptr);
-  pressure_.places().read(WaitAt::acceptQueue, nullptr);
+  pressure_.setConnectionRetry(nullptr);
+  pressure_.waitQueues().setReader(WaitQueue::acceptBacklog, nullptr);
   for (const auto& connection : connections_) connection->abandon();
 }
 
@@ -81,7 +82,7 @@
 // At the limit an idle connection makes room for one that comes, but not before it does; where none is idle,
 // the next one to turn idle or end does.
 bool ClientServer::hasRoom() const {
-  if (pressure_.ledger().room(Account::clients) < kConnection) return false;
+  if (pressure_.memory().available(Account::clients) < kConnection) return false;
   return connections_.size() - overflowCount_ < mostUsual() || !idle_.empty() || !ending_.empty();
 }
 
@@ -92,7 +93,7 @@
     if (overflowOpen_) return takeNext();
     return openOverflow();
   }
-  if (noRoom_.in(WaitAt::noRoom)) {
+  if (noRoom_.isIn(WaitQueue::freeConnection)) {
     noRoom_.leave();
     overflowTimer_.cancel();
     overflowOpen_ = false;
@@ -121,7 +122,7 @@
     if (waited == asio::error::operation_aborted) return;
     accepting_ = false;
     if (!open_ || waiting_) return;
-    pressure_.activity();
+    pressure_.noteActivity();
     Error error;
     tcp::socket socket(acceptor_.get_executor());
     acceptor_.accept(socket, error);
@@ -144,11 +145,11 @@
 }
 
 void ClientServer::add(tcp::socket socket) {
-  auto room = pressure_.ledger().open(Account::clients);
+  auto room = pressure_.memory().open(Account::clients);
   if (!room.resize(kConnection)) closeLeastRecentlyUsed();
   if (!room.resize(kConnection))
     return;  // asked for before: only while draining, when there is no other place
-  room.fix();
+  room.markPermanent();
   const auto connection = std::make_shared<Connection>(*this, std::move(socket), std::move(room), false);
   connections_.insert(connection);
   connection->start();  // goes on to accept
@@ -157,21 +158,21 @@
 // Set aside from the start, so that one can be heard out where memory is what is short.
 void ClientServer::refillOverflowRooms() {
   while (overflowRooms_.size() + overflowCount_ < limits_.overflowPlaces()) {
-    auto room = pressure_.ledger().open(Account::clients);
+    auto room = pressure_.memory().open(Account::clients);
     if (!room.resize(kConnection)) return;
-    room.fix();
+    room.markPermanent();
     overflowRooms_.push_back(std::move(room));
   }
 }
 
 // All are busy. What comes waits in the kernel for a while, since most requests end soon.
 void ClientServer::openOverflow() {
-  if (noRoom_.in(WaitAt::noRoom)) return;
-  noRoom_.enter(pressure_.places(), WaitAt::noRoom, OverloadManager::now());
+  if (noRoom_.isIn(WaitQueue::freeConnection)) return;
+  noRoom_.enter(pressure_.waitQueues(), WaitQueue::freeConnection, OverloadManager::now());
   if (limits_.overflowPlaces() == 0) return;
   overflowTimer_.expires_after(limits_.overflowAfter);
   overflowTimer_.async_wait([this](const Error& error) {
-    if (error || !noRoom_.in(WaitAt::noRoom)) return;
+    if (error || !noRoom_.isIn(WaitQueue::freeConnection)) return;
     overflowOpen_ = true;
     accept();
   });
@@ -199,18 +200,18 @@
   if (Clock::now() < until) {
     overflowTimer_.expires_at(until);
     overflowTimer_.async_wait([this](const Error& error) {
-      if (!error && noRoom_.in(WaitAt::noRoom)) accept();
+      if (!error && noRoom_.isIn(WaitQueue::freeConnection)) accept();
     });
     return false;
   }
   if (oldest->unread()) {  // its handler comes next, and it is answered there
     overflowTimer_.expires_after(kUnreadPause);
     overflowTimer_.async_wait([this](const Error& error) {
-      if (!error && noRoom_.in(WaitAt::noRoom)) accept();
+      if (!error && noRoom_.isIn(WaitQueue::freeConnection)) accept();
     });
     return false;
   }
-  pressure_.places().turnAway(WaitAt::noRoom);
+  pressure_.waitQueues().countRejection(WaitQueue::freeConnection);
   oldest->giveWay();  // goes on to accept by itself
   return false;
 }
@@ -218,15 +219,16 @@
 // By chance, so that those turned away together do not come back together.
 decision::Time ClientServer::turnedAwayFor() const {
   const double most = config_.settings.maxRetryAfterMs;
-  const double lasts = std::max(pressure_.pressure().lasts(OverloadManager::now()), kLeastAway);
+  const double lasts = std::max(pressure_.state().expectedDurationMs(OverloadManager::now()), kLeastAway);
   return (most > 0 ? std::min(most, lasts) : lasts) * std::uniform_real_distribution<>(0.5, 1.0)(chance_);
 }
 
 double ClientServer::busyShare() const {
-  const auto& places = pressure_.places();
-  const std::size_t busy = places.waiting(WaitAt::halfRead) + places.waiting(WaitAt::held) +
-                           places.waiting(WaitAt::bodyWindow) + places.waiting(WaitAt::answerWindow) +
-                           places.waiting(WaitAt::answerWrite);
+  const auto& places = pressure_.waitQueues();
+  const std::size_t busy =
+      places.waiting(WaitQueue::incompleteRequest) + places.waiting(WaitQueue::inFlight) +
+      places.waiting(WaitQueue::requestBodyWindow) + places.waiting(WaitQueue::responseBodyWindow) +
+      places.waiting(WaitQueue::responseWrite);
   return static_cast<double>(busy) / static_cast<double>(std::max<std::size_t>(1, mostUsual()));
 }
 
@@ -243,7 +245,7 @@
   connections_.erase(connection);
   overflowCount_ -= connection->isOverflow();
   refillOverflowRooms();
-  pressure_.noteDescriptors();
+  pressure_.noteDescriptorUse();
   accept();
   if (connections_.empty() && !acceptor_.is_open() && done_) done_();
 }
@@ -301,7 +303,7 @@
 
 // Whether there is memory for one more connection.
 bool ClientServer::makeRoomAtStop() {
-  while (pressure_.ledger().room(Account::clients) < kConnection)
+  while (pressure_.memory().available(Account::clients) < kConnection)
     if (!closeLeastRecentlyUsed()) return false;
   return true;
 }
--- a/src/gatekeeper/client_server.hpp
+++ b/src/gatekeeper/client_server.hpp
@@ -177,7 +177,7 @@
   ConnectionOrder ending_;  // told their end while they were idle; closed first where room is needed
   ConnectionOrder overflowOrder_;
   std::optional<boost::asio::ip::tcp::socket> waiting_;  // accepted, and no room yet
-  WaitQueues::Waiting noRoom_;                           // since when there is none
+  WaitQueues::QueueEntry noRoom_;                        // since when there is none
   std::size_t overflowCount_ = 0;
   std::vector<MemoryBudget::Charge> overflowRooms_;  // one for each overflow place that is free
   bool overflowOpen_ = false;
--- a/src/gatekeeper/discovery_client.cpp
+++ b/src/gatekeeper/discovery_client.cpp
@@ -50,7 +50,7 @@
              const EndpointWatch::Limits& limits, std::uint64_t seed, OnEndpointList onEndpointList,
              OverloadManager& overloadManager)
       : overloadManager_(overloadManager),
-        memory_(overloadManager.ledger().open(Account::discovery)),
+        memory_(overloadManager.memory().open(Account::discovery)),
         socket_(io),
         timer_(io),
         agent_(agent),
@@ -167,7 +167,7 @@
     if (reserveForRead()) return startRead();
     // The bytes stay in the network, so that discovery sends no more. The watch's silence timeout goes on:
     // when it ends, the watch is opened again.
-    overloadManager_.waitForRoom(
+    overloadManager_.pauseUntilMemory(
         pausedRead_, Account::discovery, weak_from_this(),
         [this] {
           if (!reserveForRead()) return false;
@@ -217,15 +217,17 @@
   void noteIncompleteMessage() {
     if (messages_.empty())
       incompleteMessage_.leave();
-    else if (!incompleteMessage_.in(WaitAt::discoveryLine))
-      incompleteMessage_.enter(overloadManager_.places(), WaitAt::discoveryLine, OverloadManager::now());
-    if (messages_.size() > kMaxMessageBytes) overloadManager_.places().turnAway(WaitAt::discoveryLine);
+    else if (!incompleteMessage_.isIn(WaitQueue::discoveryMessage))
+      incompleteMessage_.enter(overloadManager_.waitQueues(), WaitQueue::discoveryMessage,
+                               OverloadManager::now());
+    if (messages_.size() > kMaxMessageBytes)
+      overloadManager_.waitQueues().countRejection(WaitQueue::discoveryMessage);
   }
 
   // False: a list was rejected by the history. While this process is overloaded, lists that are received
   // together are merged and passed on once.
   bool readMessages() {
-    const bool overloaded = overloadManager_.pressure().stage() != Stage::none;
+    const bool overloaded = overloadManager_.state().level() != OverloadLevel::none;
     std::optional<EndpointList> pending;
     bool accepted = true;
     while (const auto object = framer_.next(messages_)) {
@@ -260,8 +262,8 @@
 
   OverloadManager& overloadManager_;
   MemoryBudget::Charge memory_;
-  WaitQueues::Waiting incompleteMessage_;
-  OverloadManager::Paused pausedRead_;
+  WaitQueues::QueueEntry incompleteMessage_;
+  OverloadManager::PausedReader pausedRead_;
   tcp::socket socket_;
   asio::steady_timer timer_;
   tcp::endpoint agent_;
--- a/src/gatekeeper/gatekeeper.cpp
+++ b/src/gatekeeper/gatekeeper.cpp
@@ -60,7 +60,7 @@
                     began(id, type, length);
                   },
                   [this](RequestId id, std::string&& piece) { passOn(id, std::move(piece)); }});
-  pressure_.begin([this] { return std::max(server_.busyShare(), pool_.busyShare()); },
+  pressure_.start([this] { return std::max(server_.busyShare(), pool_.busyShare()); },
                   [this](double excess) { pressed(excess); });
   if (config_.ops) ops_.emplace(io, OpsServer::Limits{}, static_cast<Operated&>(*this), pressure_);
   for (const std::string& name : config_.host.classes) metrics_.classes.try_emplace(name);
@@ -119,10 +119,11 @@
 
 // Which requests pay for it is the module's choice; idle connections serve nobody.
 void Gatekeeper::pressed(double excess) {
-  const Pressure& now = pressure_.pressure();
-  if (pressure_.fewDescriptors()) server_.trimIdle();
-  gateway_.onOverload(clock_.now(), {now.stage() != Stage::none, pressure_.slow(), now.share(), excess,
-                                     now.lasts(OverloadManager::now())});
+  const OverloadState& now = pressure_.state();
+  if (pressure_.areDescriptorsOverloaded()) server_.trimIdle();
+  gateway_.onOverload(clock_.now(),
+                      {now.level() != OverloadLevel::none, pressure_.isMemoryOverloaded(), now.rejectShare(),
+                       excess, now.expectedDurationMs(OverloadManager::now())});
 }
 
 // What came before the first list is numbered as the settings were then. False: its class or plan is no more;
@@ -157,7 +158,7 @@
   config_.keys = config.keys;
   config_.discovery = config.discovery;
   pool_.retune(poolLimits(config_), config_.settings.loadReportFields);
-  pressure_.retune(pressureLimits(config_));
+  pressure_.setLimits(pressureLimits(config_));
   if (config.memoryMb != config_.memoryMb)
     processLog().warn("event=reload text=\"limits.memory_mb stays as at the start\" memory_mb={}",
                       config_.memoryMb);
--- a/src/gatekeeper/gatekeeper_limits.cpp
+++ b/src/gatekeeper/gatekeeper_limits.cpp
@@ -48,23 +48,23 @@
 }
 
 MemoryBudget::Shares memoryOf(const Config& config) {
-  Room room;
-  room.limit = static_cast<std::size_t>(config.memoryMb * 1024 * 1024);
+  MemoryLimit room;
+  room.bytes = static_cast<std::size_t>(config.memoryMb * 1024 * 1024);
   room.twoProcesses = config.acceptFd >= 0;
-  room.files = !config.stateDir.empty();
+  room.stateFiles = !config.stateDir.empty();
   const MemoryBudget::Shares out = sharesOf(room);
   if (out.total > 0) return out;
-  const std::size_t least = leastLimit(room.twoProcesses, room.files);
+  const std::size_t least = minMemoryLimit(room.twoProcesses, room.stateFiles);
   throw std::runtime_error("configuration: limits.memory_mb is too small: it takes " +
                            std::to_string((least + 1024 * 1024 - 1) / (1024 * 1024)) + " at least here");
 }
 
-Pressure::Limits pressureLimits(const Config& config) {
+OverloadState::Limits pressureLimits(const Config& config) {
   decision::Time aim = 0;
   for (const auto& klass : config.settings.classes)
     if (klass.latencyObjectiveMs > 0)
       aim = aim > 0 ? std::min(aim, klass.latencyObjectiveMs) : klass.latencyObjectiveMs;
-  return Pressure::limitsFor(aim);
+  return OverloadState::limitsFor(aim);
 }
 
 EndpointWatch::Limits watchLimits(const Config& config) {
--- a/src/gatekeeper/gatekeeper_limits.hpp
+++ b/src/gatekeeper/gatekeeper_limits.hpp
@@ -22,7 +22,7 @@
 /// Throws std::runtime_error where `limits.memory_mb` does not hold one process.
 MemoryBudget::Shares memoryOf(const Config& config);
 
-Pressure::Limits pressureLimits(const Config& config);
+OverloadState::Limits pressureLimits(const Config& config);
 EndpointWatch::Limits watchLimits(const Config& config);
 
 /// The module's number of a worker: the same at every gatekeeper, whatever the address, since they all run
--- a/src/gatekeeper/gatekeeper_operators.cpp
+++ b/src/gatekeeper/gatekeeper_operators.cpp
@@ -189,7 +189,7 @@
                     discovery.bytesRead, discovery.longestMessageBytes, discovery.lists, discovery.connects,
                     monitor_.total());
   served_ = refused_ = failed_ = 0;
-  pressure_.report();
+  pressure_.logReport();
 }
 
 }  // namespace wingslip
--- a/src/gatekeeper/gatekeeper_requests.cpp
+++ b/src/gatekeeper/gatekeeper_requests.cpp
@@ -56,7 +56,7 @@
   // The time of one whose last byte is still to come has not begun; the clients' side bounds the wait for it.
   held.expires = now + held.patience + (held.streamed ? kMostUpload : 0);
   if (!held.streamed) setDeadline(id, held);
-  pressure_.activity();
+  pressure_.noteActivity();
   const decision::Request request{id,           call.klass, call.plan,    call.customer,
                                   held.expires, call.units, call.setSize, static_cast<double>(call.holds)};
   if (settled_) return gateway_.onRequest(now, request);
@@ -159,7 +159,7 @@
   noteEnd(outcome);
   const bool mine = held_.contains(outcome.id);
   outcome.requestFinished = !mine || outcome.result == AttemptResult::ok;
-  pressure_.activity();
+  pressure_.noteActivity();
   if (mine && held_.at(outcome.id).answering) {
     finishStream(end);
   } else if (mine && outcome.result == AttemptResult::ok) {
--- a/src/gatekeeper/ops_server.cpp
+++ b/src/gatekeeper/ops_server.cpp
@@ -35,7 +35,7 @@
         timer_(socket_.get_executor(), server.limits_.callWithin) {}
 
   void start() {
-    waiting_.enter(server_.pressure_.places(), WaitAt::opsCaller, OverloadManager::now());
+    waiting_.enter(server_.pressure_.waitQueues(), WaitQueue::operatorCall, OverloadManager::now());
     timer_.async_wait(guard([this](const Error& error, std::size_t) {
       if (!error) finish();
     }));
@@ -80,7 +80,7 @@
 
   OpsServer& server_;
   MemoryBudget::Charge room_;
-  WaitQueues::Waiting waiting_;
+  WaitQueues::QueueEntry waiting_;
   tcp::socket socket_;
   asio::steady_timer timer_;
   std::string line_, out_;
@@ -114,9 +114,9 @@
       return;
     }
     // The operators' own part holds as many callers as there may be.
-    auto room = pressure_.ledger().open(Account::operators);
+    auto room = pressure_.memory().open(Account::operators);
     while (!callers_.empty() && (callers_.size() >= limits_.connections || !room.resize(kCaller))) {
-      pressure_.places().turnAway(WaitAt::opsCaller);
+      pressure_.waitQueues().countRejection(WaitQueue::operatorCall);
       callers_.front()->abandon();
       callers_.pop_front();
     }
--- a/src/gatekeeper/upstream_pool.cpp
+++ b/src/gatekeeper/upstream_pool.cpp
@@ -73,7 +73,7 @@
       : worker(to),
         address(at),
         pool_(pool),
-        room_(pool.pressure_.ledger().open(Account::workers)),
+        room_(pool.pressure_.memory().open(Account::workers)),
         socket_(pool.io_),
         timer_(pool.io_) {}
 
@@ -86,11 +86,11 @@
   bool hasRoomFor(const AttemptRequest& request) {
     if (room_.bytes() < kConnection) {
       if (!room_.resize(kConnection)) return false;
-      room_.fix();
+      room_.markPermanent();
     }
     outBytes_ = request.size + (request.pull ? kWindow : 0);
-    const MemoryBudget& ledger = pool_.pressure_.ledger();
-    const double mark = pool_.pressure_.pressure().limits().memory.high;
+    const MemoryBudget& ledger = pool_.pressure_.memory();
+    const double mark = pool_.pressure_.state().limits().memory.high;
     if (outBytes_ > kOrdinary && !ledger.staysUnder(mark, Account::workers, outBytes_)) return false;
     return room_.resize(cost(0));
   }
@@ -109,7 +109,7 @@
     written_ = streaming_ = false;
     busy_ = true;
     freshParser();
-    wait(up_ ? WaitAt::attemptOut : WaitAt::connecting);
+    wait(up_ ? WaitQueue::awaitingResponse : WaitQueue::connecting);
     if (!up_) return connect();
     settling_ = !settled();
     if (!settling_) return composeAndWrite();
@@ -168,7 +168,7 @@
   }
 
  private:
-  void wait(WaitAt place) { waiting_.enter(pool_.pressure_.places(), place, OverloadManager::now()); }
+  void wait(WaitQueue place) { waiting_.enter(pool_.pressure_.waitQueues(), place, OverloadManager::now()); }
 
   // What this connection takes, and what it takes with `more` bytes read.
   std::size_t cost(std::size_t more) const {
@@ -205,8 +205,10 @@
       return composeAndWrite();
     }
     if (busy_) {
-      const WaitAt place = pull_ ? WaitAt::bodyWindow : up_ ? WaitAt::attemptOut : WaitAt::connecting;
-      pool_.pressure_.places().turnAway(place);
+      const WaitQueue place = pull_ ? WaitQueue::requestBodyWindow
+                              : up_ ? WaitQueue::awaitingResponse
+                                    : WaitQueue::connecting;
+      pool_.pressure_.waitQueues().countRejection(place);
     }
     if (busy_ && (streaming_ || pull_))
       end(AttemptResult::reset);
@@ -224,7 +226,7 @@
                             socket_.set_option(tcp::no_delay(true), ignored);
                             socket_.non_blocking(true, ignored);
                             up_ = true;
-                            wait(WaitAt::attemptOut);
+                            wait(WaitQueue::awaitingResponse);
                             read();
                             composeAndWrite();
                           }));
@@ -309,7 +311,7 @@
         read();
         return true;
       };
-      return pool_.pressure_.waitForRoom(paused_, Account::workers, weak_from_this(), again, nullptr);
+      return pool_.pressure_.pauseUntilMemory(paused_, Account::workers, weak_from_this(), again, nullptr);
     }
     paused_.clear();
     reading_ = true;
@@ -450,8 +452,8 @@
 
   UpstreamPool& pool_;
   MemoryBudget::Charge room_;
-  WaitQueues::Waiting waiting_;
-  OverloadManager::Paused paused_;
+  WaitQueues::QueueEntry waiting_;
+  OverloadManager::PausedReader paused_;
   std::size_t outBytes_ = 0;  // of the attempt: what it sends, or one window of it
   tcp::socket socket_;
   asio::steady_timer timer_;
@@ -569,7 +571,7 @@
   }
   if (shortHere) {
     ++short_;
-    pressure_.places().turnAway(WaitAt::attemptOut);
+    pressure_.waitQueues().countRejection(WaitQueue::awaitingResponse);
   }
   if (!connection) {
     AttemptOutcome outcome;
--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -24,7 +24,7 @@
       : calls_(calls),
         id_(id),
         to_(to),
-        room_(calls.pressure_.ledger().open(Account::discovery)),
+        room_(calls.pressure_.memory().open(Account::discovery)),
         socket_(calls.io_),
         timer_(calls.io_) {
     request.set(http::field::connection, "close");
--- a/src/net/overload_manager.cpp
+++ b/src/net/overload_manager.cpp
@@ -1,15 +1,9 @@
 #include "net/overload_manager.hpp"
 
-#include <netinet/tcp.h>
-#include <poll.h>
-#include <sys/socket.h>
-
 #include <algorithm>
 #include <boost/asio/post.hpp>
-#include <cerrno>
+#include <chrono>
 #include <cstddef>
-#include <utility>
-#include <vector>
 
 #include "net/log.hpp"
 
@@ -17,64 +11,37 @@
 namespace {
 
 namespace asio = boost::asio;
-using asio::ip::tcp;
 using Error = boost::system::error_code;
 using namespace std::chrono_literals;
 
-constexpr double kLagEvery = 10;       // ms between two samples of the loop's lag
-constexpr auto kTick = 50ms;           // while a stage is on
-constexpr auto kLookTick = 250ms;      // while only paused reads are watched
-constexpr double kLookEvery = 250;     // ms between looks at whether a paused peer has left
-constexpr std::size_t kMostSteps = 4;  // of an account's paused reads that fail in one wake
-
-// Whether the kernel tells at least the first `least` bytes of it.
-bool tcpInfo(int descriptor, tcp_info& info, std::size_t least) {
-  socklen_t size = sizeof info;
-  return getsockopt(descriptor, IPPROTO_TCP, TCP_INFO, &info, &size) == 0 && size >= least;
-}
-
-bool tcpInfo(int descriptor, tcp_info& info) { return tcpInfo(descriptor, info, sizeof info.tcpi_state); }
+constexpr double kLagIntervalMs = 10;   // between two samples
+constexpr auto kOverloadTick = 50ms;    // while there is an overload
+constexpr auto kPeerCheckTick = 250ms;  // while reads are paused only
+constexpr double kPeerCheckIntervalMs = 250;
+constexpr std::size_t kMaxFailedResumes = 4;  // of an account at a time
+constexpr double kMinUsageForResume = 0.5;    // below this no connection waits for memory
 
-}  // namespace
-
-bool hasLeft(tcp::socket& socket) {
-  tcp_info info{};
-  return socket.is_open() && tcpInfo(socket.native_handle(), info) && info.tcpi_state != TCP_ESTABLISHED;
-}
+std::uint64_t figureOf(OverloadLevel level) { return static_cast<std::uint64_t>(level); }
 
-bool endedBehind(tcp::socket& socket) {
-  pollfd one{socket.native_handle(), POLLRDHUP, 0};
-  int ready = 0;
-  do {
-    ready = poll(&one, 1, 0);
-  } while (ready < 0 && errno == EINTR);
-  return ready == 1 && (one.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
+// As in the log.
+const char* nameOf(OverloadLevel level) {
+  static constexpr std::array<const char*, kOverloadLevels> kNames{"none", "slow", "shed"};
+  return kNames[static_cast<std::size_t>(level)];
 }
 
-std::chrono::milliseconds sinceLastData(tcp::socket& socket) {
-  tcp_info info{};
-  constexpr std::size_t kNeeded = offsetof(tcp_info, tcpi_last_data_recv) + sizeof info.tcpi_last_data_recv;
-  if (!socket.is_open() || !tcpInfo(socket.native_handle(), info, kNeeded)) return 0ms;
-  return std::chrono::milliseconds(info.tcpi_last_data_recv);
-}
-
-std::size_t queuedAt(tcp::acceptor& acceptor) {
-  tcp_info info{};
-  const bool told = acceptor.is_open() && tcpInfo(acceptor.native_handle(), info);
-  return told && info.tcpi_state == TCP_LISTEN ? info.tcpi_unacked : 0;
-}
+}  // namespace
 
 OverloadManager::OverloadManager(asio::io_context& io, const MemoryBudget::Shares& shares,
-                                 const Pressure::Limits& limits)
-    : io_(io), ledger_(shares), pressure_(limits), tick_(io), lagTimer_(io) {
-  ledger_.watch(
-      limits.memory.low, limits.memory.high, [this] { evaluateSoon(); }, [this] { wakeSoon(); });
-  places_.read(WaitAt::loop, [this](double) {
-    WaitQueues::Figures out;
-    out.waiting = measuring_;
-    out.oldest = lag_;
-    out.most = static_cast<std::size_t>(mostLag_);
-    return out;
+                                 const OverloadState::Limits& limits)
+    : io_(io), memory_(shares), state_(limits), tickTimer_(io), lagTimer_(io) {
+  memory_.observe(
+      limits.memory.low, limits.memory.high, [this] { evaluateSoon(); }, [this] { resumeSoon(); });
+  waitQueues_.setReader(WaitQueue::eventLoop, [this](double) {
+    WaitQueues::Figures figures;
+    figures.waiting = lagMeasuring_;
+    figures.oldestMs = lagMs_;
+    figures.peak = static_cast<std::size_t>(peakLagMs_);
+    return figures;
   });
 }
 
@@ -85,187 +52,202 @@
       .count();
 }
 
-void OverloadManager::begin(Descriptors descriptors, Changed changed) {
-  descriptors_ = std::move(descriptors);
-  changed_ = std::move(changed);
+void OverloadManager::start(DescriptorUsage descriptorUsage, OnChange onChange) {
+  descriptorUsage_ = std::move(descriptorUsage);
+  onChange_ = std::move(onChange);
 }
 
-void OverloadManager::activity() {
-  if (!measuring_ && now() - lagDueAt_ >= kLagEvery) measureLag();
+// --- Overload --------------------------------------------------------------------------------------------
+
+void OverloadManager::noteActivity() {
+  if (!lagMeasuring_ && now() - lagStartedAt_ >= kLagIntervalMs) measureLag();
 }
 
-// A timer that is due at once: when it runs, the handlers that were ready have run, and those of the sockets
-// that the loop then found ready as well. A handler that is only put behind the ready ones would not see what
-// the loop spends on new sockets.
+// A timer that is due at once runs after the handlers that are ready and those of the sockets that the loop
+// then finds ready. A posted handler would not include the time spent on new sockets.
 void OverloadManager::measureLag() {
-  measuring_ = true;
-  lagDueAt_ = now();
+  lagMeasuring_ = true;
+  lagStartedAt_ = now();
   lagTimer_.expires_after(0ms);
   lagTimer_.async_wait([this](const Error& error) {
     if (error) return;
-    measuring_ = false;
-    const double at = now();
-    takeLag(at, at - lagDueAt_);
+    lagMeasuring_ = false;
+    const double measuredAt = now();
+    onLagMeasured(measuredAt, measuredAt - lagStartedAt_);
   });
 }
 
-void OverloadManager::takeLag(double at, double lag) {
-  lag_ = lag;
-  mostLag_ = std::max(mostLag_, lag);
-  const bool wasCalm = pressure_.calm();
-  pressure_.loopDelay(at, lag);
-  if (!wasCalm || !pressure_.calm()) evaluate();
+void OverloadManager::onLagMeasured(double measuredAt, double lagMs) {
+  lagMs_ = lagMs;
+  peakLagMs_ = std::max(peakLagMs_, lagMs);
+  const bool wasNormal = state_.isNormal();
+  state_.onLoopDelay(measuredAt, lagMs);
+  if (!wasNormal || !state_.isNormal()) evaluate();
 }
 
-void OverloadManager::noteDescriptors() {
-  const bool full = descriptors_ && descriptors_() >= pressure_.limits().descriptors.high;
-  if (full != fewDescriptors()) evaluateSoon();
+void OverloadManager::noteDescriptorUse() {
+  const bool aboveMark = descriptorUsage_ && descriptorUsage_() >= state_.limits().descriptors.high;
+  if (aboveMark != areDescriptorsOverloaded()) evaluateSoon();
 }
 
 void OverloadManager::evaluateSoon() {
-  if (std::exchange(evaluating_, true)) return;
+  if (std::exchange(evaluationPosted_, true)) return;
   asio::post(io_, [this, alive = alive_] {
     if (*alive) evaluate();
   });
 }
 
 void OverloadManager::evaluate() {
-  evaluating_ = false;
-  const double at = now();
-  const bool wasSlow = slow();
-  const MemoryBudget::Fill fill = ledger_.fullest();
-  pressure_.level(at, Source::memory, static_cast<double>(fill.held), static_cast<double>(fill.reach));
-  if (descriptors_) pressure_.level(at, Source::descriptors, descriptors_(), 1);
-  const bool news = pressure_.stage() != toldStage_ || pressure_.share() != toldShare_;
-  toldStage_ = pressure_.stage();
-  toldShare_ = pressure_.share();
-  const double excess = pressure_.takeExcess(at);
-  if ((news || excess > 0) && changed_) changed_(excess);
-  if (wasSlow && !slow()) wakeSoon();
-  if (!pressure_.calm()) tickLater();
-}
-
-void OverloadManager::waitForRoom(Paused& paused, Account account, std::weak_ptr<void> owner,
-                                  std::function<bool()> again, std::function<void()> look) {
-  if (paused.waits() && paused.again_) return;  // it keeps its turn
-  paused.clear();
-  paused.owner_ = std::move(owner);
-  paused.again_ = std::move(again);
-  paused.look_ = std::move(look);
-  paused.place_.enter(places_, WaitAt::pausedRead, now());
-  paused_[static_cast<std::size_t>(account)].push_back(paused);
-  tickLater();
-}
-
-void OverloadManager::watch(Paused& paused, std::weak_ptr<void> owner, std::function<void()> look) {
-  if (paused.waits() && !paused.again_) return;
-  paused.clear();
-  paused.owner_ = std::move(owner);
-  paused.again_ = nullptr;
-  paused.look_ = std::move(look);
-  watched_.push_back(paused);
-  tickLater();
+  evaluationPosted_ = false;
+  const double evaluatedAt = now();
+  const bool memoryWasOverloaded = isMemoryOverloaded();
+  const MemoryBudget::Usage usage = memory_.highestUsage();
+  state_.onUsage(evaluatedAt, OverloadSource::memory, static_cast<double>(usage.used),
+                 static_cast<double>(usage.limit));
+  if (descriptorUsage_) state_.onUsage(evaluatedAt, OverloadSource::descriptors, descriptorUsage_(), 1);
+  const bool changed = state_.level() != reportedLevel_ || state_.rejectShare() != reportedRejectShare_;
+  reportedLevel_ = state_.level();
+  reportedRejectShare_ = state_.rejectShare();
+  const double excessBytes = state_.takeExcessBytes(evaluatedAt);
+  if ((changed || excessBytes > 0) && onChange_) onChange_(excessBytes);
+  if (memoryWasOverloaded && !isMemoryOverloaded()) resumeSoon();
+  if (!state_.isNormal()) startTick();
+}
+
+// --- Paused reads ----------------------------------------------------------------------------------------
+
+void OverloadManager::pauseUntilMemory(PausedReader& reader, Account account, std::weak_ptr<void> owner,
+                                       std::function<bool()> resume, std::function<void()> checkPeer) {
+  if (reader.isPaused() && reader.resume_) return;  // it keeps its turn
+  reader.clear();
+  reader.owner_ = std::move(owner);
+  reader.resume_ = std::move(resume);
+  reader.checkPeer_ = std::move(checkPeer);
+  reader.queueEntry_.enter(waitQueues_, WaitQueue::pausedRead, now());
+  pausedReaders_[static_cast<std::size_t>(account)].push_back(reader);
+  startTick();
+}
+
+void OverloadManager::watchPeer(PausedReader& reader, std::weak_ptr<void> owner,
+                                std::function<void()> checkPeer) {
+  if (reader.isPaused() && !reader.resume_) return;
+  reader.clear();
+  reader.owner_ = std::move(owner);
+  reader.resume_ = nullptr;
+  reader.checkPeer_ = std::move(checkPeer);
+  watchedReaders_.push_back(reader);
+  startTick();
 }
 
 bool OverloadManager::anyPaused() const {
-  return std::any_of(paused_.begin(), paused_.end(), [](const List& list) { return !list.empty(); });
+  return std::any_of(pausedReaders_.begin(), pausedReaders_.end(),
+                     [](const Readers& readers) { return !readers.empty(); });
 }
 
-void OverloadManager::wakeSoon() {
-  if (inWake_ || waking_ || (!anyPaused() && !room_)) return;
-  if (!anyPaused() && ledger_.fullest().part() < 0.5) return;  // nobody can be short of room
-  waking_ = true;
+void OverloadManager::resumeSoon() {
+  if (resuming_ || resumePosted_ || (!anyPaused() && !connectionRetry_)) return;
+  if (!anyPaused() && memory_.highestUsage().share() < kMinUsageForResume) return;
+  resumePosted_ = true;
   asio::post(io_, [this, alive = alive_] {
-    if (*alive) wake();
+    if (*alive) resumeReaders();
   });
 }
 
-// What is nearest to its end first: news of the workers, answers, requests. Within an account in the order of
-// coming; a few that find no room do not keep those behind them, who may need less.
-void OverloadManager::wake() {
-  waking_ = false;
-  inWake_ = true;
-  for (const Account account : {Account::discovery, Account::workers, Account::clients, Account::operators}) {
-    List& list = paused_[static_cast<std::size_t>(account)];
-    std::vector<std::pair<std::shared_ptr<void>, Paused*>> waiting;
-    for (Paused& paused : list) waiting.emplace_back(paused.owner_.lock(), &paused);
-    std::size_t failed = 0;
-    for (const auto& [owner, paused] : waiting) {
-      if (failed >= kMostSteps) break;
-      if (!owner || !paused->waits()) continue;  // its owner has gone on by itself meanwhile
-      const auto again = paused->again_;
-      if (!again()) {
-        ++failed;
-      } else if (paused->waits()) {
-        paused->clear();
-      }
-    }
+// What frees memory or completes soonest first: endpoint lists, responses, requests.
+void OverloadManager::resumeReaders() {
+  resumePosted_ = false;
+  resuming_ = true;
+  for (const Account account : {Account::discovery, Account::workers, Account::clients, Account::operators})
+    resumeAccount(account);
+  resuming_ = false;
+  if (connectionRetry_) connectionRetry_();
+}
+
+// In order of arrival. A few that find too little memory do not block those behind them, which may need less.
+void OverloadManager::resumeAccount(Account account) {
+  std::size_t failed = 0;
+  for (const auto& [owner, reader] : ownedReaders(pausedReaders_[static_cast<std::size_t>(account)])) {
+    if (failed >= kMaxFailedResumes) return;
+    if (!owner || !reader->isPaused()) continue;  // its owner has gone on meanwhile
+    const auto resume = reader->resume_;
+    if (!resume())
+      ++failed;
+    else if (reader->isPaused())
+      reader->clear();
   }
-  inWake_ = false;
-  if (room_) room_();
 }
 
-void OverloadManager::lookAround(List& list) {
-  std::vector<std::pair<std::shared_ptr<void>, Paused*>> waiting;
-  for (Paused& paused : list) waiting.emplace_back(paused.owner_.lock(), &paused);
-  for (const auto& [owner, paused] : waiting) {
-    if (!owner || !paused->waits() || !paused->look_) continue;
-    const auto look = paused->look_;
-    look();
+// Guards against a callback that ends readers of the list: the copy keeps their owners alive.
+std::vector<OverloadManager::OwnedReader> OverloadManager::ownedReaders(Readers& readers) {
+  std::vector<OwnedReader> owned;
+  for (PausedReader& reader : readers) owned.push_back({reader.owner_.lock(), &reader});
+  return owned;
+}
+
+void OverloadManager::checkPeers(Readers& readers) {
+  for (const auto& [owner, reader] : ownedReaders(readers)) {
+    if (!owner || !reader->isPaused() || !reader->checkPeer_) continue;
+    const auto checkPeer = reader->checkPeer_;
+    checkPeer();
   }
 }
 
-void OverloadManager::tickLater() {
-  if (std::exchange(ticking_, true)) return;
-  tick_.expires_after(pressure_.calm() ? kLookTick : kTick);
-  tick_.async_wait([this](const Error& error) {
-    if (error) return;
-    ticking_ = false;
-    if (!pressure_.calm()) {
-      if (!measuring_) measureLag();
-      evaluate();
-    }
-    if (now() - lookedAt_ >= kLookEvery) {
-      lookedAt_ = now();
-      for (List& list : paused_) lookAround(list);
-      lookAround(watched_);
-    }
-    if (anyPaused() && !slow()) wakeSoon();
-    if (!pressure_.calm() || anyPaused() || !watched_.empty()) tickLater();
+// --- Timer -----------------------------------------------------------------------------------------------
+
+void OverloadManager::startTick() {
+  if (std::exchange(tickStarted_, true)) return;
+  tickTimer_.expires_after(state_.isNormal() ? kPeerCheckTick : kOverloadTick);
+  tickTimer_.async_wait([this](const Error& error) {
+    if (!error) onTick();
   });
 }
 
+void OverloadManager::onTick() {
+  tickStarted_ = false;
+  if (!state_.isNormal()) {
+    if (!lagMeasuring_) measureLag();
+    evaluate();
+  }
+  if (now() - peersCheckedAt_ >= kPeerCheckIntervalMs) {
+    peersCheckedAt_ = now();
+    for (Readers& readers : pausedReaders_) checkPeers(readers);
+    checkPeers(watchedReaders_);
+  }
+  if (anyPaused() && !isMemoryOverloaded()) resumeSoon();
+  if (!state_.isNormal() || anyPaused() || !watchedReaders_.empty()) startTick();
+}
+
+// --- Figures ---------------------------------------------------------------------------------------------
+
 std::string OverloadManager::telemetry() const {
   std::string out;
   const auto line = [&](const std::string& name, std::uint64_t value, const char* kind) {
     out += "svc." + name + ":" + std::to_string(value) + "|" + kind + "\n";
   };
-  line("memory.budget", ledger_.total(), "g");
-  line("memory.held", ledger_.held(), "g");
-  line("memory.most", ledger_.most(), "g");
+  line("memory.budget", memory_.total(), "g");
+  line("memory.held", memory_.used(), "g");
+  line("memory.most", memory_.peak(), "g");
   for (std::size_t i = 0; i < kAccounts; ++i) {
     const std::string name(kAccountNames[i]);
-    line("memory.held." + name, ledger_.held(static_cast<Account>(i)), "g");
-    line("memory.refused." + name, ledger_.refused(static_cast<Account>(i)), "c");
+    line("memory.held." + name, memory_.used(static_cast<Account>(i)), "g");
+    line("memory.refused." + name, memory_.refusals(static_cast<Account>(i)), "c");
   }
-  line("pressure.stage", static_cast<std::uint64_t>(pressure_.stage()), "g");
-  line("pressure.memory", static_cast<std::uint64_t>(pressure_.stage(Source::memory)), "g");
-  line("pressure.descriptors", static_cast<std::uint64_t>(pressure_.stage(Source::descriptors)), "g");
-  line("pressure.loop", static_cast<std::uint64_t>(pressure_.stage(Source::loop)), "g");
-  line("pressure.slowed", pressure_.entered(Stage::slow), "c");
-  line("pressure.shed", pressure_.entered(Stage::shed), "c");
-  return out + places_.telemetry(now());
+  line("pressure.stage", figureOf(state_.level()), "g");
+  line("pressure.memory", figureOf(state_.level(OverloadSource::memory)), "g");
+  line("pressure.descriptors", figureOf(state_.level(OverloadSource::descriptors)), "g");
+  line("pressure.loop", figureOf(state_.level(OverloadSource::eventLoop)), "g");
+  line("pressure.slowed", state_.enteredCount(OverloadLevel::throttling), "c");
+  line("pressure.shed", state_.enteredCount(OverloadLevel::shedding), "c");
+  return out + waitQueues_.telemetry(now());
 }
 
-void OverloadManager::report() {
-  static constexpr std::array<const char*, 3> kNames{"none", "slow", "shed"};
-  const auto name = [](Stage stage) { return kNames[static_cast<std::size_t>(stage)]; };
+void OverloadManager::logReport() {
   processLog().info(
       "event=pressure stage={} memory={} descriptors={} loop={} held_bytes={} budget_bytes={} most_bytes={} "
       "{}",
-      name(pressure_.stage()), name(pressure_.stage(Source::memory)),
-      name(pressure_.stage(Source::descriptors)), name(pressure_.stage(Source::loop)), ledger_.held(),
-      ledger_.total(), ledger_.most(), places_.logLine(now()));
+      nameOf(state_.level()), nameOf(state_.level(OverloadSource::memory)),
+      nameOf(state_.level(OverloadSource::descriptors)), nameOf(state_.level(OverloadSource::eventLoop)),
+      memory_.used(), memory_.total(), memory_.peak(), waitQueues_.logLine(now()));
 }
 
 }  // namespace wingslip
--- a/src/net/overload_manager.hpp
+++ b/src/net/overload_manager.hpp
@@ -1,16 +1,15 @@
-// The driver of back-pressure on the loop: it owns the ledger of memory, the stages and the figures of the
-// places, wakes reads that wait for room, and tells the module. See docs/design.md.
+/// Driver of overload control on the event loop. See docs/design.md, "Back-pressure".
 #pragma once
 
 #include <array>
 #include <boost/asio/io_context.hpp>
-#include <boost/asio/ip/tcp.hpp>
 #include <boost/asio/steady_timer.hpp>
 #include <boost/intrusive/list.hpp>
-#include <chrono>
 #include <functional>
 #include <memory>
 #include <string>
+#include <utility>
+#include <vector>
 
 #include "overload/memory_budget.hpp"
 #include "overload/overload_state.hpp"
@@ -18,107 +17,119 @@
 
 namespace wingslip {
 
-// Whether the other side has ended the connection. Asked of TCP, so that nothing has to be read for it.
-bool hasLeft(boost::asio::ip::tcp::socket& socket);
-// Whether the other side has ended its sending, also behind bytes that nobody has read.
-bool endedBehind(boost::asio::ip::tcp::socket& socket);
-// How long ago the other side's last bytes came to this machine, read or not; 0 where it does not say.
-std::chrono::milliseconds sinceLastData(boost::asio::ip::tcp::socket& socket);
-// Connections that wait in the kernel at this listener; 0 where it does not say.
-std::size_t queuedAt(boost::asio::ip::tcp::acceptor& acceptor);
-
+/// Owns the memory budget, the overload state and the wait queues; measures the event loop's lag; resumes
+/// reads that are paused until there is memory; reports changes of the overload. Used from the event loop's
+/// thread only. Its timer runs only while a read is paused or there is an overload.
 class OverloadManager {
  public:
-  // How full the descriptors are: busy connections of what there may be, the fuller side's.
-  using Descriptors = std::function<double()>;
+  /// Busy connections as a share of those allowed, of the side where it is higher.
+  using DescriptorUsage = std::function<double()>;
+  /// The level or the reject share has changed, or `excessBytes` above 0 must be freed.
+  using OnChange = std::function<void(double excessBytes)>;
 
-  // A side that reads and may have to wait, with what it waits for. It is forgotten with its owner.
-  class Paused
+  /// A read that is paused until there is memory, or whose peer is watched. Ends with its owner.
+  class PausedReader
       : public boost::intrusive::list_base_hook<boost::intrusive::link_mode<boost::intrusive::auto_unlink>> {
    public:
-    Paused() = default;
-    ~Paused() { clear(); }
+    PausedReader() = default;
+    ~PausedReader() { clear(); }
     void clear() {
       unlink();
-      place_.leave();
+      queueEntry_.leave();
       owner_.reset();
     }
-    bool waits() const { return is_linked(); }
+    bool isPaused() const { return is_linked(); }
 
    private:
     friend class OverloadManager;
     std::weak_ptr<void> owner_;
-    std::function<bool()> again_;  // true: it reads again, or needs no more to
-    std::function<void()> look_;   // whether its peer has left
-    WaitQueues::Waiting place_;
+    std::function<bool()> resume_;     // true: it reads again, or does not need to any more
+    std::function<void()> checkPeer_;  // whether its peer has closed
+    WaitQueues::QueueEntry queueEntry_;
   };
 
   OverloadManager(boost::asio::io_context& io, const MemoryBudget::Shares& shares,
-                  const Pressure::Limits& limits);
+                  const OverloadState::Limits& limits);
   ~OverloadManager();
   OverloadManager(const OverloadManager&) = delete;
   OverloadManager& operator=(const OverloadManager&) = delete;
 
-  MemoryBudget& ledger() { return ledger_; }
-  WaitQueues& places() { return places_; }
-  const Pressure& pressure() const { return pressure_; }
-  static double now();  // ms of the steady clock
-
-  // Who is told when the stage or what is to be shed has changed, and what is asked for the descriptors.
-  using Changed = std::function<void(double excess)>;
-  void begin(Descriptors descriptors, Changed changed);
-  void retune(const Pressure::Limits& limits) { pressure_.retune(limits); }
-  // Called when there may be room for a connection again.
-  void whenRoom(std::function<void()> retry) { room_ = std::move(retry); }
-
-  /// A connection, a request or an answer has come: measures the loop's lag, at most every 10 ms.
-  void activity();
-  // A connection has turned busy or ended.
-  void noteDescriptors();
-
-  // `again` is tried when memory is freed or a stage ends, in the order of coming within the account; `look`
-  // four times a second. Neither is called from within this.
-  void waitForRoom(Paused& paused, Account account, std::weak_ptr<void> owner, std::function<bool()> again,
-                   std::function<void()> look);
-  // Reads nothing for a reason of its own; only `look` is called.
-  void watch(Paused& paused, std::weak_ptr<void> owner, std::function<void()> look);
-
-  // Long bodies are not read on.
-  bool slow() const { return pressure_.stage(Source::memory) != Stage::none; }
-  bool fewDescriptors() const { return pressure_.stage(Source::descriptors) != Stage::none; }
-
-  std::string telemetry() const;  // svc. lines
-  void report();                  // the bounded log line, where there is anything to say
+  MemoryBudget& memory() { return memory_; }
+  WaitQueues& waitQueues() { return waitQueues_; }
+  const OverloadState& state() const { return state_; }
+  static double now();  ///< ms of the steady clock
+
+  void start(DescriptorUsage descriptorUsage, OnChange onChange);
+  void setLimits(const OverloadState::Limits& limits) { state_.setLimits(limits); }
+  /// @param retry called when there may be memory for a connection again; null: nobody waits any more
+  void setConnectionRetry(std::function<void()> retry) { connectionRetry_ = std::move(retry); }
+
+  /// A connection, a request or a response has arrived: measures the loop's lag, at most every 10 ms.
+  void noteActivity();
+  /// A connection has become busy or has ended.
+  void noteDescriptorUse();
+
+  /// Pauses a read. It keeps its turn if it is paused already.
+  /// @param resume tried when memory is freed or memory overload ends, in order of arrival within the account
+  /// @param checkPeer called four times a second; may be null. Neither is called before this returns.
+  void pauseUntilMemory(PausedReader& reader, Account account, std::weak_ptr<void> owner,
+                        std::function<bool()> resume, std::function<void()> checkPeer);
+  /// For a read that is stopped for another reason: only `checkPeer` is called.
+  void watchPeer(PausedReader& reader, std::weak_ptr<void> owner, std::function<void()> checkPeer);
+
+  /// Request bodies are not to be read ahead.
+  bool isMemoryOverloaded() const { return state_.level(OverloadSource::memory) != OverloadLevel::none; }
+  bool areDescriptorsOverloaded() const {
+    return state_.level(OverloadSource::descriptors) != OverloadLevel::none;
+  }
+
+  std::string telemetry() const;  ///< `svc.` lines
+  void logReport();
 
  private:
-  using List = boost::intrusive::list<Paused, boost::intrusive::constant_time_size<false>>;
+  using Readers = boost::intrusive::list<PausedReader, boost::intrusive::constant_time_size<false>>;
+  struct OwnedReader {
+    std::shared_ptr<void> owner;  // null: the owner is gone, and the reader with it
+    PausedReader* reader;
+  };
+
+  static std::vector<OwnedReader> ownedReaders(Readers& readers);
+  static void checkPeers(Readers& readers);
 
   void measureLag();
-  void takeLag(double at, double lag);
+  void onLagMeasured(double measuredAt, double lagMs);
   void evaluateSoon();
   void evaluate();
-  void wakeSoon();
-  void wake();
-  void tickLater();
+  void resumeSoon();
+  void resumeReaders();
+  void resumeAccount(Account account);
+  void startTick();
+  void onTick();
   bool anyPaused() const;
-  void lookAround(List& list);
 
   boost::asio::io_context& io_;
-  MemoryBudget ledger_;
-  Pressure pressure_;
-  WaitQueues places_;
-  Descriptors descriptors_;
-  Changed changed_;
-  std::function<void()> room_;
-  std::array<List, kAccounts> paused_;
-  List watched_;
-  boost::asio::steady_timer tick_, lagTimer_;
-  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
-  bool ticking_ = false, measuring_ = false, evaluating_ = false, waking_ = false, inWake_ = false;
-  double lagDueAt_ = 0, lookedAt_ = 0;
-  double lag_ = 0, mostLag_ = 0;  // of the loop, ms
-  Stage toldStage_ = Stage::none;
-  double toldShare_ = 0;
+  MemoryBudget memory_;
+  OverloadState state_;
+  WaitQueues waitQueues_;
+  DescriptorUsage descriptorUsage_;
+  OnChange onChange_;
+  std::function<void()> connectionRetry_;
+  std::array<Readers, kAccounts> pausedReaders_;
+  Readers watchedReaders_;
+  boost::asio::steady_timer tickTimer_;
+  boost::asio::steady_timer lagTimer_;
+  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);  // guards handlers that run after the end
+  bool tickStarted_ = false;
+  bool lagMeasuring_ = false;
+  bool evaluationPosted_ = false;
+  bool resumePosted_ = false;
+  bool resuming_ = false;
+  double lagStartedAt_ = 0;
+  double peersCheckedAt_ = 0;
+  double lagMs_ = 0;
+  double peakLagMs_ = 0;
+  OverloadLevel reportedLevel_ = OverloadLevel::none;
+  double reportedRejectShare_ = 0;
 };
 
 }  // namespace wingslip
--- /dev/null
+++ b/src/net/tcp_state.cpp
@@ -0,0 +1,54 @@
+#include "net/tcp_state.hpp"
+
+#include <netinet/tcp.h>
+#include <poll.h>
+#include <sys/socket.h>
+
+#include <cerrno>
+
+namespace wingslip {
+namespace {
+
+using boost::asio::ip::tcp;
+
+// Whether the kernel returns at least the first `minSize` bytes of it.
+bool readTcpInfo(int descriptor, tcp_info& info, std::size_t minSize) {
+  socklen_t size = sizeof info;
+  return getsockopt(descriptor, IPPROTO_TCP, TCP_INFO, &info, &size) == 0 && size >= minSize;
+}
+
+bool readTcpState(int descriptor, tcp_info& info) {
+  return readTcpInfo(descriptor, info, sizeof info.tcpi_state);
+}
+
+}  // namespace
+
+bool hasPeerClosed(tcp::socket& socket) {
+  tcp_info info{};
+  return socket.is_open() && readTcpState(socket.native_handle(), info) && info.tcpi_state != TCP_ESTABLISHED;
+}
+
+bool hasPeerFinishedSending(tcp::socket& socket) {
+  pollfd query{socket.native_handle(), POLLRDHUP, 0};
+  int ready = 0;
+  do {
+    ready = poll(&query, 1, 0);
+  } while (ready < 0 && errno == EINTR);
+  return ready == 1 && (query.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
+}
+
+std::chrono::milliseconds timeSinceLastData(tcp::socket& socket) {
+  tcp_info info{};
+  constexpr std::size_t kNeeded = offsetof(tcp_info, tcpi_last_data_recv) + sizeof info.tcpi_last_data_recv;
+  if (!socket.is_open() || !readTcpInfo(socket.native_handle(), info, kNeeded))
+    return std::chrono::milliseconds(0);
+  return std::chrono::milliseconds(info.tcpi_last_data_recv);
+}
+
+std::size_t acceptBacklogLength(tcp::acceptor& acceptor) {
+  tcp_info info{};
+  const bool known = acceptor.is_open() && readTcpState(acceptor.native_handle(), info);
+  return known && info.tcpi_state == TCP_LISTEN ? info.tcpi_unacked : 0;
+}
+
+}  // namespace wingslip
--- a/src/overload/memory_budget.cpp
+++ b/src/overload/memory_budget.cpp
@@ -8,29 +8,28 @@
 namespace {
 
 constexpr std::size_t kMiB = std::size_t{1} << 20;
-// The program with its libraries (9 MiB resident on a day of 300 gatekeepers) and the module's full table of
-// customers (4,096 of 700 bytes).
-constexpr std::size_t kProcess = 12 * kMiB;
-constexpr std::size_t kFiles = 2 * kMiB;    // the list of exclusions, 1 MiB at most, and its copy aside
-constexpr std::size_t kLeastBudget = kMiB;  // less than a hundred idle connections
-constexpr double kUsable = 0.75;            // the rest: what allocator and kernel add to what is asked for
-constexpr std::size_t kOperators = 192 * 1024;  // 16 callers with their answers
+// 9 MiB of the program and its libraries, 3 MiB of the decision module's full table of customers.
+constexpr std::size_t kProcessBytes = 12 * kMiB;
+constexpr std::size_t kStateFileBytes = 2 * kMiB;   // the exclusions, 1 MiB at most, and their temporary copy
+constexpr std::size_t kMinBudgetBytes = kMiB;       // fewer than a hundred idle connections
+constexpr double kUsableShare = 0.75;               // the rest is overhead of the allocator and the kernel
+constexpr std::size_t kOperatorBytes = 192 * 1024;  // 16 callers with their answers
 
 }  // namespace
 
 MemoryBudget::Charge::Charge(Charge&& other) noexcept
-    : ledger_(other.ledger_),
+    : budget_(other.budget_),
       account_(other.account_),
       bytes_(std::exchange(other.bytes_, 0)),
-      fixed_(std::exchange(other.fixed_, 0)) {}
+      permanent_(std::exchange(other.permanent_, 0)) {}
 
 MemoryBudget::Charge& MemoryBudget::Charge::operator=(Charge&& other) noexcept {
   if (this == &other) return *this;
   release();
-  ledger_ = other.ledger_;
+  budget_ = other.budget_;
   account_ = other.account_;
   bytes_ = std::exchange(other.bytes_, 0);
-  fixed_ = std::exchange(other.fixed_, 0);
+  permanent_ = std::exchange(other.permanent_, 0);
   return *this;
 }
 
@@ -39,122 +38,124 @@
     shrinkTo(bytes);
     return true;
   }
-  if (!ledger_ || !ledger_->grow(account_, bytes - bytes_)) return false;
+  if (!budget_ || !budget_->grow(account_, bytes - bytes_)) return false;
   bytes_ = bytes;
   return true;
 }
 
 void MemoryBudget::Charge::shrinkTo(std::size_t bytes) {
   if (bytes >= bytes_) return;
-  if (bytes < fixed_) {
-    ledger_->accounts_[index(account_)].fixed -= fixed_ - bytes;
-    fixed_ = bytes;
+  if (bytes < permanent_) {
+    budget_->accounts_[index(account_)].permanent -= permanent_ - bytes;
+    permanent_ = bytes;
   }
-  ledger_->shrink(account_, bytes_ - bytes);
+  budget_->shrink(account_, bytes_ - bytes);
   bytes_ = bytes;
 }
 
-void MemoryBudget::Charge::fix() {
-  if (!ledger_) return;
-  ledger_->accounts_[index(account_)].fixed += bytes_ - fixed_;
-  fixed_ = bytes_;
+void MemoryBudget::Charge::markPermanent() {
+  if (!budget_) return;
+  budget_->accounts_[index(account_)].permanent += bytes_ - permanent_;
+  permanent_ = bytes_;
 }
 
 MemoryBudget::Charge MemoryBudget::Charge::split(std::size_t bytes) {
-  Charge out(ledger_, account_);
-  out.bytes_ = std::min(bytes, bytes_ - fixed_);
-  bytes_ -= out.bytes_;
-  return out;
+  Charge part(budget_, account_);
+  part.bytes_ = std::min(bytes, bytes_ - permanent_);
+  bytes_ -= part.bytes_;
+  return part;
 }
 
 MemoryBudget::MemoryBudget(const Shares& shares) : shares_(shares) {
-  std::size_t kept = 0;
-  for (const std::size_t part : shares.kept) kept += part;
-  if (kept > shares.total) throw std::invalid_argument("ledger: more is kept apart than there is");
+  std::size_t reserved = 0;
+  for (const std::size_t bytes : shares.reserved) reserved += bytes;
+  if (reserved > shares.total) throw std::invalid_argument("ledger: more is kept apart than there is");
 }
 
-std::size_t MemoryBudget::unused(std::size_t account) const {
-  return shares_.kept[account] - std::min(shares_.kept[account], accounts_[account].held);
+std::size_t MemoryBudget::unusedReserve(std::size_t account) const {
+  return shares_.reserved[account] - std::min(shares_.reserved[account], accounts_[account].used);
 }
 
-std::size_t MemoryBudget::room(Account account) const {
-  std::size_t apart = 0;
+std::size_t MemoryBudget::available(Account account) const {
+  std::size_t reservedForOthers = 0;
   for (std::size_t other = 0; other < kAccounts; ++other)
-    if (other != index(account)) apart += unused(other);
-  return shares_.total - held_ - apart;  // never below 0: every growth leaves the others their part
+    if (other != index(account)) reservedForOthers += unusedReserve(other);
+  return shares_.total - used_ - reservedForOthers;  // never below 0: each growth leaves the others' reserve
 }
 
-bool MemoryBudget::grow(Account account, std::size_t by) {
-  if (by > room(account)) {
-    ++accounts_[index(account)].refused;
+bool MemoryBudget::grow(Account account, std::size_t bytes) {
+  if (bytes > available(account)) {
+    ++accounts_[index(account)].refusals;
     return false;
   }
-  accounts_[index(account)].held += by;
-  held_ += by;
-  most_ = std::max(most_, held_);
-  if (!over_ && crossed_ && fullest().part() >= high_) {
-    over_ = true;
-    crossed_();
+  accounts_[index(account)].used += bytes;
+  used_ += bytes;
+  peak_ = std::max(peak_, used_);
+  if (!aboveMark_ && onMarkCrossed_ && highestUsage().share() >= highMark_) {
+    aboveMark_ = true;
+    onMarkCrossed_();
   }
   return true;
 }
 
-void MemoryBudget::shrink(Account account, std::size_t by) {
-  accounts_[index(account)].held -= by;
-  held_ -= by;
-  if (over_ && fullest().part() <= low_) {
-    over_ = false;
-    if (crossed_) crossed_();
+void MemoryBudget::shrink(Account account, std::size_t bytes) {
+  accounts_[index(account)].used -= bytes;
+  used_ -= bytes;
+  if (aboveMark_ && highestUsage().share() <= lowMark_) {
+    aboveMark_ = false;
+    if (onMarkCrossed_) onMarkCrossed_();
   }
-  if (freed_) freed_();
+  if (onFreed_) onFreed_();
 }
 
-MemoryBudget::Fill MemoryBudget::fill(Account account) const {
-  const std::size_t varies = held(account) - accounts_[index(account)].fixed;
-  return {varies, varies + room(account)};
+MemoryBudget::Usage MemoryBudget::usage(Account account) const {
+  const std::size_t temporary = used(account) - accounts_[index(account)].permanent;
+  return {temporary, temporary + available(account)};
 }
 
-bool MemoryBudget::staysUnder(double mark, Account account, std::size_t more) const {
-  const Fill now = fill(account);
-  return static_cast<double>(now.held + more) <= mark * static_cast<double>(now.reach);
+bool MemoryBudget::staysUnder(double mark, Account account, std::size_t bytes) const {
+  const Usage now = usage(account);
+  return static_cast<double>(now.used + bytes) <= mark * static_cast<double>(now.limit);
 }
 
-MemoryBudget::Fill MemoryBudget::fullest() const {
-  Fill out;
+MemoryBudget::Usage MemoryBudget::highestUsage() const {
+  Usage highest;
   for (const Account account : {Account::clients, Account::workers}) {
-    const Fill one = fill(account);
-    if (one.part() >= out.part()) out = one;
+    const Usage current = usage(account);
+    if (current.share() >= highest.share()) highest = current;
   }
-  return out;
+  return highest;
 }
 
-void MemoryBudget::watch(double low, double high, std::function<void()> crossed,
-                         std::function<void()> freed) {
-  low_ = low;
-  high_ = high;
-  crossed_ = std::move(crossed);
-  freed_ = std::move(freed);
+void MemoryBudget::observe(double lowMark, double highMark, std::function<void()> onMarkCrossed,
+                           std::function<void()> onFreed) {
+  lowMark_ = lowMark;
+  highMark_ = highMark;
+  onMarkCrossed_ = std::move(onMarkCrossed);
+  onFreed_ = std::move(onFreed);
 }
 
-std::size_t leastLimit(bool twoProcesses, bool files) {
-  const std::size_t each = kProcess + static_cast<std::size_t>(kLeastBudget / kUsable);
-  return each * (twoProcesses ? 2 : 1) + (files ? kFiles : 0);
+std::size_t minMemoryLimit(bool twoProcesses, bool stateFiles) {
+  const std::size_t perProcess = kProcessBytes + static_cast<std::size_t>(kMinBudgetBytes / kUsableShare);
+  return perProcess * (twoProcesses ? 2 : 1) + (stateFiles ? kStateFileBytes : 0);
 }
 
-MemoryBudget::Shares sharesOf(const Room& room) {
-  MemoryBudget::Shares out;
-  if (room.limit < leastLimit(room.twoProcesses, room.files)) return out;
-  std::size_t mine = room.limit - (room.files ? kFiles : 0);
-  if (room.twoProcesses) mine /= 2;
-  out.total = static_cast<std::size_t>(kUsable * static_cast<double>(mine - kProcess));
-  const std::size_t rest = out.total - std::min(out.total / 4, kOperators);
-  const auto part = [&](Account account) -> std::size_t& {
-    return out.kept[static_cast<std::size_t>(account)];
+MemoryBudget::Shares sharesOf(const MemoryLimit& limit) {
+  MemoryBudget::Shares shares;
+  if (limit.bytes < minMemoryLimit(limit.twoProcesses, limit.stateFiles)) return shares;
+  std::size_t processLimit = limit.bytes - (limit.stateFiles ? kStateFileBytes : 0);
+  if (limit.twoProcesses) processLimit /= 2;
+  shares.total = static_cast<std::size_t>(kUsableShare * static_cast<double>(processLimit - kProcessBytes));
+  const std::size_t operatorBytes = std::min(shares.total / 4, kOperatorBytes);
+  const std::size_t rest = shares.total - operatorBytes;
+  const auto reserve = [&](Account account, std::size_t bytes) {
+    shares.reserved[static_cast<std::size_t>(account)] = bytes;
   };
-  part(Account::operators) = out.total - rest;
-  part(Account::clients) = part(Account::workers) = rest / 4;
-  part(Account::discovery) = rest / 8;
-  return out;
+  reserve(Account::operators, operatorBytes);
+  reserve(Account::clients, rest / 4);
+  reserve(Account::workers, rest / 4);
+  reserve(Account::discovery, rest / 8);
+  return shares;
 }
 
 }  // namespace wingslip
--- a/src/overload/overload_state.cpp
+++ b/src/overload/overload_state.cpp
@@ -6,99 +6,121 @@
 namespace wingslip {
 namespace {
 
-using Time = Pressure::Time;
+using Time = OverloadState::Time;
 
-constexpr double kTargetOfInterval = 0.05;  // CoDel's usual proportion
-constexpr Time kLeastInterval = 100;        // and its usual interval
-constexpr Time kMostInterval = 1000;        // what stands for a second stands, whatever the aims
-constexpr double kLowOfTarget = 0.5;        // a delay under this ends the stage; between the two it stays
-constexpr double kShareStep = 0.1;          // of new requests, an interval
-constexpr double kShareMost = 0.9;          // some are let in, or nobody finds out that it is over
-constexpr double kNewSpell = 0.3;           // weight of the last spell in the usual length
+constexpr double kTargetShareOfInterval = 0.05;  // CoDel's usual proportion
+constexpr Time kMinIntervalMs = 100;             // and its usual interval
+constexpr Time kMaxIntervalMs = 1000;
+constexpr double kEndShareOfTarget = 0.5;  // a delay below this share of the target ends the overload
+constexpr double kRejectShareStep = 0.1;   // an interval
+constexpr double kMaxRejectShare = 0.9;    // some are admitted, or the end would not be noticed
+constexpr double kNewDurationWeight = 0.3;
 
 }  // namespace
 
-Pressure::Limits Pressure::limitsFor(Time shortestAim) {
-  Limits out;
-  out.interval = std::clamp(shortestAim, kLeastInterval, kMostInterval);
-  out.target = kTargetOfInterval * out.interval;
-  return out;
+OverloadState::Limits OverloadState::limitsFor(Time minLatencyObjectiveMs) {
+  Limits limits;
+  limits.intervalMs = std::clamp(minLatencyObjectiveMs, kMinIntervalMs, kMaxIntervalMs);
+  limits.targetDelayMs = kTargetShareOfInterval * limits.intervalMs;
+  return limits;
 }
 
-void Pressure::level(Time now, Source source, double used, double total) {
-  const Marks& marks = source == Source::memory ? limits_.memory : limits_.descriptors;
-  Seen& seen = of(source);
-  if (source == Source::memory) held_ = used, total_ = total;
-  const double part = total > 0 ? used / total : 0;
-  if (part >= marks.high && !seen.over) seen.above = now;
-  seen.over = part >= marks.high;
-  seen.passed = part > marks.low && (seen.over || seen.passed);
-  look(now);
+void OverloadState::onUsage(Time now, OverloadSource source, double used, double total) {
+  const bool isMemory = source == OverloadSource::memory;
+  if (isMemory) {
+    usedBytes_ = used;
+    totalBytes_ = total;
+  }
+  const Watermarks& marks = isMemory ? limits_.memory : limits_.descriptors;
+  const double share = total > 0 ? used / total : 0;
+  Signal& usage = signal(source);
+  if (share >= marks.high && !usage.aboveHigh) usage.aboveHighSince = now;
+  usage.aboveHigh = share >= marks.high;
+  usage.active = share > marks.low && (usage.aboveHigh || usage.active);
+  onTime(now);
+}
+
+// One sample below the target shows that the queue was empty in between. Once there is an overload, only a
+// sample well below the target ends it.
+void OverloadState::onLoopDelay(Time now, Time delayMs) {
+  Signal& loop = signal(OverloadSource::eventLoop);
+  const bool overloaded = loop.level != OverloadLevel::none;
+  const Time limitMs = overloaded ? kEndShareOfTarget * limits_.targetDelayMs : limits_.targetDelayMs;
+  const bool late = delayMs >= limitMs;
+  if (late && !loop.aboveHigh) loop.aboveHighSince = now;
+  loop.aboveHigh = late;
+  loop.active = late;
+  const Time lateForMs = late ? std::max(now - loop.aboveHighSince, delayMs) : 0;
+  if (lateForMs >= 2 * limits_.intervalMs)
+    loop.level = OverloadLevel::shedding;
+  else if (lateForMs >= limits_.intervalMs)
+    loop.level = OverloadLevel::throttling;
+  else
+    loop.level = OverloadLevel::none;
+  updateOverall(now);
 }
 
-// One sample under the target, and the queue does not stand: it has been empty in between. Once it stands,
-// only one well under the target ends that.
-void Pressure::loopDelay(Time now, Time delay) {
-  Seen& seen = of(Source::loop);
-  const Time least = seen.stage == Stage::none ? limits_.target : kLowOfTarget * limits_.target;
-  if (delay >= least && !seen.over) seen.above = now;
-  seen.over = seen.passed = delay >= least;
-  const Time stood = seen.over ? std::max(now - seen.above, delay) : 0;  // a late sample was due long ago
-  seen.stage = stood >= 2 * limits_.interval ? Stage::shed
-               : stood >= limits_.interval   ? Stage::slow
-                                             : Stage::none;
-  conclude(now);
+// The event loop's level changes with samples only: time without one says nothing about it.
+void OverloadState::onTime(Time now) {
+  updateUsageLevel(now, signal(OverloadSource::memory));
+  updateUsageLevel(now, signal(OverloadSource::descriptors));
+  updateOverall(now);
 }
 
-// The loop's is judged by samples alone: time that passes without one says nothing of it.
-void Pressure::look(Time now) {
-  judge(now, of(Source::memory));
-  judge(now, of(Source::descriptors));
-  conclude(now);
+void OverloadState::updateUsageLevel(Time now, Signal& usage) const {
+  const bool standing = usage.aboveHigh && now - usage.aboveHighSince >= limits_.intervalMs;
+  if (!usage.active)
+    usage.level = OverloadLevel::none;
+  else if (standing)
+    usage.level = OverloadLevel::shedding;
+  else if (usage.level != OverloadLevel::shedding)  // shedding goes on down to the low mark
+    usage.level = OverloadLevel::throttling;
 }
 
-void Pressure::judge(Time now, Seen& seen) const {
-  if (!seen.passed)
-    seen.stage = Stage::none;
-  else if (seen.over && now - seen.above >= limits_.interval)
-    seen.stage = Stage::shed;
-  else if (seen.stage != Stage::shed)  // once shed, down to the low mark
-    seen.stage = Stage::slow;
+void OverloadState::updateOverall(Time now) {
+  updateLevel(now);
+  updateRejectShare(now);
 }
 
-void Pressure::conclude(Time now) {
-  Stage worst = Stage::none;
-  for (const Seen& seen : seen_) worst = std::max(worst, seen.stage);
-  if (worst != stage_) {
-    if (stage_ == Stage::none) began_ = now;
-    if (worst == Stage::none) {
-      const Time spell = now - began_;
-      usual_ = usual_ > 0 ? usual_ + kNewSpell * (spell - usual_) : spell;
-    }
-    stage_ = worst;
-    ++entered_[static_cast<std::size_t>(worst)];
+void OverloadState::updateLevel(Time now) {
+  OverloadLevel highest = OverloadLevel::none;
+  for (const Signal& one : signals_) highest = std::max(highest, one.level);
+  if (highest == level_) return;
+  if (level_ == OverloadLevel::none) overloadedSince_ = now;
+  if (highest == OverloadLevel::none) {
+    const Time durationMs = now - overloadedSince_;
+    usualDurationMs_ = usualDurationMs_ > 0
+                           ? usualDurationMs_ + kNewDurationWeight * (durationMs - usualDurationMs_)
+                           : durationMs;
   }
-  // The first step is taken at once, and the first one back an interval later.
-  const bool rises = of(Source::loop).stage == Stage::shed;
-  if (rises != rising_) stepAt_ = now - (rises ? limits_.interval : 0);
-  rising_ = rises;
-  const double steps = std::floor((now - stepAt_) / limits_.interval);
-  if (steps < 1 || (!rises && share_ <= 0)) return;
-  stepAt_ += steps * limits_.interval;
-  share_ = std::clamp(share_ + (rises ? 1 : -1) * kShareStep * steps, 0.0, kShareMost);
-  if (share_ < kShareStep / 2) share_ = 0;
+  level_ = highest;
+  ++enteredCounts_[static_cast<std::size_t>(highest)];
+}
+
+// The first step up is taken at once, the first step down an interval later.
+void OverloadState::updateRejectShare(Time now) {
+  const bool rises = signal(OverloadSource::eventLoop).level == OverloadLevel::shedding;
+  if (rises != shareRises_) lastShareStepAt_ = now - (rises ? limits_.intervalMs : 0);
+  shareRises_ = rises;
+  const double steps = std::floor((now - lastShareStepAt_) / limits_.intervalMs);
+  if (steps < 1 || (!rises && rejectShare_ <= 0)) return;
+  lastShareStepAt_ += steps * limits_.intervalMs;
+  const double change = (rises ? 1 : -1) * kRejectShareStep * steps;
+  rejectShare_ = std::clamp(rejectShare_ + change, 0.0, kMaxRejectShare);
+  if (rejectShare_ < kRejectShareStep / 2) rejectShare_ = 0;  // rounding
 }
 
-double Pressure::takeExcess(Time now) {
-  if (of(Source::memory).stage != Stage::shed || now - shedAt_ < limits_.interval) return 0;
-  shedAt_ = now;
-  return std::max(0.0, held_ - limits_.memory.low * total_);
+double OverloadState::takeExcessBytes(Time now) {
+  if (signal(OverloadSource::memory).level != OverloadLevel::shedding) return 0;
+  if (now - excessTakenAt_ < limits_.intervalMs) return 0;
+  excessTakenAt_ = now;
+  return std::max(0.0, usedBytes_ - limits_.memory.low * totalBytes_);
 }
 
-Time Pressure::lasts(Time now) const {
-  if (stage_ == Stage::none) return 0;
-  const Time age = now - began_;
-  return std::max({limits_.interval, usual_ - age, age});
+Time OverloadState::expectedDurationMs(Time now) const {
+  if (level_ == OverloadLevel::none) return 0;
+  const Time lastedMs = now - overloadedSince_;
+  return std::max({limits_.intervalMs, usualDurationMs_ - lastedMs, lastedMs});
 }
 
 }  // namespace wingslip
--- a/src/overload/overload_state.hpp
+++ b/src/overload/overload_state.hpp
@@ -1,5 +1,5 @@
-// How hard a gatekeeper is pressed: marks with hysteresis over memory and descriptors, and the loop's own
-// delay as CoDel sees a standing queue. No I/O; time is passed in, in ms of any steady clock.
+/// How overloaded the gatekeeper is: watermarks with hysteresis over memory and descriptors, and the event
+/// loop's delay judged as CoDel judges a queue. No I/O.
 #pragma once
 
 #include <array>
@@ -8,72 +8,83 @@
 
 namespace wingslip {
 
-enum class Stage : unsigned { none, slow, shed };
-enum class Source : unsigned { memory, descriptors, loop };
-constexpr std::size_t kSources = 3;
+/// `throttling`: request bodies are no longer read ahead. `shedding`: requests are rejected too.
+enum class OverloadLevel : unsigned { none, throttling, shedding };
+constexpr std::size_t kOverloadLevels = 3;
+enum class OverloadSource : unsigned { memory, descriptors, eventLoop };
+constexpr std::size_t kOverloadSources = 3;
 
-class Pressure {
+/// State machine fed with usage, loop delays and time. Used from the event loop's thread only.
+class OverloadState {
  public:
-  using Time = double;
-  struct Marks {
-    double high = 0.75, low = 0.55;  // of what there is
+  using Time = double;  ///< ms of any steady clock
+
+  /// Shares of what there is: overloaded from `high` on, until `low` is reached.
+  struct Watermarks {
+    double high = 0.75;
+    double low = 0.55;
   };
   struct Limits {
-    Marks memory;
-    Marks descriptors{0.9, 0.75};  // idle ones make room as they are needed: only the busy ones count
-    Time interval = 100;           // for which a mark is passed before anything is shed
-    Time target = 5;               // of the loop's delay
+    Watermarks memory;
+    Watermarks descriptors{0.9, 0.75};  ///< of busy connections; idle ones are closed when needed
+    Time intervalMs = 100;              ///< for which a mark must be exceeded before anything is shed
+    Time targetDelayMs = 5;             ///< of the event loop
   };
-  // The shortest aim of the settings, a second at most, is the interval: work that waits in the loop for as
-  // long as the quickest answer may take is a queue that stands. The target is the usual twentieth of it.
-  static Limits limitsFor(Time shortestAim);
+  /// @param minLatencyObjectiveMs the shortest of all classes: it becomes the interval, within bounds
+  static Limits limitsFor(Time minLatencyObjectiveMs);
 
-  explicit Pressure(const Limits& limits) : limits_(limits) {}
-  void retune(const Limits& limits) { limits_ = limits; }
+  explicit OverloadState(const Limits& limits) : limits_(limits) {}
+  void setLimits(const Limits& limits) { limits_ = limits; }
   const Limits& limits() const { return limits_; }
 
-  // What is seen. Each is cheap and may be told as often as one likes; `look` only lets time pass.
-  void level(Time now, Source source, double used, double total);
-  void loopDelay(Time now, Time delay);
-  void look(Time now);
+  /// @param source memory or descriptors
+  void onUsage(Time now, OverloadSource source, double used, double total);
+  void onLoopDelay(Time now, Time delayMs);
+  /// Time has passed.
+  void onTime(Time now);
 
-  Stage stage() const { return stage_; }
-  // Nothing is left that time alone would change.
-  bool calm() const { return stage_ == Stage::none && share_ == 0; }
-  Stage stage(Source source) const { return of(source).stage; }
-  // Of the bytes held, those that must be given back: over the low mark, and only while memory is shed. Once
-  // in an interval: what was shed needs a while to be given back, and reads are refused meanwhile, so nothing
-  // overflows.
-  double takeExcess(Time now);
-  // Of the new requests, the share that is one too many: it rises while the loop's queue is shed, and falls
-  // after. Memory and descriptors are given back by what holds them.
-  double share() const { return share_; }
-  // How much longer this may go on.
-  Time lasts(Time now) const;
-  // How often each stage was entered.
-  std::uint64_t entered(Stage stage) const { return entered_[static_cast<std::size_t>(stage)]; }
-  Time since() const { return began_; }
+  OverloadLevel level() const { return level_; }
+  OverloadLevel level(OverloadSource source) const { return signal(source).level; }
+  /// Nothing is left that time alone would change.
+  bool isNormal() const { return level_ == OverloadLevel::none && rejectShare_ == 0; }
+  /// Bytes above the low mark that must be freed now, if memory is shedding; at most once an interval,
+  /// because what was shed takes a while to be freed.
+  double takeExcessBytes(Time now);
+  /// Share of new requests to reject: it rises while the event loop is shedding, and falls afterwards.
+  double rejectShare() const { return rejectShare_; }
+  /// How much longer the overload is expected to last, in ms; 0: there is none.
+  Time expectedDurationMs(Time now) const;
+  /// How often the level was entered.
+  std::uint64_t enteredCount(OverloadLevel level) const {
+    return enteredCounts_[static_cast<std::size_t>(level)];
+  }
 
  private:
-  struct Seen {
-    Stage stage = Stage::none;
-    Time above = 0;       // since when the high mark has been passed without a break
-    bool over = false;    // it is passed now
-    bool passed = false;  // it was, and the low one has not been reached since
+  struct Signal {
+    OverloadLevel level = OverloadLevel::none;
+    Time aboveHighSince = 0;
+    bool aboveHigh = false;
+    bool active = false;  // the high mark was reached, and the low one not since
   };
-  Seen& of(Source source) { return seen_[static_cast<std::size_t>(source)]; }
-  const Seen& of(Source source) const { return seen_[static_cast<std::size_t>(source)]; }
-  void judge(Time now, Seen& seen) const;
-  void conclude(Time now);
+  Signal& signal(OverloadSource source) { return signals_[static_cast<std::size_t>(source)]; }
+  const Signal& signal(OverloadSource source) const { return signals_[static_cast<std::size_t>(source)]; }
+  void updateUsageLevel(Time now, Signal& signal) const;
+  void updateOverall(Time now);
+  void updateLevel(Time now);
+  void updateRejectShare(Time now);
 
   Limits limits_;
-  std::array<Seen, kSources> seen_{};
-  Stage stage_ = Stage::none;
-  std::array<std::uint64_t, 3> entered_{};
-  double held_ = 0, total_ = 0;
-  double share_ = 0;
-  bool rising_ = false;
-  Time stepAt_ = 0, began_ = 0, usual_ = 0, shedAt_ = 0;
+  std::array<Signal, kOverloadSources> signals_{};
+  OverloadLevel level_ = OverloadLevel::none;
+  std::array<std::uint64_t, kOverloadLevels> enteredCounts_{};
+  double usedBytes_ = 0;
+  double totalBytes_ = 0;
+  double rejectShare_ = 0;
+  bool shareRises_ = false;
+  Time lastShareStepAt_ = 0;
+  Time overloadedSince_ = 0;
+  Time usualDurationMs_ = 0;  // of earlier overloads; 0: there was none
+  Time excessTakenAt_ = 0;
 };
 
 }  // namespace wingslip
--- a/src/overload/wait_queues.cpp
+++ b/src/overload/wait_queues.cpp
@@ -2,70 +2,71 @@
 
 #include <algorithm>
 #include <cstdio>
+#include <utility>
 
 namespace wingslip {
 
-void WaitQueues::Waiting::enter(WaitQueues& places, WaitAt place, Time now) {
+void WaitQueues::QueueEntry::enter(WaitQueues& queues, WaitQueue queue, Time now) {
   leave();
-  places_ = &places;
-  place_ = place;
+  queues_ = &queues;
+  queue_ = queue;
   since_ = now;
-  Record& record = places.of(place);
-  record.queue.push_back(*this);
-  record.most = std::max(record.most, ++record.count);
-  record.entered = true;
+  Record& record = queues.record(queue);
+  record.entries.push_back(*this);
+  ++record.waiting;
+  record.peak = std::max(record.peak, record.waiting);
+  record.everEntered = true;
 }
 
-void WaitQueues::Waiting::leave() {
-  if (!places_) return;
+void WaitQueues::QueueEntry::leave() {
+  if (!queues_) return;
   unlink();
-  --places_->of(place_).count;
-  places_ = nullptr;
+  --queues_->record(queue_).waiting;
+  queues_ = nullptr;
 }
 
-void WaitQueues::read(WaitAt place, std::function<Figures(Time)> reader) {
-  of(place).reader = std::move(reader);
-}
+void WaitQueues::setReader(WaitQueue queue, Reader reader) { record(queue).reader = std::move(reader); }
 
-WaitQueues::Figures WaitQueues::figures(WaitAt place, Time now) const {
-  const Record& record = of(place);
-  Figures out;
-  if (record.reader) out = record.reader(now);
-  out.waiting += record.count;
-  out.most = std::max(out.most, record.most);
-  out.turnedAway += record.turnedAway;
-  if (!record.queue.empty()) out.oldest = std::max(out.oldest, now - record.queue.front().since());
-  return out;
+WaitQueues::Figures WaitQueues::figures(WaitQueue queue, Time now) const {
+  const Record& counted = record(queue);
+  Figures figures;
+  if (counted.reader) figures = counted.reader(now);
+  figures.waiting += counted.waiting;
+  figures.peak = std::max(figures.peak, counted.peak);
+  figures.rejections += counted.rejections;
+  if (!counted.entries.empty())
+    figures.oldestMs = std::max(figures.oldestMs, now - counted.entries.front().since());
+  return figures;
 }
 
 std::string WaitQueues::telemetry(Time now) const {
   std::string out;
-  for (std::size_t i = 0; i < kPlaces; ++i) {
-    const Figures figures = this->figures(static_cast<WaitAt>(i), now);
+  for (std::size_t i = 0; i < kWaitQueues; ++i) {
+    const Figures current = figures(static_cast<WaitQueue>(i), now);
+    const char* name = kWaitQueueNames[i].data();
     char lines[320];
-    const int n =
+    const int length =
         std::snprintf(lines, sizeof lines,
                       "svc.wait.%s.now:%zu|g\nsvc.wait.%s.most:%zu|g\nsvc.wait.%s.oldest_ms:%.0f|g\n"
                       "svc.wait.%s.turned_away:%llu|c\n",
-                      kPlaceNames[i].data(), figures.waiting, kPlaceNames[i].data(), figures.most,
-                      kPlaceNames[i].data(), std::max(0.0, figures.oldest), kPlaceNames[i].data(),
-                      static_cast<unsigned long long>(figures.turnedAway));
-    out.append(lines, static_cast<std::size_t>(std::clamp<int>(n, 0, sizeof lines - 1)));
+                      name, current.waiting, name, current.peak, name, std::max(0.0, current.oldestMs), name,
+                      static_cast<unsigned long long>(current.rejections));
+    out.append(lines, static_cast<std::size_t>(std::clamp<int>(length, 0, sizeof lines - 1)));
   }
   return out;
 }
 
 std::string WaitQueues::logLine(Time now) const {
   std::string out;
-  for (std::size_t i = 0; i < kPlaces; ++i) {
-    const Figures figures = this->figures(static_cast<WaitAt>(i), now);
-    if (figures.waiting == 0 && figures.turnedAway == 0) continue;
+  for (std::size_t i = 0; i < kWaitQueues; ++i) {
+    const Figures current = figures(static_cast<WaitQueue>(i), now);
+    if (current.waiting == 0 && current.rejections == 0) continue;
     char part[96];
-    const int n =
+    const int length =
         std::snprintf(part, sizeof part, "%swait.%s=%zu/%zu/%.0f/%llu", out.empty() ? "" : " ",
-                      kPlaceNames[i].data(), figures.waiting, figures.most, std::max(0.0, figures.oldest),
-                      static_cast<unsigned long long>(figures.turnedAway));
-    out.append(part, static_cast<std::size_t>(std::clamp<int>(n, 0, sizeof part - 1)));
+                      kWaitQueueNames[i].data(), current.waiting, current.peak,
+                      std::max(0.0, current.oldestMs), static_cast<unsigned long long>(current.rejections));
+    out.append(part, static_cast<std::size_t>(std::clamp<int>(length, 0, sizeof part - 1)));
   }
   return out;
 }
--- a/src/overload/wait_queues.hpp
+++ b/src/overload/wait_queues.hpp
@@ -1,5 +1,5 @@
-// The places in which work waits: who waits where, since when, and who was turned away. What waits holds a
-// Waiting, which leaves its place by itself. No I/O and no clock.
+/// The queues in which work waits: how many wait, for how long, and how many were rejected. No I/O and no
+/// clock.
 #pragma once
 
 #include <array>
@@ -12,83 +12,88 @@
 
 namespace wingslip {
 
-enum class WaitAt : unsigned {
-  acceptQueue,
-  noRoom,
-  halfRead,
-  pausedRead,
-  held,
-  connecting,
-  attemptOut,
-  bodyWindow,
-  answerWindow,
-  answerWrite,
-  opsCaller,
-  discoveryLine,
-  loop,
+enum class WaitQueue : unsigned {
+  acceptBacklog,       ///< connections in the kernel that are not accepted yet
+  freeConnection,      ///< accepted, and all connections are busy
+  incompleteRequest,   ///< a request, or the next piece of its body, that is still arriving
+  pausedRead,          ///< a read for which there is no memory
+  inFlight,            ///< a request in the decision module
+  connecting,          ///< an attempt whose connection is being established
+  awaitingResponse,    ///< an attempt that is sent
+  requestBodyWindow,   ///< a piece of a streamed body, until its worker has taken it
+  responseBodyWindow,  ///< a piece of a streamed response, until its client has taken it
+  responseWrite,       ///< a response that is being written to its client
+  operatorCall,
+  discoveryMessage,  ///< a message of service discovery that is not complete
+  eventLoop,         ///< handlers that are ready to run
 };
-constexpr std::size_t kPlaces = static_cast<std::size_t>(WaitAt::loop) + 1;
-// As figures, the log and the map of docs/design.md name them.
-constexpr std::array<std::string_view, kPlaces> kPlaceNames{
+constexpr std::size_t kWaitQueues = static_cast<std::size_t>(WaitQueue::eventLoop) + 1;
+/// As the `svc.wait` figures, the log and docs/design.md name them, in the order of `WaitQueue`.
+constexpr std::array<std::string_view, kWaitQueues> kWaitQueueNames{
     "accept_queue", "no_room",        "half_read",   "paused_read",   "held",
     "connecting",   "attempt_out",    "body_window", "answer_window", "answer_write",
     "ops_caller",   "discovery_line", "loop"};
-static_assert(!kPlaceNames.back().empty(), "every place has a name");
+static_assert(!kWaitQueueNames.back().empty(), "every queue has a name");
 
+/// Statistics only: nothing is scheduled here. Used from the event loop's thread only.
 class WaitQueues {
  public:
-  using Time = double;  // ms of any steady clock
+  using Time = double;  ///< ms of any steady clock
 
   struct Figures {
-    std::size_t waiting = 0, most = 0;
-    Time oldest = 0;  // how long the first of them has waited
-    std::uint64_t turnedAway = 0;
+    std::size_t waiting = 0;
+    std::size_t peak = 0;  ///< most that have waited at once
+    Time oldestMs = 0;     ///< how long the first of them has waited
+    std::uint64_t rejections = 0;
   };
 
-  // One that waits. It is in one place at a time, or in none.
-  class Waiting
+  /// Membership of one owner in at most one queue; it ends with the owner. Must not outlive the queues.
+  class QueueEntry
       : public boost::intrusive::list_base_hook<boost::intrusive::link_mode<boost::intrusive::auto_unlink>> {
    public:
-    Waiting() = default;
-    Waiting(const Waiting&) = delete;
-    Waiting& operator=(const Waiting&) = delete;
-    ~Waiting() { leave(); }
-    void enter(WaitQueues& places, WaitAt place, Time now);
+    QueueEntry() = default;
+    QueueEntry(const QueueEntry&) = delete;
+    QueueEntry& operator=(const QueueEntry&) = delete;
+    ~QueueEntry() { leave(); }
+    /// Leaves the present queue, if any.
+    void enter(WaitQueues& queues, WaitQueue queue, Time now);
     void leave();
     Time since() const { return since_; }
-    bool in(WaitAt place) const { return places_ && place_ == place; }
+    bool isIn(WaitQueue queue) const { return queues_ && queue_ == queue; }
 
    private:
-    WaitQueues* places_ = nullptr;
-    WaitAt place_ = WaitAt::held;
+    WaitQueues* queues_ = nullptr;
+    WaitQueue queue_ = WaitQueue::inFlight;
     Time since_ = 0;
   };
 
-  // A place that others keep count of (the kernel, the loop) says how it stands when asked.
-  void read(WaitAt place, std::function<Figures(Time now)> reader);
-  void turnAway(WaitAt place, std::uint64_t n = 1) { of(place).turnedAway += n; }
+  using Reader = std::function<Figures(Time now)>;
+  /// For a queue that somebody else counts (the kernel, the event loop); null: nobody does any more.
+  void setReader(WaitQueue queue, Reader reader);
+  void countRejection(WaitQueue queue, std::uint64_t count = 1) { record(queue).rejections += count; }
 
-  Figures figures(WaitAt place, Time now) const;
-  std::size_t waiting(WaitAt place) const { return of(place).count; }
-  // Whether anything ever entered, or somebody reads it.
-  bool reports(WaitAt place) const { return of(place).entered || of(place).reader; }
+  Figures figures(WaitQueue queue, Time now) const;
+  std::size_t waiting(WaitQueue queue) const { return record(queue).waiting; }
+  /// Whether an entry was ever in it, or it has a reader.
+  bool isReported(WaitQueue queue) const { return record(queue).everEntered || record(queue).reader; }
 
-  std::string telemetry(Time now) const;  // svc. lines
-  std::string logLine(Time now) const;    // one line, only places with somebody in them or turned away since
+  std::string telemetry(Time now) const;  ///< `svc.wait` lines
+  std::string logLine(Time now) const;    ///< one line, of queues that have entries or rejections
 
  private:
-  using Queue = boost::intrusive::list<Waiting, boost::intrusive::constant_time_size<false>>;
+  using Entries = boost::intrusive::list<QueueEntry, boost::intrusive::constant_time_size<false>>;
   struct Record {
-    Queue queue;  // in the order of entry, so that the first is the oldest
-    std::size_t count = 0, most = 0;
-    std::uint64_t turnedAway = 0;
-    bool entered = false;
-    std::function<Figures(Time)> reader;
+    Entries entries;  // in order of entry
+    std::size_t waiting = 0;
+    std::size_t peak = 0;
+    std::uint64_t rejections = 0;
+    bool everEntered = false;
+    Reader reader;
   };
-  Record& of(WaitAt place) { return records_[static_cast<std::size_t>(place)]; }
-  const Record& of(WaitAt place) const { return records_[static_cast<std::size_t>(place)]; }
+  Record& record(WaitQueue queue) { return records_[static_cast<std::size_t>(queue)]; }
+  const Record& record(WaitQueue queue) const { return records_[static_cast<std::size_t>(queue)]; }
 
-  std::array<Record, kPlaces> records_;
+  std::array<Record, kWaitQueues> records_;
 };
 
 }  // namespace wingslip
--- a/src/replication/replica_node.cpp
+++ b/src/replication/replica_node.cpp
@@ -44,7 +44,7 @@
  public:
   Session(ReplicaNode& node, tcp::socket socket)
       : node_(node),
-        room_(node.pressure_.ledger().open(Account::discovery)),
+        room_(node.pressure_.memory().open(Account::discovery)),
         socket_(std::move(socket)),
         timer_(node.io_, kSessionWithin) {
     parser_.body_limit(Message::kMostBytes);
--- a/tests/crowd_test.cpp
+++ b/tests/accept_cost_test.cpp
@@ -1,5 +1,5 @@
-// Idle clients in greater number than there are places for connections: what an accept costs, and whether the
-// loop's other work gets its turn. Counts system calls and accepts, never time.
+// More idle clients than connections: what an accept costs, and whether the loop's other work is done
+// meanwhile. Counts system calls and accepts, never time.
 #include <poll.h>
 #include <sys/ioctl.h>
 #include <sys/resource.h>
@@ -71,19 +71,19 @@
   ASSERT_EQ(setrlimit(RLIMIT_NOFILE, &limit), 0);
 }
 
-class Crowd : public Loopback {
+class AcceptCost : public Loopback {
  protected:
-  // A server with room for `places` connections, of which idle clients hold all.
-  void open(std::size_t places) {
-    allowDescriptors(2 * places + 256);
+  // A server with room for `connections` connections, of which idle clients hold all.
+  void open(std::size_t connections) {
+    allowDescriptors(2 * connections + 256);
     ClientServer::Limits limits;
-    limits.connections = places + std::min<std::size_t>(8, (places + 8) / 16);
+    limits.connections = connections + std::min<std::size_t>(8, (connections + 8) / 16);
     limits.firstWithin = limits.idleFor = 10min;
-    ASSERT_EQ(limits.connections - limits.overflowPlaces(), places);
+    ASSERT_EQ(limits.connections - limits.overflowPlaces(), connections);
     config = parseConfig(configJson("127.0.0.1:1").dump());
     server.emplace(io, config, limits, handler, pressure);
     server->start();
-    while (clients.size() < places) {
+    while (clients.size() < connections) {
       clients.push_back(connect());
       until([&] { return server->connections() == clients.size(); }, "a connection");
     }
@@ -96,7 +96,7 @@
   }
   std::size_t accepted() { return total += server->takeStats().accepted; }
 
-  OverloadManager pressure{io, sharesOf({512 * kMebibyte}), Pressure::Limits{}};
+  OverloadManager pressure{io, sharesOf({512 * kMebibyte}), OverloadState::Limits{}};
   Config config;
   SilentHandler handler;
   std::optional<ClientServer> server;
@@ -104,11 +104,11 @@
   std::size_t total = 0;
 };
 
-class CrowdOf : public Crowd, public ::testing::WithParamInterface<std::size_t> {};
+class AcceptCostOf : public AcceptCost, public ::testing::WithParamInterface<std::size_t> {};
 
 // Three: the state of TCP as the new connection starts, and whether bytes wait on the one to be closed; one
 // is left for a retry.
-TEST_P(CrowdOf, WhatAnAcceptAsksOfTheKernelDoesNotGrowWithTheConnectionsHeld) {
+TEST_P(AcceptCostOf, SystemCallsOfAnAcceptDoNotGrowWithTheConnections) {
   constexpr std::size_t kAccepts = 32;
   constexpr std::size_t kMostQueries = 3;
   open(GetParam());
@@ -122,9 +122,9 @@
   EXPECT_LE(socketQueries - queriesBefore, kAccepts * kMostQueries);
 }
 
-INSTANTIATE_TEST_SUITE_P(Sizes, CrowdOf, ::testing::Values(64, 512, 4096));
+INSTANTIATE_TEST_SUITE_P(Sizes, AcceptCostOf, ::testing::Values(64, 512, 4096));
 
-TEST_F(Crowd, TheConnectionIdleLongestIsClosedFirst) {
+TEST_F(AcceptCost, TheConnectionIdleLongestIsClosedFirst) {
   open(4);
   const auto first = std::make_shared<Peer>(std::move(clients[0]));
   const auto second = std::make_shared<Peer>(std::move(clients[1]));
@@ -139,15 +139,15 @@
 }
 
 // It is found when room is needed, with its bytes unread; after that its request is heard and answered.
-TEST_F(Crowd, AConnectionWhoseRequestIsOnItsWayIsNotClosedForAnother) {
+TEST_F(AcceptCost, AConnectionWithUnreadBytesIsNotClosedForAnother) {
   open(2);
   const auto asking = std::make_shared<Peer>(std::move(clients[0]));
-  const auto resting = std::make_shared<Peer>(std::move(clients[1]));
+  const auto idle = std::make_shared<Peer>(std::move(clients[1]));
   asking->send(Ask().text());
   clients.push_back(connect());
   asking->read();
-  resting->read();
-  until([&] { return resting->ended; }, "room from the one that rests");
+  idle->read();
+  until([&] { return idle->ended; }, "the idle one is closed");
   until([&] { return handler.responders.size() == 1; }, "the request");
   handler.responders[0]->answer({});
   until([&] { return asking->has("HTTP/1.1 200"); }, "its answer");
@@ -155,7 +155,7 @@
 }
 
 // An empty line is no request: whoever sends only these may be closed like any idle client.
-TEST_F(Crowd, BlankLinesDoNotHoldAPlace) {
+TEST_F(AcceptCost, BlankLinesDoNotKeepAConnection) {
   open(2);
   const auto first = std::make_shared<Peer>(std::move(clients[0]));
   const auto second = std::make_shared<Peer>(std::move(clients[1]));
@@ -170,7 +170,7 @@
 }
 
 // The list of workers comes while many clients wait to be accepted.
-TEST_F(Crowd, AWatchIsReadWithinAFewAcceptsOfItsLine) {
+TEST_F(AcceptCost, AnotherSocketIsReadWithinAFewAccepts) {
   constexpr std::size_t kWaiting = 300;
   constexpr std::size_t kMostAccepts = 4;
   open(32);
@@ -192,37 +192,37 @@
 }
 
 // No request comes: connections alone have to show how late the loop is.
-TEST_F(Crowd, ALateLoopIsSeenWhileOnlyConnectionsCome) {
+TEST_F(AcceptCost, ALateLoopIsNoticedWhileOnlyConnectionsArrive) {
   open(4);
-  bool raised = false;
-  std::function<void()> keepBusy = [&] {
+  bool overloaded = false;
+  std::function<void()> keepLoopBusy = [&] {
     for (const auto end = Steady::now() + 40ms; Steady::now() < end;) {
     }
-    raised = pressure.pressure().stage(Source::loop) != Stage::none;
-    if (!raised) asio::post(io, keepBusy);
+    overloaded = pressure.state().level(OverloadSource::eventLoop) != OverloadLevel::none;
+    if (!overloaded) asio::post(io, keepLoopBusy);
   };
-  asio::post(io, keepBusy);
+  asio::post(io, keepLoopBusy);
   until(
       [&] {
-        if (!raised) clients.push_back(connect());
-        return raised;
+        if (!overloaded) clients.push_back(connect());
+        return overloaded;
       },
       "a stage of pressure");
 }
 
 // Its handler would be the first of the turn, so that only a timer tells what the turn takes.
-TEST_F(Crowd, TheLoopsLagCoversItsWholeTurn) {
+TEST_F(AcceptCost, TheLoopLagCoversAWholeTurn) {
   bool ran = false;
   asio::post(io, [&] {
-    pressure.activity();
+    pressure.noteActivity();
     ran = true;
   });
   asio::post(io, [] {
     for (const auto until = Steady::now() + 300ms; Steady::now() < until;) {
     }
   });
-  until([&] { return ran && pressure.places().figures(WaitAt::loop, 0).most >= 250; }, "the lag");
-  EXPECT_EQ(pressure.pressure().stage(Source::loop), Stage::shed);
+  until([&] { return ran && pressure.waitQueues().figures(WaitQueue::eventLoop, 0).peak >= 250; }, "the lag");
+  EXPECT_EQ(pressure.state().level(OverloadSource::eventLoop), OverloadLevel::shedding);
 }
 
 }  // namespace
--- a/tests/duty_test.cpp
+++ b/tests/duty_test.cpp
@@ -532,7 +532,7 @@
   EXPECT_EQ(errors[3], "too long an answer");
   EXPECT_EQ(errors[4], "broken");
   EXPECT_EQ(errors[5], "ok");
-  EXPECT_EQ(pressure.ledger().held(Account::discovery), 0u);
+  EXPECT_EQ(pressure.memory().used(Account::discovery), 0u);
 }
 
 TEST(DutyBadInput, AFileThatNamesTheStoreWronglyIsTurnedDownWhole) {
--- a/tests/endpoint_list_test.cpp
+++ b/tests/endpoint_list_test.cpp
@@ -115,5 +115,21 @@
   EXPECT_LT(factor, growth::kMost);
 }
 
+TEST(EndpointList, MergedListsHaveTheLatestOfEachWorker) {
+  EndpointList sum = list(2, false, {entry("a", "Ready"), entry("b", "Ready")});
+  const auto merge = [&](EndpointList later) { sum = mergeEndpointLists(std::move(sum), std::move(later)); };
+  merge(list(3, false, {entry("a", "Terminating"), entry("c", "Ready")}));
+  ASSERT_EQ(sum.entries.size(), 3u);
+  EXPECT_EQ(sum.generation, 3);
+  EXPECT_EQ(sum.entries[0].phase, decision::WorkerPhase::draining);
+  EXPECT_EQ(sum.entries[2].id, "c");
+  merge(list(4, true, {entry("d", "Ready")}));
+  EXPECT_TRUE(sum.isSnapshot);
+  ASSERT_EQ(sum.entries.size(), 1u);
+  merge(list(5, false, {entry("d", "Gone")}));
+  EXPECT_TRUE(sum.isSnapshot);  // still a snapshot
+  EXPECT_EQ(sum.entries[0].phase, decision::WorkerPhase::removed);
+}
+
 }  // namespace
 }  // namespace wingslip
--- a/tests/node_test.cpp
+++ b/tests/node_test.cpp
@@ -44,7 +44,7 @@
   }
   Config config;
   Silent handler;
-  OverloadManager pressure{io, sharesOf({std::size_t{64} << 20}), Pressure::Limits{}};
+  OverloadManager pressure{io, sharesOf({std::size_t{64} << 20}), OverloadState::Limits{}};
   std::optional<ClientServer> server;
 };
 
@@ -156,7 +156,7 @@
   // comes again.
   std::chrono::milliseconds firstAgain(unsigned gatekeepers) {
     Listener agent(io);
-    OverloadManager pressure(io, sharesOf({std::size_t{64} << 20}), Pressure::Limits{});
+    OverloadManager pressure(io, sharesOf({std::size_t{64} << 20}), OverloadState::Limits{});
     std::vector<std::unique_ptr<DiscoveryClient>> all;
     for (unsigned i = 0; i < 10; ++i) {
       all.push_back(std::make_unique<DiscoveryClient>(
--- a/tests/ops_test.cpp
+++ b/tests/ops_test.cpp
@@ -30,7 +30,7 @@
 };
 
 TEST_F(Loopback, OperatorsAreToldOfAllMembersOfALargeFleetWhereThereIsMemory) {
-  OverloadManager pressure{io, sharesOf({std::size_t{32} << 20}), Pressure::Limits{}};
+  OverloadManager pressure{io, sharesOf({std::size_t{32} << 20}), OverloadState::Limits{}};
   ManyLines fleet;
   OpsServer server(io, OpsServer::Limits{}, fleet, pressure);
   server.start({asio::ip::address_v4::loopback(), 0});
@@ -43,7 +43,7 @@
   const std::string whole = members();
   EXPECT_EQ(std::count(whole.begin(), whole.end(), '\n'), 1026);
   EXPECT_EQ(whole.substr(whole.size() - 4), "EOF\n");
-  auto hog = pressure.ledger().open(Account::operators);
+  auto hog = pressure.memory().open(Account::operators);
   std::size_t taken = 0;
   while (hog.resize(taken + 64 * 1024)) taken += 64 * 1024;
   EXPECT_EQ(members(), "400 no memory for the answer now\n");
--- a/tests/races_test.cpp
+++ b/tests/races_test.cpp
@@ -155,7 +155,7 @@
 
   Config config = parseConfig(configJson("127.0.0.1:1").dump());
   Kept handler;
-  OverloadManager pressure{io, sharesOf({std::size_t{64} << 20}), Pressure::Limits{}};
+  OverloadManager pressure{io, sharesOf({std::size_t{64} << 20}), OverloadState::Limits{}};
   ClientServer server{io, config, {}, handler, pressure};
 };
 
@@ -189,7 +189,7 @@
   answer.body = std::string(300000, 'z');
   handler.responders[0]->answer(std::move(answer));
   server.stopAccepting();
-  const auto idle = [&] { return pressure.places().waiting(WaitAt::answerWrite) == 0; };
+  const auto idle = [&] { return pressure.waitQueues().waiting(WaitQueue::responseWrite) == 0; };
   until(idle, "the answer is the system's");
   server.finishUp();
   client->send(Ask().text());
--- a/tests/worker_pool_fixture.hpp
+++ b/tests/worker_pool_fixture.hpp
@@ -56,7 +56,7 @@
   }
 
   Listener worker{io};
-  OverloadManager pressure{io, sharesOf({std::size_t{64} << 20}), Pressure::Limits{}};
+  OverloadManager pressure{io, sharesOf({std::size_t{64} << 20}), OverloadState::Limits{}};
   std::vector<AttemptEnd> ends;
   std::function<void()> onEnd;  // called once, with the next attempt that ends
   std::optional<UpstreamPool> pool;
