--- a/src/gatekeeper/gatekeeper.cpp
+++ b/src/gatekeeper/gatekeeper.cpp
@@ -64,7 +64,7 @@
                   [this](double excess) { pressed(excess); });
   if (config_.ops) ops_.emplace(io, OpsServer::Limits{}, static_cast<Operated&>(*this), pressure_);
   for (const std::string& name : config_.host.classes) metrics_.classes.try_emplace(name);
-  monitor_.rules(workerRules(config_.settings));
+  monitor_.setRules(workerRules(config_.settings));
   applyExclusions({});
   takeHandover();
   EndpointList known;
@@ -153,7 +153,7 @@
   gateway_.onSettings(clock_.now(), settings);
   early_ = std::move(early);
   config_.settings = std::move(settings);
-  monitor_.rules(workerRules(config_.settings));
+  monitor_.setRules(workerRules(config_.settings));
   config_.host = std::move(host);
   config_.keys = config.keys;
   config_.discovery = config.discovery;
@@ -224,10 +224,10 @@
   processLog().info("event=drained held={} client_connections={} invariants_broken={}", held_.size(),
                     server_.connections(), monitor_.total());
   for (auto& [id, held] : held_)
-    if (!held.answering) monitor_.forgotten(held.trace, now);
+    if (!held.answering) monitor_.requestReleased(held.trace, now);
   if (server_.connections() == 0)
-    monitor_.accounts(held_.size(), std::to_string(held_.size()) + " requests held without a connection",
-                      now);
+    monitor_.checkNothingHeld(held_.size(),
+                              std::to_string(held_.size()) + " requests held without a connection", now);
   done();
 }
 
@@ -249,7 +249,7 @@
 // Told to drain, or gone: nothing new to it.
 void Gatekeeper::leave(WorkerId worker, decision::WorkerPhase phase, Time now) {
   listed_.erase(worker);
-  monitor_.workerLeaves(worker, phase, now);
+  monitor_.workerRetired(worker, phase, now);
   pool_.retire(worker);
 }
 
--- a/src/gatekeeper/gatekeeper_requests.cpp
+++ b/src/gatekeeper/gatekeeper_requests.cpp
@@ -29,7 +29,7 @@
   if (status == http::status::ok) return invariant::RequestState::answered;
   const bool refused =
       status == http::status::too_many_requests || status == http::status::service_unavailable;
-  return refused ? invariant::RequestState::refused : invariant::RequestState::failed;
+  return refused ? invariant::RequestState::rejected : invariant::RequestState::failed;
 }
 
 }  // namespace
@@ -46,12 +46,12 @@
   held.patience = std::max(0.0, call.patience - kWayBack);
   held.streamed = !call.whole;
   const decision::ClassSettings& klass = config_.settings.classes[call.klass];
-  held.trace.name = std::string(view(held.message["Req-Id"]));
-  held.trace.repeat = klass.idempotency;
-  held.trace.window = klass.idempotencyWindowMs;
-  held.trace.cap = config_.settings.maxAttempts;
+  held.trace.requestId = std::string(view(held.message["Req-Id"]));
+  held.trace.idempotency = klass.idempotency;
+  held.trace.idempotencyWindowMs = klass.idempotencyWindowMs;
+  held.trace.maxAttempts = config_.settings.maxAttempts;
   held.trace.deadline = now + call.patience + (held.streamed ? kMostUpload : 0);
-  monitor_.taken(held.trace, now);
+  monitor_.requestReceived(held.trace, now);
   held.length = call.length;
   // The time of one whose last byte is still to come has not begun; the clients' side bounds the wait for it.
   held.expires = now + held.patience + (held.streamed ? kMostUpload : 0);
@@ -74,7 +74,8 @@
 }
 
 void Gatekeeper::closedUnanswered(CloseReason reason) {
-  monitor_.closedUnanswered(std::string(kCloseReasonNames[static_cast<std::size_t>(reason)]), clock_.now());
+  monitor_.connectionClosedUnanswered(std::string(kCloseReasonNames[static_cast<std::size_t>(reason)]),
+                                      clock_.now());
 }
 
 void Gatekeeper::setDeadline(RequestId id, Held& held) {
@@ -109,7 +110,7 @@
   const auto found = held_.find(id);
   if (found == held_.end()) return;
   ++found->second.counts->failure;
-  monitor_.clientLeft(found->second.trace, clock_.now());
+  monitor_.clientClosed(found->second.trace, clock_.now());
   held_.erase(found);
   gateway_.onClientDisconnect(clock_.now(), id);
   if (auto end = pool_.giveUp(id, AttemptResult::cancelled)) ended(std::move(*end));
@@ -151,7 +152,7 @@
   const auto found = held_.find(outcome.id);
   if (found == held_.end()) return;
   found->second.lastResult = outcome.result;
-  monitor_.ended(found->second.trace, outcome.worker, outcome.result, clock_.now());
+  monitor_.attemptEnded(found->second.trace, outcome.worker, outcome.result, clock_.now());
 }
 
 void Gatekeeper::ended(AttemptEnd&& end) {
@@ -179,7 +180,7 @@
   if (found == held_.end()) return;
   found->second.answering = true;
   found->second.deadline.cancel();
-  monitor_.streaming(found->second.trace, clock_.now());
+  monitor_.responseStreaming(found->second.trace, clock_.now());
   gateway_.onResponseStarted(clock_.now(), id);
   found->second.responder->begin({contentType, length});
 }
@@ -198,8 +199,8 @@
   const bool whole = end.outcome.result == AttemptResult::ok;
   ++(whole ? served_ : failed_);
   ++(whole ? found->second.counts->success : found->second.counts->failure);
-  const auto responder =
-      conclude(end.outcome.id, whole ? invariant::RequestState::answered : invariant::RequestState::cut);
+  const auto responder = conclude(
+      end.outcome.id, whole ? invariant::RequestState::answered : invariant::RequestState::truncated);
   if (whole) {
     responder->keep(std::move(end.room));
     responder->pass(std::move(end.body), true, nullptr);
@@ -224,7 +225,7 @@
   const bool early = timeout > 0 && timeout < left;
   if (held.attempts > 0) metrics_.retries.add(held.lastResult);
   held.attemptUntil = early ? now + timeout : held.expires;
-  monitor_.connecting(held.trace, worker, now);
+  monitor_.attemptConnecting(held.trace, worker, now);
   pool_.start(id, held.attempts++, worker, attemptRequest(id, held, worker),
               early ? std::optional(span(timeout)) : std::nullopt);
 }
@@ -249,7 +250,7 @@
   Held& held = held_.at(id);
   const Time left = held.streamed ? held.patience : std::min(held.attemptUntil, held.expires) - now;
   const Time passedOn = std::max(1.0, std::floor(left));
-  monitor_.sending(held.trace, worker, now, passedOn);
+  monitor_.attemptSending(held.trace, worker, now, passedOn);
   return attemptBytes(held, passedOn);
 }
 
@@ -284,7 +285,7 @@
   if (const auto found = held_.find(id); found != held_.end()) {
     ++found->second.counts->failure;
     // Its client has the beginning.
-    if (found->second.answering) return conclude(id, invariant::RequestState::cut)->cut();
+    if (found->second.answering) return conclude(id, invariant::RequestState::truncated)->cut();
   }
   answer(id, std::move(failure));
 }
@@ -303,7 +304,7 @@
 std::shared_ptr<Responder> Gatekeeper::conclude(RequestId id, invariant::RequestState how) {
   const auto found = held_.find(id);
   if (found == held_.end()) return nullptr;
-  monitor_.answered(found->second.trace, how, clock_.now());
+  monitor_.requestAnswered(found->second.trace, how, clock_.now());
   auto responder = std::move(found->second.responder);
   held_.erase(found);
   return responder;
--- a/src/invariant/monitor.cpp
+++ b/src/invariant/monitor.cpp
@@ -13,107 +13,73 @@
 using decision::WorkerId;
 using decision::WorkerPhase;
 
-constexpr std::array<std::string_view, 17> kStateNames{"taken",
-                                                       "connecting",
-                                                       "sent",
-                                                       "ended_ok",
-                                                       "ended_error",
-                                                       "ended_declined",
-                                                       "ended_timeout",
-                                                       "ended_unconnected",
-                                                       "ended_reset",
-                                                       "ended_cancelled",
-                                                       "ended_never_sent",
-                                                       "streaming",
-                                                       "answered",
-                                                       "refused",
-                                                       "failed",
-                                                       "cut",
-                                                       "client_left"};
+// Standard deviations of the number of calls that are tolerated, and the same in calls.
+constexpr double kTolerance = 2;
+constexpr double kToleranceOfFewCalls = 3;
+constexpr double kFewCalls = 30;
 
 RequestState stateOf(AttemptResult result) {
   switch (result) {
     case AttemptResult::ok:
-      return RequestState::ended_ok;
+      return RequestState::endedOk;
     case AttemptResult::error:
-      return RequestState::ended_error;
+      return RequestState::endedError;
     case AttemptResult::overloaded:
-      return RequestState::ended_declined;
+      return RequestState::endedOverloaded;
     case AttemptResult::timeout:
-      return RequestState::ended_timeout;
+      return RequestState::endedTimeout;
     case AttemptResult::connectFailed:
-      return RequestState::ended_unconnected;
+      return RequestState::endedConnectFailed;
     case AttemptResult::reset:
-      return RequestState::ended_reset;
+      return RequestState::endedReset;
     case AttemptResult::cancelled:
-      return RequestState::ended_cancelled;
+      return RequestState::endedCancelled;
     case AttemptResult::notSent:
-      return RequestState::ended_never_sent;
+      return RequestState::endedNotSent;
   }
-  return RequestState::ended_error;
+  return RequestState::endedError;
 }
 
-/// Whether a request that was sent surely never ran (PROTOCOL, "has it run?").
-bool provesUnrun(AttemptResult result) {
+// Whether the worker surely has not run the request.
+bool provesNotRun(AttemptResult result) {
   return result == AttemptResult::overloaded || result == AttemptResult::connectFailed ||
          result == AttemptResult::notSent;
 }
 
-std::string milliseconds(Time span) {
+std::string milliseconds(Time duration) {
   char text[32];
-  std::snprintf(text, sizeof text, "%.1f ms", span);
+  std::snprintf(text, sizeof text, "%.1f ms", duration);
   return text;
 }
 
 }  // namespace
 
-std::string_view nameOf(RequestState state) { return kStateNames[static_cast<std::size_t>(state)]; }
-
-void RequestTrace::add(Time at, RequestState state, WorkerId worker) {
-  steps_[count_++ % kSteps] = {at, state, worker};
-}
-
-std::string RequestTrace::text(Time now) const {
-  std::string out = "request=" + (name.empty() ? "-" : name) + " states=";
-  const std::size_t first = count_ > kSteps ? count_ - kSteps : 0;
-  for (std::size_t i = first; i < count_; ++i) {
-    const Step& step = steps_[i % kSteps];
-    char text[96];
-    std::snprintf(text, sizeof text, "%s%s@%.1f", i > first ? "," : "",
-                  std::string(invariant::nameOf(step.state)).c_str(), step.at - now);
-    out += text;
-    if (step.worker != 0)
-      std::snprintf(text, sizeof text, "/%016llx", static_cast<unsigned long long>(step.worker)), out += text;
-  }
-  return out;
-}
-
 // --- Workers ---------------------------------------------------------------------------------------------
 
-void Monitor::workerReady(WorkerId worker, Time warmFrom) {
-  Worker& known = workers_[worker];
-  known.leavesSince.reset();
-  known.phase = WorkerPhase::ready;
-  if (known.warmFrom != warmFrom) known.sent.clear();
-  known.warmFrom = warmFrom;
+void Monitor::workerReady(WorkerId id, Time slowStartFrom) {
+  Worker& worker = workers_[id];
+  worker.retiredSince.reset();
+  worker.phase = WorkerPhase::ready;
+  if (worker.slowStartFrom != slowStartFrom) worker.sentAt.clear();
+  worker.slowStartFrom = slowStartFrom;
 }
 
-void Monitor::workerLeaves(WorkerId worker, WorkerPhase phase, Time now) {
-  Worker& known = workers_[worker];
-  if (!known.leavesSince) known.leavesSince = now;
-  known.phase = phase;
-  trimWorkers();
+void Monitor::workerRetired(WorkerId id, WorkerPhase phase, Time now) {
+  Worker& worker = workers_[id];
+  if (!worker.retiredSince) worker.retiredSince = now;
+  worker.phase = phase;
+  forgetRemovedWorkers();
 }
 
-void Monitor::workerExcluded(WorkerId worker, Time now) {
-  Worker& known = workers_[worker];
-  if (!known.excludedSince) known.excludedSince = now;
+void Monitor::workerExcluded(WorkerId id, Time now) {
+  Worker& worker = workers_[id];
+  if (!worker.excludedSince) worker.excludedSince = now;
 }
 
-void Monitor::workerIncluded(WorkerId worker) { workers_[worker].excludedSince.reset(); }
+void Monitor::workerIncluded(WorkerId id) { workers_[id].excludedSince.reset(); }
 
-void Monitor::trimWorkers() {
-  if (workers_.size() <= kMostWorkers) return;
+void Monitor::forgetRemovedWorkers() {
+  if (workers_.size() <= kMaxWorkers) return;
   std::erase_if(workers_, [](const auto& entry) {
     return entry.second.phase == WorkerPhase::removed && !entry.second.excludedSince;
   });
@@ -121,37 +87,44 @@
 
 // --- Requests --------------------------------------------------------------------------------------------
 
-void Monitor::taken(RequestTrace& trace, Time now) { trace.add(now, RequestState::taken); }
+void Monitor::requestReceived(RequestTrace& trace, Time now) { trace.add(now, RequestState::received); }
 
-void Monitor::connecting(RequestTrace& trace, WorkerId worker, Time now) {
+void Monitor::attemptConnecting(RequestTrace& trace, WorkerId worker, Time now) {
   trace.add(now, RequestState::connecting, worker);
 }
 
-void Monitor::sending(RequestTrace& trace, WorkerId worker, Time now, Time passedOn) {
+void Monitor::attemptSending(RequestTrace& trace, WorkerId worker, Time now, Time timeoutMs) {
   trace.add(now, RequestState::sent, worker);
-  if (trace.answered_) violated(Invariant::attempt_after_answer, now, trace, "");
-  if (trace.left_) violated(Invariant::attempt_after_client_left, now, trace, "");
-  if (now > trace.deadline)
-    violated(Invariant::attempt_past_deadline, now, trace, milliseconds(now - trace.deadline) + " late");
-  if (passedOn > trace.deadline - now + kDeadlineSlack)
-    violated(Invariant::deadline_too_long, now, trace,
-             milliseconds(passedOn) + " passed on, " + milliseconds(trace.deadline - now) + " left");
-  if (trace.sent_ >= trace.cap)
-    violated(Invariant::attempts_past_cap, now, trace,
-             "attempt " + std::to_string(trace.sent_ + 1) + " of " + std::to_string(trace.cap));
-  checkRepeat(trace, now);
+  if (trace.answered_) violated(Invariant::attemptAfterAnswer, now, trace, "");
+  if (trace.clientClosed_) violated(Invariant::attemptAfterClientLeft, now, trace, "");
+  checkDeadline(trace, now, timeoutMs);
+  checkRetry(trace, now);
   checkWorker(trace, worker, now);
-  ++trace.sent_;
-  trace.out_ = true;
-  trace.sentAt_ = now;
+  ++trace.attemptsSent_;
+  trace.attemptInFlight_ = true;
+  trace.lastSentAt_ = now;
+}
+
+void Monitor::checkDeadline(const RequestTrace& trace, Time now, Time timeoutMs) {
+  const Time remainingMs = trace.deadline - now;
+  if (now > trace.deadline)
+    violated(Invariant::attemptPastDeadline, now, trace, milliseconds(now - trace.deadline) + " late");
+  if (timeoutMs > remainingMs + kDeadlineToleranceMs)
+    violated(Invariant::deadlineTooLong, now, trace,
+             milliseconds(timeoutMs) + " passed on, " + milliseconds(remainingMs) + " left");
 }
 
-void Monitor::checkRepeat(const RequestTrace& trace, Time now) {
-  if (trace.out_ && trace.repeat != Idempotency::idempotent)
-    violated(Invariant::concurrent_attempts, now, trace, "");
-  if (!trace.mayHaveRunSince_ || trace.repeat == Idempotency::idempotent) return;
-  const bool inWindow = trace.repeat == Idempotency::withKey && now <= *trace.mayHaveRunSince_ + trace.window;
-  if (!inWindow) violated(Invariant::unsafe_request_resent, now, trace, "");
+void Monitor::checkRetry(const RequestTrace& trace, Time now) {
+  if (trace.attemptsSent_ >= trace.maxAttempts)
+    violated(
+        Invariant::attemptsPastCap, now, trace,
+        "attempt " + std::to_string(trace.attemptsSent_ + 1) + " of " + std::to_string(trace.maxAttempts));
+  if (trace.idempotency == Idempotency::idempotent) return;
+  if (trace.attemptInFlight_) violated(Invariant::concurrentAttempts, now, trace, "");
+  if (!trace.mayHaveRunSince_) return;
+  const bool isDeduplicated =
+      trace.idempotency == Idempotency::withKey && now <= *trace.mayHaveRunSince_ + trace.idempotencyWindowMs;
+  if (!isDeduplicated) violated(Invariant::unsafeRequestResent, now, trace, "");
 }
 
 void Monitor::checkWorker(const RequestTrace& trace, WorkerId id, Time now) {
@@ -159,73 +132,82 @@
   if (found == workers_.end()) return;
   Worker& worker = found->second;
   if (worker.excludedSince)
-    violated(Invariant::sent_to_excluded, now, trace, "since " + milliseconds(now - *worker.excludedSince));
-  if (worker.leavesSince && now > *worker.leavesSince + rules_.stopSendingWithin)
-    violated(worker.phase == WorkerPhase::removed ? Invariant::sent_to_gone : Invariant::sent_to_draining,
-             now, trace, "told " + milliseconds(now - *worker.leavesSince) + " ago");
+    violated(Invariant::sentToExcluded, now, trace, "since " + milliseconds(now - *worker.excludedSince));
+  if (worker.retiredSince && now > *worker.retiredSince + rules_.drainGraceMs) {
+    const bool removed = worker.phase == WorkerPhase::removed;
+    violated(removed ? Invariant::sentToGone : Invariant::sentToDraining, now, trace,
+             "told " + milliseconds(now - *worker.retiredSince) + " ago");
+  }
   checkSlowStart(trace, worker, now);
 }
 
-// A gatekeeper alone may never use up what all of them have together: N of what a worker of this warmth may
-// get in the span, and the scatter that the rule allows. Where no rate is known there is nothing to hold it
-// against.
+// Guards against one gatekeeper that sends as much as all of them together may.
 void Monitor::checkSlowStart(const RequestTrace& trace, Worker& worker, Time now) {
-  if (worker.warmFrom <= 0 || rules_.warmUp <= 0 || now >= worker.warmFrom + rules_.warmUp) {
-    worker.sent.clear();
+  const bool inSlowStart =
+      worker.slowStartFrom > 0 && rules_.slowStartMs > 0 && now < worker.slowStartFrom + rules_.slowStartMs;
+  if (!inSlowStart) {
+    worker.sentAt.clear();
     return;
   }
-  while (!worker.sent.empty() && worker.sent.front() < now - rules_.fallSpan) worker.sent.pop_front();
-  worker.sent.push_back(now);
-  const double rate = warmRate_();
-  if (rate <= 0) return;
-  constexpr double kFew = 30, kScatter = 2, kScatterOfFew = 3;
-  const double age = std::clamp((now - worker.warmFrom) / rules_.warmUp, 0.0, 1.0);
-  const double warmth = rules_.coldFrom + (1 - rules_.coldFrom) * age;
-  const double calls = rules_.fallMultiple * warmth * rate * rules_.fallSpan;
-  const double scatter = calls < kFew ? kScatterOfFew : kScatter;
-  const double most = calls + scatter * std::sqrt(calls) + scatter;
-  if (static_cast<double>(worker.sent.size()) > most)
-    violated(Invariant::slow_start_exceeded, now, trace,
-             std::to_string(worker.sent.size()) + " calls of " + std::to_string(most));
-}
-
-void Monitor::ended(RequestTrace& trace, WorkerId worker, AttemptResult result, Time now) {
+  const Time windowStart = now - rules_.overloadWindowMs;
+  while (!worker.sentAt.empty() && worker.sentAt.front() < windowStart) worker.sentAt.pop_front();
+  worker.sentAt.push_back(now);
+  const double workerRate = workerRate_();
+  if (workerRate <= 0) return;
+  const double maxCalls = maxCallsInSlowStart(worker, now, workerRate);
+  if (static_cast<double>(worker.sentAt.size()) > maxCalls)
+    violated(Invariant::slowStartExceeded, now, trace,
+             std::to_string(worker.sentAt.size()) + " calls of " + std::to_string(maxCalls));
+}
+
+double Monitor::maxCallsInSlowStart(const Worker& worker, Time now, double workerRate) const {
+  const double progress = std::clamp((now - worker.slowStartFrom) / rules_.slowStartMs, 0.0, 1.0);
+  const double capacityShare = rules_.slowStartShare + (1 - rules_.slowStartShare) * progress;
+  const double calls = rules_.overloadMultiple * capacityShare * workerRate * rules_.overloadWindowMs;
+  const double tolerance = calls < kFewCalls ? kToleranceOfFewCalls : kTolerance;
+  return calls + tolerance * std::sqrt(calls) + tolerance;
+}
+
+void Monitor::attemptEnded(RequestTrace& trace, WorkerId worker, AttemptResult result, Time now) {
   trace.add(now, stateOf(result), worker);
-  if (!trace.out_) return;
-  trace.out_ = false;
-  if (!provesUnrun(result) && !trace.mayHaveRunSince_) trace.mayHaveRunSince_ = trace.sentAt_;
+  if (!trace.attemptInFlight_) return;
+  trace.attemptInFlight_ = false;
+  if (!provesNotRun(result) && !trace.mayHaveRunSince_) trace.mayHaveRunSince_ = trace.lastSentAt_;
 }
 
-void Monitor::streaming(RequestTrace& trace, Time now) { trace.add(now, RequestState::streaming); }
+void Monitor::responseStreaming(RequestTrace& trace, Time now) { trace.add(now, RequestState::streaming); }
 
-void Monitor::answered(RequestTrace& trace, RequestState how, Time now) {
+void Monitor::requestAnswered(RequestTrace& trace, RequestState how, Time now) {
   trace.add(now, how);
-  if (trace.answered_) violated(Invariant::request_answered_twice, now, trace, "");
+  if (trace.answered_) violated(Invariant::requestAnsweredTwice, now, trace, "");
   trace.answered_ = true;
-  if (how != RequestState::cut && now > trace.deadline + kAnswerSlack)
-    violated(Invariant::request_unanswered, now, trace,
+  if (how != RequestState::truncated && now > trace.deadline + kAnswerToleranceMs)
+    violated(Invariant::requestUnanswered, now, trace,
              "answered " + milliseconds(now - trace.deadline) + " after its time");
 }
 
-void Monitor::clientLeft(RequestTrace& trace, Time now) {
-  trace.add(now, RequestState::client_left);
-  trace.left_ = true;
+void Monitor::clientClosed(RequestTrace& trace, Time now) {
+  trace.add(now, RequestState::clientClosed);
+  trace.clientClosed_ = true;
 }
 
-void Monitor::forgotten(RequestTrace& trace, Time now) {
-  if (!trace.answered_ && !trace.left_) violated(Invariant::request_unanswered, now, trace, "let go of");
+void Monitor::requestReleased(RequestTrace& trace, Time now) {
+  if (!trace.answered_ && !trace.clientClosed_)
+    violated(Invariant::requestUnanswered, now, trace, "let go of");
 }
 
 // --- Connections and accounts ----------------------------------------------------------------------------
 
-void Monitor::closedUnanswered(const std::string& what, Time now) {
-  violated(Invariant::connection_closed_unanswered, now, what);
+void Monitor::connectionClosedUnanswered(const std::string& reason, Time now) {
+  violated(Invariant::connectionClosedUnanswered, now, reason);
 }
 
-void Monitor::accounts(std::size_t held, const std::string& left, Time now) {
-  if (held > 0) violated(Invariant::accounts_not_zero, now, left);
+void Monitor::checkNothingHeld(std::size_t held, const std::string& description, Time now) {
+  if (held > 0) violated(Invariant::accountsNotZero, now, description);
 }
 
+// --- Counts and log --------------------------------------------------------------------------------------
+
 std::uint64_t Monitor::total() const {
   return std::accumulate(counts_.begin(), counts_.end(), std::uint64_t{0});
 }
@@ -243,9 +225,9 @@
 
 void Monitor::violated(Invariant invariant, Time now, const std::string& what) {
   const auto index = static_cast<std::size_t>(invariant);
-  const bool quiet = counts_[index] > 0 && now - loggedAt_[index] < kLogEvery;
+  const bool loggedRecently = counts_[index] > 0 && now - loggedAt_[index] < kLogIntervalMs;
   ++counts_[index];
-  if (quiet) return;
+  if (loggedRecently) return;
   loggedAt_[index] = now;
   log_("invariant broken: " + std::string(nameOf(invariant)) + " (" + std::to_string(counts_[index]) +
        "): " + what);
