--- a/src/gatekeeper/exclusions.cpp
+++ b/src/gatekeeper/exclusions.cpp
@@ -1,5 +1,6 @@
 #include "gatekeeper/exclusions.hpp"
 
+#include <chrono>
 #include <nlohmann/json.hpp>
 #include <optional>
 #include <utility>
@@ -12,23 +13,24 @@
 
 using nlohmann::json;
 
-constexpr std::size_t kMostBytes = std::size_t{1} << 20;
-constexpr auto kLogEvery = std::chrono::seconds(5);
+constexpr std::size_t kMaxFileBytes = std::size_t{1} << 20;
+constexpr auto kLogInterval = std::chrono::seconds(5);
 
-RateLimitedLog& problems() {
-  static RateLimitedLog log("exclusions", kLogEvery);
+RateLimitedLog& problemLog() {
+  static RateLimitedLog log("exclusions", kLogInterval);
   return log;
 }
 
-std::optional<std::set<std::string>> parse(const std::string& text) {
+// Nothing: the text is damaged.
+std::optional<std::set<std::string>> parseIds(const std::string& text) {
   const json file = json::parse(text, nullptr, false);
   if (!file.is_object() || !file.contains("excluded") || !file["excluded"].is_array()) return std::nullopt;
-  std::set<std::string> out;
+  std::set<std::string> ids;
   for (const json& id : file["excluded"]) {
     if (!id.is_string()) return std::nullopt;
-    if (out.size() < Exclusions::kMost) out.insert(id.get<std::string>());
+    if (ids.size() < Exclusions::kMaxExcluded) ids.insert(id.get<std::string>());
   }
-  return out;
+  return ids;
 }
 
 std::string textOf(const std::set<std::string>& ids) {
@@ -46,82 +48,88 @@
 
 }  // namespace
 
-Exclusions::Exclusions(const std::string& folder)
-    : path_(folder.empty() ? "" : folder + "/burlwind-excluded.json") {
+Exclusions::Exclusions(const std::string& directory)
+    : path_(directory.empty() ? "" : directory + "/burlwind-excluded.json") {
   if (path_.empty()) return;
-  known_ = !read();
-  merge();
+  loaded_ = !readFileIfChanged();
+  updateIds();
 }
 
 std::error_code Exclusions::set(const std::string& id, bool excluded) {
-  note(id, excluded);
-  return save();
+  setWithoutWriting(id, excluded);
+  return writeFileLocked();
 }
 
-void Exclusions::note(const std::string& id, bool excluded) {
-  unkept_[id] = excluded;
-  merge();
+void Exclusions::setWithoutWriting(const std::string& id, bool excluded) {
+  pendingChanges_[id] = excluded;
+  updateIds();
 }
 
-bool Exclusions::retry() {
+bool Exclusions::sync() {
   if (path_.empty()) return false;
-  const std::set<std::string> before = ids_;
-  if (!unkept_.empty()) {
-    if (const std::error_code error = save()) problems().say("not kept yet, tried again: " + error.message());
-  } else if (const std::error_code error = read()) {
-    problems().say("cannot be read: " + error.message());
+  const std::set<std::string> idsBefore = ids_;
+  if (!pendingChanges_.empty()) {
+    if (const std::error_code error = writeFileLocked())
+      problemLog().say("not kept yet, tried again: " + error.message());
+  } else if (const std::error_code error = readFileIfChanged()) {
+    problemLog().say("cannot be read: " + error.message());
   } else {
-    known_ = true;
+    loaded_ = true;
   }
-  merge();
-  return ids_ != before;
+  updateIds();
+  return ids_ != idsBefore;
 }
 
-// Under a lock, since the other process of an upgrade may be changing the file as well.
-std::error_code Exclusions::save() {
+// Locked, because the other process of a hot restart may be changing the file too.
+std::error_code Exclusions::writeFileLocked() {
   if (path_.empty()) {
-    kept_ = ids_;
-    unkept_.clear();
+    persistedIds_ = ids_;
+    pendingChanges_.clear();
     return {};
   }
   const FileLock lock(path_ + ".lock");
   if (lock.error()) return lock.error();
-  if (const std::error_code error = read()) return error;
-  known_ = true;
-  std::set<std::string> wanted = kept_;
-  applyChanges(unkept_, wanted);
-  if (wanted != kept_ || unsynced_) {
-    std::string text = textOf(wanted);
-    unsynced_ = true;
-    if (const std::error_code error = replaceFile(path_, text, Durability::on_disk)) return error;
-    unsynced_ = false;
-    kept_ = std::move(wanted);
-    seen_ = std::move(text);
-  }
-  unkept_.clear();
-  merge();
+  if (const std::error_code error = readFileIfChanged()) return error;
+  loaded_ = true;
+  if (const std::error_code error = writeIfChanged()) return error;
+  pendingChanges_.clear();
+  updateIds();
+  return {};
+}
+
+std::error_code Exclusions::writeIfChanged() {
+  std::set<std::string> wantedIds = persistedIds_;
+  applyChanges(pendingChanges_, wantedIds);
+  if (wantedIds == persistedIds_ && !mayBeUnsynced_) return {};
+  std::string text = textOf(wantedIds);
+  mayBeUnsynced_ = true;
+  if (const std::error_code error = replaceFile(path_, text, Durability::on_disk)) return error;
+  mayBeUnsynced_ = false;
+  persistedIds_ = std::move(wantedIds);
+  fileText_ = std::move(text);
   return {};
 }
 
-// No file is an empty one. A file that is damaged changes nothing.
-std::error_code Exclusions::read() {
+// A missing file is an empty one. A damaged file changes nothing.
+std::error_code Exclusions::readFileIfChanged() {
   std::string text;
-  const std::error_code error = readFile(path_, kMostBytes, text);
+  const std::error_code error = readFile(path_, kMaxFileBytes, text);
   if (error == std::errc::no_such_file_or_directory) return {};
-  if (error && error != std::errc::file_too_large) return error;
-  if (!error && text == seen_) return {};
-  auto ids = error ? std::nullopt : parse(text);
-  seen_ = std::move(text);
+  const bool tooLarge = error == std::errc::file_too_large;
+  if (error && !tooLarge) return error;
+  if (!tooLarge && text == fileText_) return {};
+  auto ids = tooLarge ? std::nullopt : parseIds(text);
+  fileText_ = std::move(text);
   if (ids)
-    kept_ = std::move(*ids);
+    persistedIds_ = std::move(*ids);
   else
-    problems().say("damaged, not taken over: " + path_);
+    problemLog().say("damaged, not taken over: " + path_);
   return {};
 }
 
-void Exclusions::merge() {
-  ids_ = kept_;
-  applyChanges(unkept_, ids_);
+void Exclusions::updateIds() {
+  ids_ = persistedIds_;
+  applyChanges(pendingChanges_, ids_);
 }
 
 }  // namespace wingslip
--- a/src/gatekeeper/exclusions.hpp
+++ b/src/gatekeeper/exclusions.hpp
@@ -1,10 +1,7 @@
-/// The ids of the workers that operators have put out, kept in a file of the state folder for the process
-/// that an upgrade or a restart brings.
-///
-/// A change is in force at once. It is kept only when the file and its folder are on disk; until then it is
-/// written again by `retry`, and goes before what the file says.
+/// The workers that operators have excluded, kept in a file of the state directory.
 #pragma once
 
+#include <cstddef>
 #include <map>
 #include <set>
 #include <string>
@@ -12,41 +9,44 @@
 
 namespace wingslip {
 
+/// A change takes effect at once. It is persisted only when the file and its directory are on disk; until
+/// then it is written again by `sync`, and overrides what the file says. Both processes of a hot restart
+/// share the file. Blocks on the disk. Used from the event loop's thread only.
 class Exclusions {
  public:
-  static constexpr std::size_t kMost = 4096;
+  static constexpr std::size_t kMaxExcluded = 4096;
 
-  /// `folder`: where the file lies, shared by both processes of an upgrade; empty: nothing is kept.
-  explicit Exclusions(const std::string& folder);
+  /// @param directory where the file is; empty: nothing is persisted
+  explicit Exclusions(const std::string& directory);
 
-  /// Those in force.
+  /// The excluded workers, by id.
   const std::set<std::string>& ids() const { return ids_; }
-  /// False: the file is there and could not be read so far, so that nobody knows who is excluded.
-  bool known() const { return known_; }
-  /// Whether there is room for one more, or it is excluded already.
-  bool hasRoomFor(const std::string& id) const { return ids_.size() < kMost || ids_.contains(id); }
+  /// False: there is a file that could not be read so far, so it is not known who is excluded.
+  bool isLoaded() const { return loaded_; }
+  bool canExclude(const std::string& id) const { return ids_.size() < kMaxExcluded || ids_.contains(id); }
 
-  /// Puts a worker out, or lets it in again, and writes the file. An error: the change is in force here, but
-  /// not kept yet.
+  /// Excludes or includes a worker and writes the file.
+  /// @return an error: the change has taken effect, but is not persisted yet.
   std::error_code set(const std::string& id, bool excluded);
-  /// The same without writing: the next `retry` does.
-  void note(const std::string& id, bool excluded);
-  /// Takes over what another process has written since, and writes what is not kept yet. True: what is in
-  /// force has changed.
-  bool retry();
+  /// The same without writing: the next `sync` does.
+  void setWithoutWriting(const std::string& id, bool excluded);
+  /// Reads what another process has written, and writes what is not persisted yet.
+  /// @return whether the excluded workers have changed
+  bool sync();
 
  private:
-  std::error_code save();
-  std::error_code read();
-  void merge();
+  std::error_code writeFileLocked();
+  std::error_code writeIfChanged();
+  std::error_code readFileIfChanged();
+  void updateIds();
 
   const std::string path_;
-  std::set<std::string> ids_;           // in force: the file's with what is not kept yet
-  std::set<std::string> kept_;          // the file's
-  std::map<std::string, bool> unkept_;  // changes that the file lacks: whether excluded
-  std::string seen_;                    // the file's text as last read or written
-  bool known_ = true;
-  bool unsynced_ = false;  // the file may have been replaced without being on disk
+  std::set<std::string> ids_;                   // the file's with the pending changes
+  std::set<std::string> persistedIds_;          // the file's
+  std::map<std::string, bool> pendingChanges_;  // that the file lacks: whether excluded
+  std::string fileText_;                        // as last read or written
+  bool loaded_ = true;
+  bool mayBeUnsynced_ = false;  // the file may have been replaced without being on disk
 };
 
 }  // namespace wingslip
--- a/src/gatekeeper/gatekeeper.cpp
+++ b/src/gatekeeper/gatekeeper.cpp
@@ -62,7 +62,7 @@
                   [this](RequestId id, std::string&& piece) { passOn(id, std::move(piece)); }});
   pressure_.start([this] { return std::max(server_.busyShare(), pool_.busyShare()); },
                   [this](double excess) { pressed(excess); });
-  if (config_.ops) ops_.emplace(io, OpsServer::Limits{}, static_cast<Operated&>(*this), pressure_);
+  if (config_.ops) ops_.emplace(io, OpsServer::Limits{}, static_cast<OperatorCalls&>(*this), pressure_);
   for (const std::string& name : config_.host.classes) metrics_.classes.try_emplace(name);
   monitor_.setRules(workerRules(config_.settings));
   applyExclusions({});
@@ -290,7 +290,7 @@
 // (followExclusions) for kExclusionsWithin.
 void Gatekeeper::settle() {
   listTold_ = true;
-  if (exclusions_.known()) return settleOnce();
+  if (exclusions_.isLoaded()) return settleOnce();
   settle_.expires_at(startedAt_ + kExclusionsWithin);
   settle_.async_wait([this](const Error& error) {
     if (error) return;
--- a/src/gatekeeper/gatekeeper.hpp
+++ b/src/gatekeeper/gatekeeper.hpp
@@ -28,7 +28,7 @@
 
 namespace wingslip {
 
-class Gatekeeper : private decision::Actions, private RequestHandler, private Operated {
+class Gatekeeper : private decision::Actions, private RequestHandler, private OperatorCalls {
  public:
   Gatekeeper(boost::asio::io_context& io, const Config& config);
   ~Gatekeeper() override;
@@ -77,15 +77,15 @@
   void turnedAway(unsigned klass) override;
   void closedUnanswered(CloseReason reason) override;
 
-  // Operated
+  // OperatorCalls
   bool readyToServe() const override;
   std::string telemetry() const override;
-  ByHand exclude(const std::string& id) override;
-  ByHand include(const std::string& id) override;
-  std::string duties() const override;
-  std::string roster() const override;
-  std::string sharers() const override;
-  std::string replica() const override;
+  ExclusionResult exclude(const std::string& workerId) override;
+  ExclusionResult include(const std::string& workerId) override;
+  std::string leaderTasks() const override;
+  std::string membershipRecord() const override;
+  std::string replicationMembers() const override;
+  std::string replicationState() const override;
 
   // Actions
   void startAttempt(decision::RequestId id, decision::WorkerId worker, decision::Time timeout) override;
@@ -115,7 +115,7 @@
   void coordinate();
   void share();
   void replicated(const replication::Row& row);
-  ByHand setByHand(const std::string& id, bool excluded);
+  ExclusionResult setExcluded(const std::string& id, bool excluded);
   void applyExclusions(const std::set<std::string>& before);
   void noteNamed(const std::string& id);
   void handOverLater();
--- a/src/gatekeeper/ops_server.cpp
+++ b/src/gatekeeper/ops_server.cpp
@@ -18,57 +18,73 @@
 using Error = boost::system::error_code;
 using namespace std::chrono_literals;
 
-constexpr std::size_t kCaller =
-    8 * 1024;  // with its line and telemetry; what is longer finds room or is not said
-constexpr std::size_t kWithin = 7 * 1024;  // of an answer
-constexpr auto kAcceptPause = 50ms;        // after an accept that failed, for want of descriptors as a rule
+constexpr std::size_t kCallerBytes = 8 * 1024;            // a caller with its line and the telemetry
+constexpr std::size_t kIncludedResponseBytes = 7 * 1024;  // of these; a longer response is charged apart
+constexpr auto kAcceptPause = 50ms;  // after a failed accept, usually for want of descriptors
+
+// `change`: what was called, as a past participle with its worker.
+std::string answerTo(const ExclusionResult& result, const std::string& change) {
+  switch (result.status) {
+    case ExclusionResult::Status::done:
+      return "200 " + change + "\n";
+    case ExclusionResult::Status::unknownWorker:
+      return "400 not " + change + ": no list has named it\n";
+    case ExclusionResult::Status::tooManyExcluded:
+      return "400 not " + change + ": too many are excluded\n";
+    case ExclusionResult::Status::notPersisted:
+      return "400 " + change + " here, but not kept yet: " + result.error.message() + "; tried again\n";
+  }
+  return "400 no such call\n";
+}
 
 }  // namespace
 
-// One caller: its line, its answer, its end.
+/// One connection: reads a line, writes the answer, closes.
 class OpsServer::Caller : public GuardedConnection<Caller> {
  public:
-  Caller(OpsServer& server, tcp::socket socket, MemoryBudget::Charge room)
+  Caller(OpsServer& server, tcp::socket socket, MemoryBudget::Charge memory)
       : server_(server),
-        room_(std::move(room)),
+        memory_(std::move(memory)),
         socket_(std::move(socket)),
-        timer_(socket_.get_executor(), server.limits_.callWithin) {}
+        timeoutTimer_(socket_.get_executor(), server.limits_.callTimeout) {}
 
   void start() {
-    waiting_.enter(server_.pressure_.waitQueues(), WaitQueue::operatorCall, OverloadManager::now());
-    timer_.async_wait(guard([this](const Error& error, std::size_t) {
+    queueEntry_.enter(server_.overloadManager_.waitQueues(), WaitQueue::operatorCall, OverloadManager::now());
+    timeoutTimer_.async_wait(guard([this](const Error& error, std::size_t) {
       if (!error) finish();
     }));
     asio::async_read_until(
-        socket_, asio::dynamic_buffer(line_, server_.limits_.line), '\n',
-        guard([this](const Error& error, std::size_t n) {
-          if (error == asio::error::not_found || (error == asio::error::eof && !line_.empty()))
-            return say("400 not a whole call\n");
-          if (error) return finish();
-          line_.resize(n - 1);
-          if (!line_.empty() && line_.back() == '\r') line_.pop_back();
-          say(server_.answerTo(line_));
-        }));
+        socket_, asio::dynamic_buffer(line_, server_.limits_.lineBytes), '\n',
+        guard([this](const Error& error, std::size_t lineLength) { onLine(error, lineLength); }));
   }
 
-  // Ends it and tells nobody.
+  /// Closes it without telling the server.
   void abandon() {
     markEnded();
-    waiting_.leave();
-    room_.release();
-    timer_.cancel();
+    queueEntry_.leave();
+    memory_.release();
+    timeoutTimer_.cancel();
     Error ignored;
     socket_.shutdown(tcp::socket::shutdown_both, ignored);
     socket_.close(ignored);
   }
 
  private:
-  void say(std::string text) {
-    out_ = std::move(text);
-    if (out_.size() > kWithin && !room_.resize(kCaller + out_.size()))
-      out_ = "400 no memory for the answer now\n";
+  void onLine(const Error& error, std::size_t lineLength) {
+    const bool incomplete = error == asio::error::not_found || (error == asio::error::eof && !line_.empty());
+    if (incomplete) return respond("400 not a whole call\n");
+    if (error) return finish();
+    line_.resize(lineLength - 1);
+    if (!line_.empty() && line_.back() == '\r') line_.pop_back();
+    respond(server_.answerTo(line_));
+  }
+
+  void respond(std::string text) {
+    response_ = std::move(text);
+    if (response_.size() > kIncludedResponseBytes && !memory_.resize(kCallerBytes + response_.size()))
+      response_ = "400 no memory for the answer now\n";
     asyncWriteAll(
-        socket_, asio::buffer(out_), [self = shared_from_this()] { return !self->ended(); },
+        socket_, asio::buffer(response_), [self = shared_from_this()] { return !self->ended(); },
         [self = shared_from_this()](const Error&) { self->finish(); });
   }
 
@@ -79,24 +95,25 @@
   }
 
   OpsServer& server_;
-  MemoryBudget::Charge room_;
-  WaitQueues::QueueEntry waiting_;
+  MemoryBudget::Charge memory_;
+  WaitQueues::QueueEntry queueEntry_;
   tcp::socket socket_;
-  asio::steady_timer timer_;
-  std::string line_, out_;
+  asio::steady_timer timeoutTimer_;
+  std::string line_;
+  std::string response_;
 };
 
-OpsServer::OpsServer(asio::io_context& io, const Limits& limits, Operated& operated,
-                     OverloadManager& pressure)
-    : limits_(limits), operated_(operated), pressure_(pressure), acceptor_(io), pause_(io) {}
+OpsServer::OpsServer(asio::io_context& io, const Limits& limits, OperatorCalls& calls,
+                     OverloadManager& overloadManager)
+    : limits_(limits), calls_(calls), overloadManager_(overloadManager), acceptor_(io), pauseTimer_(io) {}
 
 OpsServer::~OpsServer() {
   for (const auto& caller : callers_) caller->abandon();
 }
 
-void OpsServer::start(const tcp::endpoint& at) {
+void OpsServer::start(const tcp::endpoint& listenAddress) {
   try {
-    openListener(acceptor_, at);
+    openListener(acceptor_, listenAddress);
   } catch (const boost::system::system_error& error) {
     throw std::runtime_error(std::string("cannot listen for operators: ") + error.what());
   }
@@ -106,62 +123,49 @@
 void OpsServer::accept() {
   acceptor_.async_accept([this](const Error& error, tcp::socket socket) {
     if (error == asio::error::operation_aborted) return;
-    if (error) {
-      pause_.expires_after(kAcceptPause);
-      pause_.async_wait([this](const Error& stopped) {
-        if (!stopped) accept();
-      });
-      return;
-    }
-    // The operators' own part holds as many callers as there may be.
-    auto room = pressure_.memory().open(Account::operators);
-    while (!callers_.empty() && (callers_.size() >= limits_.connections || !room.resize(kCaller))) {
-      pressure_.waitQueues().countRejection(WaitQueue::operatorCall);
-      callers_.front()->abandon();
-      callers_.pop_front();
-    }
-    if (room.bytes() == 0 && !room.resize(kCaller)) return accept();
-    callers_.push_back(std::make_shared<Caller>(*this, std::move(socket), std::move(room)));
-    callers_.back()->start();
+    if (error) return acceptAfterPause();
+    onAccepted(std::move(socket));
     accept();
   });
 }
 
-void OpsServer::remove(const std::shared_ptr<Caller>& caller) { std::erase(callers_, caller); }
-
-namespace {
+void OpsServer::acceptAfterPause() {
+  pauseTimer_.expires_after(kAcceptPause);
+  pauseTimer_.async_wait([this](const Error& error) {
+    if (!error) accept();
+  });
+}
 
-// `what`: the change in words.
-std::string answerTo(const ByHand& change, const std::string& what) {
-  switch (change.state) {
-    case ByHand::State::done:
-      return "200 " + what + "\n";
-    case ByHand::State::unknown_worker:
-      return "400 not " + what + ": no list has named it\n";
-    case ByHand::State::too_many:
-      return "400 not " + what + ": too many are excluded\n";
-    case ByHand::State::not_kept:
-      return "400 " + what + " here, but not kept yet: " + change.error.message() + "; tried again\n";
+// The operators' reserved memory is enough for as many callers as there may be.
+void OpsServer::onAccepted(tcp::socket socket) {
+  auto memory = overloadManager_.memory().open(Account::operators);
+  while (!callers_.empty() && (callers_.size() >= limits_.connections || !memory.resize(kCallerBytes))) {
+    overloadManager_.waitQueues().countRejection(WaitQueue::operatorCall);
+    callers_.front()->abandon();
+    callers_.pop_front();
   }
-  return "400 no such call\n";
+  if (memory.bytes() == 0 && !memory.resize(kCallerBytes)) return;
+  callers_.push_back(std::make_shared<Caller>(*this, std::move(socket), std::move(memory)));
+  callers_.back()->start();
 }
 
-}  // namespace
+void OpsServer::remove(const std::shared_ptr<Caller>& caller) { std::erase(callers_, caller); }
 
 std::string OpsServer::answerTo(const std::string& line) {
-  if (line == "readyz") return operated_.readyToServe() ? "200 ready\n" : "400 not ready\n";
-  if (line == "telemetry") return operated_.telemetry();
-  if (line == "duties") return operated_.duties();
-  if (line == "roster") return operated_.roster();
-  if (line == "members") return operated_.sharers();
-  if (line == "replica") return operated_.replica();
+  if (line == "readyz") return calls_.readyToServe() ? "200 ready\n" : "400 not ready\n";
+  if (line == "telemetry") return calls_.telemetry();
+  if (line == "duties") return calls_.leaderTasks();
+  if (line == "roster") return calls_.membershipRecord();
+  if (line == "members") return calls_.replicationMembers();
+  if (line == "replica") return calls_.replicationState();
   const auto space = line.find(' ');
   const std::string verb = line.substr(0, space);
-  const std::string id = space == std::string::npos ? "" : line.substr(space + 1);
-  if ((verb != "exclude" && verb != "include") || id.empty() || id.find_first_of(" \t") != std::string::npos)
+  const std::string workerId = space == std::string::npos ? "" : line.substr(space + 1);
+  const bool isChange = verb == "exclude" || verb == "include";
+  if (!isChange || workerId.empty() || workerId.find_first_of(" \t") != std::string::npos)
     return "400 no such call\n";
-  return wingslip::answerTo(verb == "exclude" ? operated_.exclude(id) : operated_.include(id),
-                            verb + "d " + id);
+  const ExclusionResult result = verb == "exclude" ? calls_.exclude(workerId) : calls_.include(workerId);
+  return wingslip::answerTo(result, verb + "d " + workerId);
 }
 
 }  // namespace wingslip
--- a/src/gatekeeper/ops_server.hpp
+++ b/src/gatekeeper/ops_server.hpp
@@ -1,11 +1,12 @@
-// Where operators call: a line a connection, apart from the clients' side, so that neither load nor callers
-// that stay silent delay an answer.
+/// The operators' port: one call a line, one line a connection, apart from the clients' side, so that neither
+/// load nor silent callers delay an answer. The operators' words are mapped here and nowhere else.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
 #include <boost/asio/steady_timer.hpp>
 #include <chrono>
+#include <cstddef>
 #include <deque>
 #include <memory>
 #include <string>
@@ -15,63 +16,71 @@
 
 namespace wingslip {
 
-// What carries the calls out.
-/// How a call that puts a worker out, or lets it in again, has ended.
-struct ByHand {
-  enum class State {
-    done,            ///< in force, and kept over any end of this process
-    unknown_worker,  ///< no list has ever named the id; nothing has changed
-    too_many,        ///< as many are out as may be; nothing has changed
-    not_kept,        ///< in force, but the state folder does not take it yet; it is tried again
+/// How a call that excludes or includes a worker has ended.
+struct ExclusionResult {
+  enum class Status {
+    done,             ///< in effect and persisted
+    unknownWorker,    ///< no list has ever named the id; nothing has changed
+    tooManyExcluded,  ///< nothing has changed
+    notPersisted,     ///< in effect, but not written yet; it is tried again
   };
-  State state = State::done;
-  std::error_code error{};  ///< of `not_kept`
+  Status status = Status::done;
+  std::error_code error{};  ///< of `notPersisted`
+
+  bool isInEffect() const { return status == Status::done || status == Status::notPersisted; }
 };
 
-class Operated {
+/// What operators may call. Answers of many lines are complete texts.
+class OperatorCalls {
  public:
-  virtual ~Operated() = default;
+  virtual ~OperatorCalls() = default;
   virtual bool readyToServe() const = 0;
   virtual std::string telemetry() const = 0;
   /// Repeating either changes nothing.
-  virtual ByHand exclude(const std::string& id) = 0;
-  virtual ByHand include(const std::string& id) = 0;
-  // Of duties that one process of the fleet holds; `400 ...` where no store is configured.
-  virtual std::string duties() const = 0;
-  virtual std::string roster() const = 0;
-  // Of the state that gatekeepers share; `400 ...` where none is configured.
-  virtual std::string sharers() const = 0;
-  virtual std::string replica() const = 0;
+  virtual ExclusionResult exclude(const std::string& workerId) = 0;
+  virtual ExclusionResult include(const std::string& workerId) = 0;
+  /// Of leader election; `400 ...` if no store is configured.
+  virtual std::string leaderTasks() const = 0;
+  virtual std::string membershipRecord() const = 0;
+  /// Of replication; `400 ...` if it is not configured.
+  virtual std::string replicationMembers() const = 0;
+  virtual std::string replicationState() const = 0;
 };
 
+/// Used from the event loop's thread only.
 class OpsServer {
  public:
   struct Limits {
-    std::size_t connections = 16;  // the oldest gives way
-    std::size_t line = 512;        // bytes of a call
-    std::chrono::milliseconds callWithin{5000};
+    std::size_t connections = 16;  ///< beyond it the oldest is closed
+    std::size_t lineBytes = 512;   ///< of a call
+    std::chrono::milliseconds callTimeout{5000};
   };
 
-  OpsServer(boost::asio::io_context& io, const Limits& limits, Operated& operated, OverloadManager& pressure);
+  /// @param calls and `overloadManager` must outlive this
+  OpsServer(boost::asio::io_context& io, const Limits& limits, OperatorCalls& calls,
+            OverloadManager& overloadManager);
   ~OpsServer();
   OpsServer(const OpsServer&) = delete;
   OpsServer& operator=(const OpsServer&) = delete;
 
-  void start(const boost::asio::ip::tcp::endpoint& at);  // throws std::runtime_error if it cannot listen
+  /// @throws std::runtime_error if it cannot listen.
+  void start(const boost::asio::ip::tcp::endpoint& listenAddress);
   boost::asio::ip::tcp::endpoint address() const { return acceptor_.local_endpoint(); }
 
  private:
   class Caller;
 
   void accept();
+  void onAccepted(boost::asio::ip::tcp::socket socket);
+  void acceptAfterPause();
   void remove(const std::shared_ptr<Caller>& caller);
   std::string answerTo(const std::string& line);
 
   const Limits limits_;
-  Operated& operated_;
-  OverloadManager& pressure_;
+  OperatorCalls& calls_;
+  OverloadManager& overloadManager_;
   boost::asio::ip::tcp::acceptor acceptor_;
-  boost::asio::steady_timer pause_;
+  boost::asio::steady_timer pauseTimer_;
   std::deque<std::shared_ptr<Caller>> callers_;  // the oldest first
 };
 
--- a/src/leader_election/coordinator.cpp
+++ b/src/leader_election/coordinator.cpp
@@ -7,7 +7,7 @@
 #include <random>
 #include <utility>
 
-#include "net/answer_lines.hpp"
+#include "net/operator_response.hpp"
 
 namespace wingslip::leader_election {
 namespace {
@@ -145,10 +145,10 @@
   for (const RowState state : kOrder)
     for (const auto& [name, row] : roster.rows())
       if (row.state == state)
-        out.add(name + " " + nameOf(state) + " processes=" + std::to_string(row.processes) +
-                " build=" + row.build + " started=" + std::to_string(row.started) +
-                " since_version=" + std::to_string(row.since));
-  return out.end();
+        out.addLine(name + " " + nameOf(state) + " processes=" + std::to_string(row.processes) +
+                    " build=" + row.build + " started=" + std::to_string(row.started) +
+                    " since_version=" + std::to_string(row.since));
+  return out.text();
 }
 
 }  // namespace wingslip::leader_election
--- a/src/replication/replica_node.cpp
+++ b/src/replication/replica_node.cpp
@@ -11,11 +11,11 @@
 #include <utility>
 
 #include "codec/socket_address.hpp"
-#include "net/answer_lines.hpp"
 #include "net/durable_file.hpp"
 #include "net/guarded_connection.hpp"
 #include "net/http.hpp"
 #include "net/listener.hpp"
+#include "net/operator_response.hpp"
 #include "net/socket_io.hpp"
 
 namespace wingslip::replication {
@@ -381,10 +381,10 @@
   for (const Health health : {Health::suspect, Health::dead, Health::left, Health::alive})
     for (const auto& [name, m] : core_->members())
       if (m.row.health == health)
-        out.add(name + " " + nameOf(health) + " address=" + m.row.address +
-                " generation=" + std::to_string(m.row.generation) +
-                " since_s=" + std::to_string(static_cast<long>((now() - m.since) / 1000)));
-  return out.end();
+        out.addLine(name + " " + nameOf(health) + " address=" + m.row.address +
+                    " generation=" + std::to_string(m.row.generation) +
+                    " since_s=" + std::to_string(static_cast<long>((now() - m.since) / 1000)));
+  return out.text();
 }
 
 std::string ReplicaNode::state() const {
--- a/tests/ops_test.cpp
+++ b/tests/ops_test.cpp
@@ -1,5 +1,4 @@
-// What operators use: the ops listener, the figures, workers out by hand, and the upgrade on a socket that
-// the platform holds.
+// Operators' calls and figures, exclusions, and a hot restart on a socket that the platform holds.
 #include <unistd.h>
 
 #include <filesystem>
@@ -8,28 +7,28 @@
 #include "gatekeeper/exclusions.hpp"
 #include "gatekeeper/handover.hpp"
 #include "loopback.hpp"
-#include "net/answer_lines.hpp"
+#include "net/operator_response.hpp"
 
 namespace wingslip::test {
 namespace {
 
-// A fleet's worth of lines: as many as the largest fleet has, or none where there is no memory for them.
-struct ManyLines : Operated {
-  std::string sharers() const override {
+// As many lines as the largest fleet has members.
+struct ManyLines : OperatorCalls {
+  std::string replicationMembers() const override {
     OperatorResponse out("200 alive=1024");
-    for (int i = 0; i < 1024; ++i) out.add(std::string(200, 'm'));
-    return out.end();
+    for (int i = 0; i < 1024; ++i) out.addLine(std::string(200, 'm'));
+    return out.text();
   }
   bool readyToServe() const override { return true; }
   std::string telemetry() const override { return ""; }
-  ByHand exclude(const std::string&) override { return {ByHand::State::unknown_worker}; }
-  ByHand include(const std::string&) override { return {ByHand::State::unknown_worker}; }
-  std::string duties() const override { return ""; }
-  std::string roster() const override { return ""; }
-  std::string replica() const override { return ""; }
+  ExclusionResult exclude(const std::string&) override { return {ExclusionResult::Status::unknownWorker}; }
+  ExclusionResult include(const std::string&) override { return {ExclusionResult::Status::unknownWorker}; }
+  std::string leaderTasks() const override { return ""; }
+  std::string membershipRecord() const override { return ""; }
+  std::string replicationState() const override { return ""; }
 };
 
-TEST_F(Loopback, OperatorsAreToldOfAllMembersOfALargeFleetWhereThereIsMemory) {
+TEST_F(Loopback, OperatorsGetAllMembersOfALargeFleetIfThereIsMemory) {
   OverloadManager pressure{io, sharesOf({std::size_t{32} << 20}), OverloadState::Limits{}};
   ManyLines fleet;
   OpsServer server(io, OpsServer::Limits{}, fleet, pressure);
@@ -40,17 +39,17 @@
     until([&] { return caller->ended; }, "the end of the answer");
     return caller->got;
   };
-  const std::string whole = members();
-  EXPECT_EQ(std::count(whole.begin(), whole.end(), '\n'), 1026);
-  EXPECT_EQ(whole.substr(whole.size() - 4), "EOF\n");
-  auto hog = pressure.memory().open(Account::operators);
+  const std::string complete = members();
+  EXPECT_EQ(std::count(complete.begin(), complete.end(), '\n'), 1026);
+  EXPECT_EQ(complete.substr(complete.size() - 4), "EOF\n");
+  auto otherCallers = pressure.memory().open(Account::operators);
   std::size_t taken = 0;
-  while (hog.resize(taken + 64 * 1024)) taken += 64 * 1024;
+  while (otherCallers.resize(taken + 64 * 1024)) taken += 64 * 1024;
   EXPECT_EQ(members(), "400 no memory for the answer now\n");
   OperatorResponse endless("200");
-  for (int i = 0; i < 100000; ++i) endless.add("a line that is one of many");
-  EXPECT_LT(endless.end().size(), OperatorResponse::kMost + 100);
-  EXPECT_NE(endless.end().find(" more\nEOF\n"), std::string::npos);
+  for (int i = 0; i < 100000; ++i) endless.addLine("a line that is one of many");
+  EXPECT_LT(endless.text().size(), OperatorResponse::kMaxBytes + 100);
+  EXPECT_NE(endless.text().find(" more\nEOF\n"), std::string::npos);
 }
 
 class Ops : public Loopback {
@@ -100,7 +99,7 @@
   std::optional<Gatekeeper> node;
 };
 
-TEST_F(Ops, AnswersALineAConnectionAndTurnsTheRestDown) {
+TEST_F(Ops, AnswersOneLineAConnectionAndRejectsTheRest) {
   open();
   tell(json::array({entry("s-1", worker.text())}), 2);
   until([&] { return call("readyz").substr(0, 3) == "200"; }, "ready");
@@ -112,7 +111,7 @@
   EXPECT_TRUE(shows("svc.hosts_down:0|g"));
 }
 
-TEST_F(Ops, SilentCallersKeepNobodyWaiting) {
+TEST_F(Ops, SilentCallersDelayNobody) {
   open();
   std::vector<PeerPtr> silent;
   for (int i = 0; i < 40; ++i) {
@@ -155,7 +154,7 @@
     EXPECT_TRUE(shows(figure)) << figure << "\n" << call("telemetry");
 }
 
-TEST_F(Ops, AWorkerOutByHandStaysOutWhateverDiscoverySaysUntilOneCallBack) {
+TEST_F(Ops, AnExcludedWorkerStaysExcludedWhateverDiscoverySays) {
   open();
   EXPECT_EQ(call("exclude s-1").substr(0, 3), "200");
   EXPECT_EQ(call("exclude s-1").substr(0, 3), "200");
@@ -172,7 +171,7 @@
 
 // The process that an upgrade starts has the exclusion before its first request, and each of the two follows
 // what the other is told.
-TEST_F(Ops, ExclusionsHoldOverAnUpgradeAndBothProcessesFollow) {
+TEST_F(Ops, ExclusionsOutliveAHotRestartAndBothProcessesFollow) {
   open();
   EXPECT_EQ(call("exclude s-1").substr(0, 3), "200");
   Gatekeeper next(io, config());
@@ -182,13 +181,13 @@
   until([&] { return shows("svc.hosts_down:0|g"); }, "the older process follows");
 }
 
-TEST_F(Ops, ADamagedFileOfExclusionsChangesNothing) {
+TEST_F(Ops, ADamagedExclusionsFileChangesNothing) {
   Exclusions mine(folder);
   EXPECT_FALSE(mine.set("s-1", true));  // no error
   const std::string file = folder + "/burlwind-excluded.json";
   for (const char* damage : {"", "{\"excluded\":[\"s-", "[]", "{\"excluded\":[1]}"}) {
     std::ofstream(file) << damage;
-    EXPECT_FALSE(mine.retry()) << damage;
+    EXPECT_FALSE(mine.sync()) << damage;
     EXPECT_EQ(mine.ids().count("s-1"), 1u) << damage;
     EXPECT_TRUE(Exclusions(folder).ids().empty()) << damage;
   }
@@ -196,7 +195,7 @@
   EXPECT_EQ(Exclusions(folder).ids().size(), 2u);
 }
 
-TEST_F(Ops, ChangedSettingsBindNewRequestsAndOpenOnesKeepTheirClass) {
+TEST_F(Ops, ChangedSettingsApplyToNewRequestsOnly) {
   open();
   const auto old = ask("00000000000000a1", "order");  // unsafe: never sent again
   untilSeen("00000000000000a1");
@@ -232,7 +231,7 @@
 }
 
 // SIGTERM, then SIGHUP with a file that names no store any more: the end still waits for what it had begun.
-TEST_F(Ops, AStoreThatIsSwitchedOffWhileItDrainsEndsNothingEarly) {
+TEST_F(Ops, RemovingTheStoreDuringADrainEndsNothingEarly) {
   Listener store(io);
   json file = configJson(discovery.text(), json::array({entry("s-1", worker.text())}));
   file["coordination"] = {
@@ -248,7 +247,7 @@
   until([&] { return done; }, "the end of the drain");
 }
 
-TEST_F(Ops, WhatIsLeftForTheNextProcessIsReadBackOrNotThere) {
+TEST_F(Ops, TheHandoverIsReadBackOrMissing) {
   EXPECT_FALSE(inherit(folder));
   leave(folder, {1e12, 0.01, -5e11});
   ASSERT_TRUE(inherit(folder));
@@ -264,7 +263,7 @@
 
 // Two processes on one listening socket. The old one leaves it listening and unanswered connections to the
 // new one, and still hears what comes on the connections that it has.
-TEST_F(Ops, AnUpgradeTurnsNobodyBack) {
+TEST_F(Ops, AHotRestartRejectsNobody) {
   tcp::acceptor held(io, tcp::endpoint(asio::ip::address_v4::loopback(), 0));
   const auto inherit = [&] {
     Config out = config();
