--- a/src/config/config.hpp
+++ b/src/config/config.hpp
@@ -84,7 +84,4 @@
 /// @throws ConfigError, IncompleteConfigError.
 Config parseConfig(std::string_view json);
 
-/// @throws std::runtime_error with one plain line on anything but an IP address, a colon and a port.
-boost::asio::ip::tcp::endpoint parseEndpoint(std::string_view hostPort);
-
 }  // namespace wingslip
--- a/src/config/config_json.cpp
+++ b/src/config/config_json.cpp
@@ -6,6 +6,8 @@
 
 #include "config/config_sections.hpp"
 
+#include "codec/socket_address.hpp"
+
 namespace wingslip {
 namespace {
 
--- a/src/config/config_sections.cpp
+++ b/src/config/config_sections.cpp
@@ -1,5 +1,7 @@
 #include "config/config_sections.hpp"
 
+#include "codec/socket_address.hpp"
+
 #include <algorithm>
 #include <cctype>
 #include <cmath>
--- a/src/gatekeeper/gatekeeper.cpp
+++ b/src/gatekeeper/gatekeeper.cpp
@@ -33,8 +33,8 @@
 }
 
 std::chrono::steady_clock::time_point processFrom(const WorkerStart& start) {
-  if (start.processFrom <= 0) return std::chrono::steady_clock::time_point::min();
-  return DecisionClock::steady(start.processFrom);
+  if (start.processStartedAt <= 0) return std::chrono::steady_clock::time_point::min();
+  return DecisionClock::steady(start.processStartedAt);
 }
 
 }  // namespace
@@ -60,22 +60,22 @@
                     began(id, type, length);
                   },
                   [this](RequestId id, std::string&& piece) { passOn(id, std::move(piece)); }});
-  pressure_.begin([this] { return std::max(server_.busyShare(), pool_.busyShare()); },
+  pressure_.start([this] { return std::max(server_.busyShare(), pool_.busyShare()); },
                   [this](double excess) { pressed(excess); });
-  if (config_.ops) ops_.emplace(io, OpsServer::Limits{}, static_cast<Operated&>(*this), pressure_);
+  if (config_.ops) ops_.emplace(io, OpsServer::Limits{}, static_cast<OperatorCalls&>(*this), pressure_);
   for (const std::string& name : config_.host.classes) metrics_.classes.try_emplace(name);
-  monitor_.rules(workerRules(config_.settings));
+  monitor_.setRules(workerRules(config_.settings));
   applyExclusions({});
   takeHandover();
-  Roster known;
+  EndpointList known;
   if (!config_.known.empty()) {
-    known = parseRoster(config_.known);
+    known = parseEndpointList(config_.known);
     told(known, EndpointUpdate::cached);
   }
-  discovery_ = std::make_unique<Discovery>(
+  discovery_ = std::make_unique<DiscoveryClient>(
       io, config_.discovery, std::move(known), watchLimits(config_), config_.seed,
-      [this](const Roster& roster) {
-        told(roster, roster.reset ? EndpointUpdate::snapshot : EndpointUpdate::delta);
+      [this](const EndpointList& roster) {
+        told(roster, roster.isSnapshot ? EndpointUpdate::snapshot : EndpointUpdate::delta);
       },
       pressure_);
 }
@@ -86,7 +86,7 @@
   if (ops_) ops_->start(*config_.ops);
   server_.start();
   discovery_->start();
-  settle_.expires_after(span(Watch::hasWithin(watchLimits(config_))));
+  settle_.expires_after(span(EndpointWatch::maxUpdateDelayMs(watchLimits(config_))));
   settle_.async_wait([this](const Error& error) {
     if (!error) settle();
   });
@@ -119,10 +119,11 @@
 
 // Which requests pay for it is the module's choice; idle connections serve nobody.
 void Gatekeeper::pressed(double excess) {
-  const Pressure& now = pressure_.pressure();
-  if (pressure_.fewDescriptors()) server_.trimIdle();
-  gateway_.onOverload(clock_.now(), {now.stage() != Stage::none, pressure_.slow(), now.share(), excess,
-                                     now.lasts(OverloadManager::now())});
+  const OverloadState& now = pressure_.state();
+  if (pressure_.areDescriptorsOverloaded()) server_.trimIdle();
+  gateway_.onOverload(clock_.now(),
+                      {now.level() != OverloadLevel::none, pressure_.isMemoryOverloaded(), now.rejectShare(),
+                       excess, now.expectedDurationMs(OverloadManager::now())});
 }
 
 // What came before the first list is numbered as the settings were then. False: its class or plan is no more;
@@ -152,12 +153,12 @@
   gateway_.onSettings(clock_.now(), settings);
   early_ = std::move(early);
   config_.settings = std::move(settings);
-  monitor_.rules(workerRules(config_.settings));
+  monitor_.setRules(workerRules(config_.settings));
   config_.host = std::move(host);
   config_.keys = config.keys;
   config_.discovery = config.discovery;
   pool_.retune(poolLimits(config_), config_.settings.loadReportFields);
-  pressure_.retune(pressureLimits(config_));
+  pressure_.setLimits(pressureLimits(config_));
   if (config.memoryMb != config_.memoryMb)
     processLog().warn("event=reload text=\"limits.memory_mb stays as at the start\" memory_mb={}",
                       config_.memoryMb);
@@ -178,7 +179,7 @@
     share();
   }
   ++metrics_.reconfigOk;
-  discovery_->moveTo(config.discovery, watchLimits(config_));
+  discovery_->setAgent(config.discovery, watchLimits(config_));
   processLog().info("event=reloaded");
 }
 
@@ -223,44 +224,44 @@
   processLog().info("event=drained held={} client_connections={} invariants_broken={}", held_.size(),
                     server_.connections(), monitor_.total());
   for (auto& [id, held] : held_)
-    if (!held.answering) monitor_.forgotten(held.trace, now);
+    if (!held.answering) monitor_.requestReleased(held.trace, now);
   if (server_.connections() == 0)
-    monitor_.accounts(held_.size(), std::to_string(held_.size()) + " requests held without a connection",
-                      now);
+    monitor_.checkNothingHeld(held_.size(),
+                              std::to_string(held_.size()) + " requests held without a connection", now);
   done();
 }
 
 // --- From discovery --------------------------------------------------------------------------------------
 
 // One of a zone or kind that the settings do not name is of none of theirs, also after others have come in.
-Endpoint Gatekeeper::memberOf(const Instance& instance, const WorkerStart& start, const NameIndex& zones,
+Endpoint Gatekeeper::memberOf(const EndpointEntry& instance, const WorkerStart& start, const NameIndex& zones,
                               const NameIndex& kinds) const {
   Endpoint out;
   out.worker = numberOf(instance.id);
   out.phase = instance.phase;
   out.zone = zones.of(instance.zone);
-  out.machineType = kinds.of(instance.kind);
+  out.machineType = kinds.of(instance.machineType);
   out.cell = instance.cell;
-  out.startedAt = start.warmFrom;
+  out.startedAt = start.slowStartFrom;
   return out;
 }
 
 // Told to drain, or gone: nothing new to it.
 void Gatekeeper::leave(WorkerId worker, decision::WorkerPhase phase, Time now) {
   listed_.erase(worker);
-  monitor_.workerLeaves(worker, phase, now);
+  monitor_.workerRetired(worker, phase, now);
   pool_.retire(worker);
 }
 
-void Gatekeeper::told(const Roster& roster, EndpointUpdate kind) {
+void Gatekeeper::told(const EndpointList& roster, EndpointUpdate kind) {
   const Time now = clock_.now();
   const bool live = listTold_ && kind != EndpointUpdate::cached;
-  for (const Instance& instance : roster.instances) starts_.hear(instance.startedAtMs, now);
+  for (const EndpointEntry& instance : roster.entries) starts_.observe(instance.startedAtMs, now);
   std::vector<Endpoint> members;
   std::unordered_set<WorkerId> unnamed;
   if (kind != EndpointUpdate::delta) unnamed = listed_;
   const NameIndex zones(config_.host.zones), kinds(config_.host.machineTypes);
-  for (const Instance& instance : roster.instances) {
+  for (const EndpointEntry& instance : roster.entries) {
     const WorkerId worker = numberOf(instance.id);
     const WorkerStart start = starts_.startOf(worker, instance.startedAtMs, now, live);
     members.push_back(memberOf(instance, start, zones, kinds));
@@ -268,14 +269,14 @@
     unnamed.erase(worker);
     if (instance.phase == decision::WorkerPhase::ready) {
       listed_.insert(worker);
-      monitor_.workerReady(worker, start.warmFrom);
+      monitor_.workerReady(worker, start.slowStartFrom);
       pool_.place(worker, {instance.address, processFrom(start)});
     } else {
       leave(worker, instance.phase, now);
     }
   }
   for (const WorkerId worker : unnamed) leave(worker, decision::WorkerPhase::removed, now);
-  starts_.trim([this](WorkerId worker) { return listed_.contains(worker); });
+  starts_.forgetUnlisted([this](WorkerId worker) { return listed_.contains(worker); });
   gateway_.onEndpoints(now, kind, members);
   ready_ = ready_ || !listed_.empty();
   if (kind != EndpointUpdate::cached) settle();
@@ -289,7 +290,7 @@
 // (followExclusions) for kExclusionsWithin.
 void Gatekeeper::settle() {
   listTold_ = true;
-  if (exclusions_.known()) return settleOnce();
+  if (exclusions_.isLoaded()) return settleOnce();
   settle_.expires_at(startedAt_ + kExclusionsWithin);
   settle_.async_wait([this](const Error& error) {
     if (error) return;
--- a/src/gatekeeper/gatekeeper.hpp
+++ b/src/gatekeeper/gatekeeper.hpp
@@ -13,7 +13,7 @@
 #include "endpoint_watch/start_times.hpp"
 #include "gatekeeper/client_server.hpp"
 #include "gatekeeper/decision_clock.hpp"
-#include "gatekeeper/discovery.hpp"
+#include "gatekeeper/discovery_client.hpp"
 #include "gatekeeper/exclusions.hpp"
 #include "gatekeeper/metrics.hpp"
 #include "gatekeeper/name_index.hpp"
@@ -28,7 +28,7 @@
 
 namespace wingslip {
 
-class Gatekeeper : private decision::Actions, private RequestHandler, private Operated {
+class Gatekeeper : private decision::Actions, private RequestHandler, private OperatorCalls {
  public:
   Gatekeeper(boost::asio::io_context& io, const Config& config);
   ~Gatekeeper() override;
@@ -77,15 +77,15 @@
   void turnedAway(unsigned klass) override;
   void closedUnanswered(CloseReason reason) override;
 
-  // Operated
+  // OperatorCalls
   bool readyToServe() const override;
   std::string telemetry() const override;
-  ByHand exclude(const std::string& id) override;
-  ByHand include(const std::string& id) override;
-  std::string duties() const override;
-  std::string roster() const override;
-  std::string sharers() const override;
-  std::string replica() const override;
+  ExclusionResult exclude(const std::string& workerId) override;
+  ExclusionResult include(const std::string& workerId) override;
+  std::string leaderTasks() const override;
+  std::string membershipRecord() const override;
+  std::string replicationMembers() const override;
+  std::string replicationState() const override;
 
   // Actions
   void startAttempt(decision::RequestId id, decision::WorkerId worker, decision::Time timeout) override;
@@ -95,12 +95,12 @@
   void pollEndpoints() override {}  // the watch is always open
   void log(const std::string& line) override;
 
-  void told(const Roster& roster, decision::EndpointUpdate kind);
+  void told(const EndpointList& roster, decision::EndpointUpdate kind);
   void leave(decision::WorkerId worker, decision::WorkerPhase phase, decision::Time now);
   void settle();
   void settleOnce();
   bool renumber(decision::Request& request, const NameIndex& classes, const NameIndex& plans) const;
-  decision::Endpoint memberOf(const Instance& instance, const WorkerStart& start, const NameIndex& zones,
+  decision::Endpoint memberOf(const EndpointEntry& instance, const WorkerStart& start, const NameIndex& zones,
                               const NameIndex& kinds) const;
   void ended(AttemptEnd&& end);
   void expire(decision::RequestId id);
@@ -115,7 +115,7 @@
   void coordinate();
   void share();
   void replicated(const replication::Row& row);
-  ByHand setByHand(const std::string& id, bool excluded);
+  ExclusionResult setExcluded(const std::string& id, bool excluded);
   void applyExclusions(const std::set<std::string>& before);
   void noteNamed(const std::string& id);
   void handOverLater();
@@ -150,7 +150,7 @@
   invariant::Monitor monitor_;
   SendRefusals sendRefusals_;
   std::unordered_set<decision::WorkerId> excluded_;  // by hand
-  std::unique_ptr<Discovery> discovery_;
+  std::unique_ptr<DiscoveryClient> discovery_;
   Metrics metrics_;
   ClassCounts uncounted_;  // of classes past the most that are counted
   Exclusions exclusions_;
--- a/src/leader_election/coordinator.cpp
+++ b/src/leader_election/coordinator.cpp
@@ -7,7 +7,7 @@
 #include <random>
 #include <utility>
 
-#include "net/answer_lines.hpp"
+#include "net/operator_response.hpp"
 
 namespace wingslip::leader_election {
 namespace {
@@ -171,10 +171,10 @@
   for (const MemberState state : kOrder)
     for (const auto& [name, member] : record.members())
       if (member.state == state)
-        out.add(name + " " + operatorsNameOf(state) + " processes=" + std::to_string(member.processes) +
+        out.addLine(name + " " + operatorsNameOf(state) + " processes=" + std::to_string(member.processes) +
                 " build=" + member.build + " started=" + std::to_string(member.startedUnixS) +
                 " since_version=" + std::to_string(member.sinceVersion));
-  return out.end();
+  return out.text();
 }
 
 }  // namespace wingslip::leader_election
--- a/src/replication/replica_node.cpp
+++ b/src/replication/replica_node.cpp
@@ -7,6 +7,7 @@
 #include "net/http.hpp"
 #include "net/listener.hpp"
 #include "replication/replica_report.hpp"
+#include "codec/socket_address.hpp"
 
 namespace wingslip::replication {
 namespace {
@@ -133,7 +134,7 @@
     return;
   }
   const auto connection = std::make_shared<ReplicaConnection>(
-      static_cast<ReplicaConnection::Owner&>(*this), std::move(socket), overload_.ledger(), transport_);
+      static_cast<ReplicaConnection::Owner&>(*this), std::move(socket), overload_.memory(), transport_);
   if (connection->start())
     connections_.insert(connection);
   else
--- a/tests/leader_election_test.cpp
+++ b/tests/leader_election_test.cpp
@@ -254,7 +254,7 @@
   EXPECT_EQ(errors[3], "too long an answer");
   EXPECT_EQ(errors[4], "broken");
   EXPECT_EQ(errors[5], "ok");
-  EXPECT_EQ(overloadManager.ledger().held(Account::discovery), 0u);
+  EXPECT_EQ(overloadManager.memory().held(Account::discovery), 0u);
 }
 
 TEST(LeaderElectionBadInput, ConfigurationWithAWrongStoreIsRejectedWhole) {
--- a/tools/lab/scale_cases_process.cpp
+++ b/tools/lab/scale_cases_process.cpp
@@ -15,6 +15,7 @@
 #include <string>
 #include <thread>
 
+#include "codec/socket_address.hpp"
 #include "discovery_agent.hpp"
 #include "loopback_listener.hpp"
 #include "net/overload_manager.hpp"
