--- a/src/gatekeeper/gatekeeper.cpp
+++ b/src/gatekeeper/gatekeeper.cpp
@@ -56,7 +56,7 @@
       follow_(io),
       accept_(io),
       leave_(io) {
-  pool_.streamTo({[this](RequestId id, const std::string& type, std::optional<std::uint64_t> length) {
+  pool_.setStreamHandlers({[this](RequestId id, const std::string& type, std::optional<std::uint64_t> length) {
                     began(id, type, length);
                   },
                   [this](RequestId id, std::string&& piece) { passOn(id, std::move(piece)); }});
@@ -156,7 +156,7 @@
   config_.host = std::move(host);
   config_.keys = config.keys;
   config_.discovery = config.discovery;
-  pool_.retune(poolLimits(config_), config_.settings.loadReportFields);
+  pool_.updateSettings(poolLimits(config_), config_.settings.loadReportFields);
   pressure_.retune(pressureLimits(config_));
   if (config.memoryMb != config_.memoryMb)
     processLog().warn("event=reload text=\"limits.memory_mb stays as at the start\" memory_mb={}",
@@ -249,7 +249,7 @@
 void Gatekeeper::leave(WorkerId worker, decision::WorkerPhase phase, Time now) {
   listed_.erase(worker);
   monitor_.workerLeaves(worker, phase, now);
-  pool_.retire(worker);
+  pool_.removeWorker(worker);
 }
 
 void Gatekeeper::told(const Roster& roster, EndpointUpdate kind) {
@@ -269,7 +269,7 @@
     if (instance.phase == decision::WorkerPhase::ready) {
       listed_.insert(worker);
       monitor_.workerReady(worker, start.warmFrom);
-      pool_.place(worker, {instance.address, processFrom(start)});
+      pool_.setWorkerAddress(worker, {instance.address, processFrom(start)});
     } else {
       leave(worker, instance.phase, now);
     }
--- a/src/gatekeeper/gatekeeper.hpp
+++ b/src/gatekeeper/gatekeeper.hpp
@@ -129,7 +129,7 @@
   std::shared_ptr<Responder> conclude(decision::RequestId id, invariant::RequestState how);
   void noteEnd(const decision::AttemptOutcome& outcome);
   void finishDrain(const std::function<void()>& done);
-  void pull(decision::RequestId id, AttemptRequest::Take take);
+  void pull(decision::RequestId id, AttemptRequest::BodyPieceHandler take);
   void becameWhole(decision::RequestId id, Held& held);
   void setDeadline(decision::RequestId id, Held& held);
   void began(decision::RequestId id, const std::string& contentType, std::optional<std::uint64_t> length);
--- a/src/gatekeeper/gatekeeper_limits.cpp
+++ b/src/gatekeeper/gatekeeper_limits.cpp
@@ -36,8 +36,8 @@
 UpstreamPool::Limits poolLimits(const Config& config) {
   UpstreamPool::Limits out;
   out.connectTimeout = std::chrono::milliseconds(std::lround(std::max(1.0, config.host.connectTimeout)));
-  out.idleFor = std::chrono::milliseconds(std::lround(kIdleShare * config.host.idleTimeout));
-  out.total = shareOfSockets(config, kWorkerShare);
+  out.idleTimeout = std::chrono::milliseconds(std::lround(kIdleShare * config.host.idleTimeout));
+  out.maxConnections = shareOfSockets(config, kWorkerShare);
   return out;
 }
 
--- a/src/gatekeeper/gatekeeper_operators.cpp
+++ b/src/gatekeeper/gatekeeper_operators.cpp
@@ -42,7 +42,7 @@
   const decision::WorkerCounts census = gateway_.workerCounts(clock_.now());
   Metrics figures = metrics_;
   figures.attempts = pool_.attemptsWritten();
-  figures.shortHere = pool_.shortHere();
+  figures.shortHere = pool_.localShortages();
   figures.refusals = gateway_.rejectionCounts();
   return telemetryText(figures, {held_.size(), census.listed, census.avoided},
                        monitor_.telemetry() + server_.closes().telemetry("close") +
@@ -98,7 +98,7 @@
     if (before.contains(id)) continue;
     const WorkerId worker = numberOf(id);
     gateway_.exclude(now, worker);
-    pool_.quiet(worker);
+    pool_.stopSendingTo(worker);
     excluded_.insert(worker);
     monitor_.workerExcluded(worker, now);
   }
@@ -181,10 +181,10 @@
   processLog().info(
       "event=attempts ok={} error={} unreadable={} full={} timeout={} unconnected={} reset={} "
       "reset_reused={} reset_in_answer={} cancelled={} worker_connections={} most_buffered_worker={}",
-      ended(AttemptResult::ok), ended(AttemptResult::error), pool.unreadable,
+      ended(AttemptResult::ok), ended(AttemptResult::error), pool.malformedResponses,
       ended(AttemptResult::overloaded), ended(AttemptResult::timeout), ended(AttemptResult::connectFailed),
-      ended(AttemptResult::reset), pool.resetReused, pool.resetInAnswer, ended(AttemptResult::cancelled),
-      pool_.connections(), pool.mostBuffered);
+      ended(AttemptResult::reset), pool.resetReused, pool.resetInResponse, ended(AttemptResult::cancelled),
+      pool_.connections(), pool.maxBufferedBytes);
   processLog().info("event=lists read={} longest_line={} lists={} calls={} invariants_broken={}",
                     discovery.read, discovery.longestLine, discovery.lists, discovery.calls,
                     monitor_.total());
--- a/src/gatekeeper/gatekeeper_requests.cpp
+++ b/src/gatekeeper/gatekeeper_requests.cpp
@@ -84,7 +84,7 @@
   });
 }
 
-void Gatekeeper::pull(RequestId id, AttemptRequest::Take take) {
+void Gatekeeper::pull(RequestId id, AttemptRequest::BodyPieceHandler take) {
   const auto found = held_.find(id);
   if (found == held_.end()) return;
   found->second.pulled = true;
@@ -112,7 +112,7 @@
   monitor_.clientLeft(found->second.trace, clock_.now());
   held_.erase(found);
   gateway_.onClientDisconnect(clock_.now(), id);
-  if (auto end = pool_.giveUp(id, AttemptResult::cancelled)) ended(std::move(*end));
+  if (auto end = pool_.cancelAttempt(id, AttemptResult::cancelled)) ended(std::move(*end));
 }
 
 // The deadline: an attempt that is out has timed out. The answer goes out now, whatever the module says.
@@ -120,7 +120,7 @@
   const auto found = held_.find(id);
   if (found == held_.end() || found->second.answering) return;
   if (!settled_) return reject(id, kEarlyRetry);
-  if (auto end = pool_.giveUp(id, AttemptResult::timeout)) {
+  if (auto end = pool_.cancelAttempt(id, AttemptResult::timeout)) {
     end->outcome.requestFinished = false;
     noteEnd(end->outcome);
     gateway_.onAttemptOutcome(std::max(clock_.now(), found->second.expires), end->outcome);
@@ -141,7 +141,7 @@
     }
     fail(id);
     gateway_.onClientDisconnect(clock_.now(), id);
-    if (auto end = pool_.giveUp(id, AttemptResult::cancelled)) ended(std::move(*end));
+    if (auto end = pool_.cancelAttempt(id, AttemptResult::cancelled)) ended(std::move(*end));
   }
 }
 
@@ -166,7 +166,7 @@
     Answer served;
     served.body = std::move(end.body);
     served.contentType = std::move(end.contentType);
-    served.room = std::move(end.room);
+    served.room = std::move(end.bodyMemory);
     ++served_;
     ++held_.at(outcome.id).counts->success;
     answer(outcome.id, std::move(served));
@@ -188,7 +188,7 @@
   const auto found = held_.find(id);
   if (found == held_.end()) return;
   const auto responder = found->second.responder;
-  responder->pass(std::move(piece), false, [this, id] { pool_.resume(id); });
+  responder->pass(std::move(piece), false, [this, id] { pool_.resumeResponse(id); });
 }
 
 // The end of an answer that was passed on as it came, or what could be had of it.
@@ -201,7 +201,7 @@
   const auto responder =
       conclude(end.outcome.id, whole ? invariant::RequestState::answered : invariant::RequestState::cut);
   if (whole) {
-    responder->keep(std::move(end.room));
+    responder->keep(std::move(end.bodyMemory));
     responder->pass(std::move(end.body), true, nullptr);
   } else {
     responder->cut();
@@ -225,8 +225,8 @@
   if (held.attempts > 0) metrics_.retries.add(held.lastResult);
   held.attemptUntil = early ? now + timeout : held.expires;
   monitor_.connecting(held.trace, worker, now);
-  pool_.start(id, held.attempts++, worker, attemptRequest(id, held, worker),
-              early ? std::optional(span(timeout)) : std::nullopt);
+  pool_.startAttempt(id, held.attempts++, worker, attemptRequest(id, held, worker),
+                     early ? std::optional(span(timeout)) : std::nullopt);
 }
 
 // Between the module's choice and the first byte a connection may have had to come up.
@@ -348,20 +348,20 @@
 // The bytes are made when they can be written (`compose`).
 AttemptRequest Gatekeeper::attemptRequest(RequestId id, const Held& held, WorkerId worker) {
   AttemptRequest out;
-  out.compose = [this, id, worker] { return compose(id, worker); };
-  out.size = kOwnFields + view(held.message.target()).size() + held.message.body().size();
+  out.serialize = [this, id, worker] { return compose(id, worker); };
+  out.maxSerializedBytes = kOwnFields + view(held.message.target()).size() + held.message.body().size();
   for (const auto& field : held.message.base())
-    out.size += view(field.name_string()).size() + view(field.value()).size() + kFieldFrame;
+    out.maxSerializedBytes += view(field.name_string()).size() + view(field.value()).size() + kFieldFrame;
   if (!held.streamed) return out;
-  out.chunked = !held.length;
-  out.pull = [this, id](AttemptRequest::Take take) { pull(id, std::move(take)); };
+  out.chunkedBody = !held.length;
+  out.readBody = [this, id](AttemptRequest::BodyPieceHandler take) { pull(id, std::move(take)); };
   return out;
 }
 
 // One that is out for a request that the module has given up on. The module learns its end from a handler of
 // its own.
 void Gatekeeper::dropAttempt(RequestId id) {
-  auto end = pool_.giveUp(id, AttemptResult::cancelled);
+  auto end = pool_.cancelAttempt(id, AttemptResult::cancelled);
   if (!end) return;
   asio::post(io_, [this, alive = std::weak_ptr<bool>(alive_), outcome = std::move(end->outcome)]() mutable {
     if (alive.expired()) return;
--- /dev/null
+++ b/src/gatekeeper/upstream_connection.cpp
@@ -0,0 +1,375 @@
+#include "gatekeeper/upstream_connection.hpp"
+
+#include <netinet/in.h>
+#include <netinet/tcp.h>
+
+#include <algorithm>
+#include <boost/asio/post.hpp>
+#include <utility>
+
+#include "net/socket_io.hpp"
+
+namespace wingslip {
+namespace {
+
+using asio::ip::tcp;
+using decision::AttemptOutcome;
+using decision::AttemptResult;
+using decision::RequestId;
+using decision::WorkerId;
+using Clock = UpstreamConnection::Clock;
+
+// Bytes of memory that a connection is charged with.
+constexpr std::size_t kConnectionBytes = 10752;     // with parser and a first read buffer
+constexpr std::size_t kBareConnectionBytes = 2048;  // without buffer
+// A larger request leaves the last part of the memory to others.
+constexpr std::size_t kSmallRequestBytes = 16 * 1024;
+constexpr std::size_t kBodyWindowBytes = 2 * kStreamStep + 64;  // a body piece with its chunk frame
+
+// Workers may send a second response 1 to 4 ms after the first. Nothing is written before, so that it is not
+// taken for the response to the next request.
+constexpr auto kLateResponseQuarantine = std::chrono::milliseconds(6);
+
+using QuickAcknowledgement = asio::detail::socket_option::boolean<IPPROTO_TCP, TCP_QUICKACK>;
+
+}  // namespace
+
+UpstreamConnection::UpstreamConnection(UpstreamContext& context, UpstreamConnectionOwner& owner,
+                                       WorkerId worker, const tcp::endpoint& endpoint)
+    : context_(context),
+      owner_(owner),
+      worker_(worker),
+      endpoint_(endpoint),
+      memory_(context.overload.ledger().open(Account::workers)),
+      socket_(context.io),
+      timer_(context.io) {}
+
+// --- Life of the connection --------------------------------------------------------------------------------
+
+bool UpstreamConnection::reserveMemory(const AttemptRequest& request) {
+  if (memory_.bytes() < kConnectionBytes) {
+    if (!memory_.resize(kConnectionBytes)) return false;
+    memory_.fix();
+  }
+  requestBytes_ = request.maxSerializedBytes + (request.readBody ? kBodyWindowBytes : 0);
+  const MemoryBudget& budget = context_.overload.ledger();
+  const double highMark = context_.overload.pressure().limits().memory.high;
+  if (requestBytes_ > kSmallRequestBytes && !budget.staysUnder(highMark, Account::workers, requestBytes_))
+    return false;
+  return memory_.resize(memoryBytes(0));
+}
+
+std::size_t UpstreamConnection::memoryBytes(std::size_t more) const {
+  return std::max(kConnectionBytes, kBareConnectionBytes + response_.memoryBytes(more)) + requestBytes_;
+}
+
+bool UpstreamConnection::quarantineOver() const {
+  return Clock::now() >= idleSince_ + kLateResponseQuarantine;
+}
+
+bool UpstreamConnection::isStale() { return peerState(socket_) != PeerState::quiet; }
+
+void UpstreamConnection::becomeIdle() {
+  idleSince_ = Clock::now();
+  // Acknowledges the response now: the worker's kernel may hold a second response back until then (Nagle),
+  // and the next request would release it and take it for its own.
+  Error ignored;
+  socket_.set_option(QuickAcknowledgement(true), ignored);
+  waitRecord_.leave();
+  response_.releaseSpareMemory();
+  memory_.shrinkTo(memoryBytes(0));
+  expiresAt_ = Clock::now() + context_.limits.idleTimeout;
+  armTimer(expiresAt_);
+}
+
+void UpstreamConnection::close() {
+  markEnded();
+  readBody_ = nullptr;
+  serialize_ = nullptr;
+  waitRecord_.leave();
+  pausedRead_.clear();
+  memory_.release();
+  timer_.cancel();
+  Error ignored;
+  socket_.close(ignored);
+}
+
+void UpstreamConnection::recordWait(WaitAt reason) {
+  waitRecord_.enter(context_.overload.places(), reason, OverloadManager::now());
+}
+
+void UpstreamConnection::armTimer(Clock::time_point at) {
+  if (at == Clock::time_point::max()) {
+    timer_.cancel();
+    return;
+  }
+  timer_.expires_at(at);
+  timer_.async_wait(guard([this](const Error& error, std::size_t) {
+    if (!error && timer_.expiry() <= Clock::now()) onTimer();
+  }));
+}
+
+void UpstreamConnection::onTimer() {
+  const bool expired = Clock::now() >= expiresAt_;
+  if (busy_ && quarantined_ && !expired) {
+    quarantined_ = false;
+    return serializeAndWrite();
+  }
+  if (!busy_) return owner_.closeConnection(*this);
+  WaitAt reason = connected_ ? WaitAt::attemptOut : WaitAt::connecting;
+  if (hasStreamedBody()) reason = WaitAt::bodyWindow;
+  context_.overload.places().turnAway(reason);
+  if (streaming_ || hasStreamedBody()) return endAttempt(AttemptResult::reset);
+  endAttempt(nothingSent() ? AttemptResult::connectFailed : AttemptResult::timeout);
+}
+
+// --- Writing an attempt ------------------------------------------------------------------------------------
+
+void UpstreamConnection::startAttempt(RequestId id, unsigned attempt, AttemptRequest request,
+                                      std::optional<Clock::duration> timeout) {
+  outcome_ = AttemptOutcome{};
+  outcome_.id = id;
+  outcome_.attempt = attempt;
+  outcome_.worker = worker_;
+  startedAt_ = Clock::now();
+  timeout_ = timeout;
+  serialize_ = std::move(request.serialize);
+  readBody_ = std::move(request.readBody);
+  chunkedBody_ = request.chunkedBody;
+  expiresAt_ = timeout && !hasStreamedBody() ? startedAt_ + *timeout : Clock::time_point::max();
+  requestWritten_ = false;
+  streaming_ = false;
+  busy_ = true;
+  response_.reset();
+  recordWait(connected_ ? WaitAt::attemptOut : WaitAt::connecting);
+  if (!connected_) return connect();
+  quarantined_ = !quarantineOver();
+  if (!quarantined_) return serializeAndWrite();
+  armTimer(std::min(expiresAt_, idleSince_ + kLateResponseQuarantine));
+}
+
+AttemptOutcome UpstreamConnection::stopAttempt(AttemptResult result) {
+  busy_ = false;
+  quarantined_ = false;
+  const bool mayHaveRun = requestWritten_ || result == AttemptResult::cancelled;
+  outcome_.result = mayHaveRun ? result : AttemptResult::connectFailed;
+  recordLatency();
+  context_.stats.count(outcome_.result);
+  return outcome_;
+}
+
+void UpstreamConnection::recordLatency() {
+  outcome_.latencyMs = std::chrono::duration<double, std::milli>(Clock::now() - startedAt_).count();
+}
+
+void UpstreamConnection::connect() {
+  armTimer(std::min(expiresAt_, startedAt_ + context_.limits.connectTimeout));
+  socket_.async_connect(endpoint_, guard([this](const Error& error, std::size_t) { onConnected(error); }));
+}
+
+void UpstreamConnection::onConnected(const Error& error) {
+  if (error) return endAttempt(AttemptResult::connectFailed);
+  Error ignored;
+  socket_.set_option(tcp::no_delay(true), ignored);
+  socket_.non_blocking(true, ignored);
+  connected_ = true;
+  recordWait(WaitAt::attemptOut);
+  read();
+  serializeAndWrite();
+}
+
+// The bytes are made now and not earlier: the client may have disconnected, or less of its deadline may be
+// left. Where nothing may be sent the attempt ends from a handler of its own, since the decision module may
+// be in the middle of starting it.
+void UpstreamConnection::serializeAndWrite() {
+  std::optional<std::string> bytes = std::exchange(serialize_, nullptr)();
+  if (bytes) {
+    output_ = std::move(*bytes);
+    return write();
+  }
+  asio::post(context_.io, [self = shared_from_this(), this, id = outcome_.id] {
+    if (!ended() && busy_ && outcome_.id == id) endAttempt(AttemptResult::connectFailed);
+  });
+}
+
+void UpstreamConnection::write() {
+  armTimer(hasStreamedBody() ? Clock::now() + context_.limits.streamStallTimeout : expiresAt_);
+  outputSent_ = 0;
+  writeRemaining();
+}
+
+// Written without asio's composed write: once the kernel has the last byte the worker may run the request. If
+// that were known only from a completion handler, an attempt cancelled in between would count as never sent.
+void UpstreamConnection::writeRemaining() {
+  Error error;
+  outputSent_ += writeSome(socket_, asio::buffer(output_) + outputSent_, error);
+  if (error == asio::error::would_block)
+    return socket_.async_wait(tcp::socket::wait_write,
+                              guard([this, id = outcome_.id](const Error&, std::size_t) {
+                                if (busy_ && outcome_.id == id) writeRemaining();
+                              }));
+  if (!error && !hasStreamedBody()) {
+    requestWritten_ = true;
+    ++context_.attemptsWritten;
+    return;
+  }
+  asio::post(context_.io, [self = shared_from_this(), this, id = outcome_.id, error] {
+    if (ended() || !busy_ || outcome_.id != id) return;
+    error ? endAttempt(AttemptResult::connectFailed) : requestBodyPiece();
+  });
+}
+
+// No time-out runs while the client's next piece is awaited; the response's time-out starts at the last byte.
+void UpstreamConnection::requestBodyPiece() {
+  timer_.cancel();
+  readBody_([weak = weak_from_this(), id = outcome_.id](std::string&& piece, bool last) {
+    const auto self = weak.lock();
+    if (self && !self->ended() && self->busy_ && self->outcome_.id == id)
+      self->writeBodyPiece(std::move(piece), last);
+  });
+}
+
+void UpstreamConnection::writeBodyPiece(std::string&& piece, bool last) {
+  if (chunkedBody_) {
+    output_.clear();
+    appendChunk(output_, piece, last);
+  } else {
+    output_ = std::move(piece);
+  }
+  if (last) {
+    readBody_ = nullptr;
+    startedAt_ = Clock::now();
+    if (timeout_) expiresAt_ = startedAt_ + *timeout_;
+  }
+  write();
+}
+
+// --- Reading the response ----------------------------------------------------------------------------------
+
+void UpstreamConnection::read() {
+  if (reading_) return;
+  if (!memory_.resize(memoryBytes(readStep()))) return waitForMemory();
+  pausedRead_.clear();
+  reading_ = true;
+  if (streaming_) armTimer(Clock::now() + context_.limits.streamStallTimeout);
+  socket_.async_read_some(response_.prepare(readStep()), guard([this](const Error& error, std::size_t bytes) {
+                            reading_ = false;
+                            onRead(error, bytes);
+                          }));
+}
+
+// The response stays in the kernel meanwhile, and the attempt's time-out goes on.
+void UpstreamConnection::waitForMemory() {
+  const auto retry = [this] {
+    if (ended() || reading_) return true;
+    if (!memory_.resize(memoryBytes(readStep()))) return false;
+    read();
+    return true;
+  };
+  context_.overload.waitForRoom(pausedRead_, Account::workers, weak_from_this(), retry, nullptr);
+}
+
+void UpstreamConnection::onRead(const Error& error, std::size_t bytes) {
+  response_.commit(bytes);
+  if (!busy_) return owner_.closeConnection(*this);
+  if (isTransient(error)) return read();
+  error ? onConnectionLost(error) : parseResponse();
+}
+
+void UpstreamConnection::watchIdle() {
+  reading_ = true;
+  socket_.async_wait(tcp::socket::wait_read, guard([this](const Error&, std::size_t) {
+                       reading_ = false;
+                       onReadableWhileIdle();
+                     }));
+}
+
+// If an attempt has started meanwhile, the bytes are its response and are read at once, so that a time-out
+// due in the same turn of the loop comes after it.
+void UpstreamConnection::onReadableWhileIdle() {
+  if (!busy_) return owner_.closeConnection(*this);
+  // A late second response to the exchange before: the new attempt has not been sent.
+  if (quarantined_) return endAttempt(AttemptResult::connectFailed);
+  if (!memory_.resize(memoryBytes(kReadStep))) return read();
+  Error error;
+  const std::size_t bytes = readSome(socket_, response_.prepare(kReadStep), error);
+  onRead(error, bytes);
+}
+
+void UpstreamConnection::parseResponse() {
+  const auto state = response_.parse({requestWritten_, hasStreamedBody()});
+  UpstreamStats& stats = context_.stats;
+  stats.maxBufferedBytes = std::max(stats.maxBufferedBytes, response_.bufferedBytes());
+  if (state == UpstreamResponse::State::malformed) {
+    ++stats.malformedResponses;
+    return endAttempt(AttemptResult::error);
+  }
+  if (!streaming_ && response_.exceedsBuffer()) {
+    if (!response_.isOk()) return onResponse(false);  // the rest of its body is not needed
+    startStreaming();
+  }
+  if (state == UpstreamResponse::State::complete) return onResponse(true);
+  if (!streaming_) return read();
+  std::string piece = response_.takeBody();
+  if (piece.empty()) return read();
+  timer_.cancel();  // no time-out runs while the client takes the piece
+  context_.streams.onBodyPiece(outcome_.id, std::move(piece));
+}
+
+void UpstreamConnection::startStreaming() {
+  streaming_ = true;
+  expiresAt_ = Clock::time_point::max();
+  recordLatency();
+  context_.streams.onResponseStart(outcome_.id, response_.contentType(), response_.contentLength());
+}
+
+void UpstreamConnection::resumeResponse() {
+  if (ended() || !busy_ || !streaming_ || reading_) return;
+  read();
+}
+
+void UpstreamConnection::onConnectionLost(const Error& error) {
+  if (error == asio::error::eof && response_.finishAtClose()) return onResponse(true);
+  context_.stats.resetReused += reused_;
+  context_.stats.resetInResponse += response_.hasStarted();
+  endAttempt(AttemptResult::reset);
+}
+
+void UpstreamConnection::onResponse(bool complete) {
+  AttemptEnd end;
+  response_.describe(outcome_, context_.reportFields);
+  end.streamed = streaming_;
+  if (!streaming_) recordLatency();
+  context_.stats.count(outcome_.result);
+  end.outcome = outcome_;
+  end.contentType = response_.contentType();
+  // The memory of the body goes with it; what the connection itself is charged with stays.
+  const std::size_t variableBytes = memory_.bytes() - std::min(memory_.bytes(), kConnectionBytes);
+  end.bodyMemory = memory_.split(std::min(response_.bodyCapacity(), variableBytes));
+  const bool reusable = complete && requestWritten_ && response_.allowsReuse();
+  end.body = response_.takeBody();
+  busy_ = false;
+  streaming_ = false;
+  reused_ = true;
+  std::string().swap(output_);
+  requestBytes_ = 0;
+  const auto self = shared_from_this();
+  if (reusable) {
+    owner_.onReusable(self);
+    if (!ended()) watchIdle();
+  } else {
+    owner_.closeConnection(*this);
+  }
+  owner_.onAttemptDone(*this, std::move(end));
+}
+
+void UpstreamConnection::endAttempt(AttemptResult result) {
+  AttemptEnd end;
+  end.streamed = streaming_;
+  end.outcome = stopAttempt(result);
+  const auto self = shared_from_this();
+  owner_.closeConnection(*this);
+  owner_.onAttemptDone(*this, std::move(end));
+}
+
+}  // namespace wingslip
--- /dev/null
+++ b/src/gatekeeper/upstream_response.cpp
@@ -0,0 +1,119 @@
+#include "gatekeeper/upstream_response.hpp"
+
+#include <algorithm>
+#include <charconv>
+#include <cmath>
+#include <string_view>
+#include <utility>
+
+namespace wingslip {
+namespace {
+
+using decision::AttemptResult;
+
+// Whether all of `text` is a number. `value` takes what its beginning says, as std::from_chars does.
+template <class T>
+bool parseNumber(std::string_view text, T& value) {
+  const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
+  return error == std::errc() && end == text.data() + text.size();
+}
+
+// The values of `inflight=7,queue=2,util=0.61` in the order of `fields`; none unless all fields are there.
+std::vector<double> parseLoadReport(std::string_view text, const std::vector<std::string>& fields) {
+  std::vector<double> values(fields.size());
+  std::size_t found = 0;
+  while (!text.empty()) {
+    const auto comma = text.find(',');
+    std::string_view pair = text.substr(0, comma);
+    text = comma == std::string_view::npos ? std::string_view{} : text.substr(comma + 1);
+    while (!pair.empty() && pair.front() == ' ') pair.remove_prefix(1);
+    const auto equals = pair.find('=');
+    const auto field = std::find(fields.begin(), fields.end(), pair.substr(0, equals));
+    if (equals == std::string_view::npos || field == fields.end()) continue;
+    found += parseNumber(pair.substr(equals + 1), values[static_cast<std::size_t>(field - fields.begin())]);
+  }
+  return found == fields.size() && found > 0 ? values : std::vector<double>{};
+}
+
+AttemptResult resultOf(const http::response<WindowBody>& response) {
+  if (response.result() == http::status::ok) return AttemptResult::ok;
+  const bool unavailable = response.result() == http::status::service_unavailable ||
+                           response.result() == http::status::gateway_timeout;
+  return unavailable && view(response["Srv-Declined"]) == "1" ? AttemptResult::overloaded
+                                                              : AttemptResult::error;
+}
+
+}  // namespace
+
+void UpstreamResponse::reset() {
+  parser_.emplace();
+  parser_->body_limit(kMostBody);
+  parser_->header_limit(kMostHeader);
+}
+
+UpstreamResponse::State UpstreamResponse::parse(RequestProgress request) {
+  Error error;
+  bool complete = feed(*parser_, input_, error);
+  while (complete && !error && isInterim()) {
+    reset();
+    complete = feed(*parser_, input_, error);
+  }
+  // The parser's limits cover neither chunk extensions nor the trailer: without this they could grow for
+  // ever.
+  if (!error && !complete && input_.size() > kMostHeader) error = http::error::header_limit;
+  if (error || isEarly(request)) return State::malformed;
+  return complete ? State::complete : State::incomplete;
+}
+
+// A worker starts a request at its last byte, so that a 200 before it belongs to another request. Only a
+// streamed body may be cut short by its response.
+bool UpstreamResponse::isEarly(RequestProgress request) const {
+  return !request.written && !request.bodyStreaming && parser_->is_header_done() && isOk();
+}
+
+bool UpstreamResponse::isInterim() const {
+  const auto& response = parser_->get();
+  return response.result_int() < 200 && response.result() != http::status::switching_protocols;
+}
+
+bool UpstreamResponse::finishAtClose() {
+  if (!parser_->is_header_done() || !parser_->need_eof()) return false;
+  Error error;
+  parser_->put_eof(error);
+  return !error && parser_->is_done();
+}
+
+bool UpstreamResponse::exceedsBuffer() const {
+  if (!parser_->is_header_done()) return false;
+  return parser_->content_length().value_or(0) > kHeldWhole || parser_->get().body().size() > kHeldWhole;
+}
+
+bool UpstreamResponse::allowsReuse() const {
+  const auto& response = parser_->get();
+  return input_.size() == 0 && response.keep_alive() &&
+         response.result() != http::status::switching_protocols && response.result_int() >= 200;
+}
+
+std::optional<std::uint64_t> UpstreamResponse::contentLength() const {
+  if (const auto length = parser_->content_length()) return *length;
+  return std::nullopt;
+}
+
+void UpstreamResponse::describe(decision::AttemptOutcome& outcome,
+                                const std::vector<std::string>& reportFields) const {
+  const auto& response = parser_->get();
+  outcome.result = resultOf(response);
+  int percent = 0;
+  if (parseNumber(view(response["X-RateLimit-Used"]), percent) && percent >= 0)
+    outcome.quotaUsePercent = percent;
+  double units = 0;
+  if (parseNumber(view(response["X-Cost-Units"]), units) && std::isfinite(units) && units > 0)
+    outcome.actualUnits = units;
+  outcome.loadReport = parseLoadReport(view(response["Srv-Load"]), reportFields);
+}
+
+std::size_t UpstreamResponse::memoryBytes(std::size_t more) const {
+  return std::max(input_.capacity(), input_.size() + more) + bodyCapacity() + more;
+}
+
+}  // namespace wingslip
--- a/tests/node_test.cpp
+++ b/tests/node_test.cpp
@@ -10,7 +10,7 @@
 #include "gatekeeper/discovery.hpp"
 #include "growth.hpp"
 #include "loopback.hpp"
-#include "worker_pool_fixture.hpp"
+#include "upstream_pool_fixture.hpp"
 
 namespace wingslip::test {
 namespace {
@@ -229,7 +229,7 @@
   EXPECT_EQ(ends[0].outcome.result, AttemptResult::timeout);
   until([&] { return worker.peers.size() == 1 && worker.peers[0]->ended; }, "the connection ends");
   EXPECT_EQ(pool->connections(), 0u);
-  EXPECT_FALSE(pool->giveUp(1, AttemptResult::timeout));
+  EXPECT_FALSE(pool->cancelAttempt(1, AttemptResult::timeout));
 }
 
 TEST_F(Pool, ABrokenAnswerMayHaveRun) {
@@ -273,15 +273,15 @@
 TEST_F(Pool, AnAttemptWhoseConnectionIsNotUpDoesNotGoToAWorkerThatLeaves) {
   open({});
   start(1);
-  pool->retire(1);
+  pool->removeWorker(1);
   untilEnds(1);
   EXPECT_EQ(ends[0].outcome.result, AttemptResult::connectFailed);
   EXPECT_EQ(pool->connections(), 0u);
   EXPECT_EQ(worker.count("Req-Id"), 0u);
-  pool->place(1, {worker.address()});
+  pool->setWorkerAddress(1, {worker.address()});
   start(2);
   untilSeen(1);
-  pool->retire(1);  // out already: it goes on
+  pool->removeWorker(1);  // out already: it goes on
   worker.peers.back()->send(reply("200 OK", "done"));
   untilEnds(2);
   EXPECT_EQ(ends[1].outcome.result, AttemptResult::ok);
@@ -289,7 +289,7 @@
 
 TEST_F(Pool, AnUnknownWorkerCannotBeReachedAndIsToldLater) {
   open({});
-  pool->retire(1);
+  pool->removeWorker(1);
   start(1);
   EXPECT_TRUE(ends.empty());
   untilEnds(1);
@@ -299,7 +299,7 @@
 // Retired before the worker ends it: a request written to it from then on would be lost.
 TEST_F(Pool, AnIdleConnectionIsRetiredInTime) {
   UpstreamPool::Limits limits;
-  limits.idleFor = 50ms;
+  limits.idleTimeout = 50ms;
   open(limits);
   start(1);
   untilSeen(1);
@@ -314,7 +314,7 @@
   open({});
   start(1);
   untilSeen(1);
-  pool->place(1, {worker.address(),
+  pool->setWorkerAddress(1, {worker.address(),
                   std::chrono::steady_clock::now() + 1h});  // started after this connection was opened
   EXPECT_TRUE(ends.empty());
   untilEnds(1);
@@ -325,13 +325,13 @@
 // Whichever worker's it is, and whatever order the table has them in.
 TEST_F(Pool, TheConnectionThatHasStoodIdleLongestMakesRoom) {
   UpstreamPool::Limits limits;
-  limits.total = 8;
+  limits.maxConnections = 8;
   open(limits);
   std::vector<std::unique_ptr<Listener>> others;
   for (decision::WorkerId id = 10; id < 18; ++id) {
     others.push_back(std::make_unique<Listener>(io));
-    pool->place(id, {others.back()->address()});
-    pool->start(static_cast<decision::RequestId>(id), 0, id, plain("GET / HTTP/1.1\r\n\r\n"), {});
+    pool->setWorkerAddress(id, {others.back()->address()});
+    pool->startAttempt(static_cast<decision::RequestId>(id), 0, id, plain("GET / HTTP/1.1\r\n\r\n"), {});
     until([&] { return others.back()->count("\r\n\r\n") == 1; }, "a request");
     others.back()->peers[0]->send(reply("200 OK", ""));
     untilEnds(others.size());
@@ -343,16 +343,16 @@
     for (std::size_t i = round + 1; i < others.size(); ++i) EXPECT_FALSE(others[i]->peers[0]->ended) << i;
   }
   EXPECT_EQ(pool->connections(), 8u);
-  EXPECT_EQ(pool->shortHere(), 0u);
+  EXPECT_EQ(pool->localShortages(), 0u);
 }
 
 // Where none may stand idle there is nothing to look for, however many workers there are.
 TEST_F(Pool, AnAttemptAtTheLimitIsNoWalkOfAllWorkers) {
   UpstreamPool::Limits limits;
-  limits.total = 0;
+  limits.maxConnections = 0;
   const double factor = growth::between(500, [&](std::size_t n) {
     open(limits);
-    for (std::size_t i = 0; i < n; ++i) pool->place(1000 + i, {worker.address()});
+    for (std::size_t i = 0; i < n; ++i) pool->setWorkerAddress(1000 + i, {worker.address()});
     const double before = growth::processorTime();
     for (std::size_t i = 0; i < n; ++i) start(static_cast<decision::RequestId>(i + 1));
     return growth::processorTime() - before;
@@ -364,12 +364,12 @@
 TEST_F(Pool, ARestartEndsTheAttemptsOfItsWorkerAlone) {
   Listener other{io};
   open({});
-  pool->place(2, {other.address()});
+  pool->setWorkerAddress(2, {other.address()});
   start(1);
-  pool->start(2, 0, 2, plain("GET / HTTP/1.1\r\n\r\n"), {});
+  pool->startAttempt(2, 0, 2, plain("GET / HTTP/1.1\r\n\r\n"), {});
   untilSeen(1);
   until([&] { return other.count("\r\n\r\n") == 1; }, "a request at the other");
-  pool->place(1, {worker.address(), std::chrono::steady_clock::now() + 1h});
+  pool->setWorkerAddress(1, {worker.address(), std::chrono::steady_clock::now() + 1h});
   untilEnds(1);
   EXPECT_EQ(ends[0].outcome.id, 1u);
   EXPECT_EQ(ends[0].outcome.result, AttemptResult::reset);
@@ -381,20 +381,20 @@
 
 TEST_F(Pool, HoldsNoMoreConnectionsThanItMay) {
   UpstreamPool::Limits limits;
-  limits.total = 1;
+  limits.maxConnections = 1;
   open(limits);
   start(1);
   start(2);
   untilEnds(1);
   EXPECT_EQ(ends[0].outcome.id, 2u);
   EXPECT_EQ(ends[0].outcome.result, AttemptResult::notSent);  // no fault of the worker's
-  EXPECT_EQ(pool->shortHere(), 1u);
+  EXPECT_EQ(pool->localShortages(), 1u);
   Listener second(io);
-  pool->place(2, {second.address()});
+  pool->setWorkerAddress(2, {second.address()});
   untilSeen(1);
   worker.peers[0]->send(reply("200 OK", ""));
   untilEnds(2);
-  pool->start(3, 0, 2, plain("GET / HTTP/1.1\r\n\r\n"), {});  // the idle one makes room
+  pool->startAttempt(3, 0, 2, plain("GET / HTTP/1.1\r\n\r\n"), {});  // the idle one makes room
   until([&] { return second.count("\r\n\r\n") == 1; }, "a request at the other worker");
   EXPECT_EQ(pool->connections(), 1u);
 }
--- a/tests/races_test.cpp
+++ b/tests/races_test.cpp
@@ -1,7 +1,7 @@
 // The rare orders of events, on real connections: each test makes the bad order happen every time. What a
 // peer does lies ready in the kernel before the loop takes its next turn, or is held back until the other
 // side has done its step.
-#include "worker_pool_fixture.hpp"
+#include "upstream_pool_fixture.hpp"
 
 namespace wingslip::test {
 namespace {
@@ -30,7 +30,7 @@
 TEST_F(PoolRaces, AnAttemptGivenUpInTheTurnOfItsLastByteMayHaveRun) {
   rest();
   start(2);
-  const auto end = pool->giveUp(2, AttemptResult::timeout);
+  const auto end = pool->cancelAttempt(2, AttemptResult::timeout);
   ASSERT_TRUE(end);
   EXPECT_EQ(end->outcome.result, AttemptResult::timeout);
   until([&] { return seen() == 2; }, "the request at the worker");
@@ -105,7 +105,7 @@
   until([&] { return seen() == 1; }, "the first request");
   onEnd = [this] {
     start(2);
-    pool->retire(1);
+    pool->removeWorker(1);
   };
   worker.peers[0]->send(reply("200 OK", "first"));
   untilEnds(2);
@@ -115,7 +115,7 @@
 
 TEST_F(PoolRaces, AnAttemptOnItsWayToAnAddressThatTheWorkerHasLeftEnds) {
   start(1);
-  pool->place(1, {other.address()});
+  pool->setWorkerAddress(1, {other.address()});
   untilEnds(1);
   EXPECT_EQ(ends[0].outcome.result, AttemptResult::connectFailed);
   start(2);
--- a/tests/worker_pool_fixture.hpp
+++ b/tests/upstream_pool_fixture.hpp
@@ -1,4 +1,4 @@
-// A worker pool with one worker, for the tests of the pool.
+/// An upstream pool with one worker, for the tests of the pool.
 #pragma once
 
 #include <functional>
@@ -11,35 +11,36 @@
 
 namespace wingslip::test {
 
+/// Opens an upstream pool before one worker, and collects the attempts that end.
 class UpstreamPoolFixture : public Loopback {
  protected:
   using Duration = std::chrono::steady_clock::duration;
 
-  // Makes the pool, and places `worker` in it as worker 1.
+  // Makes the pool, with `worker` in it as worker 1.
   void open(const UpstreamPool::Limits& limits) {
     pool.emplace(io, limits, std::vector<std::string>{"util", "queue"}, pressure, [this](AttemptEnd&& end) {
       EXPECT_FALSE(starting) << "told from within start";
       ends.push_back(std::move(end));
       if (const auto then = std::exchange(onEnd, nullptr)) then();
     });
-    pool->place(1, {worker.address()});
+    pool->setWorkerAddress(1, {worker.address()});
   }
 
   // Starts the first attempt of request `id` at worker 1.
   void start(decision::RequestId id, std::optional<Duration> timeout = {},
              std::function<bool()> wanted = nullptr) {
     starting = true;
-    pool->start(id, 0, 1,
-                plain("GET / HTTP/1.1\r\nReq-Id: " + std::to_string(id) + "\r\n\r\n", std::move(wanted)),
-                timeout);
+    pool->startAttempt(
+        id, 0, 1, plain("GET / HTTP/1.1\r\nReq-Id: " + std::to_string(id) + "\r\n\r\n", std::move(wanted)),
+        timeout);
     starting = false;
   }
 
   // What sends these bytes unless nobody wants them when it could.
   static AttemptRequest plain(const std::string& bytes, std::function<bool()> wanted = nullptr) {
     AttemptRequest out;
-    out.size = bytes.size();
-    out.compose = [bytes, wanted = std::move(wanted)]() -> std::optional<std::string> {
+    out.maxSerializedBytes = bytes.size();
+    out.serialize = [bytes, wanted = std::move(wanted)]() -> std::optional<std::string> {
       if (wanted && !wanted()) return std::nullopt;
       return bytes;
     };
