--- a/src/gatekeeper/client_connection.cpp
+++ b/src/gatekeeper/client_connection.cpp
@@ -33,7 +33,7 @@
 }
 
 CloseReason reasonOf(const Error& error) {
-  return error == asio::error::eof ? CloseReason::peer_ended : CloseReason::peer_broken;
+  return error == asio::error::eof ? CloseReason::peerClosed : CloseReason::peerReset;
 }
 
 }  // namespace
@@ -105,7 +105,7 @@
   if (state_ != State::streaming) return;
   Error ignored;
   if (!delimited_) socket_.set_option(asio::socket_base::linger(true, 0), ignored);
-  close(CloseReason::answer_cut);
+  close(CloseReason::responseCut);
 }
 
 void ClientServer::Connection::pull(TakePiece take) {
@@ -121,12 +121,12 @@
   if (state_ == State::closed) return;
   const bool held = state_ == State::held || state_ == State::streaming;
   server_.closes_.add(reason);
-  if (owesAnswer() && !isPeers(reason) && reason != CloseReason::answer_cut)
-    server_.handler_.closedUnanswered(reason);
+  if (owesAnswer() && !isByPeer(reason) && reason != CloseReason::responseCut)
+    server_.handler_.onClosedUnanswered(reason);
   abandon();
   const auto self = shared_from_this();
   server_.remove(self);
-  if (held) server_.handler_.left(id_);
+  if (held) server_.handler_.onClientDisconnect(id_);
 }
 
 // Part of a request was read, and nothing of its answer is on its way.
@@ -160,7 +160,7 @@
 }
 
 void ClientServer::Connection::endRest() {
-  if (first_) return close(CloseReason::idle);  // nothing was ever written that a reset could take back
+  if (first_) return close(CloseReason::idleTimeout);  // nothing was ever written that a reset could take back
   if (!overflow_) server_.ending_.append(*this);
   linger();
 }
@@ -173,7 +173,7 @@
 }
 
 void ClientServer::Connection::leave() {
-  if (state_ == State::held) close(CloseReason::peer_ended);
+  if (state_ == State::held) close(CloseReason::peerClosed);
 }
 
 void ClientServer::Connection::arm(std::chrono::milliseconds span) {
@@ -198,29 +198,29 @@
   if (state_ == State::answering) turnAway(WaitAt::answerWrite);
   if (state_ == State::reading && unread()) return;  // its handler comes next
   if (state_ == State::reading) return endRest();
-  if (state_ == State::lingering) return close(CloseReason::last_answer);
-  if (state_ == State::skipping) return close(CloseReason::body_timeout);
-  if (state_ != State::held) close(CloseReason::write_timeout);
+  if (state_ == State::lingering) return close(CloseReason::lastResponse);
+  if (state_ == State::skipping) return close(CloseReason::bodyTimeout);
+  if (state_ != State::held) close(CloseReason::writeTimeout);
 }
 
 void ClientServer::Connection::noRoom(WaitAt place) {
   turnAway(place);
   if (parser_->is_header_done()) {
     const auto call = readCall(parser_->get(), server_.config_);
-    if (const auto* asked = std::get_if<Call>(&call)) server_.handler_.turnedAway(asked->klass);
+    if (const auto* asked = std::get_if<Call>(&call)) server_.handler_.onRequestRejected(asked->klass);
   }
   bodyDone_ = last_ = true;
   reject(kNoRoom, server_.turnedAwayFor());
 }
 
 void ClientServer::Connection::giveWay() {
-  if (!begun()) return close(CloseReason::evicted_silent);
+  if (!begun()) return close(CloseReason::evictedFromOverflow);
   leaveOrder();  // ends by itself, once its answer is taken
   noRoom(WaitAt::noRoom);
 }
 
 void ClientServer::Connection::tooSlow() {
-  server_.handler_.left(id_);
+  server_.handler_.onClientDisconnect(id_);
   bodyDone_ = true;  // nothing more of it is waited for
   reject({http::status::request_timeout, "too slow"});
 }
@@ -306,7 +306,7 @@
 }
 
 void ClientServer::Connection::look() {
-  if (state_ != State::closed && !reading_ && tcpTells_ && hasLeft(socket_)) close(CloseReason::peer_ended);
+  if (state_ != State::closed && !reading_ && tcpTells_ && hasLeft(socket_)) close(CloseReason::peerClosed);
 }
 
 bool ClientServer::Connection::wantsMore() const {
@@ -330,8 +330,8 @@
   Error error;
   bodyDone_ = feed(*parser_, in_, error);
   if (error) {
-    if (state_ != State::held) return close(CloseReason::malformed_body);
-    server_.handler_.left(id_);
+    if (state_ != State::held) return close(CloseReason::malformedBody);
+    server_.handler_.onClientDisconnect(id_);
     bodyDone_ = last_ = true;
     return reject({statusOf(error), "malformed request"});
   }
@@ -445,7 +445,7 @@
   auto call = readCall(message, server_.config_);
   if (const auto* wrong = std::get_if<Rejection>(&call)) return reject(*wrong);
   if (overflow_ && !server_.hasRoom()) {
-    server_.handler_.turnedAway(std::get<Call>(call).klass);
+    server_.handler_.onRequestRejected(std::get<Call>(call).klass);
     turnAway(WaitAt::noRoom);
     return reject(kNoRoom, server_.turnedAwayFor());
   }
@@ -458,8 +458,8 @@
   leaveOverflow();
   state_ = State::held;
   wait(WaitAt::held);
-  id_ = server_.handler_.nextId();
-  server_.handler_.take(id_, call, std::move(message), shared_from_this());
+  id_ = server_.handler_.nextRequestId();
+  server_.handler_.onRequest(id_, call, std::move(message), shared_from_this());
 }
 
 void ClientServer::Connection::leaveOverflow() {
@@ -550,7 +550,7 @@
     room_.shrinkTo(cost(0));
   }
   if (discarded_ <= server_.limits_.lingerBytes) return true;
-  close(CloseReason::sends_on);
+  close(CloseReason::sendsAfterLastResponse);
   return false;
 }
 
--- a/src/gatekeeper/client_server.hpp
+++ b/src/gatekeeper/client_server.hpp
@@ -59,21 +59,22 @@
   virtual void leave() = 0;
 };
 
-// What takes the requests.
+/// Receives the requests of clients, on the event loop.
 class RequestHandler {
  public:
   virtual ~RequestHandler() = default;
+  /// Whether requests are served, for the readiness endpoint.
   virtual bool ready() const = 0;
-  // The responder is answered once, maybe before this returns.
-  virtual decision::RequestId nextId() = 0;
-  virtual void take(decision::RequestId id, const Call& call, ClientMessage&& message,
-                    const std::shared_ptr<Responder>& responder) = 0;
-  // The client has gone; no answer is wanted.
-  virtual void left(decision::RequestId id) = 0;
-  // One of this class was refused before it could be held.
-  virtual void turnedAway(unsigned klass) = 0;
-  // A connection was closed over a request that was read and not answered, and its client was still there.
-  virtual void closedUnanswered(CloseReason reason) = 0;
+  virtual decision::RequestId nextRequestId() = 0;
+  /// Takes over a request. The responder is answered once, maybe before this returns.
+  virtual void onRequest(decision::RequestId id, const Call& call, ClientMessage&& message,
+                         const std::shared_ptr<Responder>& responder) = 0;
+  /// The client has disconnected: no answer is wanted.
+  virtual void onClientDisconnect(decision::RequestId id) = 0;
+  /// A request of this class was rejected here and never reached `onRequest`.
+  virtual void onRequestRejected(unsigned classIndex) = 0;
+  /// A connection was closed with a request read and not answered, while its client was still connected.
+  virtual void onClosedUnanswered(CloseReason reason) = 0;
 };
 
 class ClientServer {
--- a/src/gatekeeper/gatekeeper_limits.cpp
+++ b/src/gatekeeper/gatekeeper_limits.cpp
@@ -8,27 +8,31 @@
 namespace wingslip {
 namespace {
 
-constexpr unsigned kSparedSockets = 24;   // descriptors for the listener, discovery, timers, standard streams
-constexpr unsigned kOpsSockets = 18;      // and for operators: their listener and callers
-constexpr unsigned kStoreSockets = 8;     // and for the coordination store
-constexpr unsigned kReplicaSockets = 50;  // and for the other gatekeepers
-// Shares of all descriptors in either process of an upgrade: clients hold at most a third of them, and the
-// two together stay under the limit.
-constexpr double kClientShare = 0.27, kWorkerShare = 0.13;
-constexpr double kIdleShare = 0.8;  // of the time that a worker keeps an idle connection
+// Descriptors that are reserved: for the listener, discovery, timers and standard streams; and, where they
+// are configured, for operators' calls, the coordination store and the other gatekeepers.
+constexpr unsigned kReservedSockets = 24;
+constexpr unsigned kOpsSockets = 18;
+constexpr unsigned kStoreSockets = 8;
+constexpr unsigned kReplicaSockets = 50;
+// Shares of all descriptors for either process of an upgrade; both processes fit under the limit.
+constexpr double kClientShare = 0.27;
+constexpr double kWorkerShare = 0.13;
+constexpr double kIdleTimeoutShare = 0.8;  // of the worker's own idle time-out
+constexpr std::size_t kMinConnections = 8;
 
-std::size_t shareOfSockets(const Config& config, double inUpgrade) {
+std::size_t shareOfSockets(const Config& config, double shareInUpgrade) {
   if (config.acceptFd >= 0)
-    return std::max<std::size_t>(8, static_cast<std::size_t>(config.sockets * inUpgrade));
-  const unsigned spared = kSparedSockets + (config.ops ? kOpsSockets : 0) +
-                          (config.coordination ? kStoreSockets : 0) +
-                          (config.replication ? kReplicaSockets : 0);
-  return std::max<std::size_t>(8, (config.sockets - std::min(config.sockets / 2, spared)) / 2);
+    return std::max<std::size_t>(kMinConnections, static_cast<std::size_t>(config.sockets * shareInUpgrade));
+  const unsigned reserved = kReservedSockets + (config.ops ? kOpsSockets : 0) +
+                            (config.coordination ? kStoreSockets : 0) +
+                            (config.replication ? kReplicaSockets : 0);
+  return std::max<std::size_t>(kMinConnections,
+                               (config.sockets - std::min(config.sockets / 2, reserved)) / 2);
 }
 
 }  // namespace
 
-std::chrono::steady_clock::duration span(decision::Time ms) {
+std::chrono::steady_clock::duration toDuration(decision::Time ms) {
   return std::chrono::duration_cast<std::chrono::steady_clock::duration>(
       std::chrono::duration<double, std::milli>(ms));
 }
@@ -36,7 +40,7 @@
 UpstreamPool::Limits poolLimits(const Config& config) {
   UpstreamPool::Limits out;
   out.connectTimeout = std::chrono::milliseconds(std::lround(std::max(1.0, config.host.connectTimeout)));
-  out.idleTimeout = std::chrono::milliseconds(std::lround(kIdleShare * config.host.idleTimeout));
+  out.idleTimeout = std::chrono::milliseconds(std::lround(kIdleTimeoutShare * config.host.idleTimeout));
   out.maxConnections = shareOfSockets(config, kWorkerShare);
   return out;
 }
@@ -47,7 +51,7 @@
   return out;
 }
 
-MemoryBudget::Shares memoryOf(const Config& config) {
+MemoryBudget::Shares memoryShares(const Config& config) {
   Room room;
   room.limit = static_cast<std::size_t>(config.memoryMb * 1024 * 1024);
   room.twoProcesses = config.acceptFd >= 0;
@@ -60,17 +64,18 @@
 }
 
 Pressure::Limits pressureLimits(const Config& config) {
-  decision::Time aim = 0;
-  for (const auto& klass : config.settings.classes)
-    if (klass.latencyObjectiveMs > 0)
-      aim = aim > 0 ? std::min(aim, klass.latencyObjectiveMs) : klass.latencyObjectiveMs;
-  return Pressure::limitsFor(aim);
+  decision::Time objectiveMs = 0;  // the shortest of all classes; 0: none has one
+  for (const auto& requestClass : config.settings.classes)
+    if (requestClass.latencyObjectiveMs > 0)
+      objectiveMs = objectiveMs > 0 ? std::min(objectiveMs, requestClass.latencyObjectiveMs)
+                                    : requestClass.latencyObjectiveMs;
+  return Pressure::limitsFor(objectiveMs);
 }
 
 Watch::Limits watchLimits(const Config& config) {
   return Watch::limitsFor(config.settings.drainGraceMs, config.settings.gatewayCount);
 }
 
-decision::WorkerId numberOf(const std::string& instanceId) { return std::hash<std::string>{}(instanceId); }
+decision::WorkerId workerIdOf(const std::string& instanceId) { return std::hash<std::string>{}(instanceId); }
 
 }  // namespace wingslip
--- a/src/gatekeeper/gatekeeper_limits.hpp
+++ b/src/gatekeeper/gatekeeper_limits.hpp
@@ -13,20 +13,20 @@
 namespace wingslip {
 
 /// Milliseconds of the module's clock as a span of the steady one.
-std::chrono::steady_clock::duration span(decision::Time ms);
+std::chrono::steady_clock::duration toDuration(decision::Time ms);
 
 /// Connections to workers and of clients: their shares of the descriptors.
 UpstreamPool::Limits poolLimits(const Config& config);
 ClientServer::Limits serverLimits(const Config& config);
 
 /// Throws std::runtime_error where `limits.memory_mb` does not hold one process.
-MemoryBudget::Shares memoryOf(const Config& config);
+MemoryBudget::Shares memoryShares(const Config& config);
 
 Pressure::Limits pressureLimits(const Config& config);
 Watch::Limits watchLimits(const Config& config);
 
 /// The module's number of a worker: the same at every gatekeeper, whatever the address, since they all run
 /// this program.
-decision::WorkerId numberOf(const std::string& instanceId);
+decision::WorkerId workerIdOf(const std::string& instanceId);
 
 }  // namespace wingslip
--- a/src/gatekeeper/gatekeeper_requests.cpp
+++ b/src/gatekeeper/gatekeeper_requests.cpp
@@ -1,4 +1,4 @@
-// One request: taken from its client, sent to workers as the module asks, answered once.
+/// One request: admitted from its client, sent to workers as the decision module asks, answered once.
 #include <algorithm>
 #include <boost/asio/post.hpp>
 #include <cmath>
@@ -15,15 +15,11 @@
 using decision::RequestId;
 using decision::Time;
 using decision::WorkerId;
-using namespace std::chrono_literals;
 
-constexpr Time kWayBack =
-    10;  // ms kept for the way back; measured within the program: 0.4 at the 99th percentile
-constexpr Time kMostUpload = 30 * 60 * 1000;  // past any time that the slowest client takes for a body
-constexpr Time kEarlyRetry = 250;  // ms advised to what came before the first list and could not wait for it
-// Bytes of an attempt beside its client's header and body: the request line, the fields that are set here, a
-// chunk's frame; and of each field beside its name and value.
-constexpr std::size_t kOwnFields = 160, kFieldFrame = 4;
+// Kept of the client's deadline for the answer's way back; within the program 0.4 ms at the 99th percentile.
+constexpr Time kAnswerReserveMs = 10;
+constexpr Time kMaxUploadMs = 30 * 60 * 1000;  // longer than the slowest client takes for a body
+constexpr Time kStartingRetryAfterMs = 250;    // advice to requests that came before serving and timed out
 
 invariant::RequestState stateOf(http::status status) {
   if (status == http::status::ok) return invariant::RequestState::answered;
@@ -34,173 +30,180 @@
 
 }  // namespace
 
-// --- From the clients ------------------------------------------------------------------------------------
+// --- Clients ---------------------------------------------------------------------------------------------
 
-void Gatekeeper::take(RequestId id, const Call& call, ClientMessage&& message,
-                      const std::shared_ptr<Responder>& responder) {
+void Gatekeeper::onRequest(RequestId id, const Call& call, ClientMessage&& message,
+                           const std::shared_ptr<Responder>& responder) {
   const Time now = clock_.now();
-  Held& held = held_.try_emplace(id, io_).first->second;
-  held.counts = &countsOf(call.klass);
-  held.message = std::move(message);
-  held.responder = responder;
-  held.patience = std::max(0.0, call.patience - kWayBack);
-  held.streamed = !call.whole;
-  const decision::ClassSettings& klass = config_.settings.classes[call.klass];
-  held.trace.name = std::string(view(held.message["Req-Id"]));
-  held.trace.repeat = klass.idempotency;
-  held.trace.window = klass.idempotencyWindowMs;
-  held.trace.cap = config_.settings.maxAttempts;
-  held.trace.deadline = now + call.patience + (held.streamed ? kMostUpload : 0);
-  monitor_.taken(held.trace, now);
-  held.length = call.length;
-  // The time of one whose last byte is still to come has not begun; the clients' side bounds the wait for it.
-  held.expires = now + held.patience + (held.streamed ? kMostUpload : 0);
-  if (!held.streamed) setDeadline(id, held);
+  RequestInFlight& request = requests_.try_emplace(id, io_).first->second;
+  request.classCounts = &countsOf(call.klass);
+  request.message = std::move(message);
+  request.responder = responder;
+  request.clientWaitMs = std::max(0.0, call.patience - kAnswerReserveMs);
+  request.body = {!call.whole, call.length};
+  // The deadline counts from the last byte. Until a streamed body has ended, the client connection limits it.
+  const Time uploadMs = request.body.streamed ? kMaxUploadMs : 0;
+  const decision::ClassSettings& requestClass = config_.settings.classes[call.klass];
+  request.trace.name = std::string(view(request.message["Req-Id"]));
+  request.trace.repeat = requestClass.idempotency;
+  request.trace.window = requestClass.idempotencyWindowMs;
+  request.trace.cap = config_.settings.maxAttempts;
+  request.trace.deadline = now + call.patience + uploadMs;
+  monitor_.taken(request.trace, now);
+  request.expiresAt = now + request.clientWaitMs + uploadMs;
+  if (!request.body.streamed) startDeadlineTimer(id, request);
   pressure_.activity();
-  const decision::Request request{id,           call.klass, call.plan,    call.customer,
-                                  held.expires, call.units, call.setSize, static_cast<double>(call.holds)};
-  if (settled_) return gateway_.onRequest(now, request);
-  early_.push_back(request);
+  const decision::Request question{id,
+                                   call.klass,
+                                   call.plan,
+                                   call.customer,
+                                   request.expiresAt,
+                                   call.units,
+                                   call.setSize,
+                                   static_cast<double>(call.holds)};
+  if (serving_) return gateway_.onRequest(now, question);
+  earlyRequests_.push_back(question);
 }
 
-ClassCounts& Gatekeeper::countsOf(unsigned klass) {
-  const auto found = metrics_.classes.find(config_.host.classes[klass]);
+ClassCounts& Gatekeeper::countsOf(unsigned classIndex) {
+  const auto found = metrics_.classes.find(config_.host.classes[classIndex]);
   return found == metrics_.classes.end() ? uncounted_ : found->second;
 }
 
-void Gatekeeper::turnedAway(unsigned klass) {
-  ++refused_;
-  ++countsOf(klass).busy;
+void Gatekeeper::onRequestRejected(unsigned classIndex) {
+  ++finalAnswers_.rejected;
+  ++countsOf(classIndex).rejected;
 }
 
-void Gatekeeper::closedUnanswered(CloseReason reason) {
+void Gatekeeper::onClosedUnanswered(CloseReason reason) {
   monitor_.closedUnanswered(std::string(kCloseReasonNames[static_cast<std::size_t>(reason)]), clock_.now());
 }
 
-void Gatekeeper::setDeadline(RequestId id, Held& held) {
-  held.deadline.expires_after(span(held.expires - clock_.now()));
-  held.deadline.async_wait([this, id](const Error& error) {
-    if (!error) expire(id);
+void Gatekeeper::startDeadlineTimer(RequestId id, RequestInFlight& request) {
+  request.deadlineTimer.expires_after(toDuration(request.expiresAt - clock_.now()));
+  request.deadlineTimer.async_wait([this, id](const Error& error) {
+    if (!error) onDeadline(id);
   });
 }
 
-void Gatekeeper::pull(RequestId id, AttemptRequest::BodyPieceHandler take) {
-  const auto found = held_.find(id);
-  if (found == held_.end()) return;
-  found->second.pulled = true;
+void Gatekeeper::readBody(RequestId id, AttemptRequest::BodyPieceHandler onPiece) {
+  const auto found = requests_.find(id);
+  if (found == requests_.end()) return;
+  found->second.bodyForwarded = true;
   std::string().swap(found->second.message.body());
-  found->second.responder->pull([this, id, take = std::move(take)](std::string&& piece, bool last) {
-    const auto held = held_.find(id);
-    if (held == held_.end()) return;
-    if (last) becameWhole(id, held->second);
-    take(std::move(piece), last);
+  found->second.responder->pull([this, id, onPiece = std::move(onPiece)](std::string&& piece, bool last) {
+    const auto request = requests_.find(id);
+    if (request == requests_.end()) return;
+    if (last) onRequestComplete(id, request->second);
+    onPiece(std::move(piece), last);
   });
 }
 
-void Gatekeeper::becameWhole(RequestId id, Held& held) {
+void Gatekeeper::onRequestComplete(RequestId id, RequestInFlight& request) {
   const Time now = clock_.now();
-  held.expires = now + held.patience;
-  held.trace.deadline = held.expires + kWayBack;
-  setDeadline(id, held);
-  gateway_.onRequestComplete(now, id, held.expires);
+  request.expiresAt = now + request.clientWaitMs;
+  request.trace.deadline = request.expiresAt + kAnswerReserveMs;
+  startDeadlineTimer(id, request);
+  gateway_.onRequestComplete(now, id, request.expiresAt);
 }
 
-void Gatekeeper::left(RequestId id) {
-  const auto found = held_.find(id);
-  if (found == held_.end()) return;
-  ++found->second.counts->failure;
+void Gatekeeper::onClientDisconnect(RequestId id) {
+  const auto found = requests_.find(id);
+  if (found == requests_.end()) return;
+  ++found->second.classCounts->failure;
   monitor_.clientLeft(found->second.trace, clock_.now());
-  held_.erase(found);
+  requests_.erase(found);
   gateway_.onClientDisconnect(clock_.now(), id);
-  if (auto end = pool_.cancelAttempt(id, AttemptResult::cancelled)) ended(std::move(*end));
+  if (auto end = pool_.cancelAttempt(id, AttemptResult::cancelled)) onAttemptDone(std::move(*end));
 }
 
-// The deadline: an attempt that is out has timed out. The answer goes out now, whatever the module says.
-void Gatekeeper::expire(RequestId id) {
-  const auto found = held_.find(id);
-  if (found == held_.end() || found->second.answering) return;
-  if (!settled_) return reject(id, kEarlyRetry);
+// An attempt that is out has timed out. The answer is sent now, whatever the decision module asks for.
+void Gatekeeper::onDeadline(RequestId id) {
+  const auto found = requests_.find(id);
+  if (found == requests_.end() || found->second.responseStarted) return;
+  if (!serving_) return reject(id, kStartingRetryAfterMs);
   if (auto end = pool_.cancelAttempt(id, AttemptResult::timeout)) {
     end->outcome.requestFinished = false;
-    noteEnd(end->outcome);
-    gateway_.onAttemptOutcome(std::max(clock_.now(), found->second.expires), end->outcome);
+    recordAttemptEnd(end->outcome);
+    gateway_.onAttemptOutcome(std::max(clock_.now(), found->second.expiresAt), end->outcome);
   }
-  if (!held_.contains(id)) return;
+  if (!requests_.contains(id)) return;
   fail(id);
   gateway_.onClientDisconnect(clock_.now(), id);
 }
 
-void Gatekeeper::giveUpAll() {
+void Gatekeeper::failRemaining() {
   std::vector<RequestId> ids;
-  for (const auto& [id, held] : held_)
-    if (!held.answering) ids.push_back(id);  // what has begun goes on to the end
+  for (const auto& [id, request] : requests_)
+    if (!request.responseStarted) ids.push_back(id);  // a streamed response goes on to its end
   for (const RequestId id : ids) {
-    if (!settled_) {
-      reject(id, kEarlyRetry);
+    if (!serving_) {
+      reject(id, kStartingRetryAfterMs);
       continue;
     }
     fail(id);
     gateway_.onClientDisconnect(clock_.now(), id);
-    if (auto end = pool_.cancelAttempt(id, AttemptResult::cancelled)) ended(std::move(*end));
+    if (auto end = pool_.cancelAttempt(id, AttemptResult::cancelled)) onAttemptDone(std::move(*end));
   }
 }
 
-// --- From the workers ------------------------------------------------------------------------------------
+// --- Workers ---------------------------------------------------------------------------------------------
 
-void Gatekeeper::noteEnd(const AttemptOutcome& outcome) {
-  const auto found = held_.find(outcome.id);
-  if (found == held_.end()) return;
-  found->second.lastResult = outcome.result;
+void Gatekeeper::recordAttemptEnd(const AttemptOutcome& outcome) {
+  const auto found = requests_.find(outcome.id);
+  if (found == requests_.end()) return;
+  found->second.lastAttemptResult = outcome.result;
   monitor_.ended(found->second.trace, outcome.worker, outcome.result, clock_.now());
 }
 
-void Gatekeeper::ended(AttemptEnd&& end) {
+void Gatekeeper::onAttemptDone(AttemptEnd&& end) {
   AttemptOutcome& outcome = end.outcome;
-  noteEnd(outcome);
-  const bool mine = held_.contains(outcome.id);
-  outcome.requestFinished = !mine || outcome.result == AttemptResult::ok;
+  recordAttemptEnd(outcome);
+  const bool inFlight = requests_.contains(outcome.id);
+  outcome.requestFinished = !inFlight || outcome.result == AttemptResult::ok;
   pressure_.activity();
-  if (mine && held_.at(outcome.id).answering) {
-    finishStream(end);
-  } else if (mine && outcome.result == AttemptResult::ok) {
+  if (inFlight && requests_.at(outcome.id).responseStarted) {
+    finishStreamedResponse(end);
+  } else if (inFlight && outcome.result == AttemptResult::ok) {
     Answer served;
     served.body = std::move(end.body);
     served.contentType = std::move(end.contentType);
     served.room = std::move(end.bodyMemory);
-    ++served_;
-    ++held_.at(outcome.id).counts->success;
+    ++finalAnswers_.served;
+    ++requests_.at(outcome.id).classCounts->success;
     answer(outcome.id, std::move(served));
   }
   gateway_.onAttemptOutcome(clock_.now(), outcome);
 }
 
-void Gatekeeper::began(RequestId id, const std::string& contentType, std::optional<std::uint64_t> length) {
-  const auto found = held_.find(id);
-  if (found == held_.end()) return;
-  found->second.answering = true;
-  found->second.deadline.cancel();
+void Gatekeeper::onResponseStart(RequestId id, const std::string& contentType,
+                                 std::optional<std::uint64_t> length) {
+  const auto found = requests_.find(id);
+  if (found == requests_.end()) return;
+  found->second.responseStarted = true;
+  found->second.deadlineTimer.cancel();
   monitor_.streaming(found->second.trace, clock_.now());
   gateway_.onResponseStarted(clock_.now(), id);
   found->second.responder->begin({contentType, length});
 }
 
-void Gatekeeper::passOn(RequestId id, std::string&& piece) {
-  const auto found = held_.find(id);
-  if (found == held_.end()) return;
+void Gatekeeper::forwardPiece(RequestId id, std::string&& piece) {
+  const auto found = requests_.find(id);
+  if (found == requests_.end()) return;
   const auto responder = found->second.responder;
   responder->pass(std::move(piece), false, [this, id] { pool_.resumeResponse(id); });
 }
 
-// The end of an answer that was passed on as it came, or what could be had of it.
-void Gatekeeper::finishStream(AttemptEnd& end) {
+// The end of a streamed response, complete or cut short.
+void Gatekeeper::finishStreamedResponse(AttemptEnd& end) {
   end.outcome.requestFinished = true;
-  const auto found = held_.find(end.outcome.id);
-  const bool whole = end.outcome.result == AttemptResult::ok;
-  ++(whole ? served_ : failed_);
-  ++(whole ? found->second.counts->success : found->second.counts->failure);
+  const auto found = requests_.find(end.outcome.id);
+  const bool complete = end.outcome.result == AttemptResult::ok;
+  ++(complete ? finalAnswers_.served : finalAnswers_.failed);
+  ++(complete ? found->second.classCounts->success : found->second.classCounts->failure);
   const auto responder =
-      conclude(end.outcome.id, whole ? invariant::RequestState::answered : invariant::RequestState::cut);
-  if (whole) {
+      conclude(end.outcome.id, complete ? invariant::RequestState::answered : invariant::RequestState::cut);
+  if (complete) {
     responder->keep(std::move(end.bodyMemory));
     responder->pass(std::move(end.body), true, nullptr);
   } else {
@@ -208,60 +211,63 @@
   }
 }
 
-// --- What the module asks for ----------------------------------------------------------------------------
-// These are called from within an event, so none of them feeds the module another.
+// --- Actions of the decision module ----------------------------------------------------------------------
+// Called from within an event of the module: none of them may pass it another event.
 
 void Gatekeeper::startAttempt(RequestId id, WorkerId worker, Time timeout) {
-  const auto found = held_.find(id);
-  if (found == held_.end()) return;
-  Held& held = found->second;
+  const auto found = requests_.find(id);
+  if (found == requests_.end()) return;
+  RequestInFlight& request = found->second;
   const Time now = clock_.now();
-  const Time left = held.expires - now;
-  // A read may not have told yet, or wait for room. Its connection is ended from a handler of its own.
-  const bool gone = held.responder->gone();
-  if (gone) asio::post(io_, [responder = held.responder] { responder->leave(); });
-  if (gone || left <= 0 || held.pulled) return reportMoot(id, held.attempts++, worker);
-  const bool early = timeout > 0 && timeout < left;
-  if (held.attempts > 0) metrics_.retries.add(held.lastResult);
-  held.attemptUntil = early ? now + timeout : held.expires;
-  monitor_.connecting(held.trace, worker, now);
-  pool_.startAttempt(id, held.attempts++, worker, attemptRequest(id, held, worker),
-                     early ? std::optional(span(timeout)) : std::nullopt);
+  const Time leftMs = request.expiresAt - now;
+  // No pending read may have seen the disconnect yet. The connection is closed from a handler of its own.
+  const bool disconnected = request.responder->gone();
+  if (disconnected) asio::post(io_, [responder = request.responder] { responder->leave(); });
+  if (disconnected || leftMs <= 0 || request.bodyForwarded)
+    return reportNotSent(id, request.attemptCount++, worker);
+  const bool beforeDeadline = timeout > 0 && timeout < leftMs;
+  if (request.attemptCount > 0) metrics_.retries.add(request.lastAttemptResult);
+  request.attemptExpiresAt = beforeDeadline ? now + timeout : request.expiresAt;
+  monitor_.connecting(request.trace, worker, now);
+  pool_.startAttempt(id, request.attemptCount++, worker, attemptRequest(id, request, worker),
+                     beforeDeadline ? std::optional(toDuration(timeout)) : std::nullopt);
 }
 
-// Between the module's choice and the first byte a connection may have had to come up.
+// Asked again at the first byte: since the decision a connection may have had to be established.
 SendRefusal Gatekeeper::refusalOf(RequestId id, WorkerId worker, Time now) const {
-  const auto found = held_.find(id);
-  if (found == held_.end()) return SendRefusal::request_over;
-  if (found->second.responder->gone()) return SendRefusal::client_gone;
-  if (found->second.expires <= now) return SendRefusal::time_over;
-  if (!listed_.contains(worker)) return SendRefusal::worker_left;
-  if (excluded_.contains(worker)) return SendRefusal::worker_excluded;
+  const auto found = requests_.find(id);
+  if (found == requests_.end()) return SendRefusal::requestOver;
+  if (found->second.responder->gone()) return SendRefusal::clientDisconnected;
+  if (found->second.expiresAt <= now) return SendRefusal::deadlinePassed;
+  if (!listed_.contains(worker)) return SendRefusal::workerNotReady;
+  if (excluded_.contains(worker)) return SendRefusal::workerExcluded;
   return SendRefusal::none;
 }
 
-// The one place from which a request goes to a worker, in the moment in which its first byte may be written.
-std::optional<std::string> Gatekeeper::compose(RequestId id, WorkerId worker) {
+// The one place from which a request goes to a worker, called when its first byte may be written. The
+// deadline that is passed on is computed here: earlier, it would be too long by the time that the connection
+// took.
+std::optional<std::string> Gatekeeper::authorizeSend(RequestId id, WorkerId worker) {
   const Time now = clock_.now();
   const SendRefusal refusal = refusalOf(id, worker, now);
   sendRefusals_.add(refusal);
   if (refusal != SendRefusal::none) return std::nullopt;
-  Held& held = held_.at(id);
-  const Time left = held.streamed ? held.patience : std::min(held.attemptUntil, held.expires) - now;
-  const Time passedOn = std::max(1.0, std::floor(left));
-  monitor_.sending(held.trace, worker, now, passedOn);
-  return attemptBytes(held, passedOn);
+  RequestInFlight& request = requests_.at(id);
+  const Time leftMs = request.body.streamed ? request.clientWaitMs
+                                            : std::min(request.attemptExpiresAt, request.expiresAt) - now;
+  const Time deadlineMs = std::max(1.0, std::floor(leftMs));
+  monitor_.sending(request.trace, worker, now, deadlineMs);
+  return serializeAttempt(request.message, request.body, deadlineMs);
 }
 
-// No time is left for the attempt, or its body is gone: nothing is sent, and the module learns so from a
-// handler of its own.
-void Gatekeeper::reportMoot(RequestId id, unsigned attempt, WorkerId worker) {
+// Nothing is sent. The decision module is told from a handler of its own, not from within its action.
+void Gatekeeper::reportNotSent(RequestId id, unsigned attempt, WorkerId worker) {
   AttemptEnd end;
   end.outcome.id = id;
   end.outcome.attempt = attempt;
   end.outcome.worker = worker;
   end.outcome.result = AttemptResult::notSent;
-  asio::post(io_, [this, end = std::move(end)]() mutable { ended(std::move(end)); });
+  asio::post(io_, [this, end = std::move(end)]() mutable { onAttemptDone(std::move(end)); });
 }
 
 void Gatekeeper::reject(RequestId id, Time retryAfter) {
@@ -269,9 +275,9 @@
   refusal.status = http::status::too_many_requests;
   refusal.body = "refused: try again later\n";
   refusal.retryAfter = retryAfter;
-  ++refused_;
-  if (const auto found = held_.find(id); found != held_.end()) ++found->second.counts->busy;
-  dropAttempt(id);
+  ++finalAnswers_.rejected;
+  if (const auto found = requests_.find(id); found != requests_.end()) ++found->second.classCounts->rejected;
+  cancelAttempt(id);
   answer(id, std::move(refusal));
 }
 
@@ -279,18 +285,17 @@
   Answer failure;
   failure.status = http::status::bad_gateway;
   failure.body = "failed\n";
-  ++failed_;
-  dropAttempt(id);
-  if (const auto found = held_.find(id); found != held_.end()) {
-    ++found->second.counts->failure;
-    // Its client has the beginning.
-    if (found->second.answering) return conclude(id, invariant::RequestState::cut)->cut();
+  ++finalAnswers_.failed;
+  cancelAttempt(id);
+  if (const auto found = requests_.find(id); found != requests_.end()) {
+    ++found->second.classCounts->failure;
+    if (found->second.responseStarted) return conclude(id, invariant::RequestState::cut)->cut();
   }
   answer(id, std::move(failure));
 }
 
 void Gatekeeper::setTimer(Time wait, std::uint64_t tag) {
-  auto timer = std::make_unique<asio::steady_timer>(io_, span(wait));
+  auto timer = std::make_unique<asio::steady_timer>(io_, toDuration(wait));
   auto& pending = *timer;
   pending.async_wait([this, timer = std::move(timer), tag](const Error& error) {
     if (!error) gateway_.onTimer(clock_.now(), tag);
@@ -299,13 +304,14 @@
 
 void Gatekeeper::log(const std::string& line) { processLog().info("event=decisions text=\"{}\"", line); }
 
-// The final answer, whole or cut. What comes later for this request finds nothing.
+// The one place from which a request gets its final answer, complete or cut short: events that come later for
+// it find no request, so that no client gets a second answer.
 std::shared_ptr<Responder> Gatekeeper::conclude(RequestId id, invariant::RequestState how) {
-  const auto found = held_.find(id);
-  if (found == held_.end()) return nullptr;
+  const auto found = requests_.find(id);
+  if (found == requests_.end()) return nullptr;
   monitor_.answered(found->second.trace, how, clock_.now());
   auto responder = std::move(found->second.responder);
-  held_.erase(found);
+  requests_.erase(found);
   return responder;
 }
 
@@ -314,53 +320,20 @@
   if (responder) responder->answer(std::move(answer));
 }
 
-// The client's request with the time that is left; what concerns only the client's connection stays behind.
-std::string Gatekeeper::attemptBytes(const Held& held, Time passedOn) {
-  http::request<http::empty_body> head(held.message.base());
-  for (const auto field : {http::field::connection, http::field::keep_alive, http::field::te,
-                           http::field::trailer, http::field::transfer_encoding, http::field::upgrade,
-                           http::field::expect, http::field::proxy_connection, http::field::content_length})
-    head.erase(field);
-  head.version(11);
-  const std::string_view target = view(held.message.target());
-  if (const auto origin = originForm(target); origin.size() != target.size())
-    head.target(std::string(origin));
-  head.set("Req-Deadline-Ms", std::to_string(std::lround(passedOn)));
-  const std::string& body = held.message.body();
-  std::string out;
-  if (!held.streamed) {
-    if (!body.empty() || head.method() != http::verb::get) head.content_length(body.size());
-    appendHead(out, head);
-    return out += body;
-  }
-  if (held.length)
-    head.content_length(*held.length);
-  else
-    head.chunked(true);
-  appendHead(out, head);
-  if (held.length)
-    out += body;
-  else
-    appendChunk(out, body, false);
-  return out;
-}
-
-// The bytes are made when they can be written (`compose`).
-AttemptRequest Gatekeeper::attemptRequest(RequestId id, const Held& held, WorkerId worker) {
+// The bytes are made when they can be written (`authorizeSend`).
+AttemptRequest Gatekeeper::attemptRequest(RequestId id, const RequestInFlight& request, WorkerId worker) {
   AttemptRequest out;
-  out.serialize = [this, id, worker] { return compose(id, worker); };
-  out.maxSerializedBytes = kOwnFields + view(held.message.target()).size() + held.message.body().size();
-  for (const auto& field : held.message.base())
-    out.maxSerializedBytes += view(field.name_string()).size() + view(field.value()).size() + kFieldFrame;
-  if (!held.streamed) return out;
-  out.chunkedBody = !held.length;
-  out.readBody = [this, id](AttemptRequest::BodyPieceHandler take) { pull(id, std::move(take)); };
+  out.serialize = [this, id, worker] { return authorizeSend(id, worker); };
+  out.maxSerializedBytes = maxAttemptBytes(request.message);
+  if (!request.body.streamed) return out;
+  out.chunkedBody = !request.body.contentLength;
+  out.readBody = [this, id](AttemptRequest::BodyPieceHandler onPiece) { readBody(id, std::move(onPiece)); };
   return out;
 }
 
-// One that is out for a request that the module has given up on. The module learns its end from a handler of
-// its own.
-void Gatekeeper::dropAttempt(RequestId id) {
+// The decision module has ended the request while an attempt is out; it is told the attempt's end from a
+// handler of its own.
+void Gatekeeper::cancelAttempt(RequestId id) {
   auto end = pool_.cancelAttempt(id, AttemptResult::cancelled);
   if (!end) return;
   asio::post(io_, [this, alive = std::weak_ptr<bool>(alive_), outcome = std::move(end->outcome)]() mutable {
--- a/src/gatekeeper/main.cpp
+++ b/src/gatekeeper/main.cpp
@@ -1,4 +1,4 @@
-// gatekeeper: one gatekeeper on real sockets.
+/// The gatekeeper program: one gatekeeper on one event loop; SIGHUP reloads, SIGTERM and SIGINT drain.
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/steady_timer.hpp>
 #include <chrono>
@@ -14,51 +14,51 @@
 
 using Error = boost::system::error_code;
 
-constexpr int kReadsOfAChange = 3;  // of a file that is no JSON yet: it may be half written
-constexpr auto kBetweenReads = std::chrono::milliseconds(100);
+constexpr int kMaxReads = 3;  // of a file that is not valid JSON: it may be half written
+constexpr auto kReadInterval = std::chrono::milliseconds(100);
 
-// SIGHUP reads the configuration again. One that cannot be read changes nothing and ends nothing.
+// Reads the configuration again at SIGHUP. One that is invalid changes nothing.
 class Reloader {
  public:
   Reloader(boost::asio::io_context& io, wingslip::Gatekeeper& gatekeeper)
-      : gatekeeper_(gatekeeper), pause_(io) {}
+      : gatekeeper_(gatekeeper), retryTimer_(io) {}
 
-  void changed() {
-    // The next change has come before the one before it could be read.
-    if (std::exchange(unread_, false)) gatekeeper_.reloadFailed();
-    pause_.cancel();
-    reload(kReadsOfAChange);
+  void onSighup() {
+    // The change before this one was never read.
+    if (std::exchange(retryPending_, false)) gatekeeper_.reloadFailed();
+    retryTimer_.cancel();
+    reload(kMaxReads);
   }
 
  private:
-  void reload(int reads) {
+  void reload(int readsLeft) {
     try {
-      unread_ = false;
+      retryPending_ = false;
       gatekeeper_.reload(wingslip::rereadConfig(gatekeeper_.config()));
     } catch (const wingslip::HalfWritten& wrong) {
-      if (reads > 1) return again(reads - 1);
-      turnDown(wrong);
+      if (readsLeft > 1) return retryLater(readsLeft - 1);
+      reject(wrong);
     } catch (const std::exception& wrong) {
-      turnDown(wrong);
+      reject(wrong);
     }
   }
 
-  void turnDown(const std::exception& wrong) {
+  void reject(const std::exception& wrong) {
     gatekeeper_.reloadFailed();
     wingslip::processLog().error("event=reload_failed text=\"kept as it was: {}\"", wrong.what());
   }
 
-  void again(int reads) {
-    unread_ = true;
-    pause_.expires_after(kBetweenReads);
-    pause_.async_wait([this, reads](const Error& error) {
-      if (!error) reload(reads);
+  void retryLater(int readsLeft) {
+    retryPending_ = true;
+    retryTimer_.expires_after(kReadInterval);
+    retryTimer_.async_wait([this, readsLeft](const Error& error) {
+      if (!error) reload(readsLeft);
     });
   }
 
   wingslip::Gatekeeper& gatekeeper_;
-  boost::asio::steady_timer pause_;
-  bool unread_ = false;  // a change that may be half written
+  boost::asio::steady_timer retryTimer_;
+  bool retryPending_ = false;
 };
 
 int run() {
@@ -69,7 +69,7 @@
   Reloader reloader(io, gatekeeper);
   bool draining = false;
   const wingslip::SignalWatch signals(io, {SIGTERM, SIGINT, SIGHUP}, [&](int number) {
-    if (number == SIGHUP) return reloader.changed();
+    if (number == SIGHUP) return reloader.onSighup();
     if (!std::exchange(draining, true)) gatekeeper.drain([&] { io.stop(); });
   });
   gatekeeper.start();
--- a/src/gatekeeper/metrics.hpp
+++ b/src/gatekeeper/metrics.hpp
@@ -1,4 +1,4 @@
-// The figures that operators fetch: counts from the start of the process.
+/// The figures that operators fetch: counts since the start of the process.
 #pragma once
 
 #include <array>
@@ -11,35 +11,40 @@
 
 namespace wingslip {
 
+/// Final answers to the requests of one class.
 struct ClassCounts {
-  std::uint64_t success = 0, busy = 0, failure = 0;  // final answers
+  std::uint64_t success = 0;
+  std::uint64_t rejected = 0;
+  std::uint64_t failure = 0;
 };
 
-// Attempts after the first of their request, by how the one before had ended (decision::AttemptResult).
+/// Retries, by the result of the attempt before (decision::AttemptResult).
 struct RetryCounts {
   static constexpr std::array<const char*, 8> kNames{"ok",          "error", "declined",  "timeout",
                                                      "unconnected", "reset", "cancelled", "never_sent"};
-  std::array<std::uint64_t, kNames.size()> after{};
+  std::array<std::uint64_t, kNames.size()> counts{};
 
-  void add(decision::AttemptResult before) { ++after[static_cast<std::size_t>(before)]; }
+  void add(decision::AttemptResult before) { ++counts[static_cast<std::size_t>(before)]; }
 };
 
-// By the class's name: one that a reload drops keeps its counts.
 struct Metrics {
+  /// By the name of the request class: one that a reload drops keeps its counts.
   std::map<std::string, ClassCounts> classes;
-  std::uint64_t attempts = 0;   // written whole to workers
-  std::uint64_t shortHere = 0;  // not begun for want of descriptors or memory here
-  std::uint64_t reconfigOk = 0, reconfigFailed = 0;
+  std::uint64_t attemptsWritten = 0;  ///< of which the kernel has the last byte
+  std::uint64_t localShortages = 0;   ///< attempts not started for want of descriptors or memory here
+  std::uint64_t reloadsOk = 0;
+  std::uint64_t reloadsFailed = 0;
   RetryCounts retries;
-  decision::RejectionCounts refusals;
+  decision::RejectionCounts rejections;
 };
 
 struct Gauges {
-  std::size_t inFlight = 0;  // requests taken and not yet ended
-  std::size_t listed = 0, down = 0;
+  std::size_t requestsInFlight = 0;
+  std::size_t workersListed = 0;
+  std::size_t workersAvoided = 0;  ///< of these: excluded, draining or ejected
 };
 
-// In lines `svc.NAME:VALUE|c` (counts) and `|g` (as it is now), closed by a line EOF.
+/// In lines `svc.NAME:VALUE|c` (counts) and `|g` (as it is now), then `more` and a line EOF.
 inline std::string telemetryText(const Metrics& metrics, const Gauges& gauges, const std::string& more) {
   std::string out;
   const auto line = [&](const std::string& name, std::uint64_t value, const char* kind) {
@@ -47,24 +52,24 @@
   };
   for (const auto& [name, counts] : metrics.classes) {
     line("success." + name, counts.success, "c");
-    line("busy." + name, counts.busy, "c");
+    line("busy." + name, counts.rejected, "c");
     line("failure." + name, counts.failure, "c");
   }
-  line("backend_calls", metrics.attempts, "c");
-  line("backend_short", metrics.shortHere, "c");
-  line("reconfig_ok", metrics.reconfigOk, "c");
-  line("reconfig_failed", metrics.reconfigFailed, "c");
+  line("backend_calls", metrics.attemptsWritten, "c");
+  line("backend_short", metrics.localShortages, "c");
+  line("reconfig_ok", metrics.reloadsOk, "c");
+  line("reconfig_failed", metrics.reloadsFailed, "c");
   for (std::size_t i = 0; i < RetryCounts::kNames.size(); ++i)
-    line(std::string("retry_after.") + RetryCounts::kNames[i], metrics.retries.after[i], "c");
-  line("refused.bucket", metrics.refusals.localQuota, "c");
-  line("refused.store", metrics.refusals.fleetQuota, "c");
-  line("refused.unknown", metrics.refusals.unknownCustomer, "c");
-  line("refused.worker", metrics.refusals.noWorker, "c");
-  line("refused.limit", metrics.refusals.concurrencyLimit, "c");
-  line("refused.pressed", metrics.refusals.overload, "c");
-  line("inflight", gauges.inFlight, "g");
-  line("hosts_listed", gauges.listed, "g");
-  line("hosts_down", gauges.down, "g");
+    line(std::string("retry_after.") + RetryCounts::kNames[i], metrics.retries.counts[i], "c");
+  line("refused.bucket", metrics.rejections.localQuota, "c");
+  line("refused.store", metrics.rejections.fleetQuota, "c");
+  line("refused.unknown", metrics.rejections.unknownCustomer, "c");
+  line("refused.worker", metrics.rejections.noWorker, "c");
+  line("refused.limit", metrics.rejections.concurrencyLimit, "c");
+  line("refused.pressed", metrics.rejections.overload, "c");
+  line("inflight", gauges.requestsInFlight, "g");
+  line("hosts_listed", gauges.workersListed, "g");
+  line("hosts_down", gauges.workersAvoided, "g");
   return out + more + "EOF\n";
 }
 
--- a/src/gatekeeper/name_index.hpp
+++ b/src/gatekeeper/name_index.hpp
@@ -1,4 +1,4 @@
-// Numbers of the names that settings list, found in one look-up each however many names there are.
+/// Indexes of the names that settings list, by hash.
 #pragma once
 
 #include <limits>
@@ -9,26 +9,26 @@
 
 namespace wingslip {
 
-// The place of each name in a list; of one that is there twice, the first. Holds copies of the names.
+/// The index of each name in a list; of one that is there twice, the first. Holds copies of the names.
 class NameIndex {
  public:
-  // Told of a name that the list does not have: no index of any list.
+  /// Returned for a name that the list does not have.
   static constexpr unsigned kNone = std::numeric_limits<unsigned>::max();
 
   explicit NameIndex(const std::vector<std::string>& names) {
-    for (unsigned i = 0; i < names.size(); ++i) numbers_.try_emplace(names[i], i);
+    for (unsigned i = 0; i < names.size(); ++i) indexes_.try_emplace(names[i], i);
   }
 
   unsigned of(const std::string& name) const {
-    const auto found = numbers_.find(name);
-    return found == numbers_.end() ? kNone : found->second;
+    const auto found = indexes_.find(name);
+    return found == indexes_.end() ? kNone : found->second;
   }
 
  private:
-  std::unordered_map<std::string, unsigned> numbers_;
+  std::unordered_map<std::string, unsigned> indexes_;
 };
 
-// `names` and behind them those of `added` that are not among them, each once.
+/// `names` followed by those of `added` that are not among them, each once.
 inline std::vector<std::string> joinedNames(std::vector<std::string> names,
                                             const std::vector<std::string>& added) {
   std::unordered_set<std::string> known(names.begin(), names.end());
--- /dev/null
+++ b/src/gatekeeper/service_report.cpp
@@ -0,0 +1,52 @@
+#include "gatekeeper/service_report.hpp"
+
+#include <chrono>
+#include <utility>
+
+#include "net/http.hpp"
+#include "net/log.hpp"
+
+namespace wingslip {
+namespace {
+
+using decision::AttemptResult;
+
+constexpr auto kReportInterval = std::chrono::seconds(5);
+
+}  // namespace
+
+void logServiceReport(const ServiceSample& sample) {
+  const auto ended = [&](AttemptResult result) {
+    return sample.upstream.results[static_cast<std::size_t>(result)];
+  };
+  processLog().info(
+      "event=requests served={} refused={} failed={} rejected={} held={} client_connections={} "
+      "most_buffered_client={} most_waited_ms={:.0f}",
+      sample.answers.served, sample.answers.rejected, sample.answers.failed, sample.clients.rejected,
+      sample.requestsInFlight, sample.clientConnections, sample.clients.mostBuffered,
+      sample.clients.mostWaited);
+  processLog().info(
+      "event=attempts ok={} error={} unreadable={} full={} timeout={} unconnected={} reset={} "
+      "reset_reused={} reset_in_answer={} cancelled={} worker_connections={} most_buffered_worker={}",
+      ended(AttemptResult::ok), ended(AttemptResult::error), sample.upstream.malformedResponses,
+      ended(AttemptResult::overloaded), ended(AttemptResult::timeout), ended(AttemptResult::connectFailed),
+      ended(AttemptResult::reset), sample.upstream.resetReused, sample.upstream.resetInResponse,
+      ended(AttemptResult::cancelled), sample.workerConnections, sample.upstream.maxBufferedBytes);
+  processLog().info("event=lists read={} longest_line={} lists={} calls={} invariants_broken={}",
+                    sample.discovery.read, sample.discovery.longestLine, sample.discovery.lists,
+                    sample.discovery.calls, sample.invariantsBroken);
+}
+
+ReportTimer::ReportTimer(boost::asio::io_context& io, std::function<void()> report)
+    : report_(std::move(report)), timer_(io) {}
+
+void ReportTimer::start() {
+  timer_.expires_after(kReportInterval);
+  timer_.async_wait([this](const Error& error) {
+    if (error) return;
+    report_();
+    start();
+  });
+}
+
+}  // namespace wingslip
--- a/src/gatekeeper/signal_watch.cpp
+++ b/src/gatekeeper/signal_watch.cpp
@@ -13,35 +13,35 @@
 namespace wingslip {
 namespace {
 
-constexpr int kMostNumber = 64;
+constexpr int kMaxSignal = 64;
 
-// What a signal's handler may touch. The pipe's writing end lives as long as the watch.
-std::array<std::atomic<bool>, kMostNumber + 1> pending{};
-std::atomic<int> pipeEnd{-1};
+// All that a signal's handler touches. The pipe's write end is open as long as the watch lives.
+std::array<std::atomic<bool>, kMaxSignal + 1> pending{};
+std::atomic<int> pipeWriteEnd{-1};
 
-void note(int number) {
-  const int before = errno;
+void recordSignal(int number) {
+  const int savedErrno = errno;
   pending[static_cast<std::size_t>(number)].store(true);
   const char byte = 0;
-  // A full pipe has a wake on its way already.
-  while (::write(pipeEnd.load(), &byte, 1) < 0 && errno == EINTR) {
+  // A full pipe wakes the loop already.
+  while (::write(pipeWriteEnd.load(), &byte, 1) < 0 && errno == EINTR) {
   }
-  errno = before;
+  errno = savedErrno;
 }
 
 }  // namespace
 
 SignalWatch::SignalWatch(boost::asio::io_context& io, std::initializer_list<int> numbers,
-                         std::function<void(int)> told)
-    : told_(std::move(told)), wake_(io) {
+                         std::function<void(int)> onSignal)
+    : onSignal_(std::move(onSignal)), wake_(io) {
   int ends[2];
   if (::pipe2(ends, O_NONBLOCK | O_CLOEXEC) != 0) throw std::runtime_error("no pipe for signals");
   wake_.assign(ends[0]);
-  pipeEnd.store(ends[1]);
+  pipeWriteEnd.store(ends[1]);
   wait();
   for (const int number : numbers) {
     struct sigaction action {};
-    action.sa_handler = note;
+    action.sa_handler = recordSignal;
     action.sa_flags = SA_RESTART;
     ::sigfillset(&action.sa_mask);
     if (::sigaction(number, &action, nullptr) != 0) throw std::runtime_error("cannot handle a signal");
@@ -49,19 +49,19 @@
 }
 
 // The handlers stay and write nowhere: a signal that comes while the process ends does not kill it.
-SignalWatch::~SignalWatch() { ::close(pipeEnd.exchange(-1)); }
+SignalWatch::~SignalWatch() { ::close(pipeWriteEnd.exchange(-1)); }
 
 void SignalWatch::wait() {
   wake_.async_wait(boost::asio::posix::stream_descriptor::wait_read,
                    [this](const boost::system::error_code& error) {
                      if (error) return;
-                     emptyPipe();
+                     drainPipe();
                      wait();
-                     tell();
+                     dispatchPending();
                    });
 }
 
-void SignalWatch::emptyPipe() {
+void SignalWatch::drainPipe() {
   char bytes[64];
   ssize_t n = 0;
   do {
@@ -69,9 +69,9 @@
   } while (n > 0 || (n < 0 && errno == EINTR));
 }
 
-void SignalWatch::tell() {
-  for (int number = 1; number <= kMostNumber; ++number)
-    if (pending[static_cast<std::size_t>(number)].exchange(false)) told_(number);
+void SignalWatch::dispatchPending() {
+  for (int number = 1; number <= kMaxSignal; ++number)
+    if (pending[static_cast<std::size_t>(number)].exchange(false)) onSignal_(number);
 }
 
 }  // namespace wingslip
--- a/tests/back_pressure_test.cpp
+++ b/tests/back_pressure_test.cpp
@@ -130,7 +130,7 @@
             std::string::npos);
   for (const auto& sender : senders) sender->end();
   worker.peers.clear();
-  until([&] { return node->held() == 0 && ledger().held(Account::clients) == overflow; }, "all given back");
+  until([&] { return node->requestsInFlight() == 0 && ledger().held(Account::clients) == overflow; }, "all given back");
 }
 
 // Neither side is read ahead of the other.
@@ -154,7 +154,7 @@
   EXPECT_LT(ledger().held(), 400000u);
   client->goOn();
   until([&] { return client->got.size() > 33000000; }, "the whole answer");
-  until([&] { return node->held() == 0; }, "its end");
+  until([&] { return node->requestsInFlight() == 0; }, "its end");
   EXPECT_LE(ledger().held(Account::workers), 11 * 1024u);
 }
 
@@ -175,7 +175,7 @@
       "a client that is not read on");
   // One that ends with more than we take cannot be told from one that waits: its end comes behind the rest.
   client->reset();
-  until([&] { return node->held() == 0; }, "its leaving is noticed");
+  until([&] { return node->requestsInFlight() == 0; }, "its leaving is noticed");
   EXPECT_EQ(ledger().held(Account::clients), overflow);
   EXPECT_EQ(turnedAway(WaitAt::bodyWindow), 0u);  // not by the worker's silence, which takes longer
 }
@@ -267,7 +267,7 @@
   until([&] { return waits(WaitAt::pausedRead) == 1; }, "a paused answer");
   until([&] { return client->has("HTTP/1.1 "); }, "the final answer");
   EXPECT_FALSE(client->has("HTTP/1.1 200"));
-  until([&] { return node->held() == 0 && waits(WaitAt::pausedRead) == 0; }, "its end");
+  until([&] { return node->requestsInFlight() == 0 && waits(WaitAt::pausedRead) == 0; }, "its end");
 }
 
 TEST_F(OverloadManagerd, StandingPressureShedsWhatHoldsMostAndTellsWhenToComeBack) {
@@ -389,14 +389,14 @@
  protected:
   struct Silent : RequestHandler {
     bool ready() const override { return true; }
-    decision::RequestId nextId() override { return ++last; }
-    void take(decision::RequestId, const Call&, ClientMessage&&,
+    decision::RequestId nextRequestId() override { return ++last; }
+    void onRequest(decision::RequestId, const Call&, ClientMessage&&,
               const std::shared_ptr<Responder>& a) override {
       responders.push_back(a);
     }
-    void left(decision::RequestId) override {}
-    void turnedAway(unsigned) override { ++turned; }
-    void closedUnanswered(CloseReason reason) override {
+    void onClientDisconnect(decision::RequestId) override {}
+    void onRequestRejected(unsigned) override { ++turned; }
+    void onClosedUnanswered(CloseReason reason) override {
       ADD_FAILURE() << "closed over a request: " << static_cast<int>(reason);
     }
     decision::RequestId last = 0;
--- a/tests/crowd_test.cpp
+++ b/tests/crowd_test.cpp
@@ -48,14 +48,14 @@
 
 struct SilentHandler : RequestHandler {
   bool ready() const override { return true; }
-  decision::RequestId nextId() override { return ++last; }
-  void take(decision::RequestId, const Call&, ClientMessage&&,
+  decision::RequestId nextRequestId() override { return ++last; }
+  void onRequest(decision::RequestId, const Call&, ClientMessage&&,
             const std::shared_ptr<Responder>& responder) override {
     responders.push_back(responder);
   }
-  void left(decision::RequestId) override {}
-  void turnedAway(unsigned) override {}
-  void closedUnanswered(CloseReason reason) override {
+  void onClientDisconnect(decision::RequestId) override {}
+  void onRequestRejected(unsigned) override {}
+  void onClosedUnanswered(CloseReason reason) override {
     ADD_FAILURE() << "closed over a request: " << static_cast<int>(reason);
   }
   decision::RequestId last = 0;
--- a/tests/gatekeeper_test.cpp
+++ b/tests/gatekeeper_test.cpp
@@ -57,7 +57,7 @@
   worker.peers[0]->send(reply("200 OK", "made by a worker"));
   untilGot(client, "made by a worker");
   EXPECT_TRUE(client->has("HTTP/1.1 200 OK\r\n"));
-  EXPECT_EQ(node->held(), 0u);
+  EXPECT_EQ(node->requestsInFlight(), 0u);
 }
 
 TEST_F(Gate, ReusesConnectionsOnBothSides) {
@@ -197,7 +197,7 @@
   untilGot(client, "\r\n\r\n");
   EXPECT_TRUE(client->has("HTTP/1.1 502")) << client->got;
   until([&] { return !worker.peers.empty() && worker.peers[0]->ended; }, "the attempt's connection ends");
-  EXPECT_EQ(node->held(), 0u);
+  EXPECT_EQ(node->requestsInFlight(), 0u);
 }
 
 // A request that comes with no time for an answer is never sent on: a worker would work for nobody, and the
@@ -218,10 +218,10 @@
   openWithWorker();
   const auto client = ask(Ask());
   untilSeen("00000000000000a1");
-  EXPECT_EQ(node->held(), 1u);
+  EXPECT_EQ(node->requestsInFlight(), 1u);
   client->end();
   until([&] { return worker.peers[0]->ended; }, "the attempt's connection ends");
-  EXPECT_EQ(node->held(), 0u);
+  EXPECT_EQ(node->requestsInFlight(), 0u);
 }
 
 // An answer followed by more than itself leaves the connection in doubt: what is left there would be taken
@@ -372,7 +372,7 @@
   const auto front = dial(node->address());
   front->send("GET /health/ready HTTP/1.1\r\nHost: b\r\n\r\n");
   untilGot(front, "HTTP/1.1 503");
-  until([&] { return node->held() == 1 && discovery.count("watch=1&from=1 HTTP/1.1\r\n") == 1; }, "a watch");
+  until([&] { return node->requestsInFlight() == 1 && discovery.count("watch=1&from=1 HTTP/1.1\r\n") == 1; }, "a watch");
   EXPECT_EQ(worker.peers.size() + other.peers.size(), 0u);
   discovery.peers[0]->send("HTTP/1.1 200 OK\r\n\r\n" +
                            roster(2, false, json::array({entry("s-1", worker.text(), "Terminating")})) +
--- a/tests/node_test.cpp
+++ b/tests/node_test.cpp
@@ -20,13 +20,14 @@
 
 struct Silent : RequestHandler {  // never answers
   bool ready() const override { return true; }
-  decision::RequestId nextId() override { return ++last; }
-  void take(decision::RequestId, const Call&, ClientMessage&&, const std::shared_ptr<Responder>& a) override {
+  decision::RequestId nextRequestId() override { return ++last; }
+  void onRequest(decision::RequestId, const Call&, ClientMessage&&,
+                 const std::shared_ptr<Responder>& a) override {
     responder = a;
   }
-  void left(decision::RequestId) override { ++gone; }
-  void turnedAway(unsigned) override { ++turned; }
-  void closedUnanswered(CloseReason reason) override {
+  void onClientDisconnect(decision::RequestId) override { ++gone; }
+  void onRequestRejected(unsigned) override { ++turned; }
+  void onClosedUnanswered(CloseReason reason) override {
     ADD_FAILURE() << "closed over a request: " << static_cast<int>(reason);
   }
   int turned = 0;
@@ -314,8 +315,8 @@
   open({});
   start(1);
   untilSeen(1);
-  pool->setWorkerAddress(1, {worker.address(),
-                  std::chrono::steady_clock::now() + 1h});  // started after this connection was opened
+  pool->setWorkerAddress(1, {worker.address(), std::chrono::steady_clock::now() +
+                                                   1h});  // started after this connection was opened
   EXPECT_TRUE(ends.empty());
   untilEnds(1);
   EXPECT_EQ(ends[0].outcome.result, AttemptResult::reset);
--- a/tests/ops_test.cpp
+++ b/tests/ops_test.cpp
@@ -249,16 +249,16 @@
 }
 
 TEST_F(Ops, WhatIsLeftForTheNextProcessIsReadBackOrNotThere) {
-  EXPECT_FALSE(inherit(folder));
-  leave(folder, {1e12, 0.01, -5e11});
-  ASSERT_TRUE(inherit(folder));
-  EXPECT_EQ(inherit(folder)->warmRate, 0.01);
-  EXPECT_EQ(inherit(folder)->clockOffset, -5e11);
+  EXPECT_FALSE(readHandover(folder));
+  writeHandover(folder, {1e12, 0.01, -5e11});
+  ASSERT_TRUE(readHandover(folder));
+  EXPECT_EQ(readHandover(folder)->warmRate, 0.01);
+  EXPECT_EQ(readHandover(folder)->clockOffset, -5e11);
   for (const char* damage :
        {"", "{", "[]", "{\"at\":1}", "{\"at\":1,\"warmRate\":-1,\"clockOffset\":0}",
         "{\"at\":1,\"warmRate\":\"much\",\"clockOffset\":0}", "{\"at\":1,\"warmRate\":1}"}) {
     std::ofstream(folder + "/burlwind-handover.json") << damage;
-    EXPECT_FALSE(inherit(folder)) << damage;
+    EXPECT_FALSE(readHandover(folder)) << damage;
   }
 }
 
--- a/tests/races_test.cpp
+++ b/tests/races_test.cpp
@@ -136,14 +136,14 @@
  protected:
   struct Kept : RequestHandler {
     bool ready() const override { return true; }
-    decision::RequestId nextId() override { return ++last; }
-    void take(decision::RequestId, const Call&, ClientMessage&&,
+    decision::RequestId nextRequestId() override { return ++last; }
+    void onRequest(decision::RequestId, const Call&, ClientMessage&&,
               const std::shared_ptr<Responder>& a) override {
       responders.push_back(a);
     }
-    void left(decision::RequestId) override { ++gone; }
-    void turnedAway(unsigned) override {}
-    void closedUnanswered(CloseReason reason) override {
+    void onClientDisconnect(decision::RequestId) override { ++gone; }
+    void onRequestRejected(unsigned) override {}
+    void onClosedUnanswered(CloseReason reason) override {
       ADD_FAILURE() << "closed over a request: " << static_cast<int>(reason);
     }
     decision::RequestId last = 0;
@@ -246,7 +246,7 @@
   client->end();
   serveAnother();
   EXPECT_EQ(worker.count("Req-Id: 00000000000000a1"), 0u);
-  EXPECT_EQ(node->held(), 0u);
+  EXPECT_EQ(node->requestsInFlight(), 0u);
 }
 
 // What it has sent ahead fills all that is read ahead, so that its close is behind bytes that nobody reads.
@@ -261,7 +261,7 @@
   for (int i = 0; i < 20; ++i) io.restart(), io.poll();
   client->end();
   worker.peers[0]->reset();
-  until([&] { return node->held() == 0; }, "it is let go");
+  until([&] { return node->requestsInFlight() == 0; }, "it is let go");
   serveAnother();
   EXPECT_EQ(worker.count("Req-Id: 00000000000000a1"), 1u);
 }
@@ -301,7 +301,7 @@
   early.start();
   const auto client = dial(early.address());
   client->send(Ask().text());
-  until([&] { return early.held() == 1; }, "it is held");
+  until([&] { return early.requestsInFlight() == 1; }, "it is held");
   std::swap(file["settings"]["profiles"][0], file["settings"]["profiles"][2]);
   std::swap(file["settings"]["plans"][0], file["settings"]["plans"][1]);
   early.reload(parseConfig(file.dump()));
--- a/tests/stream_test.cpp
+++ b/tests/stream_test.cpp
@@ -59,7 +59,7 @@
   until([&] { return client->has(letters(400000, kPiece)); }, "the whole answer");
   EXPECT_TRUE(client->has("Content-Length: 400000\r\n"));
   EXPECT_TRUE(client->has("Content-Type: a/b\r\n"));
-  until([&] { return node->held() == 0; }, "its end");
+  until([&] { return node->requestsInFlight() == 0; }, "its end");
   client->send(Ask().text());
   untilSeen(2);
   EXPECT_EQ(worker.peers.size(), 1u);
@@ -97,7 +97,7 @@
     peer->end();
     until([&] { return client->ended; }, "the cut");
     EXPECT_FALSE(client->has("\r\n0\r\n\r\n"));
-    EXPECT_EQ(node->held(), 0u);
+    EXPECT_EQ(node->requestsInFlight(), 0u);
     EXPECT_EQ(worker.count("Req-Id"), 1u);
     node.reset();
     worker.peers.clear();
@@ -150,7 +150,7 @@
   open();
   const auto stalled = ask(head("edit", "Content-Length: 200000\r\n") + std::string(20000, 'x'));
   until([&] { return stalled->has("HTTP/1.1 408") && stalled->ended; }, "its end");
-  EXPECT_EQ(node->held(), 0u);
+  EXPECT_EQ(node->requestsInFlight(), 0u);
   until([&] { return !worker.peers.empty() && worker.peers[0]->ended; }, "its attempt's end");
 }
 
@@ -161,7 +161,7 @@
         ask(head("edit", std::string("Expect: 100-continue\r\nContent-Length: ") + size + "\r\n"));
     until([&] { return client->has("HTTP/1.1 100"); }, "100 Continue");
     client->end();
-    until([&] { return node->held() == 0; }, "its end");
+    until([&] { return node->requestsInFlight() == 0; }, "its end");
   }
   const auto refused =
       ask("POST /nowhere HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 100000\r\n\r\n");
