--- /dev/null
+++ b/src/gatekeeper/client_connection_writing.cpp
@@ -0,0 +1,141 @@
+/// How a client connection writes responses: the handler's, and its own rejections.
+#include <boost/asio/post.hpp>
+#include <string>
+#include <utility>
+#include <variant>
+
+#include "gatekeeper/client_connection.hpp"
+#include "net/socket_io.hpp"
+
+namespace wingslip {
+
+// --- The handler's responses -------------------------------------------------------------------------------
+
+void ClientServer::Connection::respond(ClientResponse&& response) {
+  if (state_ != State::inFlight) return;
+  responseMemory_ = std::move(response.bodyMemory);
+  closeAfterResponse_ = closeAfterResponse_ || server_.draining_ || overflow_ ||
+                        server_.pressure_.fewDescriptors() || (server_.pressure_.slow() && !bodyDone_);
+  state_ = State::responding;
+  recordWait(WaitAt::answerWrite);
+  bodyReader_ = nullptr;
+  releaseRequestMemory();
+  output_.addResponse(response, !closeAfterResponse_);
+  write();
+}
+
+void ClientServer::Connection::startStream(const StreamedResponseHead& head) {
+  if (state_ != State::inFlight) return;
+  output_.chooseFraming(head, requestVersion_);
+  closeAfterResponse_ = closeAfterResponse_ || server_.draining_ || !output_.isDelimited();
+  state_ = State::streaming;
+  recordWait(WaitAt::answerWindow);
+  bodyReader_ = nullptr;
+  releaseRequestMemory();
+  output_.addStreamHead(head, !closeAfterResponse_);
+  write();
+}
+
+void ClientServer::Connection::sendPiece(std::string&& piece, bool last,
+                                         std::function<void()> onPieceWritten) {
+  if (state_ != State::streaming) return;
+  output_.addPiece(std::move(piece), last);
+  if (last) state_ = State::responding;
+  onPieceWritten_ = std::move(onPieceWritten);
+  if (output_.hasPending()) return write();
+  if (!output_.isWriting()) asio::post(socket_.get_executor(), guardPosted([this] { onWritten(); }));
+}
+
+void ClientServer::Connection::holdMemory(MemoryBudget::Charge&& memory) {
+  if (state_ != State::closed) responseMemory_ = std::move(memory);
+}
+
+// The client misses the end of a delimited response; a reset tells it of any other.
+void ClientServer::Connection::abortStream() {
+  if (state_ != State::streaming) return;
+  Error ignored;
+  if (!output_.isDelimited()) socket_.set_option(asio::socket_base::linger(true, 0), ignored);
+  close(CloseReason::responseCut);
+}
+
+// --- Responses of this connection --------------------------------------------------------------------------
+
+void ClientServer::Connection::respondReadiness(http::verb method) {
+  if (method != http::verb::get) return reject({http::status::method_not_allowed, "only GET"});
+  const bool ready = server_.handler_.ready() && !server_.draining_;
+  reject({ready ? http::status::ok : http::status::service_unavailable, ready ? "ready" : "not ready"});
+}
+
+// The request never reaches the handler, or has ended there.
+void ClientServer::Connection::reject(const Rejection& rejection, decision::Time retryAfterMs) {
+  server_.stats_.rejected += rejection.status != http::status::ok;
+  if (rejection.status == http::status::request_timeout) {
+    bodyDone_ = true;
+    closeAfterResponse_ = true;
+  }
+  if (!bodyDone_ && !parser_->is_header_done()) bodyDone_ = true;
+  state_ = State::inFlight;
+  ClientResponse response;
+  response.status = rejection.status;
+  response.body = std::string(rejection.message) + "\n";
+  response.retryAfterMs = retryAfterMs;
+  respond(std::move(response));
+}
+
+void ClientServer::Connection::rejectForCapacity(WaitAt reason) {
+  recordTimeout(reason);
+  if (parser_->is_header_done()) {
+    const auto parsed = parseClientRequest(parser_->get(), server_.config_);
+    if (const auto* request = std::get_if<ParsedRequest>(&parsed))
+      server_.handler_.onRequestRejected(request->classIndex);
+  }
+  bodyDone_ = true;
+  closeAfterResponse_ = true;
+  reject(kNoCapacity, server_.rejectionRetryAfterMs());
+}
+
+// In the middle of a streamed request body.
+void ClientServer::Connection::rejectSlowBody() {
+  server_.handler_.onClientDisconnect(requestId_);
+  bodyDone_ = true;  // nothing more of it is awaited
+  reject({http::status::request_timeout, "too slow"});
+}
+
+// --- Output ------------------------------------------------------------------------------------------------
+
+void ClientServer::Connection::write() {
+  if (output_.isWriting() || !output_.hasPending()) return;
+  const auto bytes = output_.startWrite();
+  if (state_ == State::responding || state_ == State::streaming) armTimer(server_.limits_.writeTimeout);
+  asyncWriteAll(
+      socket_, bytes, [self = shared_from_this(), this] { return state_ != State::closed; },
+      [self = shared_from_this(), this](const Error& error) {
+        if (error) return close(closeReasonOf(error));
+        onWritten();
+      });
+}
+
+void ClientServer::Connection::onWritten() {
+  output_.finishWrite();
+  if (output_.hasPending()) return write();
+  if (state_ == State::streaming) {
+    timer_.cancel();
+    if (const auto callback = std::exchange(onPieceWritten_, nullptr)) callback();
+    return;
+  }
+  if (state_ != State::responding) return;
+  onPieceWritten_ = nullptr;
+  responseMemory_.release();
+  if (!bodyDone_ && !continueConsidered_ && expectsContinue()) {  // the client will not send the body
+    bodyDone_ = true;
+    closeAfterResponse_ = true;
+  }
+  if (bodyDone_ || (closeAfterResponse_ && server_.pressure_.slow())) return finishExchange();
+  state_ = State::skippingBody;
+  recordWait(WaitAt::halfRead);
+  armTimer(server_.limits_.skipBodyTimeout);
+  processInput();
+  if (state_ != State::closed) read();
+}
+
+}  // namespace wingslip
--- a/src/gatekeeper/client_request.cpp
+++ b/src/gatekeeper/client_request.cpp
@@ -8,12 +8,12 @@
 namespace wingslip {
 namespace {
 
-constexpr decision::CustomerId kCustomers = decision::CustomerId{1} << 33;
-constexpr double kMostPatience = 10 * 60 * 1000;
+constexpr decision::CustomerId kCustomerCount = decision::CustomerId{1} << 33;
+constexpr double kMaxClientWaitMs = 10 * 60 * 1000;
 
-// The whole of a text as a number, or nothing.
+// The number that all of `text` is.
 template <class T, class... Base>
-std::optional<T> number(std::string_view text, Base... base) {
+std::optional<T> parseNumber(std::string_view text, Base... base) {
   T value{};
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value, base...);
   if (error != std::errc() || end != text.data() + text.size()) return std::nullopt;
@@ -22,37 +22,36 @@
 
 std::string_view header(const ClientMessage& message, const char* name) { return view(message[name]); }
 
-// The part before the first `mark`; the text goes on behind it.
-std::string_view cut(std::string_view& text, char mark) {
-  const auto at = text.find(mark);
+// The part before the first `separator`; `text` becomes what follows it.
+std::string_view takeUntil(std::string_view& text, char separator) {
+  const auto at = text.find(separator);
   const auto part = text.substr(0, at);
   text = at == std::string_view::npos ? std::string_view{} : text.substr(at + 1);
   return part;
 }
 
 // The value of `name` in a list of name=value.
-std::string_view valueOf(std::string_view list, char mark, std::string_view name) {
+std::string_view valueOf(std::string_view list, char separator, std::string_view name) {
   while (!list.empty()) {
-    std::string_view value = cut(list, mark);
+    std::string_view value = takeUntil(list, separator);
     while (!value.empty() && value.front() == ' ') value.remove_prefix(1);
-    if (cut(value, '=') == name) return value;
+    if (takeUntil(value, '=') == name) return value;
   }
   return {};
 }
 
-// Whether one of the headers that tell a request of the service apart is there twice: which one counts would
-// be anybody's guess, and a worker may guess otherwise.
-bool ambiguous(const ClientMessage& message) {
+// Whether one of the service's headers is there twice: a worker might take the other one.
+bool hasDuplicateHeader(const ClientMessage& message) {
   for (const char* name : {"Req-Id", "X-Tier", "Req-Deadline-Ms", "X-Call-Terms", "Idempotency-Key"})
     if (message.count(name) > 1) return true;
   return false;
 }
 
 bool isId(std::string_view text) {
-  const auto hex = [](char c) {
+  const auto isHexDigit = [](char c) {
     return (c >= '0' && c <= '9') || (c >= 'a' && c <= 'f') || (c >= 'A' && c <= 'F');
   };
-  return text.size() == 16 && std::all_of(text.begin(), text.end(), hex);
+  return text.size() == 16 && std::all_of(text.begin(), text.end(), isHexDigit);
 }
 
 std::optional<unsigned> indexOf(const std::vector<std::string>& names, std::string_view name) {
@@ -61,28 +60,28 @@
   return static_cast<unsigned>(found - names.begin());
 }
 
-bool readTerms(std::string_view terms, const decision::Settings& settings, Call& call) {
-  const auto units = number<double>(valueOf(terms, ',', "units"));
-  const auto spread = number<unsigned>(valueOf(terms, ',', "spread"));
-  const auto first = number<unsigned>(valueOf(terms, ',', "first"));
+// Reads X-Call-Terms: `units=1,spread=2,first=1`. False: it is malformed or out of range.
+bool parseTerms(std::string_view terms, const decision::Settings& settings, ParsedRequest& request) {
+  const auto units = parseNumber<double>(valueOf(terms, ',', "units"));
+  const auto spread = parseNumber<unsigned>(valueOf(terms, ',', "spread"));
+  const auto first = parseNumber<unsigned>(valueOf(terms, ',', "first"));
   if (!units || !std::isfinite(*units) || *units <= 0 || *units > settings.maxUnits) return false;
   if (!spread || *spread < 1 || *spread > settings.gatewayCount || !first || *first >= settings.gatewayCount)
     return false;
-  call.units = *units;
-  call.setSize = *spread;
+  request.units = *units;
+  request.customerGateways = *spread;
   return true;
 }
 
-bool methodFits(const ClientMessage& message, decision::Idempotency repeat) {
-  if (repeat == decision::Idempotency::idempotent)
+bool methodFits(const ClientMessage& message, decision::Idempotency idempotency) {
+  if (idempotency == decision::Idempotency::idempotent)
     return message.method() == http::verb::get && message.body().empty();
   return message.method() == http::verb::post &&
-         (repeat == decision::Idempotency::notIdempotent || !header(message, "Idempotency-Key").empty());
+         (idempotency == decision::Idempotency::notIdempotent || !header(message, "Idempotency-Key").empty());
 }
 
 }  // namespace
 
-// A target in absolute form names this service all the same.
 std::string_view originForm(std::string_view target) {
   constexpr std::string_view scheme = "http://";
   if (!beast::iequals(beast::string_view(target.data(), std::min(target.size(), scheme.size())),
@@ -92,38 +91,40 @@
   return slash == std::string_view::npos ? "/" : target.substr(slash);
 }
 
-std::variant<Call, Rejection> readCall(const ClientMessage& message, const Config& config) {
-  constexpr auto bad = http::status::bad_request;
+std::variant<ParsedRequest, Rejection> parseClientRequest(const ClientMessage& message,
+                                                          const Config& config) {
+  constexpr auto kBadRequest = http::status::bad_request;
   std::string_view target = originForm(view(message.target()));
-  const std::string_view path = cut(target, '?');
+  const std::string_view path = takeUntil(target, '?');
   if (path.size() < 2 || path.front() != '/') return Rejection{http::status::not_found, "no such path"};
   std::string_view rest = path.substr(1);
-  const auto klass = indexOf(config.host.classes, cut(rest, '/'));
-  // A request of the service names itself; whatever else asks for some path is told that there is none.
-  const bool named = !header(message, "Req-Id").empty();
-  if (!klass && !named) return Rejection{http::status::not_found, "no such path"};
-  if (!klass) return Rejection{bad, "unknown class"};
-  if (!named) return Rejection{bad, "no Req-Id"};
-  if (!isId(header(message, "Req-Id"))) return Rejection{bad, "bad Req-Id"};
-  if (ambiguous(message)) return Rejection{bad, "a header of the service is there twice"};
-  Call call;
-  call.klass = *klass;
-  if (!methodFits(message, config.settings.classes[*klass].idempotency))
-    return Rejection{bad, "the method, body or Idempotency-Key does not fit the class"};
-  const auto plan = indexOf(config.host.plans, header(message, "X-Tier"));
-  if (!plan) return Rejection{bad, "unknown plan"};
-  call.plan = *plan;
+  const auto classIndex = indexOf(config.host.classes, takeUntil(rest, '/'));
+  // A request of this service has a Req-Id; any other one gets the answer for an unknown path.
+  const bool hasId = !header(message, "Req-Id").empty();
+  if (!classIndex && !hasId) return Rejection{http::status::not_found, "no such path"};
+  if (!classIndex) return Rejection{kBadRequest, "unknown class"};
+  if (!hasId) return Rejection{kBadRequest, "no Req-Id"};
+  if (!isId(header(message, "Req-Id"))) return Rejection{kBadRequest, "bad Req-Id"};
+  if (hasDuplicateHeader(message)) return Rejection{kBadRequest, "a header of the service is there twice"};
+  ParsedRequest request;
+  request.classIndex = *classIndex;
+  if (!methodFits(message, config.settings.classes[*classIndex].idempotency))
+    return Rejection{kBadRequest, "the method, body or Idempotency-Key does not fit the class"};
+  const auto planIndex = indexOf(config.host.plans, header(message, "X-Tier"));
+  if (!planIndex) return Rejection{kBadRequest, "unknown plan"};
+  request.planIndex = *planIndex;
   const std::string_view key = valueOf(target, '&', "client");
-  const auto customer = number<decision::CustomerId>(key, 16);
-  if (key.size() != 16 || !customer || *customer >= kCustomers) return Rejection{bad, "bad customer"};
-  call.customer = *customer;
-  const auto patience = number<std::uint64_t>(header(message, "Req-Deadline-Ms"));
-  if (!patience || *patience < 1 || static_cast<double>(*patience) > kMostPatience)
-    return Rejection{bad, "bad Req-Deadline-Ms"};
-  call.patience = static_cast<double>(*patience);
-  if (!readTerms(header(message, "X-Call-Terms"), config.settings, call))
-    return Rejection{bad, "bad X-Call-Terms"};
-  return call;
+  const auto customer = parseNumber<decision::CustomerId>(key, 16);
+  if (key.size() != 16 || !customer || *customer >= kCustomerCount)
+    return Rejection{kBadRequest, "bad customer"};
+  request.customer = *customer;
+  const auto clientWaitMs = parseNumber<std::uint64_t>(header(message, "Req-Deadline-Ms"));
+  if (!clientWaitMs || *clientWaitMs < 1 || static_cast<double>(*clientWaitMs) > kMaxClientWaitMs)
+    return Rejection{kBadRequest, "bad Req-Deadline-Ms"};
+  request.clientWaitMs = static_cast<double>(*clientWaitMs);
+  if (!parseTerms(header(message, "X-Call-Terms"), config.settings, request))
+    return Rejection{kBadRequest, "bad X-Call-Terms"};
+  return request;
 }
 
 }  // namespace wingslip
--- a/src/gatekeeper/client_request.hpp
+++ b/src/gatekeeper/client_request.hpp
@@ -1,8 +1,9 @@
-// A client's request, read and checked: what the module is asked, and what goes on to a worker.
+/// A client's request, parsed and checked: what the decision module is asked, and what a worker is sent.
 #pragma once
 
 #include <cstdint>
 #include <optional>
+#include <string_view>
 #include <variant>
 
 #include "config/config.hpp"
@@ -12,24 +13,28 @@
 
 using ClientMessage = http::request<WindowBody>;
 
-struct Call {
-  unsigned klass = 0;
-  unsigned plan = 0;
+/// What a request states of itself.
+struct ParsedRequest {
+  unsigned classIndex = 0;  ///< in HostSettings::classes
+  unsigned planIndex = 0;   ///< in HostSettings::plans
   decision::CustomerId customer = 0;
-  decision::Time patience = 0;  // how long the client waits from when it sent the request
+  decision::Time clientWaitMs = 0;  ///< how long the client waits from when it sent the request
   double units = 1;
-  unsigned setSize = 1;
-  bool whole = true;                    // the body is all there; else its rest is pulled from the responder
-  std::size_t holds = 0;                // bytes of memory, with what it may come to hold
-  std::optional<std::uint64_t> length;  // of a body that is not, where the client has stated it
+  unsigned customerGateways = 1;               ///< gateways that this customer's requests come through
+  bool bodyComplete = true;                    ///< else its rest is read by Responder::readBody
+  std::size_t memoryBytes = 0;                 ///< that the request holds, or may come to hold
+  std::optional<std::uint64_t> contentLength;  ///< of an incomplete body, where the client states it
 };
 
+/// An answer that a request gets without reaching a worker.
 struct Rejection {
   http::status status = http::status::bad_request;
-  std::string_view why;
+  std::string_view message;
 };
 
+/// The path and query of a request target; a target in absolute form (`http://host/path`) loses its host.
 std::string_view originForm(std::string_view target);
-std::variant<Call, Rejection> readCall(const ClientMessage& message, const Config& config);
+/// The request, or why it is malformed. `message` is complete but for the body.
+std::variant<ParsedRequest, Rejection> parseClientRequest(const ClientMessage& message, const Config& config);
 
 }  // namespace wingslip
--- a/src/gatekeeper/client_server.cpp
+++ b/src/gatekeeper/client_server.cpp
@@ -16,12 +16,12 @@
 using Clock = std::chrono::steady_clock;
 using namespace std::chrono_literals;
 
-constexpr double kLeastAway = 250;   // ms advised where the pressure is expected to be over sooner
-constexpr auto kAcceptPause = 50ms;  // after an accept that failed for want of descriptors
-constexpr auto kUnreadPause = 1ms;   // for the handler of what has come on a connection that is to give way
-constexpr auto kStopPause = 10ms;    // the same where the listener is about to close
+constexpr double kMinRetryAfterMs = 250;  // where the overload is expected to end sooner
+constexpr auto kAcceptRetryDelay = 50ms;  // after an accept that failed for want of descriptors
+constexpr auto kUnreadDelay = 1ms;        // for the handler of unread data on a connection to be evicted
+constexpr auto kStopRetryDelay = 10ms;    // between looks at the accept queue before the listener closes
 
-// Whether the machine's queue is empty. Any other error but a shortage is that of one connection, or of an
+// Whether the accept queue is empty. Any other error but a shortage is that of one connection, or of an
 // interrupted call: the next accept may succeed (accept(2), "Error handling").
 bool isQueueEmpty(const Error& error) {
   return error == asio::error::would_block || error == asio::error::try_again;
@@ -35,19 +35,19 @@
       limits_(limits),
       handler_(handler),
       acceptor_(io),
-      pause_(io),
+      acceptRetryTimer_(io),
       overflowTimer_(io),
       pressure_(pressure),
-      chance_(config.seed ^ 0x5bd1e995) {
+      jitter_(config.seed ^ 0x5bd1e995) {
   pressure_.places().read(WaitAt::acceptQueue, [this](double now) {
     WaitQueues::Figures out;
     out.waiting = queuedAt(acceptor_);
-    if (out.waiting > 0 && noRoom_.in(WaitAt::noRoom)) out.oldest = now - noRoom_.since();
+    if (out.waiting > 0 && fullRecord_.in(WaitAt::noRoom)) out.oldest = now - fullRecord_.since();
     return out;
   });
-  refillOverflowRooms();
+  reserveOverflowMemory();
   pressure_.whenRoom([this] {
-    if (noRoom_.in(WaitAt::noRoom)) accept();
+    if (fullRecord_.in(WaitAt::noRoom)) accept();
   });
 }
 
@@ -58,9 +58,9 @@
 }
 
 void ClientServer::start() {
-  const bool inherited = config_.acceptFd >= 0;
+  const bool platformListens = config_.acceptFd >= 0;
   try {
-    if (inherited) {
+    if (platformListens) {
       acceptor_.assign(config_.listen.protocol(), config_.acceptFd);
       tellOfAbortedConnections(acceptor_);
     } else {
@@ -70,156 +70,157 @@
   } catch (const boost::system::system_error& error) {
     throw std::runtime_error(std::string("cannot listen: ") + error.what());
   }
-  if (!inherited) beginAccepting();
+  if (!platformListens) startAccepting();
 }
 
-void ClientServer::beginAccepting() {
+void ClientServer::startAccepting() {
   open_ = true;
   accept();
 }
 
-// At the limit an idle connection makes room for one that comes, but not before it does; where none is idle,
-// the next one to turn idle or end does.
-bool ClientServer::hasRoom() const {
-  if (pressure_.ledger().room(Account::clients) < kConnection) return false;
-  return connections_.size() - overflowCount_ < mostUsual() || !idle_.empty() || !ending_.empty();
+// Whether one more connection may be accepted: below the limit, or in place of an idle one. Does not ask the
+// kernel.
+bool ClientServer::hasCapacity() const {
+  if (pressure_.ledger().room(Account::clients) < kClientConnectionBytes) return false;
+  return connections_.size() - overflowCount_ < maxRegular() || !idle_.empty() || !lingering_.empty();
 }
 
 void ClientServer::accept() {
   if (!open_) return;
-  if (!hasRoom()) {
-    if (waiting_ && overflowOpen_) return acceptToOverflow();
-    if (overflowOpen_) return takeNext();
-    return openOverflow();
+  if (!hasCapacity()) {
+    if (accepted_ && overflowOpen_) return acceptToOverflow();
+    if (overflowOpen_) return acceptNext();
+    return openOverflowLater();
   }
-  if (noRoom_.in(WaitAt::noRoom)) {
-    noRoom_.leave();
+  if (fullRecord_.in(WaitAt::noRoom)) {
+    fullRecord_.leave();
     overflowTimer_.cancel();
     overflowOpen_ = false;
   }
-  if (waiting_) return admitWaiting();
-  takeNext();
+  if (accepted_) return admitAccepted();
+  acceptNext();
 }
 
-void ClientServer::admitWaiting() {
-  tcp::socket socket = *std::exchange(waiting_, std::nullopt);
-  const bool full = connections_.size() - overflowCount_ >= mostUsual();
+void ClientServer::admitAccepted() {
+  tcp::socket socket = *std::exchange(accepted_, std::nullopt);
+  const bool full = connections_.size() - overflowCount_ >= maxRegular();
   if (!full || closeLeastRecentlyUsed()) return add(std::move(socket));
-  // Requests had come on all that were idle, so that none is any more and there is no room.
-  waiting_ = std::move(socket);
+  // Requests had come on all connections that were idle.
+  accepted_ = std::move(socket);
   accept();
 }
 
-void ClientServer::takeNext() {
+void ClientServer::acceptNext() {
   if (accepting_) return;
   if (!acceptor_.is_open()) return;
   accepting_ = true;
-  // A connection is taken from the machine's queue only in the handler, so that none is in between when
-  // accepting stops. One accept a turn of the loop: however many clients wait in that queue, all other
-  // sockets and timers that are ready are served between two of them.
+  // The connection is accepted in the handler, so that none is lost between queue and handler when accepting
+  // stops. One accept a turn of the loop: however long the queue, other sockets and timers are served
+  // between.
   acceptor_.async_wait(tcp::acceptor::wait_read, [this](const Error& waited) {
     if (waited == asio::error::operation_aborted) return;
     accepting_ = false;
-    if (!open_ || waiting_) return;
+    if (!open_ || accepted_) return;
     pressure_.activity();
     Error error;
     tcp::socket socket(acceptor_.get_executor());
     acceptor_.accept(socket, error);
-    if (isShortage(error)) return acceptLater();
+    if (isShortage(error)) return retryAccept();
     if (!error) {
       ++stats_.accepted;
-      waiting_ = std::move(socket);
+      accepted_ = std::move(socket);
     }
     accept();
   });
 }
 
-// Out of descriptors: the connection stays in the machine's queue and would be reported again at once.
-void ClientServer::acceptLater() {
+// Out of descriptors: the connection stays in the accept queue and would be reported again at once.
+void ClientServer::retryAccept() {
   closeLeastRecentlyUsed();
-  pause_.expires_after(kAcceptPause);
-  pause_.async_wait([this](const Error& error) {
+  acceptRetryTimer_.expires_after(kAcceptRetryDelay);
+  acceptRetryTimer_.async_wait([this](const Error& error) {
     if (!error) accept();
   });
 }
 
 void ClientServer::add(tcp::socket socket) {
   auto room = pressure_.ledger().open(Account::clients);
-  if (!room.resize(kConnection)) closeLeastRecentlyUsed();
-  if (!room.resize(kConnection))
-    return;  // asked for before: only while draining, when there is no other place
+  if (!room.resize(kClientConnectionBytes)) closeLeastRecentlyUsed();
+  if (!room.resize(kClientConnectionBytes))
+    return;  // only while draining: otherwise `hasCapacity` was asked before
   room.fix();
   const auto connection = std::make_shared<Connection>(*this, std::move(socket), std::move(room), false);
   connections_.insert(connection);
-  connection->start();  // goes on to accept
+  connection->start();  // calls accept
 }
 
-// Set aside from the start, so that one can be heard out where memory is what is short.
-void ClientServer::refillOverflowRooms() {
-  while (overflowRooms_.size() + overflowCount_ < limits_.overflowPlaces()) {
+// Reserved from the start, so that overflow connections can be read where memory is short.
+void ClientServer::reserveOverflowMemory() {
+  while (overflowMemory_.size() + overflowCount_ < limits_.overflowSlots()) {
     auto room = pressure_.ledger().open(Account::clients);
-    if (!room.resize(kConnection)) return;
+    if (!room.resize(kClientConnectionBytes)) return;
     room.fix();
-    overflowRooms_.push_back(std::move(room));
+    overflowMemory_.push_back(std::move(room));
   }
 }
 
-// All are busy. What comes waits in the kernel for a while, since most requests end soon.
-void ClientServer::openOverflow() {
-  if (noRoom_.in(WaitAt::noRoom)) return;
-  noRoom_.enter(pressure_.places(), WaitAt::noRoom, OverloadManager::now());
-  if (limits_.overflowPlaces() == 0) return;
-  overflowTimer_.expires_after(limits_.overflowAfter);
+// All connections are busy. New ones wait in the kernel for a while, since most requests end soon.
+void ClientServer::openOverflowLater() {
+  if (fullRecord_.in(WaitAt::noRoom)) return;
+  fullRecord_.enter(pressure_.places(), WaitAt::noRoom, OverloadManager::now());
+  if (limits_.overflowSlots() == 0) return;
+  overflowTimer_.expires_after(limits_.overflowDelay);
   overflowTimer_.async_wait([this](const Error& error) {
-    if (error || !noRoom_.in(WaitAt::noRoom)) return;
+    if (error || !fullRecord_.in(WaitAt::noRoom)) return;
     overflowOpen_ = true;
     accept();
   });
 }
 
 void ClientServer::acceptToOverflow() {
-  if (!makeOverflowRoom()) return;
-  auto room = std::move(overflowRooms_.back());
-  overflowRooms_.pop_back();
+  if (!freeOverflowSlot()) return;
+  auto room = std::move(overflowMemory_.back());
+  overflowMemory_.pop_back();
   const auto connection =
-      std::make_shared<Connection>(*this, *std::exchange(waiting_, std::nullopt), std::move(room), true);
+      std::make_shared<Connection>(*this, *std::exchange(accepted_, std::nullopt), std::move(room), true);
   ++overflowCount_;
   connections_.insert(connection);
   overflowOrder_.append(*connection);
   connection->start();
 }
 
-// The oldest gives way once it has had its time to speak; until then the next one waits.
-bool ClientServer::makeOverflowRoom() {
-  refillOverflowRooms();
-  if (!overflowRooms_.empty()) return true;
+// The oldest one is evicted after `minOverflowTime`; until then the next one waits.
+bool ClientServer::freeOverflowSlot() {
+  reserveOverflowMemory();
+  if (!overflowMemory_.empty()) return true;
   const auto oldest = static_cast<Connection*>(overflowOrder_.oldest());
   if (!oldest) return false;
-  const auto until = oldest->openedAt() + limits_.overflowLeast;
+  const auto until = oldest->openedAt() + limits_.minOverflowTime;
   if (Clock::now() < until) {
     overflowTimer_.expires_at(until);
     overflowTimer_.async_wait([this](const Error& error) {
-      if (!error && noRoom_.in(WaitAt::noRoom)) accept();
+      if (!error && fullRecord_.in(WaitAt::noRoom)) accept();
     });
     return false;
   }
-  if (oldest->unread()) {  // its handler comes next, and it is answered there
-    overflowTimer_.expires_after(kUnreadPause);
+  if (oldest->hasUnreadData()) {  // its handler comes next and answers it
+    overflowTimer_.expires_after(kUnreadDelay);
     overflowTimer_.async_wait([this](const Error& error) {
-      if (!error && noRoom_.in(WaitAt::noRoom)) accept();
+      if (!error && fullRecord_.in(WaitAt::noRoom)) accept();
     });
     return false;
   }
   pressure_.places().turnAway(WaitAt::noRoom);
-  oldest->giveWay();  // goes on to accept by itself
+  oldest->evictFromOverflow();  // calls accept
   return false;
 }
 
-// By chance, so that those turned away together do not come back together.
-decision::Time ClientServer::turnedAwayFor() const {
-  const double most = config_.settings.maxRetryAfterMs;
-  const double lasts = std::max(pressure_.pressure().lasts(OverloadManager::now()), kLeastAway);
-  return (most > 0 ? std::min(most, lasts) : lasts) * std::uniform_real_distribution<>(0.5, 1.0)(chance_);
+// With jitter, so that clients that are rejected together do not come back together.
+decision::Time ClientServer::rejectionRetryAfterMs() const {
+  const double maxMs = config_.settings.maxRetryAfterMs;
+  const double overloadMs = std::max(pressure_.pressure().lasts(OverloadManager::now()), kMinRetryAfterMs);
+  return (maxMs > 0 ? std::min(maxMs, overloadMs) : overloadMs) *
+         std::uniform_real_distribution<>(0.5, 1.0)(jitter_);
 }
 
 double ClientServer::busyShare() const {
@@ -227,37 +228,38 @@
   const std::size_t busy = places.waiting(WaitAt::halfRead) + places.waiting(WaitAt::held) +
                            places.waiting(WaitAt::bodyWindow) + places.waiting(WaitAt::answerWindow) +
                            places.waiting(WaitAt::answerWrite);
-  return static_cast<double>(busy) / static_cast<double>(std::max<std::size_t>(1, mostUsual()));
+  return static_cast<double>(busy) / static_cast<double>(std::max<std::size_t>(1, maxRegular()));
 }
 
-void ClientServer::trimIdle() {
-  const auto before = Clock::now() - limits_.idleLeast;
+void ClientServer::closeLongIdle() {
+  const auto before = Clock::now() - limits_.minIdleTime;
   while (const auto oldest = static_cast<Connection*>(idle_.oldest())) {
     if (oldest->idleSince() >= before) return;
     oldest->leaveOrder();
-    if (!oldest->unread()) oldest->shared_from_this()->endRest();
+    if (!oldest->hasUnreadData()) oldest->shared_from_this()->closeIdle();
   }
 }
 
 void ClientServer::remove(const std::shared_ptr<Connection>& connection) {
   connections_.erase(connection);
   overflowCount_ -= connection->isOverflow();
-  refillOverflowRooms();
+  reserveOverflowMemory();
   pressure_.noteDescriptors();
   accept();
   if (connections_.empty() && !acceptor_.is_open() && done_) done_();
 }
 
-// One on which bytes have come meanwhile leaves the order: its handler, which is due, puts it back where they
-// are no request. So the kernel is asked of each connection once for each time that it turns idle.
+// Closes the connection that has been idle longest; false: none is idle. One with unread data leaves the
+// order, and its handler, which comes next, puts it back if the data is no request: the kernel is asked only
+// once for each time that a connection turns idle.
 bool ClientServer::closeLeastRecentlyUsed() {
-  if (const auto ending = static_cast<Connection*>(ending_.oldest())) {
+  if (const auto ending = static_cast<Connection*>(lingering_.oldest())) {
     ending->close(CloseReason::evicted);
     return true;
   }
   while (const auto oldest = static_cast<Connection*>(idle_.oldest())) {
     oldest->leaveOrder();
-    if (oldest->unread()) continue;
+    if (oldest->hasUnreadData()) continue;
     oldest->close(CloseReason::evicted);
     return true;
   }
@@ -266,42 +268,42 @@
 
 void ClientServer::stopAccepting() {
   open_ = false;
-  pause_.cancel();
+  acceptRetryTimer_.cancel();
   overflowTimer_.cancel();
-  noRoom_.leave();
-  if (waiting_) addAtStop(*std::exchange(waiting_, std::nullopt));
-  if (config_.acceptFd < 0) return takeQueued();
+  fullRecord_.leave();
+  if (accepted_) addAtStop(*std::exchange(accepted_, std::nullopt));
+  if (config_.acceptFd < 0) return acceptQueued();
   closeListener();
 }
 
-// Closing the listener resets what still waits in its queue. Where descriptors or memory are short, it stays
-// open until the queue could be emptied.
-void ClientServer::takeQueued() {
+// Accepts what the queue still holds, then closes the listener, which would reset it. Where descriptors or
+// memory are short the listener stays open until the queue is empty.
+void ClientServer::acceptQueued() {
   for (int left = tcp::acceptor::max_listen_connections; left > 0; --left) {
-    if (!makeRoomAtStop()) return takeQueuedLater();
+    if (!freeMemoryAtStop()) return acceptQueuedLater();
     Error error;
     tcp::socket socket(acceptor_.get_executor());
     acceptor_.accept(socket, error);
     if (isQueueEmpty(error)) break;
     if (isShortage(error)) {
       closeLeastRecentlyUsed();
-      return takeQueuedLater();
+      return acceptQueuedLater();
     }
     if (!error) addAtStop(std::move(socket));
   }
   closeListener();
 }
 
-void ClientServer::takeQueuedLater() {
-  pause_.expires_after(kStopPause);
-  pause_.async_wait([this](const Error& error) {
-    if (!error) takeQueued();
+void ClientServer::acceptQueuedLater() {
+  acceptRetryTimer_.expires_after(kStopRetryDelay);
+  acceptRetryTimer_.async_wait([this](const Error& error) {
+    if (!error) acceptQueued();
   });
 }
 
-// Whether there is memory for one more connection.
-bool ClientServer::makeRoomAtStop() {
-  while (pressure_.ledger().room(Account::clients) < kConnection)
+// Whether there is memory for one more connection, if need be in place of idle ones.
+bool ClientServer::freeMemoryAtStop() {
+  while (pressure_.ledger().room(Account::clients) < kClientConnectionBytes)
     if (!closeLeastRecentlyUsed()) return false;
   return true;
 }
@@ -312,14 +314,15 @@
   if (connections_.empty() && done_) done_();
 }
 
-// There is no other place for it any more, so that it is taken over the limit where none is idle.
+// No other process would accept it: it is taken even beyond the limit, where no connection is idle.
 void ClientServer::addAtStop(tcp::socket socket) {
-  if (connections_.size() - overflowCount_ >= mostUsual()) closeLeastRecentlyUsed();
+  if (connections_.size() - overflowCount_ >= maxRegular()) closeLeastRecentlyUsed();
   add(std::move(socket));
 }
 
-void ClientServer::finishUp() {
-  for (const auto& connection : std::vector(connections_.begin(), connections_.end())) connection->finishUp();
+void ClientServer::closeIdle() {
+  for (const auto& connection : std::vector(connections_.begin(), connections_.end()))
+    connection->closeIfIdle();
 }
 
 void ClientServer::whenEmpty(std::function<void()> done) {
--- a/src/gatekeeper/gatekeeper.cpp
+++ b/src/gatekeeper/gatekeeper.cpp
@@ -112,7 +112,7 @@
 // The platform holds the listening socket: the process before goes on accepting until this one is ready.
 void Gatekeeper::acceptOnceReady() {
   if (draining_) return;
-  if (readyToServe()) return server_.beginAccepting();
+  if (readyToServe()) return server_.startAccepting();
   acceptTimer_.expires_after(kReadyPollInterval);
   acceptTimer_.async_wait([this](const Error& error) {
     if (!error) acceptOnceReady();
@@ -164,7 +164,7 @@
 // The decision module chooses which requests to shed; idle connections serve nobody.
 void Gatekeeper::onOverload(double excess) {
   const Pressure& now = pressure_.pressure();
-  if (pressure_.fewDescriptors()) server_.trimIdle();
+  if (pressure_.fewDescriptors()) server_.closeLongIdle();
   gateway_.onOverload(clock_.now(), {now.stage() != Stage::none, pressure_.slow(), now.share(), excess,
                                      now.lasts(OverloadManager::now())});
 }
@@ -248,7 +248,7 @@
   processLog().info("event=drain held={} client_connections={}", requests_.size(), server_.connections());
   fleet_.drain();
   done = [this, done = std::move(done)] { fleet_.leave(done); };
-  server_.beginDrain();
+  server_.startDrain();
   const bool nextProcessAccepts = config_.acceptFd >= 0;
   if (nextProcessAccepts) server_.stopAccepting();
   Time longestDeadlineMs = 0;
@@ -276,7 +276,7 @@
 }
 
 void Gatekeeper::closeIdleClients(const std::function<void()>& done) {
-  server_.finishUp();
+  server_.closeIdle();
   server_.whenEmpty([this, done] { finishDrain(done); });
 }
 
@@ -296,8 +296,8 @@
 // --- From discovery --------------------------------------------------------------------------------------
 
 // A zone or machine type that the settings do not name is none of theirs, also after others were added.
-Endpoint Gatekeeper::memberOf(const Instance& instance, const WorkerStart& start, const NameIndex& zones,
-                              const NameIndex& kinds) const {
+Endpoint Gatekeeper::endpointOf(const Instance& instance, const WorkerStart& start, const NameIndex& zones,
+                                const NameIndex& kinds) const {
   Endpoint out;
   out.worker = workerIdOf(instance.id);
   out.phase = instance.phase;
@@ -326,7 +326,7 @@
   for (const Instance& instance : roster.instances) {
     const WorkerId worker = workerIdOf(instance.id);
     const WorkerStart start = starts_.startOf(worker, instance.startedAtMs, now, live);
-    members.push_back(memberOf(instance, start, zones, kinds));
+    members.push_back(endpointOf(instance, start, zones, kinds));
     exclusions_.addNamed(instance.id);
     unnamed.erase(worker);
     if (instance.phase == decision::WorkerPhase::ready) {
--- a/src/gatekeeper/gatekeeper.hpp
+++ b/src/gatekeeper/gatekeeper.hpp
@@ -64,7 +64,7 @@
 
   // RequestHandler
   decision::RequestId nextRequestId() override { return ++lastRequestId_; }
-  void onRequest(decision::RequestId id, const Call& call, ClientMessage&& message,
+  void onRequest(decision::RequestId id, const ParsedRequest& parsed, ClientMessage&& message,
                  const std::shared_ptr<Responder>& responder) override;
   void onClientDisconnect(decision::RequestId id) override;
   void onRequestRejected(unsigned classIndex) override;
@@ -110,8 +110,8 @@
   // Workers and overload (gatekeeper.cpp)
   void onEndpointList(const Roster& roster, decision::EndpointUpdate kind);
   void onWorkerRemoved(decision::WorkerId worker, decision::WorkerPhase phase, decision::Time now);
-  decision::Endpoint memberOf(const Instance& instance, const WorkerStart& start, const NameIndex& zones,
-                              const NameIndex& kinds) const;
+  decision::Endpoint endpointOf(const Instance& instance, const WorkerStart& start, const NameIndex& zones,
+                                const NameIndex& kinds) const;
   void onOverload(double excess);
 
   // Operators (gatekeeper_operators.cpp)
@@ -137,7 +137,7 @@
                        std::optional<std::uint64_t> length);
   void forwardPiece(decision::RequestId id, std::string&& piece);
   void finishStreamedResponse(AttemptEnd& end);
-  void answer(decision::RequestId id, Answer&& answer);
+  void respond(decision::RequestId id, ClientResponse&& response);
   std::shared_ptr<Responder> conclude(decision::RequestId id, invariant::RequestState how);
 
   boost::asio::io_context& io_;
--- a/src/gatekeeper/gatekeeper_limits.cpp
+++ b/src/gatekeeper/gatekeeper_limits.cpp
@@ -47,7 +47,7 @@
 
 ClientServer::Limits serverLimits(const Config& config) {
   ClientServer::Limits out;
-  out.connections = shareOfSockets(config, kClientShare);
+  out.maxConnections = shareOfSockets(config, kClientShare);
   return out;
 }
 
--- a/src/gatekeeper/gatekeeper_requests.cpp
+++ b/src/gatekeeper/gatekeeper_requests.cpp
@@ -30,39 +30,39 @@
 
 }  // namespace
 
-// --- Clients ---------------------------------------------------------------------------------------------
+// --- Clients -----------------------------------------------------------------------------------------------
 
-void Gatekeeper::onRequest(RequestId id, const Call& call, ClientMessage&& message,
+void Gatekeeper::onRequest(RequestId id, const ParsedRequest& parsed, ClientMessage&& message,
                            const std::shared_ptr<Responder>& responder) {
   const Time now = clock_.now();
   RequestInFlight& request = requests_.try_emplace(id, io_).first->second;
-  request.classCounts = &countsOf(call.klass);
+  request.classCounts = &countsOf(parsed.classIndex);
   request.message = std::move(message);
   request.responder = responder;
-  request.clientWaitMs = std::max(0.0, call.patience - kAnswerReserveMs);
-  request.body = {!call.whole, call.length};
+  request.clientWaitMs = std::max(0.0, parsed.clientWaitMs - kAnswerReserveMs);
+  request.body = {!parsed.bodyComplete, parsed.contentLength};
   // The deadline counts from the last byte. Until a streamed body has ended, the client connection limits it.
   const Time uploadMs = request.body.streamed ? kMaxUploadMs : 0;
-  const decision::ClassSettings& requestClass = config_.settings.classes[call.klass];
+  const decision::ClassSettings& requestClass = config_.settings.classes[parsed.classIndex];
   request.trace.name = std::string(view(request.message["Req-Id"]));
   request.trace.repeat = requestClass.idempotency;
   request.trace.window = requestClass.idempotencyWindowMs;
   request.trace.cap = config_.settings.maxAttempts;
-  request.trace.deadline = now + call.patience + uploadMs;
+  request.trace.deadline = now + parsed.clientWaitMs + uploadMs;
   monitor_.taken(request.trace, now);
   request.expiresAt = now + request.clientWaitMs + uploadMs;
   if (!request.body.streamed) startDeadlineTimer(id, request);
   pressure_.activity();
-  const decision::Request question{id,
-                                   call.klass,
-                                   call.plan,
-                                   call.customer,
-                                   request.expiresAt,
-                                   call.units,
-                                   call.setSize,
-                                   static_cast<double>(call.holds)};
-  if (serving_) return gateway_.onRequest(now, question);
-  earlyRequests_.push_back(question);
+  const decision::Request decisionRequest{id,
+                                          parsed.classIndex,
+                                          parsed.planIndex,
+                                          parsed.customer,
+                                          request.expiresAt,
+                                          parsed.units,
+                                          parsed.customerGateways,
+                                          static_cast<double>(parsed.memoryBytes)};
+  if (serving_) return gateway_.onRequest(now, decisionRequest);
+  earlyRequests_.push_back(decisionRequest);
 }
 
 ClassCounts& Gatekeeper::countsOf(unsigned classIndex) {
@@ -91,7 +91,7 @@
   if (found == requests_.end()) return;
   found->second.bodyForwarded = true;
   std::string().swap(found->second.message.body());
-  found->second.responder->pull([this, id, onPiece = std::move(onPiece)](std::string&& piece, bool last) {
+  found->second.responder->readBody([this, id, onPiece = std::move(onPiece)](std::string&& piece, bool last) {
     const auto request = requests_.find(id);
     if (request == requests_.end()) return;
     if (last) onRequestComplete(id, request->second);
@@ -147,7 +147,7 @@
   }
 }
 
-// --- Workers ---------------------------------------------------------------------------------------------
+// --- Workers -----------------------------------------------------------------------------------------------
 
 void Gatekeeper::recordAttemptEnd(const AttemptOutcome& outcome) {
   const auto found = requests_.find(outcome.id);
@@ -165,13 +165,13 @@
   if (inFlight && requests_.at(outcome.id).responseStarted) {
     finishStreamedResponse(end);
   } else if (inFlight && outcome.result == AttemptResult::ok) {
-    Answer served;
+    ClientResponse served;
     served.body = std::move(end.body);
     served.contentType = std::move(end.contentType);
-    served.room = std::move(end.bodyMemory);
+    served.bodyMemory = std::move(end.bodyMemory);
     ++finalAnswers_.served;
     ++requests_.at(outcome.id).classCounts->success;
-    answer(outcome.id, std::move(served));
+    respond(outcome.id, std::move(served));
   }
   gateway_.onAttemptOutcome(clock_.now(), outcome);
 }
@@ -184,14 +184,14 @@
   found->second.deadlineTimer.cancel();
   monitor_.streaming(found->second.trace, clock_.now());
   gateway_.onResponseStarted(clock_.now(), id);
-  found->second.responder->begin({contentType, length});
+  found->second.responder->startStream({contentType, length});
 }
 
 void Gatekeeper::forwardPiece(RequestId id, std::string&& piece) {
   const auto found = requests_.find(id);
   if (found == requests_.end()) return;
   const auto responder = found->second.responder;
-  responder->pass(std::move(piece), false, [this, id] { pool_.resumeResponse(id); });
+  responder->sendPiece(std::move(piece), false, [this, id] { pool_.resumeResponse(id); });
 }
 
 // The end of a streamed response, complete or cut short.
@@ -204,14 +204,14 @@
   const auto responder =
       conclude(end.outcome.id, complete ? invariant::RequestState::answered : invariant::RequestState::cut);
   if (complete) {
-    responder->keep(std::move(end.bodyMemory));
-    responder->pass(std::move(end.body), true, nullptr);
+    responder->holdMemory(std::move(end.bodyMemory));
+    responder->sendPiece(std::move(end.body), true, nullptr);
   } else {
-    responder->cut();
+    responder->abortStream();
   }
 }
 
-// --- Actions of the decision module ----------------------------------------------------------------------
+// --- Actions of the decision module -----------------------------------------------------------------------
 // Called from within an event of the module: none of them may pass it another event.
 
 void Gatekeeper::startAttempt(RequestId id, WorkerId worker, Time timeout) {
@@ -221,8 +221,8 @@
   const Time now = clock_.now();
   const Time leftMs = request.expiresAt - now;
   // No pending read may have seen the disconnect yet. The connection is closed from a handler of its own.
-  const bool disconnected = request.responder->gone();
-  if (disconnected) asio::post(io_, [responder = request.responder] { responder->leave(); });
+  const bool disconnected = request.responder->hasDisconnected();
+  if (disconnected) asio::post(io_, [responder = request.responder] { responder->closeDisconnected(); });
   if (disconnected || leftMs <= 0 || request.bodyForwarded)
     return reportNotSent(id, request.attemptCount++, worker);
   const bool beforeDeadline = timeout > 0 && timeout < leftMs;
@@ -237,7 +237,7 @@
 SendRefusal Gatekeeper::refusalOf(RequestId id, WorkerId worker, Time now) const {
   const auto found = requests_.find(id);
   if (found == requests_.end()) return SendRefusal::requestOver;
-  if (found->second.responder->gone()) return SendRefusal::clientDisconnected;
+  if (found->second.responder->hasDisconnected()) return SendRefusal::clientDisconnected;
   if (found->second.expiresAt <= now) return SendRefusal::deadlinePassed;
   if (!listed_.contains(worker)) return SendRefusal::workerNotReady;
   if (excluded_.contains(worker)) return SendRefusal::workerExcluded;
@@ -271,27 +271,27 @@
 }
 
 void Gatekeeper::reject(RequestId id, Time retryAfter) {
-  Answer refusal;
+  ClientResponse refusal;
   refusal.status = http::status::too_many_requests;
   refusal.body = "refused: try again later\n";
-  refusal.retryAfter = retryAfter;
+  refusal.retryAfterMs = retryAfter;
   ++finalAnswers_.rejected;
   if (const auto found = requests_.find(id); found != requests_.end()) ++found->second.classCounts->rejected;
   cancelAttempt(id);
-  answer(id, std::move(refusal));
+  respond(id, std::move(refusal));
 }
 
 void Gatekeeper::fail(RequestId id) {
-  Answer failure;
+  ClientResponse failure;
   failure.status = http::status::bad_gateway;
   failure.body = "failed\n";
   ++finalAnswers_.failed;
   cancelAttempt(id);
   if (const auto found = requests_.find(id); found != requests_.end()) {
     ++found->second.classCounts->failure;
-    if (found->second.responseStarted) return conclude(id, invariant::RequestState::cut)->cut();
+    if (found->second.responseStarted) return conclude(id, invariant::RequestState::cut)->abortStream();
   }
-  answer(id, std::move(failure));
+  respond(id, std::move(failure));
 }
 
 void Gatekeeper::setTimer(Time wait, std::uint64_t tag) {
@@ -315,9 +315,9 @@
   return responder;
 }
 
-void Gatekeeper::answer(RequestId id, Answer&& answer) {
-  const auto responder = conclude(id, stateOf(answer.status));
-  if (responder) responder->answer(std::move(answer));
+void Gatekeeper::respond(RequestId id, ClientResponse&& response) {
+  const auto responder = conclude(id, stateOf(response.status));
+  if (responder) responder->respond(std::move(response));
 }
 
 // The bytes are made when they can be written (`authorizeSend`).
--- a/src/gatekeeper/request_in_flight.hpp
+++ b/src/gatekeeper/request_in_flight.hpp
@@ -7,8 +7,8 @@
 
 #include "gatekeeper/attempt_message.hpp"
 #include "gatekeeper/client_request.hpp"
-#include "gatekeeper/client_server.hpp"
 #include "gatekeeper/metrics.hpp"
+#include "gatekeeper/request_handler.hpp"
 #include "invariant/monitor.hpp"
 #include "wingslip/decision/gateway.hpp"
 
--- a/tests/back_pressure_test.cpp
+++ b/tests/back_pressure_test.cpp
@@ -130,7 +130,8 @@
             std::string::npos);
   for (const auto& sender : senders) sender->end();
   worker.peers.clear();
-  until([&] { return node->requestsInFlight() == 0 && ledger().held(Account::clients) == overflow; }, "all given back");
+  until([&] { return node->requestsInFlight() == 0 && ledger().held(Account::clients) == overflow; },
+        "all given back");
 }
 
 // Neither side is read ahead of the other.
@@ -390,8 +391,8 @@
   struct Silent : RequestHandler {
     bool ready() const override { return true; }
     decision::RequestId nextRequestId() override { return ++last; }
-    void onRequest(decision::RequestId, const Call&, ClientMessage&&,
-              const std::shared_ptr<Responder>& a) override {
+    void onRequest(decision::RequestId, const ParsedRequest&, ClientMessage&&,
+                   const std::shared_ptr<Responder>& a) override {
       responders.push_back(a);
     }
     void onClientDisconnect(decision::RequestId) override {}
@@ -405,10 +406,10 @@
   };
   void SetUp() override {
     config = parseConfig(configJson("127.0.0.1:1").dump());
-    limits.connections = 32;
-    limits.overflowAfter = 100ms;
-    limits.overflowLeast = 200ms;
-    limits.firstWithin = 600ms;
+    limits.maxConnections = 32;
+    limits.overflowDelay = 100ms;
+    limits.minOverflowTime = 200ms;
+    limits.firstRequestTimeout = 600ms;
     server.emplace(io, config, limits, handler, pressure);
     server->start();
     for (std::size_t i = 0; i < 30; ++i) {
@@ -426,7 +427,7 @@
 };
 
 TEST_F(Overflow, MalformedAndSilentPeersGetTheirEndAndRealOnesARefusal) {
-  ASSERT_EQ(limits.overflowPlaces(), 2u);
+  ASSERT_EQ(limits.overflowSlots(), 2u);
   const auto silent = dial(server->address()), odd = dial(server->address()), real = dial(server->address());
   odd->send("NONSENSE\r\n\r\n");
   real->send(Ask().text());
@@ -457,7 +458,7 @@
 TEST_F(Overflow, ARequestThatCrossesTheEndOfItsOverflowPlaceIsAnswered) {
   const auto first = dial(server->address()), second = dial(server->address());
   until([&] { return server->connections() == 32; }, "both on overflow");
-  std::this_thread::sleep_for(limits.overflowLeast + 20ms);
+  std::this_thread::sleep_for(limits.minOverflowTime + 20ms);
   const auto third = dial(server->address());
   first->send(Ask().text());
   until([&] { return first->ended; }, "its end");
--- a/tests/crowd_test.cpp
+++ b/tests/crowd_test.cpp
@@ -49,8 +49,8 @@
 struct SilentHandler : RequestHandler {
   bool ready() const override { return true; }
   decision::RequestId nextRequestId() override { return ++last; }
-  void onRequest(decision::RequestId, const Call&, ClientMessage&&,
-            const std::shared_ptr<Responder>& responder) override {
+  void onRequest(decision::RequestId, const ParsedRequest&, ClientMessage&&,
+                 const std::shared_ptr<Responder>& responder) override {
     responders.push_back(responder);
   }
   void onClientDisconnect(decision::RequestId) override {}
@@ -77,9 +77,9 @@
   void open(std::size_t places) {
     allowDescriptors(2 * places + 256);
     ClientServer::Limits limits;
-    limits.connections = places + std::min<std::size_t>(8, (places + 8) / 16);
-    limits.firstWithin = limits.idleFor = 10min;
-    ASSERT_EQ(limits.connections - limits.overflowPlaces(), places);
+    limits.maxConnections = places + std::min<std::size_t>(8, (places + 8) / 16);
+    limits.firstRequestTimeout = limits.idleTimeout = 10min;
+    ASSERT_EQ(limits.maxConnections - limits.overflowSlots(), places);
     config = parseConfig(configJson("127.0.0.1:1").dump());
     server.emplace(io, config, limits, handler, pressure);
     server->start();
@@ -149,7 +149,7 @@
   resting->read();
   until([&] { return resting->ended; }, "room from the one that rests");
   until([&] { return handler.responders.size() == 1; }, "the request");
-  handler.responders[0]->answer({});
+  handler.responders[0]->respond({});
   until([&] { return asking->has("HTTP/1.1 200"); }, "its answer");
   EXPECT_FALSE(asking->ended);
 }
--- a/tests/gatekeeper_test.cpp
+++ b/tests/gatekeeper_test.cpp
@@ -372,7 +372,8 @@
   const auto front = dial(node->address());
   front->send("GET /health/ready HTTP/1.1\r\nHost: b\r\n\r\n");
   untilGot(front, "HTTP/1.1 503");
-  until([&] { return node->requestsInFlight() == 1 && discovery.count("watch=1&from=1 HTTP/1.1\r\n") == 1; }, "a watch");
+  until([&] { return node->requestsInFlight() == 1 && discovery.count("watch=1&from=1 HTTP/1.1\r\n") == 1; },
+        "a watch");
   EXPECT_EQ(worker.peers.size() + other.peers.size(), 0u);
   discovery.peers[0]->send("HTTP/1.1 200 OK\r\n\r\n" +
                            roster(2, false, json::array({entry("s-1", worker.text(), "Terminating")})) +
--- a/tests/node_test.cpp
+++ b/tests/node_test.cpp
@@ -21,7 +21,7 @@
 struct Silent : RequestHandler {  // never answers
   bool ready() const override { return true; }
   decision::RequestId nextRequestId() override { return ++last; }
-  void onRequest(decision::RequestId, const Call&, ClientMessage&&,
+  void onRequest(decision::RequestId, const ParsedRequest&, ClientMessage&&,
                  const std::shared_ptr<Responder>& a) override {
     responder = a;
   }
@@ -52,7 +52,7 @@
 // A client that stops in the middle must not hold its connection for ever.
 TEST_F(Clients, AHalfSentRequestIsTimedOut) {
   ClientServer::Limits limits;
-  limits.wholeWithin = 50ms;
+  limits.headerTimeout = 50ms;
   open(limits);
   const auto client = dial(server->address());
   client->send(
@@ -66,11 +66,11 @@
 
 // Counted from the connection's start, however its bytes trickle in.
 TEST_F(Clients, APeerWithoutAWholeFirstRequestIsEndedInTime) {
-  EXPECT_LT(ClientServer::Limits().firstWithin, 3s);
-  EXPECT_LT(ClientServer::Limits().wholeWithin, 3s);
+  EXPECT_LT(ClientServer::Limits().firstRequestTimeout, 3s);
+  EXPECT_LT(ClientServer::Limits().headerTimeout, 3s);
   ClientServer::Limits limits;
-  limits.firstWithin = 300ms;
-  limits.wholeWithin = 60s;
+  limits.firstRequestTimeout = 300ms;
+  limits.headerTimeout = 60s;
   open(limits);
   const auto silent = dial(server->address());
   const auto trickling = dial(server->address());
@@ -83,8 +83,8 @@
 
 TEST_F(Clients, APeerThatSendsOnAfterItsLastAnswerIsCutOff) {
   ClientServer::Limits limits;
-  limits.lingerFor = 60s;
-  limits.lingerBytes = 1000;
+  limits.lingerTimeout = 60s;
+  limits.maxLingerBytes = 1000;
   open(limits);
   const auto client = dial(server->address());
   client->send("POST /order HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n");
@@ -104,7 +104,7 @@
 
 TEST_F(Clients, AtTheLimitTheOldestIdleConnectionMakesRoom) {
   ClientServer::Limits limits;
-  limits.connections = 2;
+  limits.maxConnections = 2;
   open(limits);
   const auto first = dial(server->address());
   first->send(Ask().text());
@@ -120,7 +120,7 @@
 // Where every connection holds a request the next waits in the machine's queue, and comes in when one ends.
 TEST_F(Clients, AtTheLimitWithNoneIdleTheNextWaits) {
   ClientServer::Limits limits;
-  limits.connections = 1;
+  limits.maxConnections = 1;
   open(limits);
   const auto first = dial(server->address());
   first->send(Ask().text());
@@ -141,9 +141,9 @@
   client->send(Ask().text());
   until([&] { return handler.responder != nullptr; }, "a held request");
   for (int i = 0; i < 2; ++i) {
-    Answer answer;
+    ClientResponse answer;
     answer.body = "only";
-    handler.responder->answer(std::move(answer));
+    handler.responder->respond(std::move(answer));
   }
   until([&] { return client->has("only"); }, "the answer");
   client->send("GET /health/ready HTTP/1.1\r\nHost: b\r\n\r\n");
--- a/tests/races_test.cpp
+++ b/tests/races_test.cpp
@@ -137,8 +137,8 @@
   struct Kept : RequestHandler {
     bool ready() const override { return true; }
     decision::RequestId nextRequestId() override { return ++last; }
-    void onRequest(decision::RequestId, const Call&, ClientMessage&&,
-              const std::shared_ptr<Responder>& a) override {
+    void onRequest(decision::RequestId, const ParsedRequest&, ClientMessage&&,
+                   const std::shared_ptr<Responder>& a) override {
       responders.push_back(a);
     }
     void onClientDisconnect(decision::RequestId) override { ++gone; }
@@ -173,7 +173,7 @@
   const auto client = dial(server.address());
   client->send(readiness());
   server.stopAccepting();
-  server.finishUp();
+  server.closeIdle();
   until([&] { return client->has("\r\n\r\n") || client->ended; }, "an answer or an end");
   EXPECT_TRUE(client->has("HTTP/1.1 200")) << client->got;
 }
@@ -185,13 +185,13 @@
   client->stall();
   client->send(Ask().text());
   until([&] { return handler.responders.size() == 1; }, "the request");
-  Answer answer;
+  ClientResponse answer;
   answer.body = std::string(300000, 'z');
-  handler.responders[0]->answer(std::move(answer));
+  handler.responders[0]->respond(std::move(answer));
   server.stopAccepting();
   const auto idle = [&] { return pressure.places().waiting(WaitAt::answerWrite) == 0; };
   until(idle, "the answer is the system's");
-  server.finishUp();
+  server.closeIdle();
   client->send(Ask().text());
   client->goOn();
   until([&] { return client->ended; }, "the end");
@@ -202,7 +202,7 @@
 // At the limit the one that has rested longest would make room, but its next request has come unread.
 TEST_F(ClientRaces, AConnectionWithARequestUnreadDoesNotMakeRoom) {
   ClientServer::Limits limits;
-  limits.connections = 1;
+  limits.maxConnections = 1;
   ClientServer small{io, config, limits, handler, pressure};
   small.start();
   const auto first = dial(small.address());
--- a/tests/stream_test.cpp
+++ b/tests/stream_test.cpp
@@ -146,7 +146,7 @@
 TEST_F(Stream, ABodyIsWaitedForAsLongAsItComes) {
   ClientServer::Limits limits;
   EXPECT_LT(limits.bodyGrace + 500ms, 3s);
-  EXPECT_GT(64 / limits.bodyRate, 1.5);
+  EXPECT_GT(64 / limits.minBodyBytesPerMs, 1.5);
   open();
   const auto stalled = ask(head("edit", "Content-Length: 200000\r\n") + std::string(20000, 'x'));
   until([&] { return stalled->has("HTTP/1.1 408") && stalled->ended; }, "its end");
