--- a/src/gatekeeper/client_connection.cpp
+++ b/src/gatekeeper/client_connection.cpp
@@ -88,7 +88,7 @@
 bool ClientServer::Connection::hasDisconnected() {
   if (state_ == State::closed) return true;
   const PeerState seen = peerState(socket_);
-  if (seen == PeerState::has_sent) return endedBehind(socket_);
+  if (seen == PeerState::hasSent) return endedBehind(socket_);
   return seen == PeerState::ended;
 }
 
@@ -166,8 +166,8 @@
   releaseRequestMemory();
   idleSince_ = Clock::now();
   parser_.emplace();
-  parser_->body_limit(kMostBody);
-  parser_->header_limit(kMostHeader);
+  parser_->body_limit(kMaxBodyBytes);
+  parser_->header_limit(kMaxHeaderBytes);
   armTimer(firstRequest_ ? server_.limits_.firstRequestTimeout : server_.limits_.idleTimeout);
   if (input_.size() == 0) return enterIdleOrder();
   server_.accept();
@@ -206,7 +206,7 @@
 void ClientServer::Connection::releaseRequestMemory() {
   requestBytes_ = 0;
   forwardedBytes_ = 0;
-  memory_.shrinkTo(memoryBytes(reading_ ? kStreamStep : 0));
+  memory_.shrinkTo(memoryBytes(reading_ ? kStreamPieceBytes : 0));
 }
 
 }  // namespace wingslip
--- a/src/gatekeeper/client_connection_reading.cpp
+++ b/src/gatekeeper/client_connection_reading.cpp
@@ -74,7 +74,7 @@
   if (state_ != State::closed) read();
 }
 
-std::size_t ClientServer::Connection::readStep() const { return inBody_ ? kStreamStep : kReadStep; }
+std::size_t ClientServer::Connection::readStep() const { return inBody_ ? kStreamPieceBytes : kReadBytes; }
 
 // A long body waits before the budget is used up.
 bool ClientServer::Connection::reserveReadMemory() {
@@ -83,7 +83,7 @@
 }
 
 bool ClientServer::Connection::wantsInput() const {
-  if (!bodyDone_ && state_ != State::reading) return parser_->get().body().size() < kStreamStep;
+  if (!bodyDone_ && state_ != State::reading) return parser_->get().body().size() < kStreamPieceBytes;
   return input_.size() < kMaxReadAhead;
 }
 
@@ -135,7 +135,8 @@
   }
   if (!parser_->is_header_done()) return;
   if (!inBody_) startBody();
-  if (parser_->content_length().value_or(0) > kHeldWhole || parser_->get().body().size() > kHeldWhole)
+  if (parser_->content_length().value_or(0) > kMaxBufferedBodyBytes ||
+      parser_->get().body().size() > kMaxBufferedBodyBytes)
     return onStreamedRequest();
   sendContinue();
 }
@@ -220,7 +221,8 @@
   if (overflow_ && !server_.hasCapacity()) return rejectForCapacity(WaitAt::noRoom);
   ParsedRequest& request = std::get<ParsedRequest>(parsed);
   request.bodyComplete = false;
-  request.memoryBytes = memoryBytes(2 * kStreamStep) + requestBytes_;  // here, and on the way to the worker
+  request.memoryBytes =
+      memoryBytes(2 * kStreamPieceBytes) + requestBytes_;  // here, and on the way to the worker
   forwardedBytes_ = requestBytes_;
   if (const auto length = parser_->content_length()) request.contentLength = *length;
   admit(request, std::move(message));
--- a/src/gatekeeper/client_response.cpp
+++ b/src/gatekeeper/client_response.cpp
@@ -6,7 +6,7 @@
 namespace wingslip {
 namespace {
 
-constexpr std::size_t kKeptCapacity = kReadStep;  // a larger output buffer is freed after the write
+constexpr std::size_t kKeptCapacity = kReadBytes;  // a larger output buffer is freed after the write
 
 std::string secondsText(decision::Time ms) {
   char text[32];
--- a/src/gatekeeper/client_server.cpp
+++ b/src/gatekeeper/client_server.cpp
@@ -62,7 +62,7 @@
   try {
     if (platformListens) {
       acceptor_.assign(config_.listen.protocol(), config_.acceptFd);
-      tellOfAbortedConnections(acceptor_);
+      reportAbortedConnections(acceptor_);
     } else {
       openListener(acceptor_, config_.listen);
     }
--- a/src/gatekeeper/discovery.cpp
+++ b/src/gatekeeper/discovery.cpp
@@ -149,7 +149,7 @@
   }
 
   // The line as it is and as it will be read, with what the next read brings.
-  bool hasRoom() { return room_.resize((line_.size() + in_.size() + kReadStep) * (1 + kParsed)); }
+  bool hasRoom() { return room_.resize((line_.size() + in_.size() + kReadBytes) * (1 + kParsed)); }
 
   void read() {
     if (!hasRoom()) {
@@ -169,7 +169,7 @@
 
   void readOn() {
     paused_.clear();
-    socket_.async_read_some(in_.prepare(kReadStep), guard([this](const Error& error, std::size_t n) {
+    socket_.async_read_some(in_.prepare(kReadBytes), guard([this](const Error& error, std::size_t n) {
                               if (isTransient(error)) return read();
                               if (error) return lost("ended");
                               in_.commit(n);
@@ -181,7 +181,7 @@
   void take() {
     Error error;
     const bool done = feed(*parser_, in_, error);
-    if (error || (!done && in_.size() > kMostHeader)) return lost("odd answer");
+    if (error || (!done && in_.size() > kMaxHeaderBytes)) return lost("odd answer");
     if (parser_->is_header_done() && parser_->get().result() != http::status::ok) {
       say("turned away");
       return act(watch_.turnedAway(OverloadManager::now()));
--- a/src/gatekeeper/exclusions.cpp
+++ b/src/gatekeeper/exclusions.cpp
@@ -93,7 +93,7 @@
   if (wanted != kept_ || unsynced_) {
     std::string text = textOf(wanted);
     unsynced_ = true;
-    if (const std::error_code error = replaceFile(path_, text, Durability::on_disk)) return error;
+    if (const std::error_code error = replaceFile(path_, text, Durability::onDisk)) return error;
     unsynced_ = false;
     kept_ = std::move(wanted);
     seen_ = std::move(text);
--- a/src/gatekeeper/handover.cpp
+++ b/src/gatekeeper/handover.cpp
@@ -30,7 +30,7 @@
   const json file{
       {"at", handover.at}, {"warmRate", handover.warmRate}, {"clockOffset", handover.clockOffset}};
   // Written every second and valid for some seconds: not synced to disk.
-  replaceFile(pathIn(folder), file.dump(), Durability::in_kernel);
+  replaceFile(pathIn(folder), file.dump(), Durability::inKernel);
 }
 
 std::optional<Handover> readHandover(const std::string& folder) {
--- a/src/gatekeeper/upstream_connection.cpp
+++ b/src/gatekeeper/upstream_connection.cpp
@@ -24,7 +24,7 @@
 constexpr std::size_t kBareConnectionBytes = 2048;  // without buffer
 // A larger request leaves the last part of the memory to others.
 constexpr std::size_t kSmallRequestBytes = 16 * 1024;
-constexpr std::size_t kBodyWindowBytes = 2 * kStreamStep + 64;  // a body piece with its chunk frame
+constexpr std::size_t kBodyWindowBytes = 2 * kStreamPieceBytes + 64;  // a body piece with its chunk frame
 
 // Workers may send a second response 1 to 4 ms after the first. Nothing is written before, so that it is not
 // taken for the response to the next request.
@@ -290,9 +290,9 @@
   if (!busy_) return owner_.closeConnection(*this);
   // A late second response to the exchange before: the new attempt has not been sent.
   if (quarantined_) return endAttempt(AttemptResult::connectFailed);
-  if (!memory_.resize(memoryBytes(kReadStep))) return read();
+  if (!memory_.resize(memoryBytes(kReadBytes))) return read();
   Error error;
-  const std::size_t bytes = readSome(socket_, response_.prepare(kReadStep), error);
+  const std::size_t bytes = readSome(socket_, response_.prepare(kReadBytes), error);
   onRead(error, bytes);
 }
 
--- a/src/gatekeeper/upstream_connection.hpp
+++ b/src/gatekeeper/upstream_connection.hpp
@@ -108,7 +108,7 @@
   void writeRemaining();
   void requestBodyPiece();
   void writeBodyPiece(std::string&& piece, bool last);
-  std::size_t readStep() const { return streaming_ ? kStreamStep : kReadStep; }
+  std::size_t readStep() const { return streaming_ ? kStreamPieceBytes : kReadBytes; }
   void read();
   void waitForMemory();
   void onRead(const Error& error, std::size_t bytes);
--- a/src/gatekeeper/upstream_response.cpp
+++ b/src/gatekeeper/upstream_response.cpp
@@ -47,8 +47,8 @@
 
 void UpstreamResponse::reset() {
   parser_.emplace();
-  parser_->body_limit(kMostBody);
-  parser_->header_limit(kMostHeader);
+  parser_->body_limit(kMaxBodyBytes);
+  parser_->header_limit(kMaxHeaderBytes);
 }
 
 UpstreamResponse::State UpstreamResponse::parse(RequestProgress request) {
@@ -60,7 +60,7 @@
   }
   // The parser's limits cover neither chunk extensions nor the trailer: without this they could grow for
   // ever.
-  if (!error && !complete && input_.size() > kMostHeader) error = http::error::header_limit;
+  if (!error && !complete && input_.size() > kMaxHeaderBytes) error = http::error::header_limit;
   if (error || isEarly(request)) return State::malformed;
   return complete ? State::complete : State::incomplete;
 }
@@ -85,7 +85,8 @@
 
 bool UpstreamResponse::exceedsBuffer() const {
   if (!parser_->is_header_done()) return false;
-  return parser_->content_length().value_or(0) > kHeldWhole || parser_->get().body().size() > kHeldWhole;
+  return parser_->content_length().value_or(0) > kMaxBufferedBodyBytes ||
+         parser_->get().body().size() > kMaxBufferedBodyBytes;
 }
 
 bool UpstreamResponse::allowsReuse() const {
--- a/src/gatekeeper/upstream_response.hpp
+++ b/src/gatekeeper/upstream_response.hpp
@@ -44,7 +44,8 @@
 
   bool hasStarted() const { return parser_->got_some(); }
   bool isOk() const { return parser_->get().result() == http::status::ok; }
-  /// Whether the header is complete and the body, stated or read so far, exceeds `kHeldWhole` bytes.
+  /// Whether the header is complete and the body, stated or read so far, exceeds `kMaxBufferedBodyBytes`
+  /// bytes.
   bool exceedsBuffer() const;
   /// Whether the connection may carry another request: nothing is left over, and neither side closes.
   bool allowsReuse() const;
--- a/src/net/durable_file.cpp
+++ b/src/net/durable_file.cpp
@@ -12,8 +12,8 @@
 namespace wingslip {
 namespace {
 
-constexpr int kLockTries = 20;
-constexpr auto kLockPause = std::chrono::milliseconds(1);
+constexpr int kMaxLockTries = 20;
+constexpr auto kLockRetryDelay = std::chrono::milliseconds(1);
 constexpr mode_t kOwnerOnly = 0600;
 
 std::error_code lastError() { return {errno, std::system_category()}; }
@@ -44,9 +44,9 @@
 
 std::error_code writeAll(int descriptor, std::string_view bytes) {
   while (!bytes.empty()) {
-    const ssize_t n = uninterrupted([&] { return ::write(descriptor, bytes.data(), bytes.size()); });
-    if (n < 0) return lastError();
-    bytes.remove_prefix(static_cast<std::size_t>(n));
+    const ssize_t count = uninterrupted([&] { return ::write(descriptor, bytes.data(), bytes.size()); });
+    if (count < 0) return lastError();
+    bytes.remove_prefix(static_cast<std::size_t>(count));
   }
   return {};
 }
@@ -55,11 +55,11 @@
   return uninterrupted([&] { return ::fsync(descriptor); }) < 0 ? lastError() : std::error_code{};
 }
 
-std::error_code writeAside(const std::string& aside, std::string_view bytes, Durability durability) {
-  const Descriptor file(aside, O_WRONLY | O_CREAT | O_TRUNC);
+std::error_code writeTemporary(const std::string& temporary, std::string_view bytes, Durability durability) {
+  const Descriptor file(temporary, O_WRONLY | O_CREAT | O_TRUNC);
   if (file.number() < 0) return lastError();
   if (const std::error_code error = writeAll(file.number(), bytes)) return error;
-  return durability == Durability::on_disk ? sync(file.number()) : std::error_code{};
+  return durability == Durability::onDisk ? sync(file.number()) : std::error_code{};
 }
 
 /// Until its folder is synced a power cut may undo a rename.
@@ -71,27 +71,27 @@
 }  // namespace
 
 std::error_code replaceFile(const std::string& path, std::string_view bytes, Durability durability) {
-  // Of this process's own: another one may be writing the same file.
-  const std::string aside = path + "." + std::to_string(::getpid());
-  std::error_code error = writeAside(aside, bytes, durability);
-  if (!error && std::rename(aside.c_str(), path.c_str()) != 0) error = lastError();
+  // A name of this process's own: another process may be writing the same file.
+  const std::string temporary = path + "." + std::to_string(::getpid());
+  std::error_code error = writeTemporary(temporary, bytes, durability);
+  if (!error && std::rename(temporary.c_str(), path.c_str()) != 0) error = lastError();
   if (error) {
-    ::unlink(aside.c_str());
+    ::unlink(temporary.c_str());
     return error;
   }
-  return durability == Durability::on_disk ? syncFolderOf(path) : std::error_code{};
+  return durability == Durability::onDisk ? syncFolderOf(path) : std::error_code{};
 }
 
-std::error_code readFile(const std::string& path, std::size_t most, std::string& bytes) {
+std::error_code readFile(const std::string& path, std::size_t maxBytes, std::string& bytes) {
   bytes.clear();
   const Descriptor file(path, O_RDONLY);
   if (file.number() < 0) return lastError();
   for (char piece[4096];;) {
-    const ssize_t n = uninterrupted([&] { return ::read(file.number(), piece, sizeof piece); });
-    if (n < 0) return lastError();
-    if (n == 0) return {};
-    bytes.append(piece, static_cast<std::size_t>(n));
-    if (bytes.size() > most) return std::make_error_code(std::errc::file_too_large);
+    const ssize_t count = uninterrupted([&] { return ::read(file.number(), piece, sizeof piece); });
+    if (count < 0) return lastError();
+    if (count == 0) return {};
+    bytes.append(piece, static_cast<std::size_t>(count));
+    if (bytes.size() > maxBytes) return std::make_error_code(std::errc::file_too_large);
   }
 }
 
@@ -101,13 +101,13 @@
     error_ = lastError();
     return;
   }
-  for (int left = kLockTries; left > 0; --left) {
+  for (int triesLeft = kMaxLockTries; triesLeft > 0; --triesLeft) {
     if (uninterrupted([&] { return ::flock(descriptor_, LOCK_EX | LOCK_NB); }) == 0) {
       error_ = {};
       return;
     }
     error_ = lastError();
-    std::this_thread::sleep_for(kLockPause);
+    std::this_thread::sleep_for(kLockRetryDelay);
   }
 }
 
--- a/src/net/durable_file.hpp
+++ b/src/net/durable_file.hpp
@@ -1,7 +1,7 @@
 /// Files of the state folder, which outlive the process: read whole, and replaced whole.
 ///
-/// A reader finds the old bytes or the new ones, whichever moment a kill or a power cut takes. Errors are
-/// told, never swallowed: what could not be written is still owed by the caller.
+/// A reader finds the old bytes or the new ones, at whatever moment the process is killed or loses power.
+/// Every error is returned; the caller has to retry what could not be written.
 #pragma once
 
 #include <cstddef>
@@ -13,19 +13,19 @@
 
 /// How far a replacement has gone when `replaceFile` returns without an error.
 enum class Durability {
-  on_disk,    ///< file and folder are synced: it survives a power cut
-  in_kernel,  ///< it survives the process alone
+  onDisk,    ///< file and folder are synced: it survives a power cut
+  inKernel,  ///< it survives the process alone
 };
 
-/// Writes `bytes` aside, then renames them to `path`. Blocks for as long as the disk takes.
+/// Writes `bytes` to a temporary file and renames it to `path`. Blocks for as long as the disk takes.
 std::error_code replaceFile(const std::string& path, std::string_view bytes, Durability durability);
 
-/// Reads at most `most` bytes; a longer file is `file_too_large`, one that is not there
+/// Reads at most `maxBytes` bytes; a longer file is `file_too_large`, one that is not there
 /// `no_such_file_or_directory`.
-std::error_code readFile(const std::string& path, std::size_t most, std::string& bytes);
+std::error_code readFile(const std::string& path, std::size_t maxBytes, std::string& bytes);
 
-/// Held between the processes that share a folder while one of them reads and replaces a file. Gives up after
-/// some 20 ms: the other process may stand still.
+/// An exclusive lock between the processes that share a folder, while one of them reads and replaces a file.
+/// Gives up after some 20 ms: the other process may be stopped.
 class FileLock {
  public:
   explicit FileLock(const std::string& path);
--- a/src/net/http.hpp
+++ b/src/net/http.hpp
@@ -1,6 +1,5 @@
-// What the sides of the program share of HTTP: Beast's parser fed from a buffer, and its serializer to text.
-// Every connection keeps one read pending and hands what comes to its parser, so that the end of a connection
-// is seen in every state.
+/// HTTP on buffers, shared by the clients' side, the workers' side and discovery: Beast's parser fed from a
+/// buffer, and its serializer to text. No sockets.
 #pragma once
 
 #include <boost/asio/buffer.hpp>
@@ -20,16 +19,16 @@
 namespace http = boost::beast::http;
 using Error = boost::system::error_code;
 
-constexpr std::size_t kMostBody = std::size_t{32} * 1024 * 1024;
-constexpr std::size_t kHeldWhole = 64 * 1024;  // a longer body or answer is passed on as it comes
-constexpr std::size_t kMostHeader = 16 * 1024;
-constexpr std::size_t kReadStep = 4096;
-constexpr std::size_t kStreamStep = 16 * 1024;  // of what is passed on as it comes
+constexpr std::size_t kMaxBodyBytes = std::size_t{32} * 1024 * 1024;  ///< of a request or response
+constexpr std::size_t kMaxBufferedBodyBytes = 64 * 1024;              ///< a longer body is streamed
+constexpr std::size_t kMaxHeaderBytes = 16 * 1024;
+constexpr std::size_t kReadBytes = 4096;              ///< of one read of anything else
+constexpr std::size_t kStreamPieceBytes = 16 * 1024;  ///< of one read of a streamed body
 
 inline std::string_view view(beast::string_view text) { return {text.data(), text.size()}; }
 
-// A body as far as it has come and has not been taken away: whatever length the header states, nothing is
-// allocated ahead.
+/// A body as far as it has come and has not been taken away. Whatever length the header states, nothing is
+/// allocated ahead.
 struct WindowBody {
   using value_type = std::string;
   class reader {
@@ -54,9 +53,10 @@
   };
 };
 
-// Feeds what has been read; true once the message is whole. What follows it stays in the buffer.
-// A step at a time, never eagerly: an eager parser goes on to body bytes that came with the header and
-// forgets that the header had failed its limit.
+/// Parses what has been read; true once the message is complete. What follows it stays in the buffer.
+///
+/// Never eagerly: an eager parser goes on to body bytes that came with the header and forgets that the header
+/// had exceeded its limit.
 template <class Parser>
 bool feed(Parser& parser, beast::flat_buffer& in, Error& error) {
   parser.eager(false);
@@ -72,41 +72,41 @@
   return parser.is_done();
 }
 
+namespace detail {
+
+/// Appends the serializer's next buffers.
+template <class Serializer>
+void appendNext(std::string& out, Serializer& serializer, Error& error) {
+  std::size_t size = 0;
+  serializer.next(error, [&](Error&, const auto& buffers) {
+    for (const asio::const_buffer part : beast::buffers_range_ref(buffers)) {
+      out.append(static_cast<const char*>(part.data()), part.size());
+      size += part.size();
+    }
+  });
+  serializer.consume(size);
+}
+
+}  // namespace detail
+
+/// The whole message.
 template <bool isRequest, class Body>
 void append(std::string& out, const http::message<isRequest, Body>& message) {
   http::serializer<isRequest, Body> serializer(message);
   Error error;
-  while (!serializer.is_done() && !error) {
-    std::size_t size = 0;
-    serializer.next(error, [&](Error&, const auto& buffers) {
-      for (const asio::const_buffer part : beast::buffers_range_ref(buffers)) {
-        out.append(static_cast<const char*>(part.data()), part.size());
-        size += part.size();
-      }
-    });
-    serializer.consume(size);
-  }
+  while (!serializer.is_done() && !error) detail::appendNext(out, serializer, error);
 }
 
-// The header alone; the body follows by itself, framed as the header says.
+/// The header alone; the body follows separately, framed as the header says.
 template <bool isRequest>
 void appendHead(std::string& out, const http::message<isRequest, http::empty_body>& message) {
   http::serializer<isRequest, http::empty_body> serializer(message);
   serializer.split(true);
   Error error;
-  while (!serializer.is_header_done() && !error) {
-    std::size_t size = 0;
-    serializer.next(error, [&](Error&, const auto& buffers) {
-      for (const asio::const_buffer part : beast::buffers_range_ref(buffers)) {
-        out.append(static_cast<const char*>(part.data()), part.size());
-        size += part.size();
-      }
-    });
-    serializer.consume(size);
-  }
+  while (!serializer.is_header_done() && !error) detail::appendNext(out, serializer, error);
 }
 
-// A piece of a body framed as a chunk; the last one, which may be empty, with the end.
+/// A piece of a body framed as a chunk; the last one, which may be empty, with the end of the body.
 inline void appendChunk(std::string& out, std::string_view piece, bool last) {
   if (!piece.empty()) {
     char size[20];
--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -13,29 +13,29 @@
 
 using asio::ip::tcp;
 
-constexpr std::size_t kCall = 8 * 1024;  // what a call holds besides its answer's body
+constexpr std::size_t kCallBytes = 8 * 1024;  // of memory that a call holds besides its response body
 
 }  // namespace
 
-// One call: connect, write, read the whole answer, close.
+// One call: connects, writes, reads the whole response, closes.
 class HttpClient::Exchange : public GuardedConnection<Exchange> {
  public:
-  Exchange(HttpClient& calls, std::uint64_t id, const tcp::endpoint& to, Request&& request)
-      : calls_(calls),
+  Exchange(HttpClient& client, std::uint64_t id, const tcp::endpoint& to, Request&& request)
+      : client_(client),
         id_(id),
         to_(to),
-        room_(calls.pressure_.ledger().open(Account::discovery)),
-        socket_(calls.io_),
-        timer_(calls.io_) {
+        memory_(client.overload_.ledger().open(Account::discovery)),
+        socket_(client.io_),
+        timer_(client.io_) {
     request.set(http::field::connection, "close");
     append(out_, request);
-    parser_.body_limit(calls.limits_.body);
-    parser_.header_limit(kMostHeader);
+    parser_.body_limit(client.limits_.maxBodyBytes);
+    parser_.header_limit(kMaxHeaderBytes);
   }
 
-  void start(std::chrono::steady_clock::duration within) {
-    if (!room_.resize(kCall + out_.size())) return later("no memory for a call");
-    timer_.expires_after(within);
+  void start(std::chrono::steady_clock::duration timeout) {
+    if (!memory_.resize(kCallBytes + out_.size())) return failLater("no memory for a call");
+    timer_.expires_after(timeout);
     timer_.async_wait(guard([this](const Error& error, std::size_t) {
       if (!error) end(nullptr, "no answer in time");
     }));
@@ -45,9 +45,9 @@
                           }));
   }
 
-  // Ends as failed, by a handler of its own.
-  void later(const char* why) {
-    asio::post(calls_.io_, [self = shared_from_this(), why] {
+  // Fails from a handler of its own, never from within the caller's call.
+  void failLater(const char* why) {
+    asio::post(client_.io_, [self = shared_from_this(), why] {
       if (!self->ended()) self->end(nullptr, why);
     });
   }
@@ -57,7 +57,7 @@
     timer_.cancel();
     Error ignored;
     socket_.close(ignored);
-    room_.release();
+    memory_.release();
   }
 
  private:
@@ -76,7 +76,8 @@
           if (isTransient(error)) return read();
           if (error) return end(nullptr, error == http::error::body_limit ? "too long an answer" : "broken");
           if (parser_.is_done()) return end(&parser_.get(), "");
-          if (!room_.resize(kCall + out_.size() + parser_.get().body().size() * calls_.limits_.parsed))
+          if (!memory_.resize(kCallBytes + out_.size() +
+                              parser_.get().body().size() * client_.limits_.memoryPerBodyByte))
             return end(nullptr, "no memory for an answer");
           read();
         }));
@@ -85,14 +86,14 @@
   void end(const Response* response, const std::string& error) {
     const auto self = shared_from_this();
     abandon();
-    calls_.calls_.erase(id_);
-    calls_.ended_(id_, response, error);
+    client_.calls_.erase(id_);
+    client_.callDone_(id_, response, error);
   }
 
-  HttpClient& calls_;
+  HttpClient& client_;
   const std::uint64_t id_;
   const tcp::endpoint to_;
-  MemoryBudget::Charge room_;
+  MemoryBudget::Charge memory_;
   tcp::socket socket_;
   asio::steady_timer timer_;
   std::string out_;
@@ -100,22 +101,23 @@
   http::response_parser<http::string_body> parser_;
 };
 
-HttpClient::HttpClient(asio::io_context& io, const Limits& limits, OverloadManager& pressure, Ended ended)
-    : io_(io), limits_(limits), pressure_(pressure), ended_(std::move(ended)) {}
+HttpClient::HttpClient(asio::io_context& io, const Limits& limits, OverloadManager& overload,
+                       CallDone callDone)
+    : io_(io), limits_(limits), overload_(overload), callDone_(std::move(callDone)) {}
 
 HttpClient::~HttpClient() {
   for (const auto& [id, call] : calls_) call->abandon();
 }
 
 void HttpClient::call(std::uint64_t id, const tcp::endpoint& to, Request&& request,
-                      std::chrono::steady_clock::duration within) {
+                      std::chrono::steady_clock::duration timeout) {
   const auto call = std::make_shared<Exchange>(*this, id, to, std::move(request));
-  const bool full = calls_.size() >= limits_.calls;
+  const bool full = calls_.size() >= limits_.maxCalls;
   calls_[id] = call;
   if (full)
-    call->later("too many calls at once");
+    call->failLater("too many calls at once");
   else
-    call->start(within);
+    call->start(timeout);
 }
 
 void HttpClient::drop(std::uint64_t id) {
--- a/src/net/http_client.hpp
+++ b/src/net/http_client.hpp
@@ -1,5 +1,5 @@
-// Calls of this program to others over HTTP/1.1 (the coordination store, other gatekeepers): a connection
-// each, bounded in number, in bytes and in time, charged to the ledger.
+/// HTTP/1.1 calls to the coordination store and to other gatekeepers: one connection a call, limited in
+/// number, bytes and time, and charged to the memory budget.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -17,35 +17,37 @@
 
 namespace wingslip {
 
+/// Owns its calls. Everything runs on the one event loop.
 class HttpClient {
  public:
   using Request = boost::beast::http::request<boost::beast::http::string_body>;
   using Response = boost::beast::http::response<boost::beast::http::string_body>;
   struct Limits {
-    std::size_t calls = 8;  // at once; more fail
-    std::size_t body = std::size_t{2} << 20;
-    std::size_t parsed = 8;  // bytes that a byte of an answer takes while it is read
+    std::size_t maxCalls = 8;                         ///< at once; more fail
+    std::size_t maxBodyBytes = std::size_t{2} << 20;  ///< of a response
+    std::size_t memoryPerBodyByte = 8;                ///< bytes that a response takes while it is read
   };
-  // `response` is null where there is none, and `error` then says why in a few words.
-  using Ended = std::function<void(std::uint64_t id, const Response* response, const std::string& error)>;
+  /// `response` is null where there is none, and `error` then says why in a few words.
+  using CallDone = std::function<void(std::uint64_t id, const Response* response, const std::string& error)>;
 
-  HttpClient(boost::asio::io_context& io, const Limits& limits, OverloadManager& pressure, Ended ended);
+  HttpClient(boost::asio::io_context& io, const Limits& limits, OverloadManager& overload, CallDone callDone);
   ~HttpClient();
   HttpClient(const HttpClient&) = delete;
   HttpClient& operator=(const HttpClient&) = delete;
 
-  // Ends once, by a handler of its own, never from within. `id` is the caller's, unlike any that is out.
+  /// `CallDone` is called once, from a handler of its own. `id` is chosen by the caller and not in use.
   void call(std::uint64_t id, const boost::asio::ip::tcp::endpoint& to, Request&& request,
-            std::chrono::steady_clock::duration within);
-  void drop(std::uint64_t id);  // ends the call without a word
+            std::chrono::steady_clock::duration timeout);
+  /// Ends the call; `CallDone` is not called for it.
+  void drop(std::uint64_t id);
   std::size_t out() const { return calls_.size(); }
 
  private:
   class Exchange;
   boost::asio::io_context& io_;
   const Limits limits_;
-  OverloadManager& pressure_;
-  const Ended ended_;
+  OverloadManager& overload_;
+  const CallDone callDone_;
   std::unordered_map<std::uint64_t, std::shared_ptr<Exchange>> calls_;
 };
 
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -13,8 +13,8 @@
 using Error = boost::system::error_code;
 using Clock = std::chrono::steady_clock;
 
-constexpr auto kListenWithin = std::chrono::seconds(5);
-constexpr auto kListenPause = std::chrono::milliseconds(50);
+constexpr auto kListenTimeout = std::chrono::seconds(5);
+constexpr auto kListenRetryDelay = std::chrono::milliseconds(50);
 
 Error tryToListen(tcp::acceptor& acceptor, const tcp::endpoint& at) {
   Error error;
@@ -36,17 +36,17 @@
 }
 
 void openListener(tcp::acceptor& acceptor, const tcp::endpoint& at) {
-  const auto until = Clock::now() + kListenWithin;
+  const auto deadline = Clock::now() + kListenTimeout;
   Error error = tryToListen(acceptor, at);
-  while (isShortage(error) && Clock::now() < until) {
-    std::this_thread::sleep_for(kListenPause);
+  while (isShortage(error) && Clock::now() < deadline) {
+    std::this_thread::sleep_for(kListenRetryDelay);
     error = tryToListen(acceptor, at);
   }
   if (error) throw boost::system::system_error(error);
-  tellOfAbortedConnections(acceptor);
+  reportAbortedConnections(acceptor);
 }
 
-void tellOfAbortedConnections(tcp::acceptor& acceptor) {
+void reportAbortedConnections(tcp::acceptor& acceptor) {
   acceptor.set_option(tcp::acceptor::enable_connection_aborted(true));
 }
 
--- a/src/net/log.hpp
+++ b/src/net/log.hpp
@@ -1,5 +1,5 @@
-/// The process's log: a line an event on standard error, `TIME level=LEVEL event=NAME key=value ...`, through
-/// spdlog. Written in the calling thread, so that what a process said before its end is there.
+/// The process's log: one line an event on standard error, `TIME level=LEVEL event=NAME key=value ...`,
+/// through spdlog. Written in the calling thread, so that no line is lost when the process ends.
 #pragma once
 
 #include <spdlog/spdlog.h>
--- a/src/net/rate_limited_log.hpp
+++ b/src/net/rate_limited_log.hpp
@@ -1,4 +1,4 @@
-/// Lines of the log at a bounded rate: those between are counted and left out.
+/// Log lines at a limited rate: those between are counted and suppressed.
 #pragma once
 
 #include <chrono>
@@ -12,21 +12,23 @@
 class RateLimitedLog {
  public:
   /// `event`: the name of its lines.
-  explicit RateLimitedLog(std::string event, std::chrono::milliseconds every = std::chrono::milliseconds(200))
-      : event_(std::move(event)), every_(every) {}
+  explicit RateLimitedLog(std::string event,
+                          std::chrono::milliseconds interval = std::chrono::milliseconds(200))
+      : event_(std::move(event)), interval_(interval) {}
 
+  /// Writes a warning, unless the last one was less than the interval ago.
   void say(const std::string& text) {
     const auto now = std::chrono::steady_clock::now();
-    if (now < next_) return void(++unsaid_);
-    processLog().warn("event={} text=\"{}\" left_out={}", event_, text, std::exchange(unsaid_, 0));
-    next_ = now + every_;
+    if (now < nextLineAt_) return void(++suppressed_);
+    processLog().warn("event={} text=\"{}\" left_out={}", event_, text, std::exchange(suppressed_, 0));
+    nextLineAt_ = now + interval_;
   }
 
  private:
   const std::string event_;
-  const std::chrono::milliseconds every_;
-  std::chrono::steady_clock::time_point next_{};
-  unsigned unsaid_ = 0;
+  const std::chrono::milliseconds interval_;
+  std::chrono::steady_clock::time_point nextLineAt_{};
+  unsigned suppressed_ = 0;
 };
 
 }  // namespace wingslip
--- a/src/net/socket_io.hpp
+++ b/src/net/socket_io.hpp
@@ -1,6 +1,6 @@
-/// Reads and writes on non-blocking sockets that hold whatever Linux documents of them: a call may be
-/// interrupted, may take only a part although more would fit, and may find no memory for a moment. None of
-/// these says anything of the connection.
+/// Reads and writes on non-blocking sockets that cope with what Linux documents: a call may be interrupted,
+/// may transfer only a part although more would fit, and may find no kernel memory for a moment. None of
+/// these means that the connection is broken.
 #pragma once
 
 #include <boost/asio/buffer.hpp>
@@ -13,8 +13,8 @@
 
 namespace wingslip {
 
-/// Whether the same call may succeed later on the same connection: interrupted, nothing to be had now, or no
-/// memory in the kernel (recv(2), send(2)).
+/// Whether the same call may succeed later on the same connection: interrupted, would block, or no kernel
+/// memory (recv(2), send(2)).
 inline bool isTransient(const boost::system::error_code& error) {
   namespace errors = boost::asio::error;
   return error == errors::interrupted || error == errors::would_block || error == errors::try_again ||
@@ -54,14 +54,14 @@
   return written;
 }
 
-/// What a connection shows without anything being read from it.
+/// The state of a connection as seen without reading from it.
 enum class PeerState {
-  quiet,     ///< open, and nothing has come
-  has_sent,  ///< bytes wait to be read
-  ended,     ///< closed, reset or broken
+  quiet,    ///< open, and nothing has come
+  hasSent,  ///< bytes wait to be read
+  ended,    ///< closed, reset or broken
 };
 
-/// Looks without reading. Where the system cannot tell, the connection is taken to be open.
+/// Peeks at the socket. Where the system cannot tell, the connection counts as open.
 inline PeerState peerState(boost::asio::ip::tcp::socket& socket) {
   char byte;
   boost::system::error_code error;
@@ -70,12 +70,12 @@
   });
   if (error == boost::asio::error::would_block) return PeerState::quiet;
   if (error || bytes == 0) return PeerState::ended;
-  return PeerState::has_sent;
+  return PeerState::hasSent;
 }
 
 /// Writes all of `left`, which has to outlive the operation, and calls `done(error)` from a handler of its
 /// own. Before each further write `wanted()` is asked; false ends the operation without a call. Asio's own
-/// composed write waits for an event after a short write, which a buffer with room never brings.
+/// composed write waits for writability after a short write, an event that a buffer with space never raises.
 template <class Wanted, class Done>
 void asyncWriteAll(boost::asio::ip::tcp::socket& socket, boost::asio::const_buffer left, Wanted wanted,
                    Done done) {
--- a/src/replication/replica_node.cpp
+++ b/src/replication/replica_node.cpp
@@ -202,7 +202,7 @@
       if (!stopped && !draining_) listen();
     });
   }
-  tellOfAbortedConnections(acceptor_);
+  reportAbortedConnections(acceptor_);
   accept();
   startedAt_ = now();
   core_->start(startedAt_);
@@ -332,7 +332,7 @@
   saving_->store(true);
   saver_ =
       std::thread([path = file_, bytes = encodeSnapshot(snapshot), saving = saving_, failed = saveFailed_] {
-        failed->store(static_cast<bool>(replaceFile(path, bytes, Durability::on_disk)));
+        failed->store(static_cast<bool>(replaceFile(path, bytes, Durability::onDisk)));
         saving->store(false);
       });
 }
--- a/tests/stream_test.cpp
+++ b/tests/stream_test.cpp
@@ -182,9 +182,9 @@
 TEST_F(Stream, AStatedLengthAllocatesNothing) {
   std::string body;
   http::request_parser<WindowBody> parser;
-  parser.body_limit(kMostBody);
+  parser.body_limit(kMaxBodyBytes);
   beast::flat_buffer in;
-  const std::string text = "POST / HTTP/1.1\r\nContent-Length: " + std::to_string(kMostBody) + "\r\n\r\nx";
+  const std::string text = "POST / HTTP/1.1\r\nContent-Length: " + std::to_string(kMaxBodyBytes) + "\r\n\r\nx";
   asio::buffer_copy(in.prepare(text.size()), asio::buffer(text));
   in.commit(text.size());
   Error error;
