--- a/tests/gatekeeper_test.cpp
+++ b/tests/gatekeeper_test.cpp
@@ -42,7 +42,7 @@
   std::optional<Gatekeeper> node;
 };
 
-TEST_F(Gate, PassesARequestOnUnchangedAndItsAnswerBack) {
+TEST_F(Gate, ForwardsARequestUnchangedAndItsResponseBack) {
   openWithWorker();
   Ask what;
   what.klass = "edit", what.body = "{\"a\": 1}";
@@ -124,7 +124,7 @@
   EXPECT_TRUE(worker.peers.empty());
 }
 
-TEST_F(Gate, RefusesBeyondTheQuotaAtOnceAndSaysWhenToReturn) {
+TEST_F(Gate, RejectsBeyondTheQuotaWithRetryAfter) {
   openWithWorker();
   Ask what;
   what.plan = "small";
@@ -138,7 +138,7 @@
   EXPECT_TRUE(worker.peers.empty());
 }
 
-TEST_F(Gate, UnsafeThatMayHaveRunIsNotSentAgain) {
+TEST_F(Gate, ANonIdempotentRequestThatMayHaveRunIsNotRetried) {
   openWithWorker();
   Ask what;
   what.klass = "order", what.body = "x";
@@ -150,7 +150,7 @@
   EXPECT_EQ(worker.peers.size(), 1u);
 }
 
-TEST_F(Gate, UnsafeGoesElsewhereWhereNothingListens) {
+TEST_F(Gate, ANonIdempotentRequestIsRetriedAfterAConnectFailure) {
   open(json::array({entry("s-1", nobody()), entry("s-2", worker.text())}));
   for (int i = 0; i < 4; ++i) {  // whichever worker is tried first
     Ask what;
@@ -162,7 +162,7 @@
   }
 }
 
-TEST_F(Gate, UnsafeGoesElsewhereFromAWorkerThatDeclinesIt) {
+TEST_F(Gate, ANonIdempotentRequestIsRetriedAfterAnOverloadResponse) {
   open(json::array({entry("s-1", worker.text()), entry("s-2", other.text())}));
   Ask what;
   what.klass = "order";
@@ -178,7 +178,7 @@
   EXPECT_EQ(total(), 2u);
 }
 
-TEST_F(Gate, A503WithoutTheMarkMayHaveRun) {
+TEST_F(Gate, A503WithoutSrvDeclinedIsNotRetried) {
   open(json::array({entry("s-1", worker.text())}));
   Ask what;
   what.klass = "order";
@@ -189,7 +189,7 @@
 }
 
 // The worker says nothing at all: the final answer must not wait for it.
-TEST_F(Gate, AnswersByTheDeadlineAndGivesTheAttemptUp) {
+TEST_F(Gate, AnswersAtTheDeadlineAndCancelsTheAttempt) {
   openWithWatch();
   Ask what;
   what.klass = "order", what.deadline = "400";
@@ -202,7 +202,7 @@
 
 // A request that comes with no time for an answer is never sent on: a worker would work for nobody, and the
 // client can be told that trying again is harmless.
-TEST_F(Gate, ARequestWithoutTimeIsRefusedAndNotSent) {
+TEST_F(Gate, ARequestWithoutTimeLeftIsRejectedAndNotSent) {
   openWithWorker();
   Ask what;
   what.klass = "order", what.deadline = "1";
@@ -214,7 +214,7 @@
   EXPECT_TRUE(worker.peers.empty());
 }
 
-TEST_F(Gate, AClientThatLeavesEndsItsAttempt) {
+TEST_F(Gate, AClientDisconnectCancelsItsAttempt) {
   openWithWorker();
   const auto client = ask(Ask());
   untilSeen("00000000000000a1");
@@ -226,7 +226,7 @@
 
 // An answer followed by more than itself leaves the connection in doubt: what is left there would be taken
 // for the next request's answer.
-TEST_F(Gate, AConnectionWithAnOddAnswerIsNotReused) {
+TEST_F(Gate, AConnectionWithAnIrregularResponseIsNotReused) {
   openWithWorker();
   const auto client = ask(Ask());
   untilSeen("00000000000000a1");
@@ -241,7 +241,7 @@
   EXPECT_FALSE(client->has("stray"));
 }
 
-TEST_F(Gate, AnIdleConnectionThatTheWorkerEndsIsNotWrittenTo) {
+TEST_F(Gate, AnIdleConnectionThatTheWorkerClosesIsNotReused) {
   openWithWorker();
   const auto client = ask(Ask());
   untilSeen("00000000000000a1");
@@ -314,7 +314,7 @@
 
 // What cannot be read changes nothing and brings nobody back; the whole list is asked for, and one line says
 // so.
-TEST_F(Gate, AMalformedListChangesNothingAndTheWholeOneIsAskedFor) {
+TEST_F(Gate, AMalformedListIsIgnoredAndASnapshotIsRequested) {
   openWithWatch();
   tell(2, json::array({entry("s-1", worker.text(), "Terminating"), entry("s-2", other.text())}));
   testing::internal::CaptureStderr();
@@ -366,7 +366,7 @@
 
 // What the agent has counts as told from the first moment of a process, and the list that it was given may be
 // older: nothing is sent on before the agent has said what it has.
-TEST_F(Gate, SendsNothingOnBeforeTheFirstListUnlessDiscoverySaysNothing) {
+TEST_F(Gate, SendsNothingBeforeTheFirstListUnlessDiscoveryIsSilent) {
   open(json::array({entry("s-1", worker.text()), entry("s-2", other.text())}));
   const auto client = ask(Ask());
   const auto front = dial(node->address());
@@ -390,7 +390,7 @@
 
 // What a watch does not bring counts as told some seconds later all the same, so a silent agent is asked
 // anew.
-TEST_F(Gate, AnAgentThatDoesNotAnswerIsAskedAgainInTime) {
+TEST_F(Gate, ASilentAgentIsPolledAgainInTime) {
   openWithWorker();
   until([&] { return discovery.count("watch=1") == 1; }, "a watch");
   const auto asked = std::chrono::steady_clock::now();
@@ -398,7 +398,7 @@
   EXPECT_LT(std::chrono::steady_clock::now() - asked, std::chrono::seconds(5));
 }
 
-TEST_F(Gate, AReloadMovesTheWatchAndKeepsWhatIsKnown) {
+TEST_F(Gate, AReloadMovesTheWatchAndKeepsTheEndpoints) {
   openWithWatch();
   Listener second(io);
   node->reload(parseConfig(configJson(second.text()).dump()));
@@ -420,7 +420,7 @@
   EXPECT_EQ(worker.count("Req-Id: "), 0u);
 }
 
-TEST_F(Gate, DrainFinishesWhatIsHeldAndServesWhatStillComes) {
+TEST_F(Gate, DrainFinishesRequestsInFlightAndServesNewOnes) {
   openWithWorker();
   const auto early = ask(Ask());
   untilSeen("00000000000000a1");
--- a/tests/races_test.cpp
+++ b/tests/races_test.cpp
@@ -27,7 +27,7 @@
 };
 
 // The kernel has the whole request, and the loop has not yet told: it may run all the same.
-TEST_F(PoolRaces, AnAttemptGivenUpInTheTurnOfItsLastByteMayHaveRun) {
+TEST_F(PoolRaces, AnAttemptCancelledInTheTurnOfItsLastByteCountsAsSent) {
   rest();
   start(2);
   const auto end = pool->cancelAttempt(2, AttemptResult::timeout);
@@ -37,7 +37,7 @@
 }
 
 // Answer and time-out are both due when the loop takes its next turn, as after a pause of the process.
-TEST_F(PoolRaces, AnAnswerThatHasComeIsTakenBeforeATimeOutOfTheSameTurn) {
+TEST_F(PoolRaces, AResponseIsReadBeforeATimeoutOfTheSameTurn) {
   rest();
   start(2, 50ms);
   until([&] { return seen() == 2; }, "the request at the worker");
@@ -100,7 +100,7 @@
   for (const AttemptEnd& end : ends) EXPECT_NE(end.body, "stray");
 }
 
-TEST_F(PoolRaces, AnAttemptThatWaitsForALateSecondAnswerEndsWhenItsWorkerLeaves) {
+TEST_F(PoolRaces, AnAttemptInQuarantineEndsWhenItsWorkerIsRemoved) {
   start(1);
   until([&] { return seen() == 1; }, "the first request");
   onEnd = [this] {
@@ -113,7 +113,7 @@
   EXPECT_EQ(seen(), 1u);
 }
 
-TEST_F(PoolRaces, AnAttemptOnItsWayToAnAddressThatTheWorkerHasLeftEnds) {
+TEST_F(PoolRaces, AnAttemptConnectingToAFormerAddressEnds) {
   start(1);
   pool->setWorkerAddress(1, {other.address()});
   untilEnds(1);
@@ -123,7 +123,7 @@
   EXPECT_EQ(seen(), 0u);
 }
 
-TEST_F(PoolRaces, AnAttemptWhoseClientLeavesWhileTheConnectionComesUpIsNotWritten) {
+TEST_F(PoolRaces, AnAttemptWhoseClientDisconnectsDuringConnectIsNotWritten) {
   start(1, {}, [] { return false; });
   untilEnds(1);
   EXPECT_EQ(ends[0].outcome.result, AttemptResult::connectFailed);
@@ -160,7 +160,7 @@
 };
 
 // Two stand in the machine's queue as accepting stops: one has been taken from it in that turn, one has not.
-TEST_F(ClientRaces, AConnectionThatComesAsAcceptingStopsIsHeard) {
+TEST_F(ClientRaces, AConnectionThatArrivesAsAcceptingStopsIsServed) {
   const auto first = dial(server.address()), second = dial(server.address());
   until([&] { return server.connections() == 1; }, "the first is taken");
   server.stopAccepting();
@@ -169,7 +169,7 @@
 }
 
 // Its request lies in the kernel as the drain ends what rests.
-TEST_F(ClientRaces, ARequestThatComesAsTheDrainEndsIdleConnectionsIsAnswered) {
+TEST_F(ClientRaces, ARequestThatArrivesAsTheDrainClosesIdleConnectionsIsAnswered) {
   const auto client = dial(server.address());
   client->send(readiness());
   server.stopAccepting();
@@ -180,7 +180,7 @@
 
 // The next request crosses the end of a connection whose last answer the client is still reading: a close
 // would answer it with a reset, and what the system holds of the answer would go with it.
-TEST_F(ClientRaces, AnEndThatCrossesARequestTakesNothingOfTheLastAnswer) {
+TEST_F(ClientRaces, ACloseThatCrossesARequestLosesNothingOfTheLastResponse) {
   const auto client = dial(server.address());
   client->stall();
   client->send(Ask().text());
@@ -200,7 +200,7 @@
 }
 
 // At the limit the one that has rested longest would make room, but its next request has come unread.
-TEST_F(ClientRaces, AConnectionWithARequestUnreadDoesNotMakeRoom) {
+TEST_F(ClientRaces, AConnectionWithAnUnreadRequestIsNotEvicted) {
   ClientServer::Limits limits;
   limits.maxConnections = 1;
   ClientServer small{io, config, limits, handler, pressure};
@@ -268,7 +268,7 @@
 
 // Settings that name zones in another order mean the same by each name; so does what the lists had told
 // before.
-TEST_F(GateRaces, ZonesKeepTheirMeaningOverChangedSettings) {
+TEST_F(GateRaces, ZoneIndexesStayValidAcrossAReload) {
   const auto config = [&](const char* first, const char* second, int own) {
     json elsewhere = entry("s-2", other.text());
     elsewhere["zone"] = "b";
@@ -295,7 +295,7 @@
 }
 
 // A request that waits for the first list while the settings change has the class and plan that it named.
-TEST_F(GateRaces, ARequestBeforeTheFirstListKeepsItsClassAndPlanOverChangedSettings) {
+TEST_F(GateRaces, ARequestBeforeTheFirstListKeepsItsClassAndPlanAcrossAReload) {
   json file = configJson(discovery.text(), json::array({entry("s-1", worker.text())}));
   Gatekeeper early(io, parseConfig(file.dump()));
   early.start();
--- a/tests/stream_test.cpp
+++ b/tests/stream_test.cpp
@@ -49,7 +49,7 @@
   return out;
 }
 
-TEST_F(Stream, ALongAnswerIsPassedOnAsItComesAndTheConnectionsLiveOn) {
+TEST_F(Stream, ALongResponseIsStreamedAndTheConnectionsAreReused) {
   open();
   const auto client = ask(Ask().text());
   untilSeen();
@@ -67,7 +67,7 @@
   until([&] { return client->has("next"); }, "the next answer");
 }
 
-TEST_F(Stream, ALongAnswerInChunksWithExtensionsAndATrailerKeepsItsBody) {
+TEST_F(Stream, ALongChunkedResponseWithExtensionsAndATrailerKeepsItsBody) {
   open();
   const auto client = ask(Ask().text());
   untilSeen();
@@ -84,7 +84,7 @@
 }
 
 // The client can tell, and nothing is tried again: it has seen the beginning.
-TEST_F(Stream, ALongAnswerThatBreaksLooksBroken) {
+TEST_F(Stream, ALongResponseThatIsCutLooksCutToTheClient) {
   for (const char* framing : {"Content-Length: 400000\r\n", "Transfer-Encoding: chunked\r\n"}) {
     open();
     const auto client = ask(Ask().text());
@@ -104,7 +104,7 @@
   }
 }
 
-TEST_F(Stream, ALongBodyIsPassedOnInEitherFraming) {
+TEST_F(Stream, ALongBodyIsStreamedInEitherFraming) {
   open();
   for (const bool chunked : {false, true}) {
     const auto client =
@@ -129,7 +129,7 @@
 }
 
 // Its beginning is gone, so no second worker can have it. It has never run: trying again is harmless.
-TEST_F(Stream, ALongBodyWhoseWorkerBreaksIsNotSentAgain) {
+TEST_F(Stream, ALongBodyIsNotRetriedAfterAReset) {
   open();
   const auto client = ask(head("edit", "Content-Length: 200000\r\n"));
   for (int i = 0; i < 5; ++i) client->send(std::string(20000, 'x'));
@@ -143,7 +143,7 @@
   until([&] { return worker.count("GET /look") == 1; }, "the next request on the connection");
 }
 
-TEST_F(Stream, ABodyIsWaitedForAsLongAsItComes) {
+TEST_F(Stream, ABodyHasTimeAsLongAsItKeepsComing) {
   ClientServer::Limits limits;
   EXPECT_LT(limits.bodyGrace + 500ms, 3s);
   EXPECT_GT(64 / limits.minBodyBytesPerMs, 1.5);
@@ -154,7 +154,7 @@
   until([&] { return !worker.peers.empty() && worker.peers[0]->ended; }, "its attempt's end");
 }
 
-TEST_F(Stream, AClientThatAsksBeforeItSendsIsTold) {
+TEST_F(Stream, AClientThatExpectsContinueGetsIt) {
   open();
   for (const char* size : {"3", "100000"}) {
     const auto client =
@@ -184,7 +184,8 @@
   http::request_parser<WindowBody> parser;
   parser.body_limit(kMaxBodyBytes);
   beast::flat_buffer in;
-  const std::string text = "POST / HTTP/1.1\r\nContent-Length: " + std::to_string(kMaxBodyBytes) + "\r\n\r\nx";
+  const std::string text =
+      "POST / HTTP/1.1\r\nContent-Length: " + std::to_string(kMaxBodyBytes) + "\r\n\r\nx";
   asio::buffer_copy(in.prepare(text.size()), asio::buffer(text));
   in.commit(text.size());
   Error error;
