--- a/src/gatekeeper/client_server.cpp
+++ b/src/gatekeeper/client_server.cpp
@@ -144,12 +144,12 @@
 }
 
 void ClientServer::add(tcp::socket socket) {
-  auto room = pressure_.ledger().open(Account::clients);
-  if (!room.resize(kClientConnectionBytes)) closeLeastRecentlyUsed();
-  if (!room.resize(kClientConnectionBytes))
+  auto memory = pressure_.ledger().open(Account::clients);
+  if (!memory.resize(kClientConnectionBytes)) closeLeastRecentlyUsed();
+  if (!memory.resize(kClientConnectionBytes))
     return;  // only while draining: otherwise `hasCapacity` was asked before
-  room.fix();
-  const auto connection = std::make_shared<Connection>(*this, std::move(socket), std::move(room), false);
+  memory.fix();
+  const auto connection = std::make_shared<Connection>(*this, std::move(socket), std::move(memory), false);
   connections_.insert(connection);
   connection->start();  // calls accept
 }
@@ -157,10 +157,10 @@
 // Reserved from the start, so that overflow connections can be read where memory is short.
 void ClientServer::reserveOverflowMemory() {
   while (overflowMemory_.size() + overflowCount_ < limits_.overflowSlots()) {
-    auto room = pressure_.ledger().open(Account::clients);
-    if (!room.resize(kClientConnectionBytes)) return;
-    room.fix();
-    overflowMemory_.push_back(std::move(room));
+    auto memory = pressure_.ledger().open(Account::clients);
+    if (!memory.resize(kClientConnectionBytes)) return;
+    memory.fix();
+    overflowMemory_.push_back(std::move(memory));
   }
 }
 
@@ -179,10 +179,10 @@
 
 void ClientServer::acceptToOverflow() {
   if (!freeOverflowSlot()) return;
-  auto room = std::move(overflowMemory_.back());
+  auto memory = std::move(overflowMemory_.back());
   overflowMemory_.pop_back();
   const auto connection =
-      std::make_shared<Connection>(*this, *std::exchange(accepted_, std::nullopt), std::move(room), true);
+      std::make_shared<Connection>(*this, *std::exchange(accepted_, std::nullopt), std::move(memory), true);
   ++overflowCount_;
   connections_.insert(connection);
   overflowOrder_.append(*connection);
