--- a/src/gatekeeper/discovery_client.cpp
+++ b/src/gatekeeper/discovery_client.cpp
@@ -160,7 +160,7 @@
 
   // For what is buffered, what the next read adds, and parsing both.
   bool reserveForRead() {
-    return memory_.resize((messages_.size() + input_.size() + kReadStep) * (1 + kParsedBytesPerByte));
+    return memory_.resize((messages_.size() + input_.size() + kReadBytes) * (1 + kParsedBytesPerByte));
   }
 
   void read() {
@@ -179,7 +179,7 @@
 
   void startRead() {
     pausedRead_.clear();
-    socket_.async_read_some(input_.prepare(kReadStep),
+    socket_.async_read_some(input_.prepare(kReadBytes),
                             ifCurrent([this](const Error& error, std::size_t size) {
                               if (isTransient(error)) return read();
                               if (error) return lost("ended");
@@ -192,7 +192,7 @@
   void onInput() {
     Error error;
     const bool responseEnded = feed(*parser_, input_, error);
-    if (error || (!responseEnded && input_.size() > kMostHeader)) return lost("odd answer");
+    if (error || (!responseEnded && input_.size() > kMaxHeaderBytes)) return lost("odd answer");
     if (parser_->is_header_done() && parser_->get().result() != http::status::ok) {
       logRetry("turned away");
       return perform(watch_.onRejected(OverloadManager::now()));
--- a/src/gatekeeper/exclusions.cpp
+++ b/src/gatekeeper/exclusions.cpp
@@ -103,7 +103,7 @@
   if (wantedIds == persistedIds_ && !mayBeUnsynced_) return {};
   std::string text = textOf(wantedIds);
   mayBeUnsynced_ = true;
-  if (const std::error_code error = replaceFile(path_, text, Durability::on_disk)) return error;
+  if (const std::error_code error = replaceFile(path_, text, Durability::onDisk)) return error;
   mayBeUnsynced_ = false;
   persistedIds_ = std::move(wantedIds);
   fileText_ = std::move(text);
--- a/src/gatekeeper/gatekeeper_operators.cpp
+++ b/src/gatekeeper/gatekeeper_operators.cpp
@@ -1,37 +1,85 @@
-/// Operators' calls, but for exclusions.
+/// Operators' calls and figures, workers excluded by hand, and the periodic report.
 #include "gatekeeper/gatekeeper.hpp"
+#include "gatekeeper/gatekeeper_limits.hpp"
 
 namespace wingslip {
+namespace {
 
+using decision::Time;
+using decision::WorkerId;
+
+constexpr const char* kExcludedTable = "excluded";  // replicated: workers excluded by hand
+constexpr const char* kExcludedValue = "1";
+
+// Whether the change is in force, so that the other gatekeepers have to know of it.
+bool isInForce(const ExclusionResult& result) {
+  return result.status == ExclusionResult::Status::done || result.status == ExclusionResult::Status::notPersisted;
+}
+
+}  // namespace
+
+// Another gatekeeper, or this one before its restart, has excluded or included a worker.
+void Gatekeeper::onReplicatedRow(const replication::Row& row) {
+  if (row.table != kExcludedTable || row.key.empty()) return;
+  exclusions_.onReplicated(row.key, !row.tombstone);
+}
+
+// Operators' `readyz`: the list and the exclusions are known, and the process does not drain.
 bool Gatekeeper::readyToServe() const { return ready() && !draining_; }
 
 std::string Gatekeeper::telemetry() const {
   const decision::WorkerCounts workers = gateway_.workerCounts(clock_.now());
   Metrics figures = metrics_;
-  figures.attempts = pool_.attemptsWritten();
-  figures.shortHere = pool_.shortHere();
-  figures.refusals = gateway_.rejectionCounts();
-  return telemetryText(figures, {held_.size(), workers.listed, workers.avoided},
+  figures.attemptsWritten = pool_.attemptsWritten();
+  figures.localShortages = pool_.localShortages();
+  figures.rejections = gateway_.rejectionCounts();
+  return telemetryText(figures, {requests_.size(), workers.listed, workers.avoided},
                        monitor_.telemetry() + server_.closes().telemetry("close") +
                            sendRefusals_.telemetry("not_sent", 1) + pressure_.telemetry() +
-                           (coordinator_ ? coordinator_->telemetry() : "") +
-                           (replica_ ? replica_->telemetry() : ""));
+                           fleet_.telemetry());
 }
 
-std::string Gatekeeper::replicationMembers() const {
-  return replica_ ? replica_->members() : "400 no replica is configured\n";
+ExclusionResult Gatekeeper::exclude(const std::string& id) {
+  const ExclusionResult out = exclusions_.set(id, true);
+  if (isInForce(out)) fleet_.setRow(kExcludedTable, id, kExcludedValue);
+  return out;
 }
 
-std::string Gatekeeper::replicationState() const {
-  return replica_ ? replica_->state() : "400 no replica is configured\n";
+ExclusionResult Gatekeeper::include(const std::string& id) {
+  const ExclusionResult out = exclusions_.set(id, false);
+  if (isInForce(out)) fleet_.removeRow(kExcludedTable, id);
+  return out;
 }
 
-std::string Gatekeeper::leaderTasks() const {
-  return coordinator_ ? coordinator_->dutiesAnswer() : "400 no store is configured\n";
+void Gatekeeper::onExclusionsChanged(const ExclusionChange& change) {
+  const Time now = clock_.now();
+  for (const std::string& id : change.excluded) {
+    const WorkerId worker = workerIdOf(id);
+    gateway_.exclude(now, worker);
+    pool_.stopSendingTo(worker);
+    excluded_.insert(worker);
+    monitor_.workerExcluded(worker, now);
+  }
+  for (const std::string& id : change.included) {
+    const WorkerId worker = workerIdOf(id);
+    excluded_.erase(worker);
+    monitor_.workerIncluded(worker);
+    gateway_.include(now, worker);
+  }
 }
 
-std::string Gatekeeper::membershipRecord() const {
-  return coordinator_ ? coordinator_->rosterAnswer() : "400 no store is configured\n";
+void Gatekeeper::report() {
+  ServiceSample sample;
+  sample.upstream = pool_.takeStats();
+  sample.clients = server_.takeStats();
+  sample.discovery = discovery_->takeStats();
+  sample.answers = std::exchange(finalAnswers_, {});
+  sample.requestsInFlight = requests_.size();
+  sample.clientConnections = server_.connections();
+  sample.workerConnections = pool_.connections();
+  sample.invariantsBroken = monitor_.total();
+  logServiceReport(sample);
+  pressure_.logReport();
 }
 
 }  // namespace wingslip
--- a/src/replication/replica_node.cpp
+++ b/src/replication/replica_node.cpp
@@ -96,7 +96,7 @@
       if (!stopped && !draining_) listen();
     });
   }
-  tellOfAbortedConnections(acceptor_);
+  reportAbortedConnections(acceptor_);
   accept();
   startedAt_ = now();
   replica_->start(startedAt_);
--- a/src/replication/replica_report.cpp
+++ b/src/replication/replica_report.cpp
@@ -4,7 +4,7 @@
 #include <array>
 #include <cstdio>
 
-#include "net/answer_lines.hpp"
+#include "net/operator_response.hpp"
 
 namespace wingslip::replication {
 namespace {
@@ -83,11 +83,11 @@
     for (const auto& [name, member] : replica.members()) {
       if (member.record.state != state) continue;
       const long stateSeconds = static_cast<long>((input.now - member.stateSince) / 1000);
-      out.add(name + " " + nameOf(state) + " address=" + member.record.address + " generation=" +
+      out.addLine(name + " " + nameOf(state) + " address=" + member.record.address + " generation=" +
               std::to_string(member.record.generation) + " since_s=" + std::to_string(stateSeconds));
     }
   }
-  return out.end();
+  return out.text();
 }
 
 std::string stateText(const Replica& replica) {
--- a/src/replication/snapshot_file.cpp
+++ b/src/replication/snapshot_file.cpp
@@ -34,7 +34,7 @@
   if (writer_.joinable()) writer_.join();  // it has ended
   writing_.store(true);
   writer_ = std::thread([this, bytes = encodeSnapshot(snapshot)] {
-    lastWriteFailed_.store(static_cast<bool>(replaceFile(path_, bytes, Durability::on_disk)));
+    lastWriteFailed_.store(static_cast<bool>(replaceFile(path_, bytes, Durability::onDisk)));
     writing_.store(false);
   });
 }
--- a/tests/accept_cost_test.cpp
+++ b/tests/accept_cost_test.cpp
@@ -48,14 +48,14 @@
 
 struct SilentHandler : RequestHandler {
   bool ready() const override { return true; }
-  decision::RequestId nextId() override { return ++last; }
-  void take(decision::RequestId, const Call&, ClientMessage&&,
-            const std::shared_ptr<Responder>& responder) override {
+  decision::RequestId nextRequestId() override { return ++last; }
+  void onRequest(decision::RequestId, const ParsedRequest&, ClientMessage&&,
+                 const std::shared_ptr<Responder>& responder) override {
     responders.push_back(responder);
   }
-  void left(decision::RequestId) override {}
-  void turnedAway(unsigned) override {}
-  void closedUnanswered(CloseReason reason) override {
+  void onClientDisconnect(decision::RequestId) override {}
+  void onRequestRejected(unsigned) override {}
+  void onClosedUnanswered(CloseReason reason) override {
     ADD_FAILURE() << "closed over a request: " << static_cast<int>(reason);
   }
   decision::RequestId last = 0;
@@ -77,9 +77,9 @@
   void open(std::size_t connections) {
     allowDescriptors(2 * connections + 256);
     ClientServer::Limits limits;
-    limits.connections = connections + std::min<std::size_t>(8, (connections + 8) / 16);
-    limits.firstWithin = limits.idleFor = 10min;
-    ASSERT_EQ(limits.connections - limits.overflowPlaces(), connections);
+    limits.maxConnections = connections + std::min<std::size_t>(8, (connections + 8) / 16);
+    limits.firstRequestTimeout = limits.idleTimeout = 10min;
+    ASSERT_EQ(limits.maxConnections - limits.overflowSlots(), connections);
     config = parseConfig(configJson("127.0.0.1:1").dump());
     server.emplace(io, config, limits, handler, pressure);
     server->start();
@@ -149,7 +149,7 @@
   idle->read();
   until([&] { return idle->ended; }, "the idle one is closed");
   until([&] { return handler.responders.size() == 1; }, "the request");
-  handler.responders[0]->answer({});
+  handler.responders[0]->respond({});
   until([&] { return asking->has("HTTP/1.1 200"); }, "its answer");
   EXPECT_FALSE(asking->ended);
 }
--- a/tests/overflow_connections_test.cpp
+++ b/tests/overflow_connections_test.cpp
@@ -16,14 +16,14 @@
  protected:
   struct RecordingHandler : RequestHandler {
     bool ready() const override { return true; }
-    decision::RequestId nextId() override { return ++last; }
-    void take(decision::RequestId, const Call&, ClientMessage&&,
+    decision::RequestId nextRequestId() override { return ++last; }
+    void onRequest(decision::RequestId, const ParsedRequest&, ClientMessage&&,
               const std::shared_ptr<Responder>& responder) override {
       responders.push_back(responder);
     }
-    void left(decision::RequestId) override {}
-    void turnedAway(unsigned) override { ++rejections; }
-    void closedUnanswered(CloseReason reason) override {
+    void onClientDisconnect(decision::RequestId) override {}
+    void onRequestRejected(unsigned) override { ++rejections; }
+    void onClosedUnanswered(CloseReason reason) override {
       ADD_FAILURE() << "closed over a request: " << static_cast<int>(reason);
     }
     decision::RequestId last = 0;
@@ -32,10 +32,10 @@
   };
   void SetUp() override {
     config = parseConfig(configJson("127.0.0.1:1").dump());
-    limits.connections = 32;
-    limits.overflowAfter = 100ms;
-    limits.overflowLeast = 200ms;
-    limits.firstWithin = 600ms;
+    limits.maxConnections = 32;
+    limits.overflowDelay = 100ms;
+    limits.minOverflowTime = 200ms;
+    limits.firstRequestTimeout = 600ms;
     server.emplace(io, config, limits, handler, pressure);
     server->start();
     for (std::size_t i = 0; i < 30; ++i) {
@@ -53,7 +53,7 @@
 };
 
 TEST_F(OverflowConnections, MalformedAndSilentPeersAreClosedAndRequestsAreRejected) {
-  ASSERT_EQ(limits.overflowPlaces(), 2u);
+  ASSERT_EQ(limits.overflowSlots(), 2u);
   const auto silent = dial(server->address()), odd = dial(server->address()), real = dial(server->address());
   odd->send("NONSENSE\r\n\r\n");
   real->send(Ask().text());
@@ -84,7 +84,7 @@
 TEST_F(OverflowConnections, ARequestThatCrossesTheEndOfItsOverflowConnectionIsAnswered) {
   const auto first = dial(server->address()), second = dial(server->address());
   until([&] { return server->connections() == 32; }, "both on overflow");
-  std::this_thread::sleep_for(limits.overflowLeast + 20ms);
+  std::this_thread::sleep_for(limits.minOverflowTime + 20ms);
   const auto third = dial(server->address());
   first->send(Ask().text());
   until([&] { return first->ended; }, "its end");
--- a/tests/overload_manager_test.cpp
+++ b/tests/overload_manager_test.cpp
@@ -49,7 +49,7 @@
             std::string::npos);
   for (const auto& sender : senders) sender->end();
   worker.peers.clear();
-  until([&] { return node->held() == 0 && memory().used(Account::clients) == overflowBytes; },
+  until([&] { return node->requestsInFlight() == 0 && memory().used(Account::clients) == overflowBytes; },
         "all given back");
 }
 
@@ -75,7 +75,7 @@
   EXPECT_LT(memory().used(), 400000u);
   client->goOn();
   until([&] { return client->got.size() > 33000000; }, "the whole answer");
-  until([&] { return node->held() == 0; }, "its end");
+  until([&] { return node->requestsInFlight() == 0; }, "its end");
   EXPECT_LE(memory().used(Account::workers), 11 * 1024u);
 }
 
@@ -96,7 +96,7 @@
       "a client that is not read on");
   // One that ends with more than we take cannot be told from one that waits: its end comes behind the rest.
   client->reset();
-  until([&] { return node->held() == 0; }, "its leaving is noticed");
+  until([&] { return node->requestsInFlight() == 0; }, "its leaving is noticed");
   EXPECT_EQ(memory().used(Account::clients), overflowBytes);
   EXPECT_EQ(rejections(WaitQueue::requestBodyWindow), 0u);  // not by the worker's silence, which takes longer
 }
@@ -188,7 +188,7 @@
   until([&] { return waiting(WaitQueue::pausedRead) == 1; }, "a paused answer");
   until([&] { return client->has("HTTP/1.1 "); }, "the final answer");
   EXPECT_FALSE(client->has("HTTP/1.1 200"));
-  until([&] { return node->held() == 0 && waiting(WaitQueue::pausedRead) == 0; }, "its end");
+  until([&] { return node->requestsInFlight() == 0 && waiting(WaitQueue::pausedRead) == 0; }, "its end");
 }
 
 TEST_F(OverloadManagement, StandingOverloadShedsTheLargestRequestFirst) {
--- a/tests/races_test.cpp
+++ b/tests/races_test.cpp
@@ -1,7 +1,7 @@
 // The rare orders of events, on real connections: each test makes the bad order happen every time. What a
 // peer does lies ready in the kernel before the loop takes its next turn, or is held back until the other
 // side has done its step.
-#include "worker_pool_fixture.hpp"
+#include "upstream_pool_fixture.hpp"
 
 namespace wingslip::test {
 namespace {
@@ -27,17 +27,17 @@
 };
 
 // The kernel has the whole request, and the loop has not yet told: it may run all the same.
-TEST_F(PoolRaces, AnAttemptGivenUpInTheTurnOfItsLastByteMayHaveRun) {
+TEST_F(PoolRaces, AnAttemptCancelledInTheTurnOfItsLastByteCountsAsSent) {
   rest();
   start(2);
-  const auto end = pool->giveUp(2, AttemptResult::timeout);
+  const auto end = pool->cancelAttempt(2, AttemptResult::timeout);
   ASSERT_TRUE(end);
   EXPECT_EQ(end->outcome.result, AttemptResult::timeout);
   until([&] { return seen() == 2; }, "the request at the worker");
 }
 
 // Answer and time-out are both due when the loop takes its next turn, as after a pause of the process.
-TEST_F(PoolRaces, AnAnswerThatHasComeIsTakenBeforeATimeOutOfTheSameTurn) {
+TEST_F(PoolRaces, AResponseIsReadBeforeATimeoutOfTheSameTurn) {
   rest();
   start(2, 50ms);
   until([&] { return seen() == 2; }, "the request at the worker");
@@ -100,12 +100,12 @@
   for (const AttemptEnd& end : ends) EXPECT_NE(end.body, "stray");
 }
 
-TEST_F(PoolRaces, AnAttemptThatWaitsForALateSecondAnswerEndsWhenItsWorkerLeaves) {
+TEST_F(PoolRaces, AnAttemptInQuarantineEndsWhenItsWorkerIsRemoved) {
   start(1);
   until([&] { return seen() == 1; }, "the first request");
   onEnd = [this] {
     start(2);
-    pool->retire(1);
+    pool->removeWorker(1);
   };
   worker.peers[0]->send(reply("200 OK", "first"));
   untilEnds(2);
@@ -113,9 +113,9 @@
   EXPECT_EQ(seen(), 1u);
 }
 
-TEST_F(PoolRaces, AnAttemptOnItsWayToAnAddressThatTheWorkerHasLeftEnds) {
+TEST_F(PoolRaces, AnAttemptConnectingToAFormerAddressEnds) {
   start(1);
-  pool->place(1, {other.address()});
+  pool->setWorkerAddress(1, {other.address()});
   untilEnds(1);
   EXPECT_EQ(ends[0].outcome.result, AttemptResult::connectFailed);
   start(2);
@@ -123,7 +123,7 @@
   EXPECT_EQ(seen(), 0u);
 }
 
-TEST_F(PoolRaces, AnAttemptWhoseClientLeavesWhileTheConnectionComesUpIsNotWritten) {
+TEST_F(PoolRaces, AnAttemptWhoseClientDisconnectsDuringConnectIsNotWritten) {
   start(1, {}, [] { return false; });
   untilEnds(1);
   EXPECT_EQ(ends[0].outcome.result, AttemptResult::connectFailed);
@@ -136,14 +136,14 @@
  protected:
   struct Kept : RequestHandler {
     bool ready() const override { return true; }
-    decision::RequestId nextId() override { return ++last; }
-    void take(decision::RequestId, const Call&, ClientMessage&&,
-              const std::shared_ptr<Responder>& a) override {
+    decision::RequestId nextRequestId() override { return ++last; }
+    void onRequest(decision::RequestId, const ParsedRequest&, ClientMessage&&,
+                   const std::shared_ptr<Responder>& a) override {
       responders.push_back(a);
     }
-    void left(decision::RequestId) override { ++gone; }
-    void turnedAway(unsigned) override {}
-    void closedUnanswered(CloseReason reason) override {
+    void onClientDisconnect(decision::RequestId) override { ++gone; }
+    void onRequestRejected(unsigned) override {}
+    void onClosedUnanswered(CloseReason reason) override {
       ADD_FAILURE() << "closed over a request: " << static_cast<int>(reason);
     }
     decision::RequestId last = 0;
@@ -160,7 +160,7 @@
 };
 
 // Two stand in the machine's queue as accepting stops: one has been taken from it in that turn, one has not.
-TEST_F(ClientRaces, AConnectionThatComesAsAcceptingStopsIsHeard) {
+TEST_F(ClientRaces, AConnectionThatArrivesAsAcceptingStopsIsServed) {
   const auto first = dial(server.address()), second = dial(server.address());
   until([&] { return server.connections() == 1; }, "the first is taken");
   server.stopAccepting();
@@ -169,29 +169,29 @@
 }
 
 // Its request lies in the kernel as the drain ends what rests.
-TEST_F(ClientRaces, ARequestThatComesAsTheDrainEndsIdleConnectionsIsAnswered) {
+TEST_F(ClientRaces, ARequestThatArrivesAsTheDrainClosesIdleConnectionsIsAnswered) {
   const auto client = dial(server.address());
   client->send(readiness());
   server.stopAccepting();
-  server.finishUp();
+  server.closeIdle();
   until([&] { return client->has("\r\n\r\n") || client->ended; }, "an answer or an end");
   EXPECT_TRUE(client->has("HTTP/1.1 200")) << client->got;
 }
 
 // The next request crosses the end of a connection whose last answer the client is still reading: a close
 // would answer it with a reset, and what the system holds of the answer would go with it.
-TEST_F(ClientRaces, AnEndThatCrossesARequestTakesNothingOfTheLastAnswer) {
+TEST_F(ClientRaces, ACloseThatCrossesARequestLosesNothingOfTheLastResponse) {
   const auto client = dial(server.address());
   client->stall();
   client->send(Ask().text());
   until([&] { return handler.responders.size() == 1; }, "the request");
-  Answer answer;
+  ClientResponse answer;
   answer.body = std::string(300000, 'z');
-  handler.responders[0]->answer(std::move(answer));
+  handler.responders[0]->respond(std::move(answer));
   server.stopAccepting();
   const auto idle = [&] { return pressure.waitQueues().waiting(WaitQueue::responseWrite) == 0; };
   until(idle, "the answer is the system's");
-  server.finishUp();
+  server.closeIdle();
   client->send(Ask().text());
   client->goOn();
   until([&] { return client->ended; }, "the end");
@@ -200,9 +200,9 @@
 }
 
 // At the limit the one that has rested longest would make room, but its next request has come unread.
-TEST_F(ClientRaces, AConnectionWithARequestUnreadDoesNotMakeRoom) {
+TEST_F(ClientRaces, AConnectionWithAnUnreadRequestIsNotEvicted) {
   ClientServer::Limits limits;
-  limits.connections = 1;
+  limits.maxConnections = 1;
   ClientServer small{io, config, limits, handler, pressure};
   small.start();
   const auto first = dial(small.address());
@@ -246,7 +246,7 @@
   client->end();
   serveAnother();
   EXPECT_EQ(worker.count("Req-Id: 00000000000000a1"), 0u);
-  EXPECT_EQ(node->held(), 0u);
+  EXPECT_EQ(node->requestsInFlight(), 0u);
 }
 
 // What it has sent ahead fills all that is read ahead, so that its close is behind bytes that nobody reads.
@@ -261,14 +261,14 @@
   for (int i = 0; i < 20; ++i) io.restart(), io.poll();
   client->end();
   worker.peers[0]->reset();
-  until([&] { return node->held() == 0; }, "it is let go");
+  until([&] { return node->requestsInFlight() == 0; }, "it is let go");
   serveAnother();
   EXPECT_EQ(worker.count("Req-Id: 00000000000000a1"), 1u);
 }
 
 // Settings that name zones in another order mean the same by each name; so does what the lists had told
 // before.
-TEST_F(GateRaces, ZonesKeepTheirMeaningOverChangedSettings) {
+TEST_F(GateRaces, ZoneIndexesStayValidAcrossAReload) {
   const auto config = [&](const char* first, const char* second, int own) {
     json elsewhere = entry("s-2", other.text());
     elsewhere["zone"] = "b";
@@ -295,13 +295,13 @@
 }
 
 // A request that waits for the first list while the settings change has the class and plan that it named.
-TEST_F(GateRaces, ARequestBeforeTheFirstListKeepsItsClassAndPlanOverChangedSettings) {
+TEST_F(GateRaces, ARequestBeforeTheFirstListKeepsItsClassAndPlanAcrossAReload) {
   json file = configJson(discovery.text(), json::array({entry("s-1", worker.text())}));
   Gatekeeper early(io, parseConfig(file.dump()));
   early.start();
   const auto client = dial(early.address());
   client->send(Ask().text());
-  until([&] { return early.held() == 1; }, "it is held");
+  until([&] { return early.requestsInFlight() == 1; }, "it is held");
   std::swap(file["settings"]["profiles"][0], file["settings"]["profiles"][2]);
   std::swap(file["settings"]["plans"][0], file["settings"]["plans"][1]);
   early.reload(parseConfig(file.dump()));
--- a/tests/stored_data_test.cpp
+++ b/tests/stored_data_test.cpp
@@ -137,12 +137,12 @@
 TEST(StoredData, TheHandoverIsReadAndWrittenAsBefore) {
   const StateFolder folder;
   folder.write("burlwind-handover.json", R"({"at":1234.5,"clockOffset":-17.25,"warmRate":0.125})");
-  const auto handover = inherit(folder.path());
+  const auto handover = readHandover(folder.path());
   ASSERT_TRUE(handover);
   EXPECT_EQ(handover->at, 1234.5);
   EXPECT_EQ(handover->warmRate, 0.125);
   EXPECT_EQ(handover->clockOffset, -17.25);
-  leave(folder.path(), *handover);
+  writeHandover(folder.path(), *handover);
   EXPECT_EQ(folder.read("burlwind-handover.json"), R"({"at":1234.5,"clockOffset":-17.25,"warmRate":0.125})");
 }
 
--- a/tests/stream_test.cpp
+++ b/tests/stream_test.cpp
@@ -49,7 +49,7 @@
   return out;
 }
 
-TEST_F(Stream, ALongAnswerIsPassedOnAsItComesAndTheConnectionsLiveOn) {
+TEST_F(Stream, ALongResponseIsStreamedAndTheConnectionsAreReused) {
   open();
   const auto client = ask(Ask().text());
   untilSeen();
@@ -59,7 +59,7 @@
   until([&] { return client->has(letters(400000, kPiece)); }, "the whole answer");
   EXPECT_TRUE(client->has("Content-Length: 400000\r\n"));
   EXPECT_TRUE(client->has("Content-Type: a/b\r\n"));
-  until([&] { return node->held() == 0; }, "its end");
+  until([&] { return node->requestsInFlight() == 0; }, "its end");
   client->send(Ask().text());
   untilSeen(2);
   EXPECT_EQ(worker.peers.size(), 1u);
@@ -67,7 +67,7 @@
   until([&] { return client->has("next"); }, "the next answer");
 }
 
-TEST_F(Stream, ALongAnswerInChunksWithExtensionsAndATrailerKeepsItsBody) {
+TEST_F(Stream, ALongChunkedResponseWithExtensionsAndATrailerKeepsItsBody) {
   open();
   const auto client = ask(Ask().text());
   untilSeen();
@@ -84,7 +84,7 @@
 }
 
 // The client can tell, and nothing is tried again: it has seen the beginning.
-TEST_F(Stream, ALongAnswerThatBreaksLooksBroken) {
+TEST_F(Stream, ALongResponseThatIsCutLooksCutToTheClient) {
   for (const char* framing : {"Content-Length: 400000\r\n", "Transfer-Encoding: chunked\r\n"}) {
     open();
     const auto client = ask(Ask().text());
@@ -97,14 +97,14 @@
     peer->end();
     until([&] { return client->ended; }, "the cut");
     EXPECT_FALSE(client->has("\r\n0\r\n\r\n"));
-    EXPECT_EQ(node->held(), 0u);
+    EXPECT_EQ(node->requestsInFlight(), 0u);
     EXPECT_EQ(worker.count("Req-Id"), 1u);
     node.reset();
     worker.peers.clear();
   }
 }
 
-TEST_F(Stream, ALongBodyIsPassedOnInEitherFraming) {
+TEST_F(Stream, ALongBodyIsStreamedInEitherFraming) {
   open();
   for (const bool chunked : {false, true}) {
     const auto client =
@@ -129,7 +129,7 @@
 }
 
 // Its beginning is gone, so no second worker can have it. It has never run: trying again is harmless.
-TEST_F(Stream, ALongBodyWhoseWorkerBreaksIsNotSentAgain) {
+TEST_F(Stream, ALongBodyIsNotRetriedAfterAReset) {
   open();
   const auto client = ask(head("edit", "Content-Length: 200000\r\n"));
   for (int i = 0; i < 5; ++i) client->send(std::string(20000, 'x'));
@@ -143,25 +143,25 @@
   until([&] { return worker.count("GET /look") == 1; }, "the next request on the connection");
 }
 
-TEST_F(Stream, ABodyIsWaitedForAsLongAsItComes) {
+TEST_F(Stream, ABodyHasTimeAsLongAsItKeepsComing) {
   ClientServer::Limits limits;
   EXPECT_LT(limits.bodyGrace + 500ms, 3s);
-  EXPECT_GT(64 / limits.bodyRate, 1.5);
+  EXPECT_GT(64 / limits.minBodyBytesPerMs, 1.5);
   open();
   const auto stalled = ask(head("edit", "Content-Length: 200000\r\n") + std::string(20000, 'x'));
   until([&] { return stalled->has("HTTP/1.1 408") && stalled->ended; }, "its end");
-  EXPECT_EQ(node->held(), 0u);
+  EXPECT_EQ(node->requestsInFlight(), 0u);
   until([&] { return !worker.peers.empty() && worker.peers[0]->ended; }, "its attempt's end");
 }
 
-TEST_F(Stream, AClientThatAsksBeforeItSendsIsTold) {
+TEST_F(Stream, AClientThatExpectsContinueGetsIt) {
   open();
   for (const char* size : {"3", "100000"}) {
     const auto client =
         ask(head("edit", std::string("Expect: 100-continue\r\nContent-Length: ") + size + "\r\n"));
     until([&] { return client->has("HTTP/1.1 100"); }, "100 Continue");
     client->end();
-    until([&] { return node->held() == 0; }, "its end");
+    until([&] { return node->requestsInFlight() == 0; }, "its end");
   }
   const auto refused =
       ask("POST /nowhere HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 100000\r\n\r\n");
@@ -182,9 +182,10 @@
 TEST_F(Stream, AStatedLengthAllocatesNothing) {
   std::string body;
   http::request_parser<WindowBody> parser;
-  parser.body_limit(kMostBody);
+  parser.body_limit(kMaxBodyBytes);
   beast::flat_buffer in;
-  const std::string text = "POST / HTTP/1.1\r\nContent-Length: " + std::to_string(kMostBody) + "\r\n\r\nx";
+  const std::string text =
+      "POST / HTTP/1.1\r\nContent-Length: " + std::to_string(kMaxBodyBytes) + "\r\n\r\nx";
   asio::buffer_copy(in.prepare(text.size()), asio::buffer(text));
   in.commit(text.size());
   Error error;
--- a/tools/lab/idle_clients.cpp
+++ b/tools/lab/idle_clients.cpp
@@ -21,7 +21,7 @@
 constexpr std::string_view kWholeRequest = "GET /health/ready HTTP/1.1\r\nHost: backend.local\r\n\r\n";
 constexpr std::string_view kPartOfRequest = "GET /look HTTP/1.1\r\nHost: backend.local\r\n";
 constexpr std::string_view kAnswered = "HTTP/1.1 200";
-constexpr std::size_t kReadStep = 512;
+constexpr std::size_t kReadBytes = 512;
 
 }  // namespace
 
@@ -88,7 +88,7 @@
   IdleClients& clients_;
   const Sends sends_;
   tcp::socket socket_;
-  std::array<char, kReadStep> piece_{};
+  std::array<char, kReadBytes> piece_{};
   std::string begin_;  // the answer's first bytes
   bool closedHere_ = false;
 };
