--- a/include/wingslip/decision/gateway.hpp
+++ b/include/wingslip/decision/gateway.hpp
@@ -102,16 +102,22 @@
   Gateway(Gateway&&) noexcept;
   Gateway& operator=(Gateway&&) noexcept;
 
+  /// A list of workers, changes to one, or the failure to get one. A worker whose start time differs from
+  /// before counts as a new process.
   void onEndpoints(Time now, EndpointUpdate kind, const std::vector<Endpoint>& endpoints);
+  /// A new request: starts its first attempt or rejects it. One whose id is in flight is ignored.
   void onRequest(Time now, const Request& request);
   /// The last byte of a request whose header came before: its time counts from now.
   void onRequestComplete(Time now, RequestId id, Time expiresAt);
+  /// Ends an attempt; a second outcome of one is ignored. May start another attempt or give the final answer.
   void onAttemptOutcome(Time now, const AttemptOutcome& outcome);
+  /// Nobody waits for the answer any more. An attempt in flight still gets its outcome.
   void onClientDisconnect(Time now, RequestId id);
   /// From now on the client gets the answer of the attempt in flight.
   void onResponseStarted(Time now, RequestId id);
   /// Holds until the next one; without it every action is as if there were no such event.
   void onOverload(Time now, const OverloadSignal& signal);
+  /// A time set by Actions::setTimer has passed. One of a request that has ended is ignored.
   void onTimer(Time now, std::uint64_t tag);
   /// Changed settings, from the next request on: one in flight keeps its class, and may lose attempts but
   /// gain none.
@@ -131,7 +137,9 @@
 
   WorkerCounts workerCounts(Time now) const;
   RejectionCounts rejectionCounts() const;
+  /// Customers whose quota this gateway tracks; bounded.
   std::size_t trackedCustomers() const;
+  /// Admitted requests without a final answer.
   std::size_t requestsInFlight() const;
 
  private:
--- a/src/decision/customer_registry.cpp
+++ b/src/decision/customer_registry.cpp
@@ -1,4 +1,4 @@
-/// The customers that this gateway keeps: new ones, eviction, changed plans.
+/// The customers that this gateway tracks: new ones, eviction, changed plans.
 #include "decision/customer_registry.hpp"
 
 #include <algorithm>
@@ -47,7 +47,7 @@
   return customer;
 }
 
-// What a bucket of a customer that is not kept holds by now. Tokens are spent in whole requests: where the
+// What a bucket of a customer that is not tracked holds by now. Tokens are spent in whole requests: where the
 // gateways are so many that burst over them holds none, one usual request is the least that a bucket starts
 // with, or all of them would reject the first requests of a customer whose quota is full.
 double CustomerRegistry::initialTokens(const PlanSettings& plan, unsigned customerGateways, Time now) const {
--- a/src/decision/customer_registry.hpp
+++ b/src/decision/customer_registry.hpp
@@ -1,4 +1,4 @@
-/// The customers that this gateway keeps: new ones, eviction, and what a forgotten one may start with.
+/// The customers that this gateway tracks: new ones, eviction, and what an evicted one may start with.
 #pragma once
 
 #include <cstddef>
@@ -16,12 +16,12 @@
  public:
   CustomerRegistry(const Settings& settings, const CustomerQuota& quota, Random& random, Time now);
 
-  /// Null where the customer is not kept.
+  /// Null where the customer is not tracked.
   Customer* find(CustomerId id) { return table_.find(id); }
-  /// The customer of a request, brought up to `now`; made where it is not kept.
+  /// The customer of a request, brought up to `now`; made where it is not tracked.
   Customer& obtain(Time now, const Request& request);
   /// Before the settings become `next`: customers follow their plan's name. Those of a dropped plan are
-  /// forgotten, as all are where the reading period changes, since their use is kept by its quarters.
+  /// forgotten, as all are where the reading period changes, since their use is recorded by its quarters.
   void applySettings(Time now, const Settings& next);
 
   std::size_t size() const { return table_.size(); }
@@ -40,8 +40,8 @@
   Random& random_;
   CustomerTable table_;
   UsualRequestSize usualRequestSize_;
-  // Since when a customer that is not kept cannot have spent anything here: this gateway's start, or when one
-  // that lost by it was forgotten.
+  // Since when a customer that is not tracked cannot have spent anything here: this gateway's start, or when
+  // one that lost by it was evicted.
   Time bucketsSince_;
   Time ceilingsSince_;
 };
--- a/src/decision/customer_table.hpp
+++ b/src/decision/customer_table.hpp
@@ -12,7 +12,7 @@
 /// Owns the customers. A reference to one holds until it is erased.
 class CustomerTable {
  public:
-  /// What strangers can make the gateway keep is bounded by this.
+  /// Bounds the memory that one-off customers can make the gateway use.
   static constexpr std::size_t kMaxCustomers = 4096;
   /// Least recently used customers that are looked at for one that loses nothing by eviction.
   static constexpr std::size_t kEvictionScan = 32;
--- a/src/decision/gateway.cpp
+++ b/src/decision/gateway.cpp
@@ -203,7 +203,7 @@
     return pending;
   }
 
-  // One that may have run is not held to the gateway's limit: its final answer might be a failure.
+  // A request that may have run is exempt from the gateway's limit: its final answer might be a failure.
   UpstreamWorker* chooseWorker(Time now, const PendingRequest& pending) {
     if (!pending.mayHaveRun && !concurrencyLimit_.hasCapacity(random_)) {
       ++rejections_.concurrencyLimit;
--- a/src/decision/load_balancer.cpp
+++ b/src/decision/load_balancer.cpp
@@ -70,7 +70,7 @@
   return std::max({1u, usual, std::min(settings_.gatewayCount / kMinGatewaysPerWorker, needed)});
 }
 
-// A request that may have run is not held to the limit: without a worker its final answer might be a failure.
+// A request that may have run is exempt from the limit: without a worker its final answer might be a failure.
 inline bool LoadBalancer::mayBeSentTo(UpstreamWorker& worker, Time now, const PendingRequest& pending,
                                       double capacityShare) {
   if (!isInDeduplicationScope(pending, worker.endpoint)) return false;
--- a/tests/decision_replay_test.cpp
+++ b/tests/decision_replay_test.cpp
@@ -306,8 +306,8 @@
   }
 
   void observe() {
-    const WorkerCounts census = gateway_.workerCounts(now_);
-    hash(static_cast<std::uint64_t>(census.listed)), hash(static_cast<std::uint64_t>(census.avoided));
+    const WorkerCounts counts = gateway_.workerCounts(now_);
+    hash(static_cast<std::uint64_t>(counts.listed)), hash(static_cast<std::uint64_t>(counts.avoided));
     hash(gateway_.warmWorkerRate(now_));
     if (random_.chance(0.1)) gateway_.seedWarmWorkerRate(now_, random_.between(0, 0.2));
   }
