--- a/src/config/config_json.cpp
+++ b/src/config/config_json.cpp
@@ -4,9 +4,8 @@
 #include <charconv>
 #include <set>
 
-#include "config/config_sections.hpp"
-
 #include "codec/socket_address.hpp"
+#include "config/config_sections.hpp"
 
 namespace wingslip {
 namespace {
--- a/src/config/config_sections.cpp
+++ b/src/config/config_sections.cpp
@@ -1,12 +1,12 @@
 #include "config/config_sections.hpp"
 
-#include "codec/socket_address.hpp"
-
 #include <algorithm>
 #include <cctype>
 #include <cmath>
 #include <set>
 
+#include "codec/socket_address.hpp"
+
 namespace wingslip {
 namespace {
 
--- a/src/gatekeeper/client_connection_reading.cpp
+++ b/src/gatekeeper/client_connection_reading.cpp
@@ -58,7 +58,7 @@
     return true;
   };
   server_.pressure_.pauseUntilMemory(pausedRead_, Account::clients, weak_from_this(), retry,
-                                [this] { checkDisconnect(); });
+                                     [this] { checkDisconnect(); });
 }
 
 void ClientServer::Connection::onReadable(const Error& waitError) {
--- a/src/gatekeeper/client_connection_writing.cpp
+++ b/src/gatekeeper/client_connection_writing.cpp
@@ -15,7 +15,8 @@
   if (state_ != State::inFlight) return;
   responseMemory_ = std::move(response.bodyMemory);
   closeAfterResponse_ = closeAfterResponse_ || server_.draining_ || overflow_ ||
-                        server_.pressure_.areDescriptorsOverloaded() || (server_.pressure_.isMemoryOverloaded() && !bodyDone_);
+                        server_.pressure_.areDescriptorsOverloaded() ||
+                        (server_.pressure_.isMemoryOverloaded() && !bodyDone_);
   state_ = State::responding;
   recordWait(WaitQueue::responseWrite);
   bodyReader_ = nullptr;
--- a/src/gatekeeper/client_server.cpp
+++ b/src/gatekeeper/client_server.cpp
@@ -43,7 +43,8 @@
   pressure_.waitQueues().setReader(WaitQueue::acceptBacklog, [this](double now) {
     WaitQueues::Figures out;
     out.waiting = acceptBacklogLength(acceptor_);
-    if (out.waiting > 0 && fullRecord_.isIn(WaitQueue::freeConnection)) out.oldestMs = now - fullRecord_.since();
+    if (out.waiting > 0 && fullRecord_.isIn(WaitQueue::freeConnection))
+      out.oldestMs = now - fullRecord_.since();
     return out;
   });
   reserveOverflowMemory();
@@ -219,16 +220,18 @@
 // With jitter, so that clients that are rejected together do not come back together.
 decision::Time ClientServer::rejectionRetryAfterMs() const {
   const double maxMs = config_.settings.maxRetryAfterMs;
-  const double overloadMs = std::max(pressure_.state().expectedDurationMs(OverloadManager::now()), kMinRetryAfterMs);
+  const double overloadMs =
+      std::max(pressure_.state().expectedDurationMs(OverloadManager::now()), kMinRetryAfterMs);
   return (maxMs > 0 ? std::min(maxMs, overloadMs) : overloadMs) *
          std::uniform_real_distribution<>(0.5, 1.0)(jitter_);
 }
 
 double ClientServer::busyShare() const {
   const auto& places = pressure_.waitQueues();
-  const std::size_t busy = places.waiting(WaitQueue::incompleteRequest) + places.waiting(WaitQueue::inFlight) +
-                           places.waiting(WaitQueue::requestBodyWindow) + places.waiting(WaitQueue::responseBodyWindow) +
-                           places.waiting(WaitQueue::responseWrite);
+  const std::size_t busy =
+      places.waiting(WaitQueue::incompleteRequest) + places.waiting(WaitQueue::inFlight) +
+      places.waiting(WaitQueue::requestBodyWindow) + places.waiting(WaitQueue::responseBodyWindow) +
+      places.waiting(WaitQueue::responseWrite);
   return static_cast<double>(busy) / static_cast<double>(std::max<std::size_t>(1, maxRegular()));
 }
 
--- a/src/gatekeeper/client_server.hpp
+++ b/src/gatekeeper/client_server.hpp
@@ -122,7 +122,7 @@
   ConnectionOrder lingering_;      // ended while idle; closed first where capacity is needed
   ConnectionOrder overflowOrder_;  // oldest first
   std::optional<boost::asio::ip::tcp::socket> accepted_;  // no capacity for it yet
-  WaitQueues::QueueEntry fullRecord_;                        // since when there is no capacity
+  WaitQueues::QueueEntry fullRecord_;                     // since when there is no capacity
   std::size_t overflowCount_ = 0;
   std::vector<MemoryBudget::Charge> overflowMemory_;  // one for each overflow slot that is free
   bool overflowOpen_ = false;
--- a/src/gatekeeper/exclusion_control.cpp
+++ b/src/gatekeeper/exclusion_control.cpp
@@ -40,7 +40,8 @@
 }
 
 ExclusionResult ExclusionControl::set(const std::string& id, bool excluded) {
-  if (!named_.contains(id) && !exclusions_.ids().contains(id)) return {ExclusionResult::Status::unknownWorker};
+  if (!named_.contains(id) && !exclusions_.ids().contains(id))
+    return {ExclusionResult::Status::unknownWorker};
   if (excluded && !exclusions_.canExclude(id)) return {ExclusionResult::Status::tooManyExcluded};
   const auto before = exclusions_.ids();
   const std::error_code error = exclusions_.set(id, excluded);
--- a/src/gatekeeper/gatekeeper.cpp
+++ b/src/gatekeeper/gatekeeper.cpp
@@ -165,8 +165,9 @@
 void Gatekeeper::onOverload(double excess) {
   const OverloadState& now = pressure_.state();
   if (pressure_.areDescriptorsOverloaded()) server_.closeLongIdle();
-  gateway_.onOverload(clock_.now(), {now.level() != OverloadLevel::none, pressure_.isMemoryOverloaded(), now.rejectShare(), excess,
-                                     now.expectedDurationMs(OverloadManager::now())});
+  gateway_.onOverload(clock_.now(),
+                      {now.level() != OverloadLevel::none, pressure_.isMemoryOverloaded(), now.rejectShare(),
+                       excess, now.expectedDurationMs(OverloadManager::now())});
 }
 
 // --- Reload ----------------------------------------------------------------------------------------------
@@ -289,15 +290,15 @@
     if (!request.responseStarted) monitor_.requestReleased(request.trace, now);
   if (server_.connections() == 0)
     monitor_.checkNothingHeld(requests_.size(),
-                      std::to_string(requests_.size()) + " requests held without a connection", now);
+                              std::to_string(requests_.size()) + " requests held without a connection", now);
   done();
 }
 
 // --- From discovery --------------------------------------------------------------------------------------
 
 // A zone or machine type that the settings do not name is none of theirs, also after others were added.
-Endpoint Gatekeeper::endpointOf(const EndpointEntry& instance, const WorkerStart& start, const NameIndex& zones,
-                                const NameIndex& kinds) const {
+Endpoint Gatekeeper::endpointOf(const EndpointEntry& instance, const WorkerStart& start,
+                                const NameIndex& zones, const NameIndex& kinds) const {
   Endpoint out;
   out.worker = workerIdOf(instance.id);
   out.phase = instance.phase;
--- a/src/gatekeeper/gatekeeper.hpp
+++ b/src/gatekeeper/gatekeeper.hpp
@@ -110,8 +110,8 @@
   // Workers and overload (gatekeeper.cpp)
   void onEndpointList(const EndpointList& roster, decision::EndpointUpdate kind);
   void onWorkerRemoved(decision::WorkerId worker, decision::WorkerPhase phase, decision::Time now);
-  decision::Endpoint endpointOf(const EndpointEntry& instance, const WorkerStart& start, const NameIndex& zones,
-                                const NameIndex& kinds) const;
+  decision::Endpoint endpointOf(const EndpointEntry& instance, const WorkerStart& start,
+                                const NameIndex& zones, const NameIndex& kinds) const;
   void onOverload(double excess);
 
   // Operators (gatekeeper_operators.cpp)
--- a/src/gatekeeper/gatekeeper_limits.cpp
+++ b/src/gatekeeper/gatekeeper_limits.cpp
@@ -40,7 +40,8 @@
 UpstreamPool::Limits poolLimits(const Config& config) {
   UpstreamPool::Limits out;
   out.connectTimeout = std::chrono::milliseconds(std::lround(std::max(1.0, config.host.connectTimeoutMs)));
-  out.idleTimeout = std::chrono::milliseconds(std::lround(kIdleTimeoutShare * config.host.workerIdleTimeoutMs));
+  out.idleTimeout =
+      std::chrono::milliseconds(std::lround(kIdleTimeoutShare * config.host.workerIdleTimeoutMs));
   out.maxConnections = shareOfSockets(config, kWorkerShare);
   return out;
 }
--- a/src/gatekeeper/gatekeeper_operators.cpp
+++ b/src/gatekeeper/gatekeeper_operators.cpp
@@ -13,7 +13,8 @@
 
 // Whether the change is in force, so that the other gatekeepers have to know of it.
 bool isInForce(const ExclusionResult& result) {
-  return result.status == ExclusionResult::Status::done || result.status == ExclusionResult::Status::notPersisted;
+  return result.status == ExclusionResult::Status::done ||
+         result.status == ExclusionResult::Status::notPersisted;
 }
 
 }  // namespace
--- a/src/gatekeeper/gatekeeper_requests.cpp
+++ b/src/gatekeeper/gatekeeper_requests.cpp
@@ -76,7 +76,8 @@
 }
 
 void Gatekeeper::onClosedUnanswered(CloseReason reason) {
-  monitor_.connectionClosedUnanswered(std::string(kCloseReasonNames[static_cast<std::size_t>(reason)]), clock_.now());
+  monitor_.connectionClosedUnanswered(std::string(kCloseReasonNames[static_cast<std::size_t>(reason)]),
+                                      clock_.now());
 }
 
 void Gatekeeper::startDeadlineTimer(RequestId id, RequestInFlight& request) {
@@ -201,8 +202,8 @@
   const bool complete = end.outcome.result == AttemptResult::ok;
   ++(complete ? finalAnswers_.served : finalAnswers_.failed);
   ++(complete ? found->second.classCounts->success : found->second.classCounts->failure);
-  const auto responder =
-      conclude(end.outcome.id, complete ? invariant::RequestState::answered : invariant::RequestState::truncated);
+  const auto responder = conclude(
+      end.outcome.id, complete ? invariant::RequestState::answered : invariant::RequestState::truncated);
   if (complete) {
     responder->holdMemory(std::move(end.bodyMemory));
     responder->sendPiece(std::move(end.body), true, nullptr);
--- a/src/leader_election/coordinator.cpp
+++ b/src/leader_election/coordinator.cpp
@@ -172,8 +172,8 @@
     for (const auto& [name, member] : record.members())
       if (member.state == state)
         out.addLine(name + " " + operatorsNameOf(state) + " processes=" + std::to_string(member.processes) +
-                " build=" + member.build + " started=" + std::to_string(member.startedUnixS) +
-                " since_version=" + std::to_string(member.sinceVersion));
+                    " build=" + member.build + " started=" + std::to_string(member.startedUnixS) +
+                    " since_version=" + std::to_string(member.sinceVersion));
   return out.text();
 }
 
--- a/src/replication/replica_node.cpp
+++ b/src/replication/replica_node.cpp
@@ -4,10 +4,10 @@
 #include <cmath>
 #include <utility>
 
+#include "codec/socket_address.hpp"
 #include "net/http.hpp"
 #include "net/listener.hpp"
 #include "replication/replica_report.hpp"
-#include "codec/socket_address.hpp"
 
 namespace wingslip::replication {
 namespace {
--- a/src/replication/replica_report.cpp
+++ b/src/replication/replica_report.cpp
@@ -84,7 +84,7 @@
       if (member.record.state != state) continue;
       const long stateSeconds = static_cast<long>((input.now - member.stateSince) / 1000);
       out.addLine(name + " " + nameOf(state) + " address=" + member.record.address + " generation=" +
-              std::to_string(member.record.generation) + " since_s=" + std::to_string(stateSeconds));
+                  std::to_string(member.record.generation) + " since_s=" + std::to_string(stateSeconds));
     }
   }
   return out.text();
--- a/tests/discovery_backoff_test.cpp
+++ b/tests/discovery_backoff_test.cpp
@@ -15,8 +15,8 @@
     std::vector<std::unique_ptr<DiscoveryClient>> all;
     for (unsigned i = 0; i < 10; ++i) {
       all.push_back(std::make_unique<DiscoveryClient>(
-          io, agent.address(), EndpointList{}, EndpointWatch::limitsFor(2000, gatekeepers), i, [](const EndpointList&) {},
-          pressure));
+          io, agent.address(), EndpointList{}, EndpointWatch::limitsFor(2000, gatekeepers), i,
+          [](const EndpointList&) {}, pressure));
       all.back()->start();
     }
     until([&] { return agent.count("GET /registry/instances") == 10; }, "all call");
--- a/tests/load_shedding_test.cpp
+++ b/tests/load_shedding_test.cpp
@@ -45,7 +45,7 @@
       bench->now += 7;
       const RequestId id =
           bench->request(bench == &notified ? 1e6 : 0, static_cast<unsigned>(i % 3), 0, 1 + i % 5);
-      if (i % 2 && bench->wasForwarded(id)) bench->end(id, AttemptResult::ok, 50, 30);
+      if (i % 2 && bench->wasForwarded(id)) bench->endAttempt(id, AttemptResult::ok, 50, 30);
     }
   }
   EXPECT_EQ(plain.recorder.startedAttempts.size(), notified.recorder.startedAttempts.size());
@@ -129,11 +129,11 @@
     bench.overload(0, 1, 2000);
     waits.push_back(bench.recorder.rejected.at(id));
   }
-  std::sort(waits.begin(), waits.endAttempt());
+  std::sort(waits.begin(), waits.end());
   EXPECT_GE(waits.front(), 1000);
   EXPECT_LE(waits.back(), 2000);
   for (std::size_t i = 0; i < 10; ++i) {  // no tenth of the time gets more than a fifth of them
-    const auto in = std::count_if(waits.begin(), waits.endAttempt(), [&](Time w) {
+    const auto in = std::count_if(waits.begin(), waits.end(), [&](Time w) {
       return w >= 1000 + 100.0 * static_cast<double>(i) && w < 1100 + 100.0 * static_cast<double>(i);
     });
     EXPECT_LT(in, 60) << i;
--- a/tests/overflow_connections_test.cpp
+++ b/tests/overflow_connections_test.cpp
@@ -18,7 +18,7 @@
     bool ready() const override { return true; }
     decision::RequestId nextRequestId() override { return ++last; }
     void onRequest(decision::RequestId, const ParsedRequest&, ClientMessage&&,
-              const std::shared_ptr<Responder>& responder) override {
+                   const std::shared_ptr<Responder>& responder) override {
       responders.push_back(responder);
     }
     void onClientDisconnect(decision::RequestId) override {}
--- a/tests/simulator_adapter_test.cpp
+++ b/tests/simulator_adapter_test.cpp
@@ -1,5 +1,3 @@
-#include "simulator_adapter/wire.hpp"
-
 #include <gtest/gtest.h>
 #include <sys/wait.h>
 #include <unistd.h>
@@ -10,6 +8,7 @@
 #include <fstream>
 
 #include "settings/settings_reader.hpp"
+#include "simulator_adapter/wire.hpp"
 
 namespace wingslip::decision {
 namespace {
@@ -140,7 +139,8 @@
       std::filesystem::temp_directory_path() / ("wingslip-simulator-adapter-" + std::to_string(::getpid()));
   const std::string in = stem.string() + ".in", err = stem.string() + ".err";
   std::ofstream(in, std::ios::binary) << input;
-  const int status = std::system(("'" SIMULATOR_ADAPTER "' <'" + in + "' >/dev/null 2>'" + err + "'").c_str());
+  const int status =
+      std::system(("'" SIMULATOR_ADAPTER "' <'" + in + "' >/dev/null 2>'" + err + "'").c_str());
   std::ifstream text(err);
   errors.assign(std::istreambuf_iterator<char>(text), {});
   std::filesystem::remove(in);
