--- a/include/wingslip/decision/gateway.hpp
+++ b/include/wingslip/decision/gateway.hpp
@@ -66,14 +66,16 @@
   std::size_t avoided = 0;  ///< of these: excluded by hand, draining or ejected
 };
 
-/// Requests rejected since the start, by reason.
+/// Requests rejected since the start, by reason. Not counted here: rejections by a hard ceiling, by a cap on
+/// concurrency, of malformed requests, and after an attempt that may not be retried.
 struct RejectionCounts {
   std::uint64_t localQuota = 0;        ///< the customer's bucket at this gateway is empty
   std::uint64_t fleetQuota = 0;        ///< its quota over all gateways is estimated to be used up
   std::uint64_t unknownCustomer = 0;   ///< its use of the quota is unknown, and the request too large
   std::uint64_t noWorker = 0;          ///< no worker may be sent to
-  std::uint64_t concurrencyLimit = 0;  ///< of these: the gateway's own limit
-  std::uint64_t overload = 0;          ///< the host is short of memory, descriptors or time
+  std::uint64_t concurrencyLimit = 0;  ///< the gateway's own limit, at first attempts and retries
+  std::uint64_t overload = 0;  ///< the host is short of memory, descriptors or time; also where the answer is
+                               ///< a failure
 };
 
 /// What the module asks of its host. Called from within the events of Gateway.
@@ -82,7 +84,8 @@
   virtual ~Actions() = default;
   /// @param timeoutMs when the attempt is given up; 0: when the client gives up.
   virtual void startAttempt(RequestId id, WorkerId worker, Time timeoutMs) = 0;
-  /// The final answer: it has not run and may be sent again after `retryAfterMs`.
+  /// The final answer: it may be sent again after `retryAfterMs`, since it has not run or a repeat does no
+  /// harm.
   virtual void reject(RequestId id, Time retryAfterMs) = 0;
   /// The final answer: whether it has run is not known.
   virtual void fail(RequestId id) = 0;
--- a/include/wingslip/decision/types.hpp
+++ b/include/wingslip/decision/types.hpp
@@ -31,7 +31,8 @@
   error,          ///< the worker answered that it failed
   overloaded,     ///< the worker turned the attempt away before it ran
   timeout,        ///< no answer in the time that the attempt was given
-  connectFailed,  ///< no connection came up: nothing was sent
+  connectFailed,  ///< the worker cannot have the whole request: no connection, or its last byte was not
+                  ///< written
   reset,          ///< the connection broke under the attempt
   cancelled,      ///< the host gave it up
   notSent,        ///< the host found that nothing may be sent any more
--- a/src/gatekeeper/client_connection.hpp
+++ b/src/gatekeeper/client_connection.hpp
@@ -23,7 +23,8 @@
 /// response. Once it is accepted, a small request never waits for memory.
 constexpr std::size_t kClientConnectionBytes = 12 * 1024;
 
-constexpr Rejection kNoCapacity{http::status::service_unavailable, "refused: no room, try again later"};
+constexpr ImmediateResponse kNoCapacity{http::status::service_unavailable,
+                                        "refused: no room, try again later"};
 
 /// Why a connection is closed after an error of a read or write.
 inline CloseReason closeReasonOf(const Error& error) {
@@ -147,7 +148,7 @@
 
   // Writing a response (client_connection_writing.cpp)
   void respondReadiness(http::verb method);
-  void reject(const Rejection& rejection, decision::Time retryAfterMs = 0);
+  void reject(const ImmediateResponse& rejection, decision::Time retryAfterMs = 0);
   void rejectForCapacity(WaitQueue reason);
   void rejectSlowBody();
   void write();
--- a/src/gatekeeper/client_connection_reading.cpp
+++ b/src/gatekeeper/client_connection_reading.cpp
@@ -187,7 +187,7 @@
   closeAfterResponse_ = !message.keep_alive();
   if (message.target() == "/health/ready") return respondReadiness(message.method());
   auto parsed = parseClientRequest(message, server_.config_);
-  if (const auto* rejection = std::get_if<Rejection>(&parsed)) return reject(*rejection);
+  if (const auto* rejection = std::get_if<ImmediateResponse>(&parsed)) return reject(*rejection);
   ParsedRequest& request = std::get<ParsedRequest>(parsed);
   if (overflow_ && !server_.hasCapacity()) {
     server_.handler_.onRequestRejected(request.classIndex);
@@ -218,7 +218,7 @@
   closeAfterResponse_ = !parser_->keep_alive();
   requestVersion_ = message.version();
   auto parsed = parseClientRequest(message, server_.config_);
-  if (const auto* rejection = std::get_if<Rejection>(&parsed)) return reject(*rejection);
+  if (const auto* rejection = std::get_if<ImmediateResponse>(&parsed)) return reject(*rejection);
   if (overflow_ && !server_.hasCapacity()) return rejectForCapacity(WaitQueue::freeConnection);
   ParsedRequest& request = std::get<ParsedRequest>(parsed);
   request.bodyComplete = false;
--- a/src/gatekeeper/client_connection_writing.cpp
+++ b/src/gatekeeper/client_connection_writing.cpp
@@ -68,7 +68,7 @@
 }
 
 // The request never reaches the handler, or has ended there.
-void ClientServer::Connection::reject(const Rejection& rejection, decision::Time retryAfterMs) {
+void ClientServer::Connection::reject(const ImmediateResponse& rejection, decision::Time retryAfterMs) {
   server_.stats_.rejected += rejection.status != http::status::ok;
   if (rejection.status == http::status::request_timeout) {
     bodyDone_ = true;
--- a/src/gatekeeper/client_request.cpp
+++ b/src/gatekeeper/client_request.cpp
@@ -91,39 +91,41 @@
   return slash == std::string_view::npos ? "/" : target.substr(slash);
 }
 
-std::variant<ParsedRequest, Rejection> parseClientRequest(const ClientMessage& message,
-                                                          const Config& config) {
+std::variant<ParsedRequest, ImmediateResponse> parseClientRequest(const ClientMessage& message,
+                                                                  const Config& config) {
   constexpr auto kBadRequest = http::status::bad_request;
   std::string_view target = originForm(view(message.target()));
   const std::string_view path = takeUntil(target, '?');
-  if (path.size() < 2 || path.front() != '/') return Rejection{http::status::not_found, "no such path"};
+  if (path.size() < 2 || path.front() != '/')
+    return ImmediateResponse{http::status::not_found, "no such path"};
   std::string_view rest = path.substr(1);
   const auto classIndex = indexOf(config.host.classes, takeUntil(rest, '/'));
   // A request of this service has a Req-Id; any other one gets the answer for an unknown path.
   const bool hasId = !header(message, "Req-Id").empty();
-  if (!classIndex && !hasId) return Rejection{http::status::not_found, "no such path"};
-  if (!classIndex) return Rejection{kBadRequest, "unknown class"};
-  if (!hasId) return Rejection{kBadRequest, "no Req-Id"};
-  if (!isId(header(message, "Req-Id"))) return Rejection{kBadRequest, "bad Req-Id"};
-  if (hasDuplicateHeader(message)) return Rejection{kBadRequest, "a header of the service is there twice"};
+  if (!classIndex && !hasId) return ImmediateResponse{http::status::not_found, "no such path"};
+  if (!classIndex) return ImmediateResponse{kBadRequest, "unknown class"};
+  if (!hasId) return ImmediateResponse{kBadRequest, "no Req-Id"};
+  if (!isId(header(message, "Req-Id"))) return ImmediateResponse{kBadRequest, "bad Req-Id"};
+  if (hasDuplicateHeader(message))
+    return ImmediateResponse{kBadRequest, "a header of the service is there twice"};
   ParsedRequest request;
   request.classIndex = *classIndex;
   if (!methodFits(message, config.settings.classes[*classIndex].idempotency))
-    return Rejection{kBadRequest, "the method, body or Idempotency-Key does not fit the class"};
+    return ImmediateResponse{kBadRequest, "the method, body or Idempotency-Key does not fit the class"};
   const auto planIndex = indexOf(config.host.plans, header(message, "X-Tier"));
-  if (!planIndex) return Rejection{kBadRequest, "unknown plan"};
+  if (!planIndex) return ImmediateResponse{kBadRequest, "unknown plan"};
   request.planIndex = *planIndex;
   const std::string_view key = valueOf(target, '&', "client");
   const auto customer = parseNumber<decision::CustomerId>(key, 16);
   if (key.size() != 16 || !customer || *customer >= kCustomerCount)
-    return Rejection{kBadRequest, "bad customer"};
+    return ImmediateResponse{kBadRequest, "bad customer"};
   request.customer = *customer;
   const auto clientWaitMs = parseNumber<std::uint64_t>(header(message, "Req-Deadline-Ms"));
   if (!clientWaitMs || *clientWaitMs < 1 || static_cast<double>(*clientWaitMs) > kMaxClientWaitMs)
-    return Rejection{kBadRequest, "bad Req-Deadline-Ms"};
+    return ImmediateResponse{kBadRequest, "bad Req-Deadline-Ms"};
   request.clientWaitMs = static_cast<double>(*clientWaitMs);
   if (!parseTerms(header(message, "X-Call-Terms"), config.settings, request))
-    return Rejection{kBadRequest, "bad X-Call-Terms"};
+    return ImmediateResponse{kBadRequest, "bad X-Call-Terms"};
   return request;
 }
 
--- a/src/gatekeeper/client_request.hpp
+++ b/src/gatekeeper/client_request.hpp
@@ -27,7 +27,7 @@
 };
 
 /// An answer that a request gets without reaching a worker.
-struct Rejection {
+struct ImmediateResponse {
   http::status status = http::status::bad_request;
   std::string_view message;
 };
@@ -35,6 +35,7 @@
 /// The path and query of a request target; a target in absolute form (`http://host/path`) loses its host.
 std::string_view originForm(std::string_view target);
 /// The request, or why it is malformed. `message` is complete but for the body.
-std::variant<ParsedRequest, Rejection> parseClientRequest(const ClientMessage& message, const Config& config);
+std::variant<ParsedRequest, ImmediateResponse> parseClientRequest(const ClientMessage& message,
+                                                                  const Config& config);
 
 }  // namespace wingslip
--- a/src/gatekeeper/gatekeeper.cpp
+++ b/src/gatekeeper/gatekeeper.cpp
@@ -310,10 +310,10 @@
 }
 
 // The worker drains or is gone: no new attempt goes to it.
-void Gatekeeper::onWorkerRemoved(WorkerId worker, decision::WorkerPhase phase, Time now) {
+void Gatekeeper::onWorkerRetired(WorkerId worker, decision::WorkerPhase phase, Time now) {
   listed_.erase(worker);
   monitor_.workerRetired(worker, phase, now);
-  pool_.removeWorker(worker);
+  pool_.retireWorker(worker);
 }
 
 void Gatekeeper::onEndpointList(const EndpointList& roster, EndpointUpdate kind) {
@@ -335,10 +335,10 @@
       monitor_.workerReady(worker, start.slowStartFrom);
       pool_.setWorkerAddress(worker, {instance.address, processFrom(start)});
     } else {
-      onWorkerRemoved(worker, instance.phase, now);
+      onWorkerRetired(worker, instance.phase, now);
     }
   }
-  for (const WorkerId worker : unnamed) onWorkerRemoved(worker, decision::WorkerPhase::removed, now);
+  for (const WorkerId worker : unnamed) onWorkerRetired(worker, decision::WorkerPhase::removed, now);
   starts_.forgetUnlisted([this](WorkerId worker) { return listed_.contains(worker); });
   gateway_.onEndpoints(now, kind, members);
   workersKnown_ = workersKnown_ || !listed_.empty();
--- a/src/gatekeeper/gatekeeper.hpp
+++ b/src/gatekeeper/gatekeeper.hpp
@@ -1,5 +1,7 @@
 /// One gatekeeper: connects the decision module with clients, workers and discovery. Turns socket events into
-/// the module's events and the module's actions into socket operations, and decides nothing itself.
+/// the module's events and the module's actions into socket operations, and decides nothing itself, but for
+/// three things: whether an attempt may still be sent (`refusalOf`), the answer at the deadline, and the
+/// answers before it serves.
 #pragma once
 
 #include <chrono>
@@ -109,7 +111,7 @@
 
   // Workers and overload (gatekeeper.cpp)
   void onEndpointList(const EndpointList& roster, decision::EndpointUpdate kind);
-  void onWorkerRemoved(decision::WorkerId worker, decision::WorkerPhase phase, decision::Time now);
+  void onWorkerRetired(decision::WorkerId worker, decision::WorkerPhase phase, decision::Time now);
   decision::Endpoint endpointOf(const EndpointEntry& instance, const WorkerStart& start,
                                 const NameIndex& zones, const NameIndex& kinds) const;
   void onOverload(double excess);
--- a/src/gatekeeper/request_in_flight.hpp
+++ b/src/gatekeeper/request_in_flight.hpp
@@ -1,4 +1,4 @@
-/// A client's request from its admission to its final answer.
+/// A client's request from its receipt, before the decision module admits it, to its final answer.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
--- a/src/gatekeeper/upstream_connection.hpp
+++ b/src/gatekeeper/upstream_connection.hpp
@@ -73,8 +73,8 @@
   /// response's end; of a streamed body, from its last byte. The owner is not called from within this.
   void startAttempt(decision::RequestId id, unsigned attempt, AttemptRequest request,
                     std::optional<Clock::duration> timeout);
-  /// Ends the attempt with this result, or with connectFailed where the worker cannot have run it. The caller
-  /// closes the connection.
+  /// Ends the attempt with this result, or with connectFailed where its last byte was not written, so that
+  /// the worker cannot have run it (cancelled stays). The caller closes the connection.
   decision::AttemptOutcome stopAttempt(decision::AttemptResult result);
   /// The consumer of a streamed response takes the next piece.
   void resumeResponse();
--- a/src/gatekeeper/upstream_pool.cpp
+++ b/src/gatekeeper/upstream_pool.cpp
@@ -47,7 +47,7 @@
   });
 }
 
-void UpstreamPool::removeWorker(WorkerId id) {
+void UpstreamPool::retireWorker(WorkerId id) {
   const auto found = workers_.find(id);
   if (found == workers_.end()) return;
   found->second.removed = true;
@@ -62,7 +62,7 @@
   endAttempts(found->second, [](const UpstreamConnection& connection) { return connection.nothingSent(); });
 }
 
-// Attempts of which nothing has been sent end as connectFailed, others as resets.
+// Each ends as a reset, or as connectFailed where its last byte was not written (`stopAttempt`).
 void UpstreamPool::endAttempts(const Worker& worker,
                                const std::function<bool(const UpstreamConnection&)>& matches) {
   std::vector<ConnectionPtr> ending;
--- a/src/gatekeeper/upstream_pool.hpp
+++ b/src/gatekeeper/upstream_pool.hpp
@@ -49,7 +49,7 @@
   /// address yet.
   void setWorkerAddress(decision::WorkerId worker, const WorkerAddress& address);
   /// No attempt is started there any more, and `stopSendingTo` takes effect. Attempts that are out go on.
-  void removeWorker(decision::WorkerId worker);
+  void retireWorker(decision::WorkerId worker);
   /// Closes the worker's idle connections; attempts of which nothing has been sent end as connectFailed.
   void stopSendingTo(decision::WorkerId worker);
 
--- a/src/overload/overload_state.hpp
+++ b/src/overload/overload_state.hpp
@@ -8,7 +8,8 @@
 
 namespace wingslip {
 
-/// `throttling`: request bodies are no longer read ahead. `shedding`: requests are rejected too.
+/// `throttling`: request bodies are no longer read ahead, and the decision module is told: it rejects what is
+/// large or beyond its quota. `shedding`: a share of all requests is rejected too.
 enum class OverloadLevel : unsigned { none, throttling, shedding };
 constexpr std::size_t kOverloadLevels = 3;
 enum class OverloadSource : unsigned { memory, descriptors, eventLoop };
--- a/tests/races_test.cpp
+++ b/tests/races_test.cpp
@@ -105,7 +105,7 @@
   until([&] { return seen() == 1; }, "the first request");
   onEnd = [this] {
     start(2);
-    pool->removeWorker(1);
+    pool->retireWorker(1);
   };
   worker.peers[0]->send(reply("200 OK", "first"));
   untilEnds(2);
--- a/tests/upstream_pool_test.cpp
+++ b/tests/upstream_pool_test.cpp
@@ -102,7 +102,7 @@
 TEST_F(Pool, AnAttemptStillConnectingEndsWhenItsWorkerIsRemoved) {
   open({});
   start(1);
-  pool->removeWorker(1);
+  pool->retireWorker(1);
   untilEnds(1);
   EXPECT_EQ(ends[0].outcome.result, AttemptResult::connectFailed);
   EXPECT_EQ(pool->connections(), 0u);
@@ -110,7 +110,7 @@
   pool->setWorkerAddress(1, {worker.address()});
   start(2);
   untilSeen(1);
-  pool->removeWorker(1);  // out already: it goes on
+  pool->retireWorker(1);  // out already: it goes on
   worker.peers.back()->send(reply("200 OK", "done"));
   untilEnds(2);
   EXPECT_EQ(ends[1].outcome.result, AttemptResult::ok);
@@ -118,7 +118,7 @@
 
 TEST_F(Pool, AnAttemptAtARemovedWorkerFailsAndIsReportedLater) {
   open({});
-  pool->removeWorker(1);
+  pool->retireWorker(1);
   start(1);
   EXPECT_TRUE(ends.empty());
   untilEnds(1);
--- a/tools/lab/capacity_model.cpp
+++ b/tools/lab/capacity_model.cpp
@@ -93,7 +93,7 @@
   Row row;
   row.role = "gatekeeper";
   row.mechanism = "choice of a worker for a request";
-  row.carriedBy = "`src/decision/gateway.cpp`";
+  row.carriedBy = "`src/decision/load_balancer.cpp`";
   row.measured = {"choice", "whole_list"};
   // The requests' own budget is the time that they may be held up.
   row.budget.coreShare = kAddedSeconds * kRequestsPerS / kGatekeepers;
@@ -193,7 +193,7 @@
   Row row;
   row.role = "gatekeeper";
   row.mechanism = "customers held";
-  row.carriedBy = "`src/decision/gateway.cpp`";
+  row.carriedBy = "`src/decision/customer_table.hpp`";
   row.measured = {"customers", "customer_cap"};
   row.budget = limitedTo(slopes->capOf("customer_cap", "rows"));
   row.need = [slopes](const Day& day) {
