--- a/src/gatekeeper/reason_counts.hpp
+++ b/src/gatekeeper/reason_counts.hpp
@@ -9,8 +9,8 @@
 
 namespace wingslip {
 
-/// `Reason`: an enumeration from 0 whose values `Names` names in their order.
-template <class Reason, const auto& Names>
+/// `Reason`: an enumeration from 0 whose values `names` names in their order.
+template <class Reason, const auto& names>
 class ReasonCounts {
  public:
   void add(Reason reason) { ++counts_[static_cast<std::size_t>(reason)]; }
@@ -20,13 +20,13 @@
   std::string telemetry(std::string_view kind, std::size_t first = 0) const {
     std::string out;
     for (std::size_t i = first; i < counts_.size(); ++i)
-      out += "svc." + std::string(kind) + "." + std::string(Names[i]) + ":" + std::to_string(counts_[i]) +
+      out += "svc." + std::string(kind) + "." + std::string(names[i]) + ":" + std::to_string(counts_[i]) +
              "|c\n";
     return out;
   }
 
  private:
-  std::array<std::uint64_t, Names.size()> counts_{};
+  std::array<std::uint64_t, names.size()> counts_{};
 };
 
 }  // namespace wingslip
