--- a/include/wingslip/decision/gateway.hpp
+++ b/include/wingslip/decision/gateway.hpp
@@ -1,9 +1,9 @@
 /// The decision module's interface: events in, actions out.
 ///
-/// A host feeds events to one Gateway per gateway and carries out the actions that it is handed. The module
-/// reads no clock but the times it is given, has no source of randomness but its salt, does no I/O and has no
-/// threads: the same events give the same actions. A Gateway is used by one thread at a time, and calls
-/// `Actions` from within its own event methods.
+/// The host passes events to one Gateway object per gateway and executes the actions that it requests. The
+/// module is deterministic: it takes the time only from its events and randomness only from its salt, does no
+/// I/O and has no threads, so the same events result in the same actions. A Gateway object must be used by
+/// one thread at a time; it calls `Actions` only from within its own event methods.
 #pragma once
 
 #include <cstdint>
@@ -16,133 +16,142 @@
 
 namespace wingslip::decision {
 
-/// A worker as service discovery lists it.
+/// A worker as reported by service discovery.
 struct Endpoint {
   WorkerId worker = 0;
   WorkerPhase phase = WorkerPhase::ready;
   unsigned zone = 0;
   unsigned machineType = 0;
   unsigned cell = 0;
-  Time startedAt = 0;  ///< 0: long ago
+  Time startedAt = 0;  ///< start of the worker process; 0: unknown, treated as long ago
 };
 
-/// A request of a client.
+/// A client's request.
 struct Request {
   RequestId id = 0;
-  unsigned classIndex = 0;  ///< in Settings::classes
-  unsigned planIndex = 0;   ///< in Settings::plans
+  unsigned classIndex = 0;  ///< index in Settings::classes
+  unsigned planIndex = 0;   ///< index in Settings::plans
   CustomerId customer = 0;
-  Time expiresAt = 0;
-  double units = 1;
-  unsigned customerGateways = 1;  ///< gateways that this customer's requests come through
-  double memoryBytes = 0;         ///< that the host holds for it
+  Time expiresAt = 0;             ///< the client's deadline
+  double units = 1;               ///< quota units; an estimate if Settings::correctsUnits
+  unsigned customerGateways = 1;  ///< number of gateways that receive this customer's requests
+  double memoryBytes = 0;         ///< memory that the host uses for the request
 };
 
-/// How the host is short of memory, descriptors or time.
+/// Overload of the host: it is short of memory, file descriptors or processing time.
 struct OverloadSignal {
   bool active = false;
-  bool memoryShort = false;  ///< nothing that holds much memory is begun
-  double shedFraction = 0;   ///< of new requests that are too many
-  double excessBytes = 0;    ///< that requests in flight have to give back now
-  Time expectedMs = 0;       ///< how much longer this may go on
+  bool memoryShort = false;  ///< requests that need much memory must be rejected
+  double shedFraction = 0;   ///< share of new requests to shed, from 0 to 1
+  double excessBytes = 0;    ///< bytes to release now by ending requests in flight
+  Time expectedMs = 0;       ///< expected remaining duration of the overload
 };
 
-/// The end of an attempt.
+/// The outcome of an attempt.
 struct AttemptOutcome {
   RequestId id = 0;
   AttemptResult result = AttemptResult::ok;
-  unsigned attempt = 0;    ///< its number within the request, from 0
-  double actualUnits = 0;  ///< what the request has used; 0: the answer does not say
+  unsigned attempt = 0;    ///< number of the attempt within the request, from 0
+  double actualUnits = 0;  ///< units that the request used; 0: not in the answer
   WorkerId worker = 0;
-  int quotaUsePercent = -1;  ///< metered use of the customer's quota; negative: the answer does not say
+  int quotaUsePercent = -1;  ///< metered usage of the customer's quota; negative: not in the answer
   Time latencyMs = 0;
-  bool requestFinished = false;    ///< nothing more is owed to the client
-  std::vector<double> loadReport;  ///< in the order of Settings::loadReportFields
+  bool requestFinished = false;    ///< the client needs no further answer
+  std::vector<double> loadReport;  ///< values in the order of Settings::loadReportFields
 };
 
-/// The workers as the module sees them.
+/// Numbers of workers by their state in the module.
 struct WorkerCounts {
   std::size_t listed = 0;
-  std::size_t avoided = 0;  ///< of these: excluded by hand, draining or ejected
+  std::size_t avoided = 0;  ///< of the listed: excluded by an operator, draining or ejected
 };
 
-/// Requests rejected since the start, by reason. Not counted here: rejections by a hard ceiling, by a cap on
-/// concurrency, of malformed requests, and after an attempt that may not be retried.
+/// Requests rejected since the start, by reason. Not counted are rejections by a hard ceiling or a
+/// concurrency cap, rejections of malformed requests, and rejections after an attempt that may not be
+/// retried.
 struct RejectionCounts {
-  std::uint64_t localQuota = 0;        ///< the customer's bucket at this gateway is empty
-  std::uint64_t fleetQuota = 0;        ///< its quota over all gateways is estimated to be used up
-  std::uint64_t unknownCustomer = 0;   ///< its use of the quota is unknown, and the request too large
-  std::uint64_t noWorker = 0;          ///< no worker may be sent to
-  std::uint64_t concurrencyLimit = 0;  ///< the gateway's own limit, at first attempts and retries
-  std::uint64_t overload = 0;  ///< the host is short of memory, descriptors or time; also where the answer is
-                               ///< a failure
+  std::uint64_t localQuota = 0;        ///< too few tokens in the customer's bucket at this gateway
+  std::uint64_t fleetQuota = 0;        ///< the customer's quota over all gateways is estimated to be used up
+  std::uint64_t unknownCustomer = 0;   ///< the customer's quota use is unknown, and the request is too large
+  std::uint64_t noWorker = 0;          ///< no worker is available
+  std::uint64_t concurrencyLimit = 0;  ///< the gateway's concurrency limit, at first attempts and retries
+  std::uint64_t overload = 0;          ///< the host is overloaded; includes requests that ended as failures
 };
 
-/// What the module asks of its host. Called from within the events of Gateway.
+/// Actions that the host must execute. The methods are called from within the event methods of Gateway.
 class Actions {
  public:
   virtual ~Actions() = default;
-  /// @param timeoutMs when the attempt is given up; 0: when the client gives up.
+  /// Sends the request to `worker`. The host reports the outcome with Gateway::onAttemptOutcome.
+  /// @param timeoutMs time-out of the attempt; 0: none before the request's deadline.
   virtual void startAttempt(RequestId id, WorkerId worker, Time timeoutMs) = 0;
-  /// The final answer: it may be sent again after `retryAfterMs`, since it has not run or a repeat does no
-  /// harm.
+  /// Sends the final answer that the client may resend the request after `retryAfterMs`. This is safe,
+  /// because the request has not run or running it again has no further effect.
   virtual void reject(RequestId id, Time retryAfterMs) = 0;
-  /// The final answer: whether it has run is not known.
+  /// Sends the final answer that the request failed and may have run.
   virtual void fail(RequestId id) = 0;
-  /// Gateway::onTimer is to be called with `tag` in `waitMs`.
+  /// Calls Gateway::onTimer with `tag` after `waitMs`.
   virtual void setTimer(Time waitMs, std::uint64_t tag) = 0;
-  /// The list of workers and its changes are to be asked for.
+  /// Requests the endpoint list and its changes; the result is reported with Gateway::onEndpoints.
   virtual void pollEndpoints() = 0;
+  /// Writes a log line.
   virtual void log(const std::string& line) = 0;
 };
 
-/// All decisions of one gateway: admission, choice of worker, retries and quotas.
+/// All decisions of one gateway: admission, load balancing, retries and quotas.
 class Gateway {
  public:
-  /// @throws std::invalid_argument on settings that make no sense.
+  /// @param salt seed of all random choices.
+  /// @param actions must outlive the object.
+  /// @throws std::invalid_argument if a setting is invalid.
   Gateway(const Settings& settings, std::uint64_t salt, Time now, Actions& actions);
   ~Gateway();
   Gateway(Gateway&&) noexcept;
   Gateway& operator=(Gateway&&) noexcept;
 
-  /// A list of workers, changes to one, or the failure to get one. A worker whose start time differs from
-  /// before counts as a new process.
+  /// Applies an endpoint list or its changes, or handles a failed poll for it. A worker whose start time has
+  /// changed is treated as a new process.
   void onEndpoints(Time now, EndpointUpdate kind, const std::vector<Endpoint>& endpoints);
-  /// A new request: starts its first attempt or rejects it. One whose id is in flight is ignored.
+  /// Starts the first attempt of a new request, or rejects it. Ignored if a request with this id is in
+  /// flight.
   void onRequest(Time now, const Request& request);
-  /// The last byte of a request whose header came before: its time counts from now.
+  /// The last byte of a request was received after its header: its latency is measured from now, and its
+  /// deadline becomes `expiresAt`.
   void onRequestComplete(Time now, RequestId id, Time expiresAt);
-  /// Ends an attempt; a second outcome of one is ignored. May start another attempt or give the final answer.
+  /// Ends an attempt; a second outcome of the same attempt is ignored. May start a retry or send the final
+  /// answer.
   void onAttemptOutcome(Time now, const AttemptOutcome& outcome);
-  /// Nobody waits for the answer any more. An attempt in flight still gets its outcome.
+  /// The client disconnected. An attempt in flight must still be reported with onAttemptOutcome.
   void onClientDisconnect(Time now, RequestId id);
-  /// From now on the client gets the answer of the attempt in flight.
+  /// The response of the attempt in flight is being sent to the client.
   void onResponseStarted(Time now, RequestId id);
-  /// Holds until the next one; without it every action is as if there were no such event.
+  /// Sets the overload state, which applies until the next call. Initially the host is not overloaded.
   void onOverload(Time now, const OverloadSignal& signal);
-  /// A time set by Actions::setTimer has passed. One of a request that has ended is ignored.
+  /// A timer set by Actions::setTimer has expired. Ignored if its request has ended.
   void onTimer(Time now, std::uint64_t tag);
-  /// Changed settings, from the next request on: one in flight keeps its class, and may lose attempts but
-  /// gain none.
-  /// @throws std::invalid_argument as the constructor does, and then nothing has changed.
+  /// Applies changed settings, to requests from the next one on. A request in flight retains its class; its
+  /// maximum number of attempts can decrease but not increase.
+  /// @throws std::invalid_argument if a setting is invalid; the previous settings then remain.
   void onSettings(Time now, const Settings& settings);
 
-  /// Nothing new goes to this worker, listed or not, until `include`.
+  /// Excludes a worker, listed or not, from new attempts until `include`.
   void exclude(Time now, WorkerId worker);
-  /// The worker is used again, from slow start.
+  /// Ends the exclusion of a worker, which then goes through slow start.
   void include(Time now, WorkerId worker);
 
-  /// Good answers per ms that a warm worker has lately given this gateway: what a worker in slow start is
-  /// measured by.
+  /// Average rate of successful answers from one warm worker to this gateway, in answers per ms. Slow start
+  /// limits warming workers relative to it.
   double warmWorkerRate(Time now) const;
-  /// The same from the process that this one takes over from.
+  /// Sets the initial warmWorkerRate to that of the previous process, at a handover.
   void seedWarmWorkerRate(Time now, double ratePerMs);
 
+  /// Current numbers of workers.
   WorkerCounts workerCounts(Time now) const;
+  /// Rejections since the start.
   RejectionCounts rejectionCounts() const;
-  /// Customers whose quota this gateway tracks; bounded.
+  /// Number of customers whose quota this gateway tracks; it has an upper bound.
   std::size_t trackedCustomers() const;
-  /// Admitted requests without a final answer.
+  /// Number of admitted requests without a final answer.
   std::size_t requestsInFlight() const;
 
  private:
--- a/include/wingslip/decision/settings.hpp
+++ b/include/wingslip/decision/settings.hpp
@@ -1,4 +1,4 @@
-/// Settings of the decision module, in its own terms. `src/settings/` maps the settings' own words to them.
+/// Settings of the decision module. `src/settings/` maps the keys of the configuration to them.
 #pragma once
 
 #include <string>
@@ -8,55 +8,55 @@
 
 namespace wingslip::decision {
 
-/// A class of requests.
+/// Settings of a request class.
 struct ClassSettings {
-  std::string name;             ///< tells a class apart over changed settings
-  Time latencyObjectiveMs = 0;  ///< an answer within this earns its full value
-  Time deadlineMs = 0;          ///< what a client waits in all
+  std::string name;             ///< identifies the class when the settings change
+  Time latencyObjectiveMs = 0;  ///< an answer within this time has its full value
+  Time deadlineMs = 0;          ///< total time that a client waits for the answer
   Idempotency idempotency = Idempotency::notIdempotent;
-  DeduplicationScope deduplicationScope = DeduplicationScope::all;  ///< with a key: who recognises it
-  Time idempotencyWindowMs = 0;                                     ///< with a key: for how long
-  double priorityWeight = 1;                                        ///< value of one unit of work
-  double lateAnswerValue = 0;  ///< share of the value that an answer past the objective earns
+  DeduplicationScope deduplicationScope = DeduplicationScope::all;  ///< with a key: workers that recognise it
+  Time idempotencyWindowMs = 0;  ///< with a key: how long they recognise it
+  double priorityWeight = 1;     ///< value of one unit of work
+  double lateAnswerValue = 0;    ///< share of its value that an answer later than the objective has
 };
 
-/// What a customer has paid for.
+/// Settings of a plan: the quotas of its customers and the value of their work.
 struct PlanSettings {
-  std::string name;
-  double rate = 0;             ///< units per second over all gateways; 0: no quota on the rate
-  double burst = 0;            ///< units that may be saved up
-  unsigned maxConcurrent = 0;  ///< attempts in flight over all gateways; 0: no such cap
-  double ceilingRate = 0;      ///< units per second that are never exceeded; 0: no hard ceiling
-  double ceilingBurst = 0;     ///< units
-  double ceilingSlack = 0;     ///< share; checked, not used
-  double price = 1;            ///< factor on the value of its requests
-  double overQuotaValue = 0;   ///< share of its value that work beyond the quota earns
-  double overQuotaCost = 0;    ///< share of its value that it costs
+  std::string name;            ///< identifies the plan when the settings change
+  double rate = 0;             ///< units per second over all gateways; 0: no rate quota
+  double burst = 0;            ///< units; capacity of the token bucket
+  unsigned maxConcurrent = 0;  ///< attempts in flight per customer over all gateways; 0: no cap
+  double ceilingRate = 0;      ///< units per second that must never be exceeded; 0: no hard ceiling
+  double ceilingBurst = 0;     ///< units; capacity of the hard ceiling's token bucket
+  double ceilingSlack = 0;     ///< share; validated, not used
+  double price = 1;            ///< factor of the value of the customers' requests
+  double overQuotaValue = 0;   ///< share of its value that work beyond the quota has
+  double overQuotaCost = 0;    ///< cost of work beyond the quota, as a share of its value
 };
 
-/// All settings of one gateway.
+/// Settings of one gateway.
 struct Settings {
-  unsigned gatewayIndex = 0;
+  unsigned gatewayIndex = 0;  ///< below gatewayCount
   unsigned gatewayCount = 1;
-  unsigned zone = 0;
+  unsigned zone = 0;  ///< zone of this gateway
   std::vector<ClassSettings> classes;
   std::vector<PlanSettings> plans;
-  std::vector<std::string> loadReportFields;  ///< names of the figures of a load report, in order
-  bool pollsEndpoints = false;                ///< the list of workers comes only when it is asked for
-  Time pollTimeoutMs = 0;                     ///< checked, not used
-  unsigned maxAttempts = 1;                   ///< of one request
-  Time maxRetryAfterMs = 0;                   ///< 0: no limit
-  Time quotaReadingPeriodMs = 0;              ///< 0: answers carry no readings of a customer's quota
-  bool correctsUnits = false;                 ///< units of a request are an estimate that its answer corrects
-  double maxUnits = 1;                        ///< of one request
-  /// How late the list may say that a worker drains. The decisions stop sending at once; the endpoint watch
-  /// and the invariants go by it.
+  std::vector<std::string> loadReportFields;  ///< names of the values of a load report, in order
+  bool pollsEndpoints = false;                ///< the endpoint list must be polled; else it is pushed
+  Time pollTimeoutMs = 0;                     ///< validated, not used
+  unsigned maxAttempts = 1;                   ///< per request
+  Time maxRetryAfterMs = 0;                   ///< upper bound of the retry delay of a rejection; 0: none
+  Time quotaReadingPeriodMs = 0;  ///< metering period of quota readings; 0: answers have no readings
+  bool correctsUnits = false;     ///< a request's units are an estimate that its answer corrects
+  double maxUnits = 1;            ///< upper bound of the units of a request; enforced by the host
+  /// Maximum delay with which the endpoint list reports that a worker drains. The decisions stop sending to a
+  /// draining worker immediately; the endpoint watch and the invariants allow for this delay.
   Time drainGraceMs = 0;
-  double slowStartShare = 1;    ///< of its capacity, what a worker has when it starts
-  Time slowStartMs = 0;         ///< until it has all of it
-  double overloadMultiple = 1;  ///< of its capacity, what a warming worker bears within the window
-  Time overloadWindowMs = 0;
-  double crossZonePrice = 0;  ///< share of its value that an attempt in another zone costs
+  double slowStartShare = 1;    ///< share of its full capacity that a worker has when it starts
+  Time slowStartMs = 0;         ///< time from a worker's start to its full capacity
+  double overloadMultiple = 1;  ///< multiple of its capacity that a warming worker withstands in the window
+  Time overloadWindowMs = 0;    ///< window of overloadMultiple
+  double crossZonePrice = 0;    ///< cost of an attempt in another zone, as a share of the request's value
 };
 
 }  // namespace wingslip::decision
--- a/include/wingslip/decision/types.hpp
+++ b/include/wingslip/decision/types.hpp
@@ -5,44 +5,46 @@
 
 namespace wingslip::decision {
 
-/// Milliseconds of the host's clock: a point in time, or a span where the name ends in `Ms`.
+/// Milliseconds of the host's clock: a duration if the name ends in `Ms`, otherwise a point in time.
 using Time = double;
+/// Assigned by the host; unique among the requests in flight.
 using RequestId = std::uint32_t;
-/// Opaque: the host numbers the workers.
+/// Assigned by the host; opaque to the module.
 using WorkerId = std::uint64_t;
+/// Assigned by the host; opaque to the module.
 using CustomerId = std::uint64_t;
 
-/// Whether a request that may have run can be sent again.
+/// Whether a request that may have run can be retried.
 enum class Idempotency {
   idempotent,     ///< always
-  withKey,        ///< within its window, to workers that share the memory of its idempotency key
+  withKey,        ///< within its window, at workers that recognise its idempotency key
   notIdempotent,  ///< never
 };
 
-/// Which workers recognise a repeated idempotency key.
+/// Scope of the workers that recognise a repeated idempotency key.
 enum class DeduplicationScope { all, zone, cell };
 
-/// Where a worker stands in its life, as service discovery tells it.
+/// Life cycle state of a worker, as reported by service discovery.
 enum class WorkerPhase { removed, ready, draining };
 
 /// How an attempt ended.
 enum class AttemptResult {
   ok,
-  error,          ///< the worker answered that it failed
-  overloaded,     ///< the worker turned the attempt away before it ran
-  timeout,        ///< no answer in the time that the attempt was given
-  connectFailed,  ///< the worker cannot have the whole request: no connection, or its last byte was not
-                  ///< written
-  reset,          ///< the connection broke under the attempt
-  cancelled,      ///< the host gave it up
-  notSent,        ///< the host found that nothing may be sent any more
+  error,          ///< the worker answered with an error
+  overloaded,     ///< the worker rejected the attempt before running it
+  timeout,        ///< there was no answer within the time-out of the attempt
+  connectFailed,  ///< the worker cannot have received the complete request: there was no connection, or the
+                  ///< last byte was not written
+  reset,          ///< the connection closed during the attempt
+  cancelled,      ///< the host cancelled the attempt
+  notSent,        ///< the host did not send the attempt; the request is not retried
 };
 
-/// What a list of endpoints is.
+/// Kind of an endpoint update.
 enum class EndpointUpdate {
-  failed,    ///< the call for it failed: nothing is known
-  delta,     ///< changes since the list before
-  cached,    ///< all endpoints as last known, may be old
+  failed,    ///< the poll failed; there is no list
+  delta,     ///< changes since the previous update
+  cached,    ///< all endpoints as last known; may be outdated
   snapshot,  ///< all endpoints
 };
 
