--- a/src/decision/decay.hpp
+++ b/src/decision/decay.hpp
@@ -8,13 +8,15 @@
 
 namespace wingslip::decision {
 
-/// Factor by which a fading sum shrinks within `elapsed`, both times in one unit. Exactly 1 for no time at
-/// all, which is frequent: several events of a customer come at one time.
+/// Factor by which an exponentially decaying sum shrinks within `elapsed`; both arguments are in the same
+/// unit. Zero elapsed time returns exactly 1 without computing the exponential; it is frequent, since several
+/// events of a customer occur at the same time.
 inline double decayFactor(Time elapsed, Time timeConstant) {
   return elapsed == 0 ? 1 : std::exp(-elapsed / timeConstant);
 }
 
-/// Moves `average` towards `sample` as a low-pass filter does within `elapsed`; both times in one unit.
+/// Exponentially weighted average after `sample` has applied for `elapsed` (a first-order low-pass filter);
+/// both times are in the same unit.
 inline double approach(double average, double sample, Time elapsed, Time timeConstant) {
   return average + (sample - average) * (1 - decayFactor(std::max(elapsed, 0.0), timeConstant));
 }
--- a/src/decision/pending_request.hpp
+++ b/src/decision/pending_request.hpp
@@ -8,21 +8,22 @@
 
 namespace wingslip::decision {
 
+/// State of an admitted request that has no final answer yet.
 struct PendingRequest {
   Request request;
   RequestClassPtr requestClass;
-  PlanSettings plan;  ///< as it was at admission: changed settings may number plans anew
+  PlanSettings plan;  ///< copied at admission, since changed settings may renumber the plans
   unsigned maxAttempts = 0;
   Time arrivedAt = 0;
-  unsigned attempts = 0;  ///< begun so far
+  unsigned attempts = 0;  ///< started so far
   bool hasAttemptInFlight = false;
   Time lastAttemptAt = 0;
   std::vector<WorkerId> triedWorkers;  ///< in the order of the attempts
-  bool responseStarted = false;        ///< its client has begun to get the answer
-  bool mayHaveRun = false;             ///< some attempt may have
+  bool responseStarted = false;        ///< the client is receiving the response
+  bool mayHaveRun = false;             ///< a worker may have run one of its attempts
   Time firstRunAt = 0;                 ///< start of the first attempt that may have run
-  unsigned firstRunZone = 0;           ///< and its worker's: where its idempotency key is remembered
-  unsigned firstRunCell = 0;
+  unsigned firstRunZone = 0;           ///< zone of that attempt's worker, for zone-wide deduplication
+  unsigned firstRunCell = 0;           ///< cell of that attempt's worker, for cell-wide deduplication
 
   const ClassSettings& classSettings() const { return requestClass->settings; }
 };
--- a/src/decision/request_class.cpp
+++ b/src/decision/request_class.cpp
@@ -1,4 +1,4 @@
-/// Request classes: learning the usual latency, and keeping it when the settings change.
+/// Request classes: measures the usual latency of each and retains it when the settings change.
 #include "decision/request_class.hpp"
 
 #include <algorithm>
@@ -10,8 +10,8 @@
 namespace wingslip::decision {
 namespace {
 
-constexpr Time kLatencyMemoryMs = 20000;
-constexpr Time kMaxSampleMs = 1000;  // time that one answer stands for at most, after a time without any
+constexpr Time kLatencyTimeConstantMs = 20000;
+constexpr Time kMaxSampleMs = 1000;  // upper bound of the time for which one answer counts in the average
 
 }  // namespace
 
@@ -20,38 +20,39 @@
 }
 
 void RequestClasses::replace(const std::vector<ClassSettings>& settings, Time now) {
-  std::unordered_map<std::string_view, const RequestClass*> learned;  // of equal names the last
-  for (const RequestClassPtr& old : classes_) learned[old->settings.name] = old.get();
+  std::unordered_map<std::string_view, const RequestClass*> classesByName;  // the last of equal names
+  for (const RequestClassPtr& oldClass : classes_) classesByName[oldClass->settings.name] = oldClass.get();
   std::vector<RequestClassPtr> classes;
   classes.reserve(settings.size());
-  for (const ClassSettings& item : settings) {
-    classes.push_back(std::make_shared<RequestClass>(RequestClass{item, 0, now}));
-    const auto found = learned.find(item.name);
-    if (found == learned.end()) continue;
-    classes.back()->learnedLatencyMs = found->second->learnedLatencyMs;
-    classes.back()->learnedAt = found->second->learnedAt;
+  for (const ClassSettings& classSettings : settings) {
+    classes.push_back(std::make_shared<RequestClass>(RequestClass{classSettings, 0, now}));
+    const auto match = classesByName.find(classSettings.name);
+    if (match == classesByName.end()) continue;
+    classes.back()->meanLatencyMs = match->second->meanLatencyMs;
+    classes.back()->latencyUpdatedAt = match->second->latencyUpdatedAt;
   }
   classes_ = std::move(classes);
-  longestLatencyMs_ = kStale;
+  cachedLongestLatencyMs_ = kNotComputed;
 }
 
 void RequestClasses::noteLatency(RequestClass& requestClass, Time now, Time latencyMs) {
-  const Time before = requestClass.learnedLatencyMs;
-  requestClass.learnedLatencyMs =
-      before > 0 ? approach(before, latencyMs, std::min(kMaxSampleMs, now - requestClass.learnedAt),
-                            kLatencyMemoryMs)
-                 : latencyMs;
-  requestClass.learnedAt = now;
-  if (before >= longestLatencyMs_ || requestClass.learnedLatencyMs >= longestLatencyMs_)
-    longestLatencyMs_ = kStale;
+  const Time previousMs = requestClass.meanLatencyMs;
+  requestClass.meanLatencyMs =
+      previousMs > 0
+          ? approach(previousMs, latencyMs, std::min(kMaxSampleMs, now - requestClass.latencyUpdatedAt),
+                     kLatencyTimeConstantMs)
+          : latencyMs;
+  requestClass.latencyUpdatedAt = now;
+  if (previousMs >= cachedLongestLatencyMs_ || requestClass.meanLatencyMs >= cachedLongestLatencyMs_)
+    cachedLongestLatencyMs_ = kNotComputed;
 }
 
 Time RequestClasses::longestLatencyMs() {
-  if (longestLatencyMs_ != kStale) return longestLatencyMs_;
-  longestLatencyMs_ = 0;
+  if (cachedLongestLatencyMs_ != kNotComputed) return cachedLongestLatencyMs_;
+  cachedLongestLatencyMs_ = 0;
   for (const RequestClassPtr& requestClass : classes_)
-    longestLatencyMs_ = std::max(longestLatencyMs_, requestClass->learnedLatencyMs);
-  return longestLatencyMs_;
+    cachedLongestLatencyMs_ = std::max(cachedLongestLatencyMs_, requestClass->meanLatencyMs);
+  return cachedLongestLatencyMs_;
 }
 
 }  // namespace wingslip::decision
--- a/src/decision/request_class.hpp
+++ b/src/decision/request_class.hpp
@@ -1,4 +1,4 @@
-/// Request classes with the latency that this gateway has learned of each.
+/// Request classes with the latency that this gateway has measured for each.
 #pragma once
 
 #include <cstddef>
@@ -9,42 +9,44 @@
 
 namespace wingslip::decision {
 
-/// A class with what was learned of it. A request in flight keeps its class when the settings change.
+/// A request class with its measured latency. A request in flight retains its class when the settings change.
 struct RequestClass {
-  /// Of its latency objective, the usual latency of a class without answers.
-  static constexpr double kUnlearnedShareOfObjective = 0.2;
+  /// Usual latency of a class without answers, as a share of its latency objective.
+  static constexpr double kInitialLatencyObjectiveShare = 0.2;
 
   ClassSettings settings;
-  Time learnedLatencyMs = 0;  ///< moving average of good answers; 0: none yet
-  Time learnedAt = 0;
+  Time meanLatencyMs = 0;  ///< moving average over successful answers; 0: none yet
+  Time latencyUpdatedAt = 0;
 
+  /// Measured latency, or an assumed one as long as there are no answers.
   Time usualLatencyMs() const {
-    return learnedLatencyMs > 0 ? learnedLatencyMs : settings.latencyObjectiveMs * kUnlearnedShareOfObjective;
+    return meanLatencyMs > 0 ? meanLatencyMs : settings.latencyObjectiveMs * kInitialLatencyObjectiveShare;
   }
 };
 
 using RequestClassPtr = std::shared_ptr<RequestClass>;
 
-/// The classes in force, by their index in the settings.
+/// The classes of the current settings, by their index there.
 class RequestClasses {
  public:
   RequestClasses(const std::vector<ClassSettings>& settings, Time now);
 
-  /// Changed settings: a class keeps what was learned of the one of its name.
+  /// Replaces the classes. A class takes the measured latency of the previous class with the same name.
   void replace(const std::vector<ClassSettings>& settings, Time now);
   std::size_t size() const { return classes_.size(); }
   const RequestClassPtr& operator[](std::size_t index) const { return classes_[index]; }
 
-  /// A good answer of a request of this class, which need not be in force any more.
+  /// Records the latency of a successful answer. `requestClass` may be one that changed settings have
+  /// replaced.
   void noteLatency(RequestClass& requestClass, Time now, Time latencyMs);
-  /// The longest learned latency of the classes in force; 0: none has answered.
+  /// The longest measured latency of the current classes; 0: there are no answers yet.
   Time longestLatencyMs();
 
  private:
-  static constexpr Time kStale = -1;  ///< of longestLatencyMs_: to be computed anew
+  static constexpr Time kNotComputed = -1;  ///< value of cachedLongestLatencyMs_ that requires a computation
 
   std::vector<RequestClassPtr> classes_;
-  Time longestLatencyMs_ = kStale;
+  Time cachedLongestLatencyMs_ = kNotComputed;
 };
 
 }  // namespace wingslip::decision
--- a/src/decision/request_table.hpp
+++ b/src/decision/request_table.hpp
@@ -11,18 +11,19 @@
 
 namespace wingslip::decision {
 
-/// An attempt without an outcome. It outlives its request where the client goes away.
+/// An attempt without an outcome. It outlives its request if the client disconnects or the request is
+/// released under overload.
 struct AttemptInFlight {
   CustomerId customer = 0;
   RequestClassPtr requestClass;
 };
 
-/// Owns the requests; a reference to one holds until it is erased.
+/// Owns the requests and attempts. A reference to a request is valid until the request is erased.
 class RequestTable {
  public:
   using Requests = std::unordered_map<RequestId, PendingRequest>;
 
-  /// Null where there is no such request.
+  /// Returns null if there is no such request.
   PendingRequest* find(RequestId id) {
     const auto found = requests_.find(id);
     return found == requests_.end() ? nullptr : &found->second;
@@ -39,7 +40,8 @@
   void addAttempt(RequestId id, unsigned number, AttemptInFlight attempt) {
     attempts_[attemptKey(id, number)] = std::move(attempt);
   }
-  /// Takes an attempt out at its outcome; nothing where the outcome is a repeated or an unknown one.
+  /// Removes and returns an attempt at its outcome; empty if the attempt is unknown or already has an
+  /// outcome.
   [[nodiscard]] std::optional<AttemptInFlight> takeAttempt(RequestId id, unsigned number) {
     const auto found = attempts_.find(attemptKey(id, number));
     if (found == attempts_.end()) return std::nullopt;
--- a/src/decision/retry_policy.cpp
+++ b/src/decision/retry_policy.cpp
@@ -1,4 +1,4 @@
-/// Retry policy: attempts, time, idempotency and budget.
+/// Retry policy: number of attempts, deadline, idempotency and retry budget.
 #include "decision/retry_policy.hpp"
 
 #include <algorithm>
@@ -6,25 +6,25 @@
 namespace wingslip::decision {
 namespace {
 
-constexpr unsigned kMaxAttempts = 4;             // of one request; more only adds load
-constexpr double kTimeoutLatencies = 5;          // usual latencies before an attempt is given up for another
-constexpr double kMinTimeoutObjectiveShare = 1;  // and at least this share of the latency objective
-constexpr double kBudgetPerSuccess = 0.05;       // early time-outs; so that they cannot feed an overload
+constexpr unsigned kMaxAttempts = 4;             // per request; more attempts only add load
+constexpr double kTimeoutUsualLatencies = 5;     // attempt time-out, in usual latencies of the class
+constexpr double kMinTimeoutObjectiveShare = 1;  // lower bound of the time-out, in latency objectives
+constexpr double kBudgetPerSuccess = 0.05;  // early time-outs earned per success; bounds the load they add
 
 unsigned attemptsAllowed(const PendingRequest& pending) {
   return std::min(pending.maxAttempts, kMaxAttempts);
 }
 
-// A request that may have run is sent again only as its class allows.
-bool isIdempotencyKept(const PendingRequest& pending, Time now) {
+// A request that may have run is retried only if its class allows it.
+bool isRepeatAllowed(const PendingRequest& pending, Time now) {
   const ClassSettings& settings = pending.classSettings();
   if (!pending.mayHaveRun || settings.idempotency == Idempotency::idempotent) return true;
   if (settings.idempotency == Idempotency::notIdempotent) return false;
   return now <= pending.firstRunAt + settings.idempotencyWindowMs;
 }
 
-// A client that has no use for a late answer is not served one.
-bool isStillOfValue(const PendingRequest& pending, Time now) {
+// A request is not retried if a late answer has no value and its latency objective has passed.
+bool hasRemainingValue(const PendingRequest& pending, Time now) {
   const ClassSettings& settings = pending.classSettings();
   return settings.lateAnswerValue > 0 || now <= pending.arrivedAt + settings.latencyObjectiveMs;
 }
@@ -45,9 +45,9 @@
 
 Time RetryPolicy::attemptTimeoutMs(const PendingRequest& pending, Time now) const {
   const ClassSettings& settings = pending.classSettings();
-  const bool isLast = pending.attempts + 1 >= attemptsAllowed(pending);
-  if (settings.idempotency == Idempotency::notIdempotent || isLast || !hasBudget()) return 0;
-  const Time timeoutMs = std::max(kTimeoutLatencies * pending.requestClass->usualLatencyMs(),
+  const bool isLastAttempt = pending.attempts + 1 >= attemptsAllowed(pending);
+  if (settings.idempotency == Idempotency::notIdempotent || isLastAttempt || !hasBudget()) return 0;
+  const Time timeoutMs = std::max(kTimeoutUsualLatencies * pending.requestClass->usualLatencyMs(),
                                   kMinTimeoutObjectiveShare * settings.latencyObjectiveMs);
   return timeoutMs >= pending.request.expiresAt - now ? 0 : timeoutMs;
 }
@@ -55,9 +55,9 @@
 bool RetryPolicy::mayRetry(const PendingRequest& pending, Time now) const {
   if (pending.attempts >= attemptsAllowed(pending)) return false;
   if (now >= pending.request.expiresAt) return false;
-  if (!isIdempotencyKept(pending, now)) return false;
+  if (!isRepeatAllowed(pending, now)) return false;
   if (pending.mayHaveRun && !hasBudget()) return false;
-  return isStillOfValue(pending, now);
+  return hasRemainingValue(pending, now);
 }
 
 }  // namespace wingslip::decision
--- a/src/decision/retry_policy.hpp
+++ b/src/decision/retry_policy.hpp
@@ -1,17 +1,18 @@
-/// Retry policy: whether a request may be sent again, where to, and what its final answer says.
+/// Retry policy: whether a request may be retried, at which workers, and which final answer it gets.
 #pragma once
 
 #include "decision/pending_request.hpp"
 
 namespace wingslip::decision {
 
-/// Whether the outcome shows that the worker did not run the request.
+/// Whether the outcome proves that the worker did not run the request.
 inline bool provesNotRun(AttemptResult result) {
   return result == AttemptResult::overloaded || result == AttemptResult::connectFailed ||
          result == AttemptResult::notSent;
 }
 
-/// Whether a repeat that may have run before would be recognised by this worker, or needs not be.
+/// Whether the request can be sent to this worker without the risk that it runs twice: it has not run, it is
+/// idempotent, or the worker recognises its idempotency key.
 inline bool isInDeduplicationScope(const PendingRequest& pending, const Endpoint& endpoint) {
   const ClassSettings& settings = pending.classSettings();
   if (!pending.mayHaveRun || settings.idempotency == Idempotency::idempotent ||
@@ -21,24 +22,26 @@
                                                                  : endpoint.cell == pending.firstRunCell;
 }
 
-/// Whether the client may be told to send again: it has not run, or a repeat is recognised at any worker.
-/// Else the final answer is a failure.
+/// Whether the final answer may advise the client to resend: the request has not run, it is idempotent, or
+/// every worker recognises its idempotency key. Otherwise the final answer is a failure.
 [[nodiscard]] bool isSafeToReject(const PendingRequest& pending);
 
-/// Rules of a gateway's attempts, with the budget of early time-outs that all its requests share.
+/// Rules for the attempts of a gateway's requests, with one budget of early time-outs for all requests.
 class RetryPolicy {
  public:
+  /// Updates the budget at the outcome of an attempt.
   void noteResult(AttemptResult result);
-  /// Time-out of the attempt about to begin, so that another can follow it; 0: as long as the client waits.
+  /// Time-out of the attempt about to start, early enough for a retry; 0: none before the request's deadline.
   Time attemptTimeoutMs(const PendingRequest& pending, Time now) const;
-  /// Whether another attempt may begin now.
+  /// Whether another attempt may start now.
   [[nodiscard]] bool mayRetry(const PendingRequest& pending, Time now) const;
 
  private:
-  static constexpr double kMaxBudget = 5;  ///< early time-outs in a row
+  static constexpr double kMaxBudget = 5;  ///< maximum number of consecutive early time-outs
   bool hasBudget() const { return budget_ >= 1; }
 
-  double budget_ = kMaxBudget;  // early time-outs, and repeats after them, that are left
+  // Remaining early time-outs. A retry of a request that may have run requires at least 1.
+  double budget_ = kMaxBudget;
 };
 
 }  // namespace wingslip::decision
--- a/src/decision/settings_check.cpp
+++ b/src/decision/settings_check.cpp
@@ -1,4 +1,4 @@
-/// Validation of the decision module's settings: what every other module of this folder relies on.
+/// Validation of the decision module's settings; the other files of this directory rely on it.
 #include "decision/settings_check.hpp"
 
 #include <stdexcept>
@@ -7,41 +7,42 @@
 namespace wingslip::decision {
 namespace {
 
-void require(bool holds, const char* what) {
-  if (!holds) throw std::invalid_argument(std::string("settings: ") + what);
+void require(bool condition, const char* message) {
+  if (!condition) throw std::invalid_argument(std::string("settings: ") + message);
 }
 
-template <class... Figures>
-bool allFiniteNonNegative(Figures... figures) {
-  return (isFiniteNonNegative(figures) && ...);
+template <class... Values>
+bool allFiniteNonNegative(Values... values) {
+  return (isFiniteNonNegative(values) && ...);
 }
 
-void checkClass(const ClassSettings& item) {
-  require(allFiniteNonNegative(item.latencyObjectiveMs, item.deadlineMs, item.idempotencyWindowMs,
-                               item.priorityWeight, item.lateAnswerValue),
-          "a class's figure is negative or not finite");
+void checkClass(const ClassSettings& requestClass) {
+  require(allFiniteNonNegative(requestClass.latencyObjectiveMs, requestClass.deadlineMs,
+                               requestClass.idempotencyWindowMs, requestClass.priorityWeight,
+                               requestClass.lateAnswerValue),
+          "a value of a request class is negative or not finite");
 }
 
-void checkPlan(const PlanSettings& item) {
-  require(allFiniteNonNegative(item.rate, item.burst, item.ceilingRate, item.ceilingBurst, item.ceilingSlack,
-                               item.price, item.overQuotaValue, item.overQuotaCost),
-          "a plan's figure is negative or not finite");
+void checkPlan(const PlanSettings& plan) {
+  require(allFiniteNonNegative(plan.rate, plan.burst, plan.ceilingRate, plan.ceilingBurst, plan.ceilingSlack,
+                               plan.price, plan.overQuotaValue, plan.overQuotaCost),
+          "a value of a plan is negative or not finite");
 }
 
 }  // namespace
 
 void checkSettings(const Settings& settings) {
   require(settings.gatewayCount >= 1 && settings.gatewayIndex < settings.gatewayCount,
-          "gateway number out of range");
-  require(!settings.classes.empty(), "no classes");
-  require(!settings.plans.empty(), "no plans");
+          "gateway index is not below the gateway count");
+  require(!settings.classes.empty(), "there are no request classes");
+  require(!settings.plans.empty(), "there are no plans");
   require(allFiniteNonNegative(settings.quotaReadingPeriodMs, settings.slowStartMs, settings.drainGraceMs,
                                settings.maxRetryAfterMs, settings.slowStartShare, settings.overloadMultiple,
                                settings.overloadWindowMs, settings.maxUnits, settings.crossZonePrice,
                                settings.pollTimeoutMs),
-          "a figure is negative or not finite");
-  for (const ClassSettings& item : settings.classes) checkClass(item);
-  for (const PlanSettings& item : settings.plans) checkPlan(item);
+          "a numeric value is negative or not finite");
+  for (const ClassSettings& requestClass : settings.classes) checkClass(requestClass);
+  for (const PlanSettings& plan : settings.plans) checkPlan(plan);
 }
 
 }  // namespace wingslip::decision
--- a/src/decision/settings_check.hpp
+++ b/src/decision/settings_check.hpp
@@ -9,7 +9,9 @@
 
 inline bool isFiniteNonNegative(double value) { return std::isfinite(value) && value >= 0; }
 
-/// @throws std::invalid_argument on settings that make no sense.
+/// Checks that the gateway index is in range, that there are request classes and plans, and that all numeric
+/// values are finite and not negative.
+/// @throws std::invalid_argument if a setting is invalid.
 void checkSettings(const Settings& settings);
 
 }  // namespace wingslip::decision
