--- a/src/decision/admission.hpp
+++ b/src/decision/admission.hpp
@@ -1,4 +1,4 @@
-/// Admission of a new request by its customer's quota, and every reason for which a request is rejected.
+/// Admission of new requests by customer quota, and the reasons for which a request can be rejected.
 #pragma once
 
 #include <optional>
@@ -10,45 +10,50 @@
 
 namespace wingslip::decision {
 
-/// Why a request was rejected before its first attempt.
+/// Why a request was rejected.
 enum class RejectionReason {
-  hardCeiling,      ///< this gateway's part of the customer's hard ceiling is used up
-  localQuota,       ///< the customer's bucket at this gateway is empty
-  concurrencyCap,   ///< its attempts in flight are, or more likely than pays would be, at their cap
-  fleetQuota,       ///< its quota over all gateways is estimated to be used up
-  unknownCustomer,  ///< its use of the quota is unknown, and the request too large
-  overload,         ///< the host is short of memory, descriptors or time
-  noWorker,         ///< no worker may be sent to
+  hardCeiling,      ///< this gateway's share of the customer's hard ceiling is used up
+  localQuota,       ///< too few tokens in the customer's bucket at this gateway
+  concurrencyCap,   ///< the customer's attempts in flight have reached the cap, or probably have
+  fleetQuota,       ///< the customer's quota over all gateways is estimated to be used up
+  unknownCustomer,  ///< the customer's quota use is unknown, and the request is too large
+  overload,         ///< the host is short of memory, file descriptors or processing time
+  noWorker,         ///< no worker is available
 };
 
+/// Rejection of a request.
 struct Rejection {
   RejectionReason reason;
-  Time retryAfterMs;  ///< when the customer may find capacity; to be bounded before it is sent
+  Time retryAfterMs;  ///< estimated time until capacity is available; the caller bounds it before sending
 };
 
-/// Counts a rejection where operators have a figure for its reason.
+/// Increments the counter of `reason`; hard ceiling and concurrency cap have none.
 void countRejection(RejectionCounts& counts, RejectionReason reason);
 
-/// What it was made with outlives it.
+/// Decides on new requests by customer quota. The constructor's arguments must outlive the object.
 class Admission {
  public:
   Admission(const Settings& settings, const FleetQuota& fleetQuota, const UnknownCustomers& unknownCustomers,
             Random& random)
       : settings_(settings), fleetQuota_(fleetQuota), unknownCustomers_(unknownCustomers), random_(random) {}
 
-  /// Decides by the customer's quota. Nothing: admitted so far; its units are not yet debited.
-  /// @param usualLatencyMs of the request's class: when an attempt in flight is likely to have ended.
+  /// Checks a request against the customer's quota without debiting its units.
+  /// @param usualLatencyMs usual latency of the request's class. It is the retry delay at the concurrency
+  /// cap,
+  ///   since an attempt in flight has probably ended by then.
+  /// @return the rejection; empty if the quota admits the request.
   [[nodiscard]] std::optional<Rejection> check(Customer& customer, const Request& request,
                                                Time usualLatencyMs, bool isHostOverloaded);
 
-  /// Whether a worker was found for a request that the quota admitted.
-  void noteWorkerChoice(Time now, bool wasFound);
-  /// Share of admitted requests that lately found no worker: a wrong rejection then costs less.
+  /// Records whether a worker was found for a request that the quota admitted.
+  void recordWorkerChoice(Time now, bool foundWorker);
+  /// Decaying average share of admitted requests for which no worker was found, in [0, 1). The higher it is,
+  /// the less a wrong rejection costs.
   double workerShortage() const { return workerShortage_; }
 
  private:
   std::optional<Rejection> checkFleetQuota(Customer& customer, const Request& request, double tokensNeeded,
-                                           double unknownProbability, bool isHostOverloaded);
+                                           double unknownAdmitProbability, bool isHostOverloaded);
   bool isCapLikelyReached(const Customer& customer, const PlanSettings& plan) const;
   bool isFleetQuotaUsedUp(const Customer& customer, double tokensNeeded) const;
 
@@ -57,7 +62,7 @@
   const UnknownCustomers& unknownCustomers_;
   Random& random_;
   double workerShortage_ = 0;
-  Time workerChoiceAt_ = 0;
+  Time lastWorkerChoiceAt_ = 0;
 };
 
 }  // namespace wingslip::decision
--- a/src/decision/customer.hpp
+++ b/src/decision/customer.hpp
@@ -1,4 +1,4 @@
-/// What a gateway keeps of one customer: its local buckets and its estimate of what the whole fleet uses.
+/// State of one customer at a gateway: local token buckets and the estimate of its fleet-wide usage.
 #pragma once
 
 #include <array>
@@ -8,48 +8,49 @@
 
 namespace wingslip::decision {
 
-/// Quarters of a reading period that are kept: four periods.
+/// Slots of the usage history, each a quarter of a reading period: four reading periods.
 constexpr int kHistorySlots = 16;
 constexpr int kSlotsPerPeriod = 4;
 
-/// Units and the seconds that they stand for, both fading with time.
+/// Requested units and the seconds in which they were requested; both decay over time.
 struct DemandSample {
   double units = 0;
   double seconds = 0;
 };
 
-/// Quarter periods, as a ring indexed by their number.
+/// Usage per quarter of a reading period: a ring buffer indexed by the slot number.
 struct UsageHistory {
-  std::array<double, kHistorySlots> ownUnits{};       ///< sent by this gateway
-  std::array<double, kHistorySlots> othersUnits{};    ///< taken from the estimate for the other gateways
-  std::array<double, kHistorySlots> admitFraction{};  ///< in force
-  long slot = 0;                                      ///< number of the newest
+  std::array<double, kHistorySlots> ownUnits{};       ///< units admitted by this gateway
+  std::array<double, kHistorySlots> othersUnits{};    ///< estimated units used through the other gateways
+  std::array<double, kHistorySlots> admitFraction{};  ///< admit fraction in force during the slot
+  long slot = 0;                                      ///< number of the newest slot
 
   static std::size_t indexOf(long slot) { return static_cast<std::size_t>(slot % kHistorySlots); }
   std::size_t newest() const { return indexOf(slot); }
 };
 
+/// State of one customer. Its rules are in CustomerQuota, FleetQuota and concurrency_cap.
 struct Customer {
   CustomerId id = 0;
   unsigned planIndex = 0;
-  unsigned customerGateways = 1;  ///< gateways that its requests come through
-  Time advancedAt = 0;            ///< buckets and estimates stand as of this time
-  double localTokens = 0;         ///< units in this gateway's bucket
-  double fleetTokens = 0;         ///< units, estimate of what all gateways together have left
-  double ceilingTokens = 0;       ///< units in this gateway's part of the hard ceiling
-  double admitFraction = 1;       ///< of its demand, where the fleet-wide quota is used up
-  int readingPercent = -1;        ///< the last quota reading; negative: none yet
+  unsigned customerGateways = 1;  ///< number of gateways that receive the customer's requests
+  Time updatedAt = 0;             ///< time as of which buckets and estimates are valid
+  double localTokens = 0;         ///< units in this gateway's token bucket; negative: in debt
+  double fleetTokens = 0;         ///< estimated units remaining over all gateways; negative: in debt
+  double ceilingTokens = 0;       ///< units in this gateway's share of the hard ceiling's bucket
+  double admitFraction = 1;       ///< share of its demand to admit when the fleet-wide quota is used up
+  int readingPercent = -1;        ///< the last quota reading, in percent; negative: none yet
   Time readingAt = 0;
-  Time readingGapMs = 0;    ///< usual time between two readings
-  double admitCredit = 0;   ///< units that the admit fraction has granted here and that are unused
-  double requestUnits = 0;  ///< usual units of a request
-  DemandSample recentDemand;
-  DemandSample usualDemand;
-  double ownUse = 0;  ///< decayed sums behind this gateway's share of the use
-  double allUse = 0;
-  unsigned attemptsInFlight = 0;
-  double meanInFlight = 0;       ///< attempts of this gateway
-  double fleetMeanInFlight = 0;  ///< attempts of all gateways, by their metered peaks
+  Time meanReadingIntervalMs = 0;  ///< moving average of the time between two readings
+  double admitCredit = 0;          ///< unused units that the admit fraction has granted at this gateway
+  double meanRequestUnits = 0;     ///< moving average of the units of a request
+  DemandSample shortTermDemand;    ///< over all gateways; follows changes of the demand quickly
+  DemandSample longTermDemand;     ///< over all gateways; the average level of the demand
+  double ownUsage = 0;             ///< units admitted by this gateway in metered periods, decaying
+  double fleetUsage = 0;           ///< metered units over all gateways, decaying; ownUsage is a part of them
+  unsigned attemptsInFlight = 0;   ///< of this gateway
+  double meanInFlight = 0;         ///< moving average of this gateway's attempts in flight
+  double fleetMeanInFlight = 0;    ///< estimate over all gateways, from metered peaks
   UsageHistory history;
 };
 
--- a/src/decision/customer_quota.cpp
+++ b/src/decision/customer_quota.cpp
@@ -1,4 +1,4 @@
-/// A customer's quota at this gateway: refilling, spending, readings.
+/// A customer's quota at this gateway: refilling and debiting of the buckets, and quota readings.
 #include "decision/customer_quota.hpp"
 
 #include <algorithm>
@@ -9,20 +9,21 @@
 namespace wingslip::decision {
 namespace {
 
-// Time in which the admit fraction recovers from 0 to 1 without readings, and at least this many usual gaps
-// between readings, where they come rarely.
+// Without readings the admit fraction recovers from 0 to 1 within this time, or within this many mean
+// intervals between readings if that is longer.
 constexpr Time kFractionRecoveryMs = 5000;
-constexpr double kFractionRecoveryGaps = 3;
-constexpr double kFractionValidPeriods = 2;  // reading periods after the last reading
-constexpr double kMaxCreditRequests = 1.5;   // usual requests that the admit credit saves up
-constexpr double kNewReadingPeriods = 0.3;   // reading periods after which another value is a new reading
-constexpr double kReadingGapMemory = 3;      // readings
+constexpr double kFractionRecoveryIntervals = 3;
+constexpr double kFractionValidPeriods = 2;      // in reading periods after the last reading
+constexpr double kMaxAdmitCreditRequests = 1.5;  // upper bound of the admit credit, in requests of mean size
+// In reading periods since the last reading. Before that, a changed value does not count as a new reading.
+constexpr double kChangedReadingPeriods = 0.3;
+constexpr double kReadingIntervalTimeConstant = 3;  // in readings
 
 }  // namespace
 
 void CustomerQuota::advance(Customer& customer, Time now) const {
   const PlanSettings& plan = planOf(customer);
-  const Time elapsedMs = std::max(0.0, now - customer.advancedAt);
+  const Time elapsedMs = std::max(0.0, now - customer.updatedAt);
   const double seconds = elapsedMs / 1000;
   customer.localTokens = std::min(plan.burst, customer.localTokens + plan.rate * seconds);
   customer.ceilingTokens =
@@ -31,21 +32,22 @@
   const double othersUnits = fleet_.refill(customer, elapsedMs);
   recoverAdmitFraction(customer, now, elapsedMs);
   concurrency_cap::advance(customer, elapsedMs);
-  customer.admitCredit = std::min(kMaxCreditRequests * customer.requestUnits,
+  customer.admitCredit = std::min(kMaxAdmitCreditRequests * customer.meanRequestUnits,
                                   customer.admitCredit + plan.rate * FleetQuota::share(customer) * seconds);
   fleet_.advanceHistory(customer, now, othersUnits);
-  customer.advancedAt = std::max(customer.advancedAt, now);
+  customer.updatedAt = std::max(customer.updatedAt, now);
 }
 
-// A gateway that admits nothing gets no readings: without recovery it would reject for ever.
+// A gateway that admits nothing gets no readings, so without recovery it would reject the customer forever.
 void CustomerQuota::recoverAdmitFraction(Customer& customer, Time now, Time elapsedMs) const {
   if (now - customer.readingAt <= kFractionValidPeriods * settings_.quotaReadingPeriodMs) return;
-  const Time recoveryMs = std::max(kFractionRecoveryMs, kFractionRecoveryGaps * customer.readingGapMs);
+  const Time recoveryMs =
+      std::max(kFractionRecoveryMs, kFractionRecoveryIntervals * customer.meanReadingIntervalMs);
   customer.admitFraction = std::min(1.0, customer.admitFraction + elapsedMs / recoveryMs);
   concurrency_cap::fadeFleetMean(customer, elapsedMs);
 }
 
-// What was metered against the old rate says nothing of the new one.
+// Readings against the old rate do not apply to the new one, so they are discarded.
 void CustomerQuota::changePlan(Customer& customer, unsigned planIndex) const {
   const PlanSettings& plan = settings_.plans[planIndex];
   customer.planIndex = planIndex;
@@ -85,15 +87,16 @@
   if (customer.readingPercent < 0) return true;
   if (sinceLastMs >= settings_.quotaReadingPeriodMs) return true;
   return percent != customer.readingPercent &&
-         sinceLastMs >= kNewReadingPeriods * settings_.quotaReadingPeriodMs;
+         sinceLastMs >= kChangedReadingPeriods * settings_.quotaReadingPeriodMs;
 }
 
 void CustomerQuota::noteReading(Customer& customer, Time now, int percent) const {
   const Time sinceLastMs = now - customer.readingAt;
   if (!isNewReading(customer, sinceLastMs, percent)) return;
-  customer.readingGapMs = customer.readingPercent < 0
-                              ? sinceLastMs
-                              : approach(customer.readingGapMs, sinceLastMs, 1, kReadingGapMemory);
+  customer.meanReadingIntervalMs =
+      customer.readingPercent < 0
+          ? sinceLastMs
+          : approach(customer.meanReadingIntervalMs, sinceLastMs, 1, kReadingIntervalTimeConstant);
   customer.readingPercent = percent;
   customer.readingAt = now;
   advance(customer, now);
@@ -101,7 +104,7 @@
   if (plan.rate <= 0)
     concurrency_cap::noteReading(customer, plan, percent);
   else
-    fleet_.correct(customer, percent);
+    fleet_.applyReading(customer, percent);
 }
 
 }  // namespace wingslip::decision
--- a/src/decision/customer_quota.hpp
+++ b/src/decision/customer_quota.hpp
@@ -1,5 +1,5 @@
-/// A customer's quota at this gateway: local bucket, hard ceiling, estimate of the fleet-wide quota and cap
-/// on attempts in flight, all brought up to the same time.
+/// A customer's quota at this gateway: local token bucket, hard ceiling, estimate of the fleet-wide quota and
+/// cap on attempts in flight. All of them are advanced to the same time.
 #pragma once
 
 #include "decision/customer.hpp"
@@ -8,25 +8,27 @@
 
 namespace wingslip::decision {
 
-/// The rules; the state is the customer's own. Reads the settings it was made with, which outlive it.
+/// Quota rules without state of their own: the state is in Customer. The settings must outlive the object.
 class CustomerQuota {
  public:
   explicit CustomerQuota(const Settings& settings) : settings_(settings), fleet_(settings) {}
 
   const FleetQuota& fleet() const { return fleet_; }
 
-  /// Refills all buckets and lets all averages fade up to `now`.
+  /// Refills all buckets and decays all averages up to `now`.
   void advance(Customer& customer, Time now) const;
-  /// A customer that comes under another plan has that one's quota from now on. Nothing is refilled by it.
+  /// Applies another plan's quota from now on, without refilling any bucket.
   void changePlan(Customer& customer, unsigned planIndex) const;
-  /// An admitted request.
+  /// Debits the units of an admitted request from all buckets.
   static void debit(Customer& customer, double units);
-  /// Gives back what a request was estimated too high; negative where it was estimated too low.
+  /// Credits units by which the estimate for a request exceeded its actual units; negative units if the
+  /// estimate was too low.
   void creditBack(Customer& customer, Time now, double units) const;
 
   void noteAttemptStarted(Customer& customer, Time now) const;
   void noteAttemptEnded(Customer& customer, Time now) const;
-  /// A quota reading from an answer. One rides on every answer of a period; only a new one counts.
+  /// Applies a quota reading, in percent, from an answer. All answers of a reading period carry the same
+  /// reading; repetitions are ignored.
   void noteReading(Customer& customer, Time now, int percent) const;
 
  private:
--- a/src/decision/customer_registry.cpp
+++ b/src/decision/customer_registry.cpp
@@ -1,4 +1,4 @@
-/// The customers that this gateway tracks: new ones, eviction, changed plans.
+/// The customers that this gateway tracks: addition, eviction and changes of plan.
 #include "decision/customer_registry.hpp"
 
 #include <algorithm>
@@ -9,7 +9,11 @@
 
 CustomerRegistry::CustomerRegistry(const Settings& settings, const CustomerQuota& quota, Random& random,
                                    Time now)
-    : settings_(settings), quota_(quota), random_(random), bucketsSince_(now), ceilingsSince_(now) {}
+    : settings_(settings),
+      quota_(quota),
+      random_(random),
+      bucketsUnspentSince_(now),
+      ceilingsUnspentSince_(now) {}
 
 unsigned CustomerRegistry::gatewaysOf(const Request& request) const {
   return std::max(1u, std::min(request.customerGateways, settings_.gatewayCount));
@@ -21,7 +25,8 @@
     if (table_.isFull()) evictOne(now);
     return add(now, request);
   }
-  // The gateways may have changed; what is over the new part of the ceiling is gone at once.
+  // The number of gateways may have changed; units above the new share of the ceiling are dropped
+  // immediately.
   customer->customerGateways = gatewaysOf(request);
   quota_.advance(*customer, now);
   if (customer->planIndex != request.planIndex) quota_.changePlan(*customer, request.planIndex);
@@ -33,29 +38,30 @@
   Customer& customer = table_.add(request.customer);
   customer.planIndex = request.planIndex;
   customer.customerGateways = gatewaysOf(request);
-  customer.advancedAt = now;
+  customer.updatedAt = now;
   customer.readingAt = now;
-  customer.requestUnits = std::max(0.0, request.units);
-  usualRequestSize_.note(customer.requestUnits);
+  customer.meanRequestUnits = std::max(0.0, request.units);
+  meanRequestSize_.note(customer.meanRequestUnits);
   customer.localTokens = initialTokens(plan, customer.customerGateways, now);
-  customer.admitCredit = random_.next() * customer.requestUnits;
-  quota_.fleet().start(customer, now, now - bucketsSince_);
-  // The ceiling holds over restarts and evictions, so nothing is taken to be left in it but what has come in
-  // since this gateway could last have sent for the customer.
-  customer.ceilingTokens = std::min(plan.ceilingBurst, plan.ceilingRate * (now - ceilingsSince_) / 1000) /
-                           customer.customerGateways;
+  customer.admitCredit = random_.next() * customer.meanRequestUnits;
+  quota_.fleet().initialize(customer, now, now - bucketsUnspentSince_);
+  // The ceiling must not be exceeded across restarts and evictions, so it starts only with the units that
+  // have accrued since this gateway may last have sent requests of this customer.
+  customer.ceilingTokens =
+      std::min(plan.ceilingBurst, plan.ceilingRate * (now - ceilingsUnspentSince_) / 1000) /
+      customer.customerGateways;
   return customer;
 }
 
-// What a bucket of a customer that is not tracked holds by now. Tokens are spent in whole requests: where the
-// gateways are so many that burst over them holds none, one usual request is the least that a bucket starts
-// with, or all of them would reject the first requests of a customer whose quota is full.
+// Tokens in the bucket of a customer that is added now. A request is debited as a whole. With so
+// many gateways that a share of the burst is less than a request, all of them would reject the first requests
+// of a customer whose quota is full, so a bucket starts with at least one request of mean size.
 double CustomerRegistry::initialTokens(const PlanSettings& plan, unsigned customerGateways, Time now) const {
-  const double atStart = std::max(plan.burst / customerGateways, usualRequestSize_.units());
-  return std::min(plan.burst, atStart + plan.rate * (now - bucketsSince_) / 1000);
+  const double initial = std::max(plan.burst / customerGateways, meanRequestSize_.units());
+  return std::min(plan.burst, initial + plan.rate * (now - bucketsUnspentSince_) / 1000);
 }
 
-double CustomerRegistry::fullCeiling(const Customer& customer) const {
+double CustomerRegistry::ceilingCapacity(const Customer& customer) const {
   return planOf(customer).ceilingBurst / customer.customerGateways;
 }
 
@@ -63,30 +69,31 @@
   const auto tokensIfNew = [&](const Customer& customer) {
     return initialTokens(planOf(customer), customer.customerGateways, now);
   };
-  const auto losesNothing = [&](Customer& customer) {
+  const auto canEvictWithoutLoss = [&](Customer& customer) {
     quota_.advance(customer, now);
     return customer.attemptsInFlight == 0 && customer.admitFraction >= 1 &&
-           customer.localTokens >= tokensIfNew(customer) && customer.ceilingTokens >= fullCeiling(customer);
+           customer.localTokens >= tokensIfNew(customer) &&
+           customer.ceilingTokens >= ceilingCapacity(customer);
   };
-  table_.evictOne(losesNothing, [&](const Customer& victim) {
-    if (victim.localTokens < tokensIfNew(victim)) bucketsSince_ = now;
-    if (victim.ceilingTokens < fullCeiling(victim)) ceilingsSince_ = now;
+  table_.evictOne(canEvictWithoutLoss, [&](const Customer& evicted) {
+    if (evicted.localTokens < tokensIfNew(evicted)) bucketsUnspentSince_ = now;
+    if (evicted.ceilingTokens < ceilingCapacity(evicted)) ceilingsUnspentSince_ = now;
   });
 }
 
 void CustomerRegistry::applySettings(Time now, const Settings& next) {
-  std::unordered_map<std::string_view, unsigned> planIndexes;  // of equal names the first
+  std::unordered_map<std::string_view, unsigned> planIndexes;  // the first of equal names
   for (unsigned i = 0; i < next.plans.size(); ++i) planIndexes.try_emplace(next.plans[i].name, i);
-  const bool keepsPeriod = next.quotaReadingPeriodMs == settings_.quotaReadingPeriodMs;
+  const bool isSamePeriod = next.quotaReadingPeriodMs == settings_.quotaReadingPeriodMs;
   table_.eraseIf([&](Customer& customer) {
     quota_.advance(customer, now);
     const auto found = planIndexes.find(planOf(customer).name);
-    if (found != planIndexes.end() && keepsPeriod) {
+    if (found != planIndexes.end() && isSamePeriod) {
       customer.planIndex = found->second;
       return false;
     }
-    bucketsSince_ = now;
-    ceilingsSince_ = now;
+    bucketsUnspentSince_ = now;
+    ceilingsUnspentSince_ = now;
     return true;
   });
 }
--- a/src/decision/customer_registry.hpp
+++ b/src/decision/customer_registry.hpp
@@ -1,4 +1,4 @@
-/// The customers that this gateway tracks: new ones, eviction, and what an evicted one may start with.
+/// The customers that this gateway tracks: addition, eviction and the initial tokens of a customer.
 #pragma once
 
 #include <cstddef>
@@ -11,39 +11,40 @@
 
 namespace wingslip::decision {
 
-/// Owns all customers. What it was made with outlives it.
+/// Owns all customers. The constructor's arguments must outlive the object.
 class CustomerRegistry {
  public:
   CustomerRegistry(const Settings& settings, const CustomerQuota& quota, Random& random, Time now);
 
-  /// Null where the customer is not tracked.
+  /// Returns null if the customer is not tracked.
   Customer* find(CustomerId id) { return table_.find(id); }
-  /// The customer of a request, brought up to `now`; made where it is not tracked.
+  /// Returns the customer of a request, advanced to `now`; adds it if it is not tracked.
   Customer& obtain(Time now, const Request& request);
-  /// Before the settings become `next`: customers follow their plan's name. Those of a dropped plan are
-  /// forgotten, as all are where the reading period changes, since their use is recorded by its quarters.
+  /// Must be called before the settings change to `next`. Assigns customers to the plan of the same name and
+  /// erases those whose plan was removed. Erases all customers if the reading period changes, since usage is
+  /// recorded per quarter of it.
   void applySettings(Time now, const Settings& next);
 
   std::size_t size() const { return table_.size(); }
-  const UsualRequestSize& usualRequestSize() const { return usualRequestSize_; }
+  const UsualRequestSize& usualRequestSize() const { return meanRequestSize_; }
 
  private:
   unsigned gatewaysOf(const Request& request) const;
   Customer& add(Time now, const Request& request);
   void evictOne(Time now);
   double initialTokens(const PlanSettings& plan, unsigned customerGateways, Time now) const;
-  double fullCeiling(const Customer& customer) const;
+  double ceilingCapacity(const Customer& customer) const;
   const PlanSettings& planOf(const Customer& customer) const { return settings_.plans[customer.planIndex]; }
 
   const Settings& settings_;
   const CustomerQuota& quota_;
   Random& random_;
   CustomerTable table_;
-  UsualRequestSize usualRequestSize_;
-  // Since when a customer that is not tracked cannot have spent anything here: this gateway's start, or when
-  // one that lost by it was evicted.
-  Time bucketsSince_;
-  Time ceilingsSince_;
+  UsualRequestSize meanRequestSize_;
+  // Since these times a customer that is not tracked cannot have spent any units here: the start of this
+  // gateway, or the last time that a customer was erased whose bucket or ceiling may have been partly spent.
+  Time bucketsUnspentSince_;
+  Time ceilingsUnspentSince_;
 };
 
 }  // namespace wingslip::decision
--- a/src/decision/customer_table.hpp
+++ b/src/decision/customer_table.hpp
@@ -1,4 +1,4 @@
-/// Customers by identifier, in the order of their last use, up to a fixed number.
+/// Table of customers by identifier with eviction in least-recently-used order.
 #pragma once
 
 #include <cstddef>
@@ -9,24 +9,24 @@
 
 namespace wingslip::decision {
 
-/// Owns the customers. A reference to one holds until it is erased.
+/// Owns the customers. A reference to a customer is valid until the customer is erased.
 class CustomerTable {
  public:
-  /// Bounds the memory that one-off customers can make the gateway use.
+  /// Bounds the memory for customers that send only one request.
   static constexpr std::size_t kMaxCustomers = 4096;
-  /// Least recently used customers that are looked at for one that loses nothing by eviction.
+  /// Number of least recently used customers searched for one that can be evicted without loss of state.
   static constexpr std::size_t kEvictionScan = 32;
 
   std::size_t size() const { return index_.size(); }
   bool isFull() const { return index_.size() >= kMaxCustomers; }
 
-  /// Null where the customer is not in the table.
+  /// Returns null if the customer is not in the table.
   Customer* find(CustomerId id) {
     const auto found = index_.find(id);
     return found == index_.end() ? nullptr : &*found->second;
   }
 
-  /// As `find`, and makes it the most recently used.
+  /// Like `find`, and marks the customer as the most recently used.
   Customer* findAndTouch(CustomerId id) {
     const auto found = index_.find(id);
     if (found == index_.end()) return nullptr;
@@ -34,7 +34,7 @@
     return &*found->second;
   }
 
-  /// A new customer, as the most recently used.
+  /// Adds a customer as the most recently used.
   Customer& add(CustomerId id) {
     customers_.emplace_back();
     index_[id] = std::prev(customers_.end());
@@ -42,27 +42,28 @@
     return customers_.back();
   }
 
-  /// Evicts the first of the oldest customers for which `losesNothing` holds, else the oldest one, so that a
-  /// stream of one-off customers does not bring heavy ones back with full buckets. `beforeErase` sees it.
-  template <class LosesNothing, class BeforeErase>
-  void evictOne(LosesNothing losesNothing, BeforeErase beforeErase) {
-    auto victim = customers_.begin();
+  /// Evicts the first of the kEvictionScan oldest customers for which `canEvictWithoutLoss` is true, or else
+  /// the oldest, so that a stream of customers with one request each does not let heavy customers return with
+  /// full buckets. `beforeErase` is called with the customer before it is erased.
+  template <class CanEvictWithoutLoss, class BeforeErase>
+  void evictOne(CanEvictWithoutLoss canEvictWithoutLoss, BeforeErase beforeErase) {
+    auto evicted = customers_.begin();
     std::size_t scanned = 0;
     for (auto it = customers_.begin(); it != customers_.end() && scanned < kEvictionScan; ++it, ++scanned) {
-      if (!losesNothing(*it)) continue;
-      victim = it;
+      if (!canEvictWithoutLoss(*it)) continue;
+      evicted = it;
       break;
     }
-    beforeErase(*victim);
-    index_.erase(victim->id);
-    customers_.erase(victim);
+    beforeErase(*evicted);
+    index_.erase(evicted->id);
+    customers_.erase(evicted);
   }
 
-  /// Erases all customers for which `isDropped` holds, from the least recently used one on.
-  template <class IsDropped>
-  void eraseIf(IsDropped isDropped) {
+  /// Erases all customers for which `mustErase` is true, starting with the least recently used.
+  template <class MustErase>
+  void eraseIf(MustErase mustErase) {
     for (auto it = customers_.begin(); it != customers_.end();) {
-      if (!isDropped(*it)) {
+      if (!mustErase(*it)) {
         ++it;
         continue;
       }
--- a/src/decision/decision_log.hpp
+++ b/src/decision/decision_log.hpp
@@ -1,11 +1,11 @@
-/// The decision module's log: few lines, each bounded.
+/// Log of the decision module: a limited number of lines, each of limited length.
 #pragma once
 
 #include "wingslip/decision/gateway.hpp"
 
 namespace wingslip::decision {
 
-/// Workers that are ready, and what keeps some of them from being used.
+/// Ready workers, and how many of them are restricted for each reason; the reasons can overlap.
 struct ReadyWorkerCounts {
   unsigned ready = 0;
   unsigned ejected = 0;
@@ -13,34 +13,34 @@
   unsigned overloaded = 0;
 };
 
-/// What the rejections of a summary were decided by.
-struct DecisionFigures {
-  double unknownCustomerReach = 0;
-  double concurrencyLimit = 0;
+/// State behind the rejections of a summary.
+struct DecisionGauges {
+  double unknownCustomerReach = 0;  ///< as UnknownCustomers::reach
+  double concurrencyLimit = 0;      ///< of the gateway, in attempts
   unsigned attemptsInFlight = 0;
-  double workerShortage = 0;
+  double workerShortage = 0;  ///< as Admission::workerShortage
   ReadyWorkerCounts workers;
 };
 
-/// What it is made with outlives it.
+/// Writes log lines through Actions::log. `actions` must outlive the object.
 class DecisionLog {
  public:
-  DecisionLog(Actions& actions, Time now) : actions_(actions), summaryAt_(now) {}
+  DecisionLog(Actions& actions, Time now) : actions_(actions), lastSummaryAt_(now) {}
 
-  /// A line on one event; dropped where the last one was a moment ago.
-  void note(Time now, const char* line);
-  bool isSummaryDue(Time now) const { return now - summaryAt_ >= kSummaryIntervalMs; }
-  /// What was rejected since the last summary and why, so that a log tells the causes apart.
-  void summarize(Time now, const RejectionCounts& counts, const DecisionFigures& figures);
+  /// Logs an event. Drops the line if less than kMinEventIntervalMs has passed since the last one.
+  void logEvent(Time now, const char* line);
+  bool isSummaryDue(Time now) const { return now - lastSummaryAt_ >= kSummaryIntervalMs; }
+  /// Logs the rejections since the last summary by reason, with the state that led to them.
+  void summarize(Time now, const RejectionCounts& counts, const DecisionGauges& gauges);
 
  private:
-  static constexpr Time kMinIntervalMs = 2000;  ///< between lines on events
+  static constexpr Time kMinEventIntervalMs = 2000;  ///< between event lines
   static constexpr Time kSummaryIntervalMs = 5000;
 
   Actions& actions_;
-  Time notedAt_ = -kMinIntervalMs;
-  Time summaryAt_;
-  RejectionCounts atLastSummary_;
+  Time lastEventAt_ = -kMinEventIntervalMs;
+  Time lastSummaryAt_;
+  RejectionCounts countsAtLastSummary_;
 };
 
 }  // namespace wingslip::decision
--- a/src/decision/fleet_quota.cpp
+++ b/src/decision/fleet_quota.cpp
@@ -1,4 +1,4 @@
-/// Estimate of a customer's quota over all gateways: demand, share, readings.
+/// Estimate of a customer's quota over all gateways, from demand, this gateway's share and quota readings.
 #include "decision/fleet_quota.hpp"
 
 #include <cmath>
@@ -8,18 +8,22 @@
 namespace wingslip::decision {
 namespace {
 
-constexpr Time kRecentDemandMemoryMs = 3000;
-constexpr Time kUsualDemandMemoryMs = 60000;  // short memories make gateways swing against each other
-constexpr Time kShareMemoryMs = 10000;
-constexpr double kDemandDoubtRequests = 0.5;  // requests that an assumed demand counts for
-constexpr double kUnknownDemand = 1;          // of the rate: demand of a customer without any history
-constexpr Time kReadingDelayMs = 800;         // from a metered period's end to its reading
-constexpr double kTargetUse = 0.6;            // of the rate, what the admit fraction aims at
-constexpr double kMinAdmitFraction = 0.05;    // at 0 no reading would come that lifts it
-// Periods of the rate that the estimate may owe: without debt, noise in the readings only ever adds quota.
+constexpr Time kShortTermDemandTimeConstantMs = 3000;
+// With a shorter time constant the gateways' estimates oscillate against each other.
+constexpr Time kLongTermDemandTimeConstantMs = 60000;
+constexpr Time kShareTimeConstantMs = 10000;
+constexpr double kDemandPriorRequests = 0.5;  // weight of the prior demand estimate, in requests of mean size
+constexpr double kDemandPriorShare = 1;       // share of the rate: demand of a customer without history
+constexpr Time kReadingDelayMs = 800;         // from the end of a metered period to its reading
+constexpr double kTargetUtilization = 0.6;    // share of the rate at which the admit fraction aims
+constexpr double kMinAdmitFraction = 0.05;    // at 0 there would be no further readings to raise it
+// In reading periods at the full rate. The estimate must be able to go into debt: with a lower bound of 0,
+// noise in the readings could only ever add quota.
 constexpr double kMaxDebtPeriods = 2;
-constexpr double kLogisticScale = 1.7;  // of a normal spread, in the logistic one that stands for it
-constexpr double kSafetySpreads = 1;    // spreads of doubt that are kept from the estimate
+// A quantile of the normal distribution, in standard deviations, is approximated by the log-odds divided by
+// this.
+constexpr double kLogisticScale = 1.7;
+constexpr double kSafetyDeviations = 1;  // standard deviations subtracted from the estimate
 
 }  // namespace
 
@@ -27,114 +31,119 @@
   return kMaxDebtPeriods * plan.rate * settings_.quotaReadingPeriodMs / 1000;
 }
 
-// What is seen lately against what is usual, and that against what is assumed, each by its weight.
+// The short-term average demand with the long-term average as its prior; the prior of the long-term average
+// is a share of the plan's rate. Each prior has the weight of `priorUnits`.
 double FleetQuota::demand(const Customer& customer) const {
-  const double doubt = kDemandDoubtRequests * customer.requestUnits;
-  const double assumed = std::max(1e-6, kUnknownDemand * planOf(customer).rate);
-  const double usual =
-      (customer.usualDemand.units + doubt) / (customer.usualDemand.seconds + doubt / assumed);
-  return (customer.recentDemand.units + doubt) / (customer.recentDemand.seconds + doubt / usual);
+  const double priorUnits = kDemandPriorRequests * customer.meanRequestUnits;
+  const double priorRate = std::max(1e-6, kDemandPriorShare * planOf(customer).rate);
+  const double longTermRate = (customer.longTermDemand.units + priorUnits) /
+                              (customer.longTermDemand.seconds + priorUnits / priorRate);
+  return (customer.shortTermDemand.units + priorUnits) /
+         (customer.shortTermDemand.seconds + priorUnits / longTermRate);
 }
 
-// Units per second that the other gateways take from the fleet's quota.
+// Units per second that the other gateways use of the fleet-wide quota.
 double FleetQuota::othersRate(const Customer& customer, double ownShare) const {
   return demand(customer) * (1 - ownShare) * customer.history.admitFraction[customer.history.newest()];
 }
 
-void FleetQuota::noteDemand(Customer& customer, double units, double seconds) {
-  customer.recentDemand.units += units;
-  customer.usualDemand.units += units;
-  customer.recentDemand.seconds += seconds;
-  customer.usualDemand.seconds += seconds;
+void FleetQuota::addDemand(Customer& customer, double units, double seconds) {
+  customer.shortTermDemand.units += units;
+  customer.longTermDemand.units += units;
+  customer.shortTermDemand.seconds += seconds;
+  customer.longTermDemand.seconds += seconds;
 }
 
-void FleetQuota::noteAdmitFraction(Customer& customer, double fraction) {
+void FleetQuota::recordAdmitFraction(Customer& customer, double fraction) {
   customer.history.admitFraction[customer.history.newest()] = fraction;
 }
 
-void FleetQuota::start(Customer& customer, Time now, Time unseenMs) const {
+void FleetQuota::initialize(Customer& customer, Time now, Time idleMs) const {
   customer.fleetTokens = planOf(customer).burst;
   customer.history.admitFraction.fill(1);
   customer.history.slot = slotAt(now);
-  customer.usualDemand.seconds = share(customer) * unseenMs / 1000;
-  customer.recentDemand.seconds = share(customer) * std::min(kRecentDemandMemoryMs, unseenMs) / 1000;
+  customer.longTermDemand.seconds = share(customer) * idleMs / 1000;
+  customer.shortTermDemand.seconds =
+      share(customer) * std::min(kShortTermDemandTimeConstantMs, idleMs) / 1000;
 }
 
 double FleetQuota::refill(Customer& customer, Time elapsedMs) const {
   const PlanSettings& plan = planOf(customer);
   const double seconds = elapsedMs / 1000;
-  const double lowest = -maxDebt(plan);
-  const double filled = customer.fleetTokens + plan.rate * seconds;
+  const double minTokens = -maxDebt(plan);
+  const double refilled = customer.fleetTokens + plan.rate * seconds;
   const double ownShare = share(customer);
   const double othersUnits =
-      std::clamp(othersRate(customer, ownShare) * seconds, 0.0, std::max(0.0, filled - lowest));
-  customer.fleetTokens = std::min(plan.burst, filled - othersUnits);
-
-  const double keepRecent = decayFactor(elapsedMs, kRecentDemandMemoryMs);
-  const double keepUsual = decayFactor(elapsedMs, kUsualDemandMemoryMs);
-  customer.recentDemand.units *= keepRecent;
-  customer.recentDemand.seconds = customer.recentDemand.seconds * keepRecent + ownShare * seconds;
-  customer.usualDemand.units *= keepUsual;
-  customer.usualDemand.seconds = customer.usualDemand.seconds * keepUsual + ownShare * seconds;
-  const double keepShare = decayFactor(elapsedMs, kShareMemoryMs);
-  customer.ownUse *= keepShare;
-  customer.allUse *= keepShare;
+      std::clamp(othersRate(customer, ownShare) * seconds, 0.0, std::max(0.0, refilled - minTokens));
+  customer.fleetTokens = std::min(plan.burst, refilled - othersUnits);
+
+  const double shortTermDecay = decayFactor(elapsedMs, kShortTermDemandTimeConstantMs);
+  const double longTermDecay = decayFactor(elapsedMs, kLongTermDemandTimeConstantMs);
+  customer.shortTermDemand.units *= shortTermDecay;
+  customer.shortTermDemand.seconds = customer.shortTermDemand.seconds * shortTermDecay + ownShare * seconds;
+  customer.longTermDemand.units *= longTermDecay;
+  customer.longTermDemand.seconds = customer.longTermDemand.seconds * longTermDecay + ownShare * seconds;
+  const double usageDecay = decayFactor(elapsedMs, kShareTimeConstantMs);
+  customer.ownUsage *= usageDecay;
+  customer.fleetUsage *= usageDecay;
   return othersUnits;
 }
 
 void FleetQuota::advanceHistory(Customer& customer, Time now, double othersUnits) const {
   UsageHistory& history = customer.history;
-  const long target = slotAt(now);
-  const long passed = std::max(0L, target - history.slot);
-  const double each = othersUnits / static_cast<double>(passed + 1);
-  const std::size_t from = history.newest();
-  history.othersUnits[from] += each;
-  for (history.slot = std::max(history.slot, target - kHistorySlots); history.slot < target;) {
-    const std::size_t next = UsageHistory::indexOf(++history.slot);
-    history.ownUnits[next] = 0;
-    history.othersUnits[next] = each;
-    history.admitFraction[next] = history.admitFraction[from];
+  const long currentSlot = slotAt(now);
+  const long slotsPassed = std::max(0L, currentSlot - history.slot);
+  const double unitsPerSlot = othersUnits / static_cast<double>(slotsPassed + 1);
+  const std::size_t lastIndex = history.newest();
+  history.othersUnits[lastIndex] += unitsPerSlot;
+  for (history.slot = std::max(history.slot, currentSlot - kHistorySlots); history.slot < currentSlot;) {
+    const std::size_t nextIndex = UsageHistory::indexOf(++history.slot);
+    history.ownUnits[nextIndex] = 0;
+    history.othersUnits[nextIndex] = unitsPerSlot;
+    history.admitFraction[nextIndex] = history.admitFraction[lastIndex];
   }
 }
 
-void FleetQuota::correct(Customer& customer, int percent) const {
+void FleetQuota::applyReading(Customer& customer, int percent) const {
   const PlanSettings& plan = planOf(customer);
   const UsageHistory& history = customer.history;
-  const int delay = static_cast<int>(std::lround(kReadingDelayMs / slotLengthMs()));
+  const int delaySlots = static_cast<int>(std::lround(kReadingDelayMs / slotLengthMs()));
   double ownUnits = 0;
-  double fraction = 0;
-  double assumedOthers = 0;
-  for (int i = delay; i < delay + kSlotsPerPeriod && i < kHistorySlots; ++i) {
-    const std::size_t at = UsageHistory::indexOf(history.slot - i + kHistorySlots);
-    ownUnits += history.ownUnits[at];
-    fraction += history.admitFraction[at] / kSlotsPerPeriod;
-    assumedOthers += history.othersUnits[at];
+  double meanAdmitFraction = 0;
+  double estimatedOthersUnits = 0;
+  for (int i = delaySlots; i < delaySlots + kSlotsPerPeriod && i < kHistorySlots; ++i) {
+    const std::size_t index = UsageHistory::indexOf(history.slot - i + kHistorySlots);
+    ownUnits += history.ownUnits[index];
+    meanAdmitFraction += history.admitFraction[index] / kSlotsPerPeriod;
+    estimatedOthersUnits += history.othersUnits[index];
   }
   const double periodS = settings_.quotaReadingPeriodMs / 1000;
-  const double meteredOthers = std::max(0.0, percent / 100.0 * plan.rate * periodS - ownUnits);
-  const double rateBefore = othersRate(customer, share(customer));
-  customer.ownUse += ownUnits;
-  customer.allUse += ownUnits + meteredOthers;
+  const double meteredOthersUnits = std::max(0.0, percent / 100.0 * plan.rate * periodS - ownUnits);
+  const double othersRateBefore = othersRate(customer, share(customer));
+  customer.ownUsage += ownUnits;
+  customer.fleetUsage += ownUnits + meteredOthersUnits;
   const double ownShare = share(customer);
-  // The reading tells what the fraction of its own period admitted, whatever the fraction is by now.
-  noteDemand(customer, meteredOthers, periodS * (1 - ownShare) * fraction);
-  customer.admitFraction = std::clamp(kTargetUse * plan.rate / demand(customer), kMinAdmitFraction, 1.0);
-  // What was assumed for the metered period gives way to what was metered, and the time since then to the
-  // others' rate as it is now known.
-  customer.fleetTokens +=
-      assumedOthers - meteredOthers + (rateBefore - othersRate(customer, ownShare)) * kReadingDelayMs / 1000;
+  // The metered units were admitted under the admit fraction of the metered period, not under the current
+  // one.
+  addDemand(customer, meteredOthersUnits, periodS * (1 - ownShare) * meanAdmitFraction);
+  customer.admitFraction =
+      std::clamp(kTargetUtilization * plan.rate / demand(customer), kMinAdmitFraction, 1.0);
+  // Replaces the units estimated for the metered period by the metered ones, and those estimated for the time
+  // since then by the corrected rate of the other gateways.
+  customer.fleetTokens += estimatedOthersUnits - meteredOthersUnits +
+                          (othersRateBefore - othersRate(customer, ownShare)) * kReadingDelayMs / 1000;
   customer.fleetTokens = std::clamp(customer.fleetTokens, -maxDebt(plan), plan.burst);
 }
 
-double FleetQuota::margin(const Customer& customer, double errorPrice) const {
+double FleetQuota::safetyMargin(const Customer& customer, double errorCostRatio) const {
   const PlanSettings& plan = planOf(customer);
-  // Own requests are known; what the others have sent since the last reading's period is not.
-  const double unknownS =
-      std::min((customer.advancedAt - customer.readingAt + settings_.quotaReadingPeriodMs) / 1000,
+  // This gateway's own requests are known; those of the other gateways since the last metered period are not.
+  const double unmeteredS =
+      std::min((customer.updatedAt - customer.readingAt + settings_.quotaReadingPeriodMs) / 1000,
                plan.burst / plan.rate);
-  const double spread = std::sqrt(std::min(demand(customer), plan.rate) * (1 - share(customer)) *
-                                  customer.requestUnits * unknownS);
-  return (std::log(errorPrice) / kLogisticScale + kSafetySpreads) * spread;
+  const double deviation = std::sqrt(std::min(demand(customer), plan.rate) * (1 - share(customer)) *
+                                     customer.meanRequestUnits * unmeteredS);
+  return (std::log(errorCostRatio) / kLogisticScale + kSafetyDeviations) * deviation;
 }
 
 }  // namespace wingslip::decision
--- a/src/decision/fleet_quota.hpp
+++ b/src/decision/fleet_quota.hpp
@@ -1,7 +1,7 @@
 /// Estimate of a customer's quota over all gateways.
 ///
-/// A gateway sees its own requests and, with a delay, a metered reading of what all gateways have used. From
-/// both it estimates the fleet's demand, its own share of it and what is left of the quota.
+/// A gateway knows its own requests and receives, with a delay, metered readings of the usage over all
+/// gateways. From both it estimates the fleet-wide demand, its own share of it and the remaining quota.
 #pragma once
 
 #include <algorithm>
@@ -11,40 +11,49 @@
 
 namespace wingslip::decision {
 
-/// The estimate's rules; the state is the customer's own. The settings it was made with outlive it.
+/// Rules of the estimate without state of their own: the state is in Customer. The settings must outlive the
+/// object.
 class FleetQuota {
  public:
   explicit FleetQuota(const Settings& settings) : settings_(settings) {}
 
-  /// The part of the customer's use that this gateway sends, in (0, 1].
+  /// This gateway's share of the customer's usage, in (0, 1].
   static double share(const Customer& customer) {
-    const double doubt = kShareDoubtRequests * customer.requestUnits + 1e-9;
-    return std::min(1.0, (customer.ownUse + doubt / customer.customerGateways) / (customer.allUse + doubt));
+    const double priorUnits = kSharePriorRequests * customer.meanRequestUnits + 1e-9;
+    return std::min(1.0, (customer.ownUsage + priorUnits / customer.customerGateways) /
+                             (customer.fleetUsage + priorUnits));
   }
 
-  /// All gateways' demand in units per second.
+  /// Estimated demand over all gateways, in units per second.
   double demand(const Customer& customer) const;
-  static void noteDemand(Customer& customer, double units, double seconds);
-  static void noteAdmitFraction(Customer& customer, double fraction);
+  /// Adds `units` requested within `seconds`, both over all gateways, to the demand averages.
+  static void addDemand(Customer& customer, double units, double seconds);
+  /// Records the admit fraction in force in the newest history slot.
+  static void recordAdmitFraction(Customer& customer, double fraction);
 
-  /// A new customer's history and demand; its plan, units and gateways are set.
-  void start(Customer& customer, Time now, Time unseenMs) const;
-  /// Refills the estimate for `elapsedMs` up to `now` and lets the demand fade.
-  /// @return units that the other gateways are taken to have used meanwhile, for `advanceHistory`.
+  /// Initializes estimate, history and demand of a new customer whose plan, request units and gateways are
+  /// set.
+  /// @param idleMs time for which the customer is known to have sent nothing through this gateway.
+  void initialize(Customer& customer, Time now, Time idleMs) const;
+  /// Refills the estimated remaining quota for `elapsedMs` and decays demand and usage.
+  /// @return units that the other gateways are estimated to have used in that time, for `advanceHistory`.
   double refill(Customer& customer, Time elapsedMs) const;
-  /// Moves the history on to the slot of `now`; `othersUnits` is spread over the slots that have passed.
+  /// Advances the history to the slot of `now` and spreads `othersUnits` evenly over the slots since the last
+  /// call.
   void advanceHistory(Customer& customer, Time now, double othersUnits) const;
-  /// Corrects the estimate by a reading: the metered use of the last whole period, in percent of the rate.
-  void correct(Customer& customer, int percent) const;
+  /// Corrects the estimate by a reading: the metered usage of the last complete period, in percent of the
+  /// rate.
+  void applyReading(Customer& customer, int percent) const;
 
-  /// Units that have to be left beyond those of a request, or the quota counts as used up: what is not known
-  /// of the others' use since the last reading's period, weighted by `errorPrice`, the cost of a wrong
-  /// admission over that of a wrong rejection. Negative where wrong admissions cost little.
-  double margin(const Customer& customer, double errorPrice) const;
+  /// Safety margin in units: if less than this would remain beyond a request's units, the quota counts as
+  /// used up. It reflects the uncertainty of the other gateways' usage since the last metered period.
+  /// @param errorCostRatio cost of a wrong admission over that of a wrong rejection, above 0. The margin is
+  ///   negative if the ratio is low.
+  double safetyMargin(const Customer& customer, double errorCostRatio) const;
 
  private:
-  /// Requests that a share of 1/customerGateways counts for.
-  static constexpr double kShareDoubtRequests = 4;
+  /// Weight of the prior share 1/customerGateways, in requests of mean size.
+  static constexpr double kSharePriorRequests = 4;
 
   Time slotLengthMs() const { return std::max(settings_.quotaReadingPeriodMs, 1000.0) / kSlotsPerPeriod; }
   long slotAt(Time now) const { return static_cast<long>(now / slotLengthMs()); }
--- a/src/decision/gateway.cpp
+++ b/src/decision/gateway.cpp
@@ -1,8 +1,8 @@
 /// The decision module: events in, actions out. Its interface is include/wingslip/decision/gateway.hpp.
 ///
-/// Core tells the story of a request and leaves each decision to its module: admission, load_shedding,
-/// concurrency_limit and load_balancer before its first attempt, worker_feedback and customer_quota at an
-/// attempt's outcome, retry_policy for another attempt or the final answer.
+/// Core implements the life cycle of a request and delegates each decision to a module: admission,
+/// load_shedding, concurrency_limit and load_balancer before the first attempt, worker_feedback and
+/// customer_quota at the outcome of an attempt, retry_policy for a retry or the final answer.
 #include "wingslip/decision/gateway.hpp"
 
 #include <algorithm>
@@ -33,12 +33,12 @@
 namespace wingslip::decision {
 namespace {
 
-constexpr Time kRetryAfterMs = 250;  // advised when no worker can take the request
-constexpr Time kPollRetryMs = 250;   // after a call for the list of endpoints that failed
-constexpr Time kWorkerRetryMs = 40;  // between looks for a worker that may repeat a request
-constexpr std::uint64_t kPollTimerTag = ~std::uint64_t{0};  // other tags are requests
+constexpr Time kRetryAfterMs = 250;    // advised to clients when no worker is available
+constexpr Time kPollRetryMs = 250;     // delay before polling the endpoint list again after a failure
+constexpr Time kWorkerRecheckMs = 40;  // interval between searches for a worker that may run the retry
+constexpr std::uint64_t kPollTimerTag = ~std::uint64_t{0};  // all other tags are request ids
 
-const Settings& checked(const Settings& settings) {
+const Settings& validated(const Settings& settings) {
   checkSettings(settings);
   return settings;
 }
@@ -48,7 +48,7 @@
 class Gateway::Core {
  public:
   Core(const Settings& settings, std::uint64_t salt, Time now, Actions& actions)
-      : settings_(checked(settings)),
+      : settings_(validated(settings)),
         actions_(actions),
         random_(salt),
         classes_(settings_.classes, now),
@@ -66,7 +66,7 @@
         log_(actions, now) {
     if (settings_.pollsEndpoints) actions_.pollEndpoints();
   }
-  // The modules refer to each other.
+  // Not copyable: the modules reference each other.
   Core(const Core&) = delete;
   Core& operator=(const Core&) = delete;
 
@@ -78,7 +78,7 @@
     if (const auto rejection = checkAdmission(customer, request)) return reject(request.id, *rejection);
     PendingRequest pending = pendingRequest(now, request);
     UpstreamWorker* worker = chooseWorker(now, pending);
-    admission_.noteWorkerChoice(now, worker != nullptr);
+    admission_.recordWorkerChoice(now, worker != nullptr);
     if (!worker) return reject(request.id, {RejectionReason::noWorker, kRetryAfterMs});
     CustomerQuota::debit(customer, request.units);
     startAttempt(now, requests_.add(std::move(pending)), *worker);
@@ -92,17 +92,17 @@
     Customer* customer = customers_.find(attempt->customer);
     if (customer) quota_.noteAttemptEnded(*customer, now);
     if (worker && workerFeedback_.note(*worker, now, *attempt->requestClass, outcome))
-      log_.note(now, "worker ejected: attempts in a row failed");
+      log_.logEvent(now, "worker ejected: too many consecutive failed attempts");
     retryPolicy_.noteResult(outcome.result);
-    if (customer) noteQuotaReading(*customer, now, pending, outcome.quotaUsePercent);
+    if (customer) handleQuotaReading(*customer, now, pending, outcome.quotaUsePercent);
     if (!pending) return;
     pending->hasAttemptInFlight = false;
     if (settings_.correctsUnits && outcome.result == AttemptResult::ok && customer && outcome.actualUnits > 0)
       quota_.creditBack(*customer, now, pending->request.units - outcome.actualUnits);
     if (outcome.requestFinished || outcome.result == AttemptResult::ok) return requests_.erase(outcome.id);
-    if (!provesNotRun(outcome.result)) noteMayHaveRun(*pending, worker);
+    if (!provesNotRun(outcome.result)) recordPossibleRun(*pending, worker);
     if (outcome.result == AttemptResult::notSent || now >= pending->request.expiresAt)
-      return endUnanswered(*pending);
+      return rejectOrFail(*pending);
     retryOrEnd(now, *pending);
   }
 
@@ -113,7 +113,7 @@
     pending->arrivedAt = now;
     pending->lastAttemptAt = now;
     if (!pending->hasAttemptInFlight) return;
-    // Until now the worker had nothing to answer.
+    // The worker could not answer an incomplete request, so its silence until now does not count.
     if (UpstreamWorker* worker = workers_.find(pending->triedWorkers.back())) worker->lastHeardAt = now;
   }
 
@@ -123,7 +123,7 @@
     if (PendingRequest* pending = requests_.find(id)) pending->responseStarted = true;
   }
 
-  // Requests in flight give back what memory asks for.
+  // Ends requests in flight until their memory covers `signal.excessBytes`.
   void onOverload(const OverloadSignal& signal) {
     loadShedding_.onSignal(signal);
     double excessBytes = signal.excessBytes;
@@ -137,7 +137,7 @@
       PendingRequest* pending = requests_.find(candidate.id);
       if (!pending) continue;
       excessBytes -= pending->request.memoryBytes;
-      giveUp(*pending);
+      releaseForOverload(*pending);
     }
   }
 
@@ -163,7 +163,7 @@
       pending.maxAttempts = std::min(pending.maxAttempts, next.maxAttempts);
     customers_.applySettings(now, next);
     settings_ = next;
-    loadBalancer_.assignSubset();  // the number of gateways, or this one's, may be another
+    loadBalancer_.assignSubset();  // the gateway's index or the gateway count may have changed
   }
 
   void exclude(Time now, WorkerId worker) { workers_.exclude(now, worker); }
@@ -182,7 +182,7 @@
            std::isfinite(request.units) && std::isfinite(request.expiresAt);
   }
 
-  // By the customer's quota, then by what the host can bear.
+  // Checks the customer's quota first, then the overload of the host.
   std::optional<Rejection> checkAdmission(Customer& customer, const Request& request) {
     const Time usualLatencyMs = classes_[request.classIndex]->usualLatencyMs();
     if (auto rejection = admission_.check(customer, request, usualLatencyMs, loadShedding_.signal().active))
@@ -203,7 +203,8 @@
     return pending;
   }
 
-  // A request that may have run is exempt from the gateway's limit: its final answer might be a failure.
+  // A request that may have run is exempt from the gateway's concurrency limit, because ending it here could
+  // make its final answer a failure.
   UpstreamWorker* chooseWorker(Time now, const PendingRequest& pending) {
     if (!pending.mayHaveRun && !concurrencyLimit_.hasCapacity(random_)) {
       ++rejections_.concurrencyLimit;
@@ -227,17 +228,17 @@
     actions_.startAttempt(request.id, worker.endpoint.worker, timeoutMs);
   }
 
-  // `pending` is null where the request has ended before its attempt.
-  void noteQuotaReading(Customer& customer, Time now, const PendingRequest* pending, int percent) {
+  // `pending` is null if the request ended before its attempt.
+  void handleQuotaReading(Customer& customer, Time now, const PendingRequest* pending, int percent) {
     if (percent < 0) return;
-    if (pending && unknownCustomers_.outrunsQuota(customer))
+    if (pending && unknownCustomers_.canOverrunQuota(customer))
       unknownCustomers_.noteReading(pending->request, pending->plan, pending->classSettings().priorityWeight,
                                     percent);
     quota_.noteReading(customer, now, percent);
   }
 
-  // The first attempt that may have run decides where and until when the request may be repeated.
-  static void noteMayHaveRun(PendingRequest& pending, const UpstreamWorker* worker) {
+  // The first attempt that may have run determines which workers may run a retry, and until when.
+  static void recordPossibleRun(PendingRequest& pending, const UpstreamWorker* worker) {
     if (pending.mayHaveRun) return;
     pending.mayHaveRun = true;
     pending.firstRunAt = pending.lastAttemptAt;
@@ -247,20 +248,21 @@
   }
 
   void retryOrEnd(Time now, PendingRequest& pending) {
-    if (!retryPolicy_.mayRetry(pending, now)) return endUnanswered(pending);
+    if (!retryPolicy_.mayRetry(pending, now)) return rejectOrFail(pending);
     if (UpstreamWorker* worker = chooseWorker(now, pending)) return startAttempt(now, pending, *worker);
-    // One that has not run may be rejected at once; one that may have run waits for a worker that knows it.
-    if (!pending.mayHaveRun || now + kWorkerRetryMs >= pending.request.expiresAt)
-      return endUnanswered(pending);
-    actions_.setTimer(kWorkerRetryMs, pending.request.id);
+    // A request that has not run can be rejected immediately. One that may have run waits for a worker in its
+    // deduplication scope.
+    if (!pending.mayHaveRun || now + kWorkerRecheckMs >= pending.request.expiresAt)
+      return rejectOrFail(pending);
+    actions_.setTimer(kWorkerRecheckMs, pending.request.id);
   }
 
-  // A rejection says that sending again is harmless; where that is not known the final answer is a failure.
-  void endUnanswered(const PendingRequest& pending) {
+  // A rejection means that the client can resend safely; if that is not known, the final answer is a failure.
+  void rejectOrFail(const PendingRequest& pending) {
     const RequestId id = pending.request.id;
-    const bool isSafe = isSafeToReject(pending);
+    const bool canResendSafely = isSafeToReject(pending);
     requests_.erase(id);
-    if (isSafe)
+    if (canResendSafely)
       sendRejection(id, kRetryAfterMs);
     else
       actions_.fail(id);
@@ -271,17 +273,18 @@
     sendRejection(id, rejection.retryAfterMs);
   }
 
-  // Under overload no client is asked back before it is likely to be over, nor all at the same moment.
+  // Under overload the retry delay is at least the expected duration of the overload before it is randomized;
+  // the randomization keeps clients from retrying all at the same time.
   void sendRejection(RequestId id, Time retryAfterMs) {
     const OverloadSignal& overload = loadShedding_.signal();
     if (overload.active) retryAfterMs = std::max(retryAfterMs, overload.expectedMs);
-    const Time mostMs = settings_.maxRetryAfterMs > 0 ? settings_.maxRetryAfterMs : retryAfterMs;
-    retryAfterMs = std::clamp(retryAfterMs, 1.0, std::max(1.0, mostMs));
+    const Time maxMs = settings_.maxRetryAfterMs > 0 ? settings_.maxRetryAfterMs : retryAfterMs;
+    retryAfterMs = std::clamp(retryAfterMs, 1.0, std::max(1.0, maxMs));
     actions_.reject(id, overload.active ? retryAfterMs * (1 - random_.next() / 2) : retryAfterMs);
   }
 
-  // Given up for the host's sake, with an attempt in flight or without.
-  void giveUp(PendingRequest& pending) {
+  // Ends a request to relieve the overloaded host, with or without an attempt in flight.
+  void releaseForOverload(PendingRequest& pending) {
     countRejection(rejections_, RejectionReason::overload);
     if (pending.responseStarted) {
       const RequestId id = pending.request.id;
@@ -289,18 +292,18 @@
       return actions_.fail(id);
     }
     pending.mayHaveRun = pending.mayHaveRun || pending.hasAttemptInFlight;
-    endUnanswered(pending);
+    rejectOrFail(pending);
   }
 
   void logSummary(Time now) {
     if (!log_.isSummaryDue(now)) return;
-    DecisionFigures figures;
-    figures.unknownCustomerReach = unknownCustomers_.reach();
-    figures.concurrencyLimit = concurrencyLimit_.limit();
-    figures.attemptsInFlight = concurrencyLimit_.inFlight();
-    figures.workerShortage = admission_.workerShortage();
-    figures.workers = readyWorkerCounts(now);
-    log_.summarize(now, rejections_, figures);
+    DecisionGauges gauges;
+    gauges.unknownCustomerReach = unknownCustomers_.reach();
+    gauges.concurrencyLimit = concurrencyLimit_.limit();
+    gauges.attemptsInFlight = concurrencyLimit_.inFlight();
+    gauges.workerShortage = admission_.workerShortage();
+    gauges.workers = readyWorkerCounts(now);
+    log_.summarize(now, rejections_, gauges);
   }
 
   ReadyWorkerCounts readyWorkerCounts(Time now) const {
@@ -349,18 +352,18 @@
 void Gateway::onAttemptOutcome(Time now, const AttemptOutcome& outcome) {
   core_->onAttemptOutcome(now, outcome);
 }
-void Gateway::onRequestComplete(Time now, RequestId id, Time expires) {
-  core_->onRequestComplete(now, id, expires);
+void Gateway::onRequestComplete(Time now, RequestId id, Time expiresAt) {
+  core_->onRequestComplete(now, id, expiresAt);
 }
 void Gateway::onClientDisconnect(Time, RequestId id) { core_->onClientDisconnect(id); }
 void Gateway::onResponseStarted(Time, RequestId id) { core_->onResponseStarted(id); }
-void Gateway::onOverload(Time, const OverloadSignal& pressure) { core_->onOverload(pressure); }
+void Gateway::onOverload(Time, const OverloadSignal& signal) { core_->onOverload(signal); }
 void Gateway::onTimer(Time now, std::uint64_t tag) { core_->onTimer(now, tag); }
 void Gateway::exclude(Time now, WorkerId worker) { core_->exclude(now, worker); }
 void Gateway::include(Time now, WorkerId worker) { core_->include(now, worker); }
 void Gateway::onSettings(Time now, const Settings& settings) { core_->onSettings(now, settings); }
 double Gateway::warmWorkerRate(Time now) const { return core_->warmWorkerRate(now); }
-void Gateway::seedWarmWorkerRate(Time now, double rate) { core_->seedWarmWorkerRate(now, rate); }
+void Gateway::seedWarmWorkerRate(Time now, double ratePerMs) { core_->seedWarmWorkerRate(now, ratePerMs); }
 WorkerCounts Gateway::workerCounts(Time now) const { return core_->workerCounts(now); }
 RejectionCounts Gateway::rejectionCounts() const { return core_->rejectionCounts(); }
 std::size_t Gateway::trackedCustomers() const { return core_->trackedCustomers(); }
--- a/src/decision/unknown_customers.cpp
+++ b/src/decision/unknown_customers.cpp
@@ -1,4 +1,4 @@
-/// Customers of whose use of the fleet-wide quota nothing is known: whom to admit, and steering by readings.
+/// Admission of customers with unknown usage of the fleet-wide quota, adjusted by quota readings.
 #include "decision/unknown_customers.hpp"
 
 #include <algorithm>
@@ -9,58 +9,66 @@
 namespace wingslip::decision {
 namespace {
 
-constexpr double kUsualSizeMemory = 50;   // new customers
-constexpr double kUsualValueMemory = 50;  // requests
-constexpr Time kReadingValidMs = 3000;    // a customer with a reading younger than this is known
-// Cost that work beyond quotas may have, of the value that is admitted inside them.
+constexpr double kRequestSizeTimeConstant = 50;   // in new customers
+constexpr double kRequestValueTimeConstant = 50;  // in requests
+constexpr Time kReadingValidMs = 3000;            // a customer with a more recent reading is not unknown
+// Target cost of work beyond quotas, as a share of the value admitted within quotas.
 constexpr double kTargetOverQuotaCost = 0.09;
-constexpr double kMinGateways = 4;        // up to so many never outrun a quota by one large first request
-constexpr double kMinQuotaRequests = 12;  // usual requests that a burst is taken to hold at least
+// At up to this many gateways, a single large first request does not make a customer overrun its quota.
+constexpr double kMinOverrunGateways = 4;
+constexpr double kMinQuotaRequests = 12;  // lower bound of the assumed burst, in requests of mean size
 constexpr double kMinReach = 0.08;
 constexpr double kMaxReach = 1.5;
-constexpr double kReachStep = 0.4;        // of the reach, by a request of usual value
-constexpr double kReachSpread = 1.0 / 3;  // of the reach, by chance, so that no size is never admitted
+constexpr double kReachStep = 0.4;  // logarithmic change of the reach per request of mean value
+// Half-width, as a share of the reach, of the range of sizes over which the admit probability falls from 1,
+// so that there is no fixed size above which every request is rejected.
+constexpr double kReachRampHalfWidth = 1.0 / 3;
 constexpr double kMinAdmitProbability = 0.05;
 
 }  // namespace
 
 void UsualRequestSize::note(double units) {
-  units_ = units_ > 0 ? approach(units_, units, 1, kUsualSizeMemory) : units;
+  units_ = units_ > 0 ? approach(units_, units, 1, kRequestSizeTimeConstant) : units;
 }
 
-bool UnknownCustomers::outrunsQuota(const Customer& customer) const {
+bool UnknownCustomers::canOverrunQuota(const Customer& customer) const {
   const PlanSettings& plan = settings_.plans[customer.planIndex];
   return plan.rate > 0 && plan.overQuotaCost > plan.overQuotaValue && settings_.quotaReadingPeriodMs > 0 &&
-         customer.customerGateways * std::min(usualSize_.units(), plan.burst / kMinGateways) > plan.burst;
+         customer.customerGateways * std::min(meanRequestSize_.units(), plan.burst / kMinOverrunGateways) >
+             plan.burst;
 }
 
 bool UnknownCustomers::isUnknown(const Customer& customer) const {
-  return outrunsQuota(customer) &&
-         (customer.readingPercent < 0 || customer.advancedAt - customer.readingAt > kReadingValidMs);
+  return canOverrunQuota(customer) &&
+         (customer.readingPercent < 0 || customer.updatedAt - customer.readingAt > kReadingValidMs);
 }
 
-// The dearer work beyond the quota is, the smaller a request has to be.
+// The more work beyond the quota costs, the smaller a request must be to be admitted.
 double UnknownCustomers::admitProbability(const Request& request) const {
   const PlanSettings& plan = settings_.plans[request.planIndex];
-  const double burst = std::max({plan.burst, kMinQuotaRequests * usualSize_.units(), 1e-9});
-  const double size =
+  const double burst = std::max({plan.burst, kMinQuotaRequests * meanRequestSize_.units(), 1e-9});
+  const double relativeSize =
       std::max(0.0, request.units) * (plan.overQuotaCost - plan.overQuotaValue) / (reach_ * burst);
-  return std::clamp((1 + kReachSpread - size) / (2 * kReachSpread), kMinAdmitProbability, 1.0);
+  return std::clamp((1 + kReachRampHalfWidth - relativeSize) / (2 * kReachRampHalfWidth),
+                    kMinAdmitProbability, 1.0);
 }
 
-// Of a customer metered past its rate, what is over the rate was beyond its quota.
+// If a customer's metered usage exceeds its rate, the excess is work beyond its quota.
 void UnknownCustomers::noteReading(const Request& request, const PlanSettings& plan, double priorityWeight,
                                    int percent) {
-  // A period holds few requests: by one usual request at the rate itself, chance alone looks like less.
-  const double chance = usualSize_.units() / (plan.rate * settings_.quotaReadingPeriodMs / 1000);
-  const double use = (percent / 100.0 + chance) / (1 + chance);
+  // A reading period has so few requests that chance alone can put a customer's metered usage below its rate.
+  // The reading is therefore averaged with one request of mean size at exactly the rate.
+  const double priorWeight = meanRequestSize_.units() / (plan.rate * settings_.quotaReadingPeriodMs / 1000);
+  const double utilization = (percent / 100.0 + priorWeight) / (1 + priorWeight);
   const double units = std::max(0.0, request.units);
   const double value = units * plan.price * priorityWeight;
-  usualValue_ = usualValue_ > 0 ? approach(usualValue_, value, 1, kUsualValueMemory) : value;
-  if (usualValue_ <= 0 || usualSize_.units() <= 0) return;
-  const double beyond = use > 1 ? 1 - 1 / use : 0;
-  const double overQuotaLoss = (plan.overQuotaCost - plan.overQuotaValue) * beyond;
-  const double error = value / usualValue_ * (overQuotaLoss - kTargetOverQuotaCost * (1 - beyond));
+  meanRequestValue_ =
+      meanRequestValue_ > 0 ? approach(meanRequestValue_, value, 1, kRequestValueTimeConstant) : value;
+  if (meanRequestValue_ <= 0 || meanRequestSize_.units() <= 0) return;
+  const double overQuotaShare = utilization > 1 ? 1 - 1 / utilization : 0;
+  const double overQuotaLoss = (plan.overQuotaCost - plan.overQuotaValue) * overQuotaShare;
+  const double error =
+      value / meanRequestValue_ * (overQuotaLoss - kTargetOverQuotaCost * (1 - overQuotaShare));
   reach_ = std::clamp(reach_ * std::exp(-kReachStep * std::clamp(error, -1.0, 1.0)), kMinReach, kMaxReach);
 }
 
--- a/src/decision/unknown_customers.hpp
+++ b/src/decision/unknown_customers.hpp
@@ -1,9 +1,10 @@
-/// Customers of whose use of the fleet-wide quota nothing is known.
+/// Admission of customers with unknown usage of the fleet-wide quota.
 ///
-/// Where gateways are so many that each sees most customers once, a reading tells of a customer only after
-/// its request, and work beyond quotas is what all of them admit unknown. A quota used up by others does not
-/// hold large requests, so an unknown customer's quota is taken to hold `reach` of its burst. The reach is
-/// steered by the readings on the answers to what was admitted.
+/// With so many gateways that each receives only one request of most customers, the first reading of a
+/// customer arrives only after that request, and together the gateways can admit more than the quota. A quota
+/// that is partly used up at other gateways has no room for large requests, so the quota of an unknown
+/// customer is assumed to have the share `reach` of its burst remaining. The reach is adjusted by the
+/// readings on the answers to admitted requests.
 #pragma once
 
 #include "decision/customer.hpp"
@@ -11,7 +12,7 @@
 
 namespace wingslip::decision {
 
-/// Average size of the first requests of customers, in units.
+/// Moving average of the size of customers' first requests, in units; 0: none yet.
 class UsualRequestSize {
  public:
   void note(double units);
@@ -21,31 +22,34 @@
   double units_ = 0;
 };
 
-/// Reads the settings and the usual size it was made with, which outlive it.
+/// Decides on requests of unknown customers. The constructor's arguments must outlive the object.
 class UnknownCustomers {
  public:
-  UnknownCustomers(const Settings& settings, const UsualRequestSize& usualSize)
-      : settings_(settings), usualSize_(usualSize) {}
+  UnknownCustomers(const Settings& settings, const UsualRequestSize& meanRequestSize)
+      : settings_(settings), meanRequestSize_(meanRequestSize) {}
 
-  /// Whether a request at each of its gateways, before any of them has a reading, is more than its quota.
-  bool outrunsQuota(const Customer& customer) const;
-  /// Whether it outruns its quota and has no recent reading.
+  /// Whether one request at each of the customer's gateways, before any of them has a reading, can exceed its
+  /// quota. Always false without quota readings, or if work beyond the quota costs no more than its value.
+  bool canOverrunQuota(const Customer& customer) const;
+  /// Whether the customer can overrun its quota and has no recent reading.
   bool isUnknown(const Customer& customer) const;
-  /// Probability with which a request of an unknown customer is admitted, above 0.
+  /// Probability of admitting a request of an unknown customer, in (0, 1].
   double admitProbability(const Request& request) const;
-  /// A reading on the answer to a request of a customer that outruns its quota.
+  /// Adjusts the reach by a reading, in percent of the rate, on the answer to a request of a customer that
+  /// can overrun its quota.
   void noteReading(const Request& request, const PlanSettings& plan, double priorityWeight, int percent);
 
-  /// Share of the burst that an unknown customer's quota is taken to hold.
+  /// Share of the burst that is assumed to remain in an unknown customer's quota; can exceed 1.
   double reach() const { return reach_; }
 
  private:
-  /// Low enough that a start does not admit more than the quotas of the fleet's customers hold.
+  /// Low enough that after a start of the fleet no more is admitted than the customers' quotas allow.
   static constexpr double kInitialReach = 0.13;
 
   const Settings& settings_;
-  const UsualRequestSize& usualSize_;
-  double usualValue_ = 0;  // of such a request
+  const UsualRequestSize& meanRequestSize_;
+  // Moving average over requests of customers that can overrun their quota; 0: none yet.
+  double meanRequestValue_ = 0;
   double reach_ = kInitialReach;
 };
 
