--- a/src/decision/concurrency_cap.cpp
+++ b/src/decision/concurrency_cap.cpp
@@ -1,4 +1,5 @@
-/// Cap on attempts in flight: what the other gateways have is estimated, not known.
+/// Concurrency cap of a plan. The number of attempts that the other gateways have in flight is estimated,
+/// since it is not known.
 #include "decision/concurrency_cap.hpp"
 
 #include <algorithm>
@@ -7,14 +8,15 @@
 namespace wingslip::decision::concurrency_cap {
 namespace {
 
-constexpr Time kFleetMeanMemoryMs = 60000;
-// A metered peak stands about kPeakDeviations deviations and kPeakOffset attempts over the mean.
+constexpr Time kFleetMeanTimeConstantMs = 60000;
+// A metered peak exceeds the mean by about kPeakDeviations standard deviations plus kPeakOffset attempts.
 constexpr double kPeakDeviations = 1.2;
 constexpr double kPeakOffset = 0.5;
-constexpr double kPeakWeight = 0.3;  // of a new peak, so that a single one does not close the cap
-constexpr unsigned kMaxTerms = 64;   // of the Poisson distribution
+// Weight of a new peak in the moving average; below 1, so that a single peak does not exhaust the cap.
+constexpr double kPeakWeight = 0.3;
+constexpr unsigned kMaxTerms = 64;  // upper bound on the summed terms of the Poisson distribution
 
-// Poisson distribution: probability that fewer than `capacity` are in flight, of `mean` as a rule.
+// Probability that fewer than `capacity` attempts are in flight, for a Poisson distribution of mean `mean`.
 double probabilityBelow(unsigned capacity, double mean) {
   double term = std::exp(-mean);
   double sum = 0;
@@ -28,19 +30,19 @@
 }  // namespace
 
 void fadeFleetMean(Customer& customer, Time elapsedMs) {
-  customer.fleetMeanInFlight = approach(customer.fleetMeanInFlight, 0, elapsedMs, kFleetMeanMemoryMs);
+  customer.fleetMeanInFlight = approach(customer.fleetMeanInFlight, 0, elapsedMs, kFleetMeanTimeConstantMs);
 }
 
 void noteReading(Customer& customer, const PlanSettings& plan, int percent) {
   const double peak = std::max(0.0, percent / 100.0 * plan.maxConcurrent - kPeakOffset);
-  const double root = std::sqrt(kPeakDeviations * kPeakDeviations / 4 + peak) - kPeakDeviations / 2;
-  customer.fleetMeanInFlight += kPeakWeight * (root * root - customer.fleetMeanInFlight);
+  const double rootOfMean = std::sqrt(kPeakDeviations * kPeakDeviations / 4 + peak) - kPeakDeviations / 2;
+  customer.fleetMeanInFlight += kPeakWeight * (rootOfMean * rootOfMean - customer.fleetMeanInFlight);
 }
 
 double probabilityOfCapacity(const Customer& customer, const PlanSettings& plan, double share) {
-  const double others =
+  const double othersMean =
       plan.rate > 0 ? customer.meanInFlight * (1 - share) / share : customer.fleetMeanInFlight * (1 - share);
-  return probabilityBelow(plan.maxConcurrent - customer.attemptsInFlight, others);
+  return probabilityBelow(plan.maxConcurrent - customer.attemptsInFlight, othersMean);
 }
 
 }  // namespace wingslip::decision::concurrency_cap
--- a/src/decision/concurrency_cap.hpp
+++ b/src/decision/concurrency_cap.hpp
@@ -7,22 +7,25 @@
 
 namespace wingslip::decision::concurrency_cap {
 
-/// Averages this gateway's attempts in flight over time.
+/// Updates the moving average of this gateway's attempts in flight.
 inline void advance(Customer& customer, Time elapsedMs) {
-  constexpr Time kMemoryMs = 1000;
-  customer.meanInFlight = approach(customer.meanInFlight, customer.attemptsInFlight, elapsedMs, kMemoryMs);
+  constexpr Time kTimeConstantMs = 1000;
+  customer.meanInFlight =
+      approach(customer.meanInFlight, customer.attemptsInFlight, elapsedMs, kTimeConstantMs);
 }
-/// Lets the other gateways' metered peak fade while no reading comes.
+/// Decays the fleet's estimated mean of attempts in flight towards 0 while no quota readings arrive.
 void fadeFleetMean(Customer& customer, Time elapsedMs);
-/// A reading of a customer without a quota on its rate: the peak of attempts in flight, in percent of the
-/// cap.
+/// Updates the fleet's estimated mean of attempts in flight from a quota reading, for a customer whose plan
+/// has no quota on its rate.
+/// @param percent the metered peak of attempts in flight, in percent of the cap.
 void noteReading(Customer& customer, const PlanSettings& plan, int percent);
-/// Whether this gateway alone has as many attempts in flight as the cap allows.
+/// Whether this gateway's attempts in flight alone reach the cap; false for a plan without a cap.
 inline bool isReached(const Customer& customer, const PlanSettings& plan) {
   return plan.maxConcurrent > 0 && customer.attemptsInFlight >= plan.maxConcurrent;
 }
-/// Probability that one more attempt is under the cap over all gateways. Of a plan with a cap.
-/// @param share this gateway's share of the customer's use.
+/// Probability that one more attempt stays within the cap over all gateways. Requires a plan with a cap that
+/// this gateway alone has not reached.
+/// @param share this gateway's share of the customer's use, above 0 and at most 1.
 [[nodiscard]] double probabilityOfCapacity(const Customer& customer, const PlanSettings& plan, double share);
 
 }  // namespace wingslip::decision::concurrency_cap
--- a/src/decision/concurrency_limit.cpp
+++ b/src/decision/concurrency_limit.cpp
@@ -1,4 +1,4 @@
-/// Limits on attempts in flight: how late and early answers move them.
+/// Concurrency limits: growth after early answers and cuts after late ones.
 #include "decision/concurrency_limit.hpp"
 
 #include <algorithm>
@@ -9,29 +9,33 @@
 namespace wingslip::decision {
 namespace {
 
-constexpr double kLateShare = 0.5;          // of the latency objective
-constexpr double kEarlyShare = 0.25;        // of the latency objective
-constexpr double kInitialLimit = 12;        // attempts at a worker, of all gateways together
-constexpr double kMaxWorkerLimit = 200;     // attempts
-constexpr double kMinGatewayLimit = 0.1;    // attempts; above 0, or recovered workers would not be found
-constexpr double kWorkerLimitCut = 0.85;    // factor of a cut
-constexpr Time kMinCutIntervalMs = 200;     // several late answers at a time are one cut
-constexpr double kMinUsedShare = 0.7;       // of a limit that must be in use for it to grow
-constexpr double kGatewayCutPerS = 2;       // e-folds per second while answers are late
-constexpr double kGatewayGrowthPerS = 0.6;  // and while they are early
-constexpr double kPeakHeadroom = 2;         // times the peak, what a first late answer leaves of the limit
-constexpr Time kPeakMemoryMs = 4000;
-constexpr Time kMinOverloadPauseMs = 150;  // doubles while the worker stays overloaded
+constexpr double kLateLatencyShare = 0.5;    // an answer is late above this share of the latency objective
+constexpr double kEarlyLatencyShare = 0.25;  // an answer is early below this share of the latency objective
+constexpr double kInitialLimit = 12;         // attempts in flight at a worker, of all gateways together
+constexpr double kMaxWorkerLimit = 200;      // attempts in flight of this gateway at one worker
+// Attempts; above 0, because without any attempt the gateway could not detect that the workers have
+// recovered.
+constexpr double kMinGatewayLimit = 0.1;
+constexpr double kWorkerLimitCutFactor = 0.85;
+constexpr Time kMinCutIntervalMs = 200;  // late answers within this interval cause a single cut
+constexpr double kMinUtilization = 0.7;  // share of a limit that must be in use for it to grow
+// Rates at which the gateway's limit changes, in e-folds per second.
+constexpr double kGatewayCutPerS = 2;       // while answers are late
+constexpr double kGatewayGrowthPerS = 0.6;  // while answers are early
+// A late answer cuts the gateway's limit to at most this multiple of one more than the recent peak in flight.
+constexpr double kPeakHeadroomFactor = 2;
+constexpr Time kPeakTimeConstantMs = 4000;
+constexpr Time kMinOverloadPauseMs = 150;  // doubles with each rejection while the worker stays overloaded
 constexpr Time kMaxOverloadPauseMs = 2000;
 
 }  // namespace
 
 AnswerTiming timingOf(const AttemptOutcome& outcome, Time latencyObjectiveMs) {
   AnswerTiming timing;
-  timing.isLate =
-      outcome.result == AttemptResult::overloaded || outcome.latencyMs > kLateShare * latencyObjectiveMs;
+  timing.isLate = outcome.result == AttemptResult::overloaded ||
+                  outcome.latencyMs > kLateLatencyShare * latencyObjectiveMs;
   timing.isEarly =
-      outcome.result == AttemptResult::ok && outcome.latencyMs < kEarlyShare * latencyObjectiveMs;
+      outcome.result == AttemptResult::ok && outcome.latencyMs < kEarlyLatencyShare * latencyObjectiveMs;
   return timing;
 }
 
@@ -39,9 +43,9 @@
 
 void steerWorkerLimit(UpstreamWorker& worker, Time now, AnswerTiming timing) {
   if (timing.isLate && now - worker.limitCutAt >= kMinCutIntervalMs) {
-    worker.limit = std::max(1.0, kWorkerLimitCut * std::min(worker.limit, worker.inFlight + 1.0));
+    worker.limit = std::max(1.0, kWorkerLimitCutFactor * std::min(worker.limit, worker.inFlight + 1.0));
     worker.limitCutAt = now;
-  } else if (timing.isEarly && worker.inFlight + 1 >= kMinUsedShare * worker.limit) {
+  } else if (timing.isEarly && worker.inFlight + 1 >= kMinUtilization * worker.limit) {
     worker.limit = std::min(kMaxWorkerLimit, worker.limit + 1 / worker.limit);
   }
 }
@@ -57,29 +61,30 @@
 
 void GatewayConcurrencyLimit::noteAttemptStarted(Time now) {
   ++inFlight_;
-  notePeak(now);
+  updatePeak(now);
 }
 
 void GatewayConcurrencyLimit::noteAttemptEnded() {
   if (inFlight_ > 0) --inFlight_;
 }
 
-void GatewayConcurrencyLimit::steer(Time now, AnswerTiming timing, bool tellsOfWorkerOnly) {
-  const double seconds = std::min(now - steeredAt_, kMinCutIntervalMs) / 1000;
-  steeredAt_ = now;
-  notePeak(now);
-  if (timing.isLate && tellsOfWorkerOnly) return;
+void GatewayConcurrencyLimit::update(Time now, AnswerTiming timing, bool isWorkerSpecific) {
+  const double seconds = std::min(now - updatedAt_, kMinCutIntervalMs) / 1000;
+  updatedAt_ = now;
+  updatePeak(now);
+  if (timing.isLate && isWorkerSpecific) return;
   if (timing.isLate)
-    limit_ = std::max(kMinGatewayLimit,
-                      std::min(limit_, kPeakHeadroom * (peak_ + 1)) * std::exp(-kGatewayCutPerS * seconds));
-  else if (timing.isEarly && inFlight_ + 1 >= kMinUsedShare * limit_)
+    limit_ = std::max(kMinGatewayLimit, std::min(limit_, kPeakHeadroomFactor * (peak_ + 1)) *
+                                            std::exp(-kGatewayCutPerS * seconds));
+  else if (timing.isEarly && inFlight_ + 1 >= kMinUtilization * limit_)
     limit_ *= std::exp(kGatewayGrowthPerS * seconds);
 }
 
-// What is in flight at one moment says little where a request takes less time than lies between two: a limit
-// drawn from it would reject the next burst while workers are idle.
-void GatewayConcurrencyLimit::notePeak(Time now) {
-  peak_ = std::max<double>(inFlight_, approach(peak_, 0, now - peakAt_, kPeakMemoryMs));
+// Tracks a decaying peak instead of the current count: where requests are shorter than the gaps between them,
+// the count is close to 0 at most moments, and a limit derived from it would reject the next burst while
+// workers are idle.
+void GatewayConcurrencyLimit::updatePeak(Time now) {
+  peak_ = std::max<double>(inFlight_, approach(peak_, 0, now - peakAt_, kPeakTimeConstantMs));
   peakAt_ = now;
 }
 
--- a/src/decision/concurrency_limit.hpp
+++ b/src/decision/concurrency_limit.hpp
@@ -1,9 +1,10 @@
 /// Limits on attempts in flight, of the gateway and of each worker.
 ///
-/// Both are raised and cut by how an answer's time stands to its class's latency objective. They keep the
-/// queues at the workers short enough that what is sent is still worth answering. A worker's limit holds
-/// where a gateway has several attempts at it; the gateway's goes as far below one for each worker as it must
-/// where gateways outnumber what the workers bear.
+/// Both are raised and cut by comparing the latency of answers with the latency objective of their class.
+/// They bound the queues at the workers, so that attempts are answered while the answer still has value. A
+/// worker's limit is never below 1, so it is effective where a gateway has several attempts in flight at a
+/// worker. Where the gateways outnumber the attempts that the workers can process, the gateway's limit falls
+/// below one attempt per worker.
 #pragma once
 
 #include <cstddef>
@@ -13,47 +14,54 @@
 
 namespace wingslip::decision {
 
-/// How an answer's time stands to the latency objective.
+/// The latency of an answer, compared with the latency objective of its class.
 struct AnswerTiming {
-  bool isLate = false;   ///< or the worker rejected it as overloaded
-  bool isEarly = false;  ///< a good answer
+  bool isLate = false;   ///< also set where the worker rejected the attempt as overloaded
+  bool isEarly = false;  ///< only for a successful answer
 };
+/// Classifies an outcome as late, early or neither.
 AnswerTiming timingOf(const AttemptOutcome& outcome, Time latencyObjectiveMs);
 
-/// Limit of a worker that nothing is known of.
+/// Limit of a worker without any outcome yet, in attempts of this gateway.
 double initialWorkerLimit(unsigned gatewayCount);
+/// Raises a worker's limit after an early answer and cuts it after a late one.
 void steerWorkerLimit(UpstreamWorker& worker, Time now, AnswerTiming timing);
+/// Whether the worker's limit permits one more attempt of this gateway.
 inline bool hasCapacity(const UpstreamWorker& worker) { return worker.inFlight + 1 <= worker.limit; }
 
-/// The worker rejected an attempt as overloaded: nothing is sent to it for a while.
+/// Pauses a worker that rejected an attempt as overloaded: it is sent no attempts until the pause ends.
 void pauseOverloaded(UpstreamWorker& worker, Time now);
-/// After a good answer the next pause is a short one again.
+/// Resets the pause after a successful answer, so that the next one starts from the shortest duration.
 inline void resetOverloadPause(UpstreamWorker& worker) { worker.overloadPauseMs = 0; }
+/// Whether the worker is paused after a rejection as overloaded.
 inline bool isPaused(const UpstreamWorker& worker, Time now) { return worker.pausedUntil > now; }
 
-/// The limit on all that this gateway has in flight. It moves by time, not by answer, so that many answers a
-/// second say no more than a few.
+/// The limit on all attempts that this gateway has in flight. Its rate of change depends on the elapsed time,
+/// not on the number of answers, so that a high answer rate does not move it faster than a low one.
 class GatewayConcurrencyLimit {
  public:
-  /// Sets the limit by the first list of workers that is not empty.
+  /// Sets the limit from the first endpoint list that is not empty; later calls have no effect.
   void start(std::size_t workers, unsigned gatewayCount);
-  /// A fraction of an attempt in the limit is kept by chance.
+  /// Whether the limit permits one more attempt. The fractional part of the limit is applied as a
+  /// probability.
   bool hasCapacity(Random& random) const { return inFlight_ + random.next() < limit_; }
   void noteAttemptStarted(Time now);
   void noteAttemptEnded();
-  /// @param tellsOfWorkerOnly a late answer of a worker that is slow by itself or warming up changes nothing.
-  void steer(Time now, AnswerTiming timing, bool tellsOfWorkerOnly);
+  /// Raises the limit after an early answer and cuts it after a late one.
+  /// @param isWorkerSpecific the answer is late because its worker is slow for its machine type or warming
+  /// up; such an answer does not change the limit.
+  void update(Time now, AnswerTiming timing, bool isWorkerSpecific);
 
   double limit() const { return limit_; }
   unsigned inFlight() const { return inFlight_; }
 
  private:
-  void notePeak(Time now);
+  void updatePeak(Time now);
 
   unsigned inFlight_ = 0;
-  double limit_ = 0;  // 0: no worker was ever listed
-  Time steeredAt_ = 0;
-  double peak_ = 0;  // the most lately in flight
+  double limit_ = 0;  // attempts; 0: no worker has been listed yet
+  Time updatedAt_ = 0;
+  double peak_ = 0;  // decaying peak of attempts in flight
   Time peakAt_ = 0;
 };
 
--- a/src/decision/load_balancer.hpp
+++ b/src/decision/load_balancer.hpp
@@ -1,4 +1,4 @@
-/// Choice of a worker: deterministic subsetting, then the least cost.
+/// Load balancing: deterministic subsetting, then the worker of lowest cost.
 #pragma once
 
 #include "decision/load_report.hpp"
@@ -10,7 +10,7 @@
 
 namespace wingslip::decision {
 
-/// What it is made with outlives it.
+/// Picks the worker of each attempt. The constructor's arguments must outlive it.
 class LoadBalancer {
  public:
   LoadBalancer(const Settings& settings, Random& random, WorkerTable& workers, OutlierDetection& outliers,
@@ -22,19 +22,21 @@
         slowStart_(slowStart),
         loadReports_(loadReports) {}
 
-  /// Marks the workers of this gateway's subset; after each change of the list or of the gateways.
+  /// Marks the workers of this gateway's subset. To be called after each change of the endpoint list, the
+  /// number of gateways or this gateway's index.
   void assignSubset();
-  /// The worker that costs least among those that may be sent to; null where there is none. Ejected and
-  /// silent ones serve where no other is.
+  /// Returns the eligible worker of lowest cost, or null where there is none. Ejected and silent workers are
+  /// picked only where no other is eligible.
   [[nodiscard]] UpstreamWorker* pick(Time now, const PendingRequest& pending);
 
  private:
-  // Inline in the source file, which alone uses them: they run for each worker of each request.
-  inline bool mayBeSentTo(UpstreamWorker& worker, Time now, const PendingRequest& pending,
-                          double capacityShare);
+  // Declared inline and defined in the source file, their only user: they run for each worker of each
+  // request.
+  inline bool isEligible(UpstreamWorker& worker, Time now, const PendingRequest& pending,
+                         double capacityShare);
   inline double cost(const UpstreamWorker& worker, Time now, const PendingRequest& pending,
                      double capacityShare);
-  unsigned subsetsFor(unsigned workerCount) const;
+  unsigned chooseSubsetCount(unsigned workerCount) const;
 
   const Settings& settings_;
   Random& random_;
@@ -42,7 +44,7 @@
   OutlierDetection& outliers_;
   const SlowStart& slowStart_;
   const LoadReports& loadReports_;
-  unsigned subsets_ = 1;  // into which the workers are divided among the gateways
+  unsigned subsetCount_ = 1;  // number of subsets into which the workers are divided
 };
 
 }  // namespace wingslip::decision
--- a/src/decision/load_report.hpp
+++ b/src/decision/load_report.hpp
@@ -1,4 +1,5 @@
-/// Load reports: what the other gateways have in flight at each worker, by what the workers answer.
+/// Load reports: the other gateways' attempts in flight at each worker, estimated from figures on the
+/// workers' answers.
 #pragma once
 
 #include <cstddef>
@@ -9,24 +10,29 @@
 
 namespace wingslip::decision {
 
-/// Reads the settings it is made with, which outlive it.
+/// Estimates the load of each worker. Refers to the settings, which must outlive it.
 class LoadReports {
  public:
   explicit LoadReports(const Settings& settings) : settings_(settings) {}
 
-  /// A report on an answer, its figures in the order of the settings' field names.
-  void note(UpstreamWorker& worker, Time now, const std::vector<double>& report, std::size_t workerCount);
+  /// Processes the load report of an answer.
+  /// @param report the figures, in the order of Settings::loadReportFields.
+  /// @param workerCount number of workers, the window of the mean over all workers, in reports.
+  void record(UpstreamWorker& worker, Time now, const std::vector<double>& report, std::size_t workerCount);
 
-  /// Attempts in flight at the worker, of all gateways; without reports it comes to count as the mean.
+  /// Estimated attempts in flight at the worker, of all gateways. Without new reports, the other gateways'
+  /// part approaches the mean over all workers.
   double load(const UpstreamWorker& worker, Time now) const {
-    return worker.inFlight + approach(worker.othersInFlight, meanOthers_, now - worker.othersAt, kValidMs);
+    return worker.inFlight + approach(worker.othersInFlight, meanOthersInFlight_,
+                                      now - worker.othersInFlightAt, kExpiryTimeConstantMs);
   }
 
  private:
-  static constexpr Time kValidMs = 2400;  ///< in which a worker's last report gives way to the mean
+  /// Time constant of the transition from a worker's last report to the mean.
+  static constexpr Time kExpiryTimeConstantMs = 2400;
 
   const Settings& settings_;
-  double meanOthers_ = 0;  // attempts of the other gateways at a worker
+  double meanOthersInFlight_ = 0;  // mean over all workers of the other gateways' attempts at one worker
 };
 
 }  // namespace wingslip::decision
--- a/src/decision/load_shedding.cpp
+++ b/src/decision/load_shedding.cpp
@@ -1,4 +1,4 @@
-/// Load shedding: which new requests are too many, and in which order those in flight give way.
+/// Load shedding: selects the new requests to reject and orders those in flight for release.
 #include "decision/load_shedding.hpp"
 
 #include <algorithm>
@@ -8,9 +8,9 @@
 namespace wingslip::decision {
 namespace {
 
-constexpr double kThresholdStep = 0.1;       // e-folds of the threshold for each new request
-constexpr double kValueRandomSpread = 0.02;  // so that requests of equal value are not all or none shed
-// Below this requests weigh alike: they cost descriptors and time, not bytes.
+constexpr double kThresholdStep = 0.1;  // e-folds by which a new request moves the threshold at most
+constexpr double kValueJitter = 0.02;   // without it, requests of equal value would be shed all or none
+// Requests below this size have the same weight: their cost is descriptors and time, not bytes.
 constexpr double kMinWeighedBytes = 16384;
 
 }  // namespace
@@ -19,8 +19,7 @@
                               const PlanSettings& plan) {
   if (signal_.memoryShort && request.memoryBytes > kMinWeighedBytes) return true;
   if (!(signal_.shedFraction > 0)) return false;
-  return isAmongShedShare(valuePerByte(request, requestClass, plan) *
-                          (1 + kValueRandomSpread * random_.next()));
+  return shouldShed(valuePerByte(request, requestClass, plan) * (1 + kValueJitter * random_.next()));
 }
 
 double LoadShedding::valuePerByte(const Request& request, const ClassSettings& requestClass,
@@ -29,8 +28,8 @@
          std::max(request.memoryBytes, kMinWeighedBytes);
 }
 
-// The threshold moves until the share of requests that is to be shed is under it.
-bool LoadShedding::isAmongShedShare(double value) {
+// Adjusts the threshold so that the share of requests whose value is below it approaches the shed fraction.
+bool LoadShedding::shouldShed(double value) {
   if (valueThreshold_ <= 0) valueThreshold_ = value;
   const bool isShed = value < valueThreshold_;
   valueThreshold_ *= std::exp(kThresholdStep * (signal_.shedFraction - isShed));
--- a/src/decision/load_shedding.hpp
+++ b/src/decision/load_shedding.hpp
@@ -1,4 +1,5 @@
-/// Load shedding: what is given up while the host is short of memory, descriptors or time.
+/// Load shedding: selects the requests that are rejected or released while the host is short of memory,
+/// descriptors or time.
 #pragma once
 
 #include <vector>
@@ -9,29 +10,31 @@
 
 namespace wingslip::decision {
 
-/// A request in flight that may give back its memory, in the order in which that is asked of them: customers
-/// beyond their quota first, then the least value for what it holds; one whose client is already getting the
-/// answer only where there is no other left.
+/// A request in flight whose memory may be released. Candidates are released in this order: requests of
+/// customers over their quota first, then those of the lowest value per byte; requests whose response has
+/// been started come after all others.
 struct ReleaseCandidate {
   bool responseStarted = false;
   bool isWithinQuota = true;
-  double valuePerByte = 0;
+  double valuePerByte = 0;  ///< value of the request per byte of its memory
   RequestId id = 0;
 };
 
-/// What it is made with outlives it.
+/// Applies the host's overload signal. The random generator must outlive it.
 class LoadShedding {
  public:
   explicit LoadShedding(Random& random) : random_(random) {}
 
-  /// Holds until the next one.
+  /// Stores the signal, which is in force until the next one.
   void onSignal(const OverloadSignal& signal) { signal_ = signal; }
   const OverloadSignal& signal() const { return signal_; }
 
-  /// Whether a new request is rejected for the host's sake.
+  /// Whether a new request is to be rejected because the host is overloaded. Adjusts the value threshold and
+  /// may draw a random number.
   [[nodiscard]] bool mustReject(const Request& request, const ClassSettings& requestClass,
                                 const PlanSettings& plan);
-  /// @param isOverQuota tells it of a PendingRequest's customer.
+  /// Returns the requests in flight in the order in which they are to be released.
+  /// @param isOverQuota predicate on a PendingRequest: whether its customer is over its quota.
   template <class IsOverQuota>
   static std::vector<ReleaseCandidate> releaseOrder(const RequestTable& requests, IsOverQuota isOverQuota) {
     std::vector<ReleaseCandidate> order;
@@ -47,11 +50,11 @@
   static double valuePerByte(const Request& request, const ClassSettings& requestClass,
                              const PlanSettings& plan);
   static void sort(std::vector<ReleaseCandidate>& order);
-  bool isAmongShedShare(double value);
+  bool shouldShed(double value);
 
   Random& random_;
   OverloadSignal signal_;
-  double valueThreshold_ = 0;  // value per byte under which a new request is shed; 0: not known yet
+  double valueThreshold_ = 0;  // value per byte below which a new request is shed; 0: no request yet
 };
 
 }  // namespace wingslip::decision
--- a/src/decision/outlier_detection.cpp
+++ b/src/decision/outlier_detection.cpp
@@ -1,4 +1,4 @@
-/// Outlier detection: learning from latencies and failures.
+/// Outlier detection: processes the latencies and failures of attempts.
 #include "decision/outlier_detection.hpp"
 
 #include <algorithm>
@@ -8,13 +8,14 @@
 namespace wingslip::decision {
 namespace {
 
-constexpr Time kLatencyMemoryMs = 30000;
-constexpr double kLatencyKeep = 0.8;        // of the older answers, at each new one
-constexpr double kMaxLatencyRatio = 20;     // usual latencies that one answer counts for
-constexpr double kTypeAnswerWeight = 0.02;  // of an answer in its type's slowness
-constexpr double kSlowOutlierFactor = 2;    // times its type's slowness
-constexpr unsigned kFailuresToEject = 2;    // in a row; at 1 a single lost packet empties the pool
-constexpr Time kMinEjectionMs = 1000;       // doubles while the worker keeps failing
+constexpr Time kLatencyTimeConstantMs = 30000;
+constexpr double kLatencyRetention = 0.8;   // factor on the weight of earlier samples at each new one
+constexpr double kMaxLatencyRatio = 20;     // upper bound on one sample, in usual latencies
+constexpr double kTypeSampleWeight = 0.02;  // weight of one sample in the slowness of its machine type
+constexpr double kSlowOutlierFactor = 2;    // slow is above this multiple of the machine type's slowness
+// At 1, one lost packet per worker would eject all workers.
+constexpr unsigned kConsecutiveFailuresToEject = 2;
+constexpr Time kMinEjectionMs = 1000;  // doubles with each further failure
 constexpr Time kMaxEjectionMs = 8000;
 
 }  // namespace
@@ -27,26 +28,28 @@
 void OutlierDetection::noteLatency(UpstreamWorker& worker, Time now, AttemptResult result, Time latencyMs,
                                    Time usualLatencyMs) {
   const double ratio = std::min(kMaxLatencyRatio, latencyMs / usualLatencyMs);
-  // An error may come fast; a time-out says only that the answer takes longer than that.
-  const bool tellsLatency =
+  // An error may be answered quickly, so its latency is not used. A time-out is only a lower bound on the
+  // latency, so it is used only where it exceeds the present estimate.
+  const bool hasLatencySample =
       result == AttemptResult::ok || (result == AttemptResult::timeout && ratio > slowness(worker));
-  if (!tellsLatency) return;
-  const double keep = kLatencyKeep * decayFactor(now - worker.latencyRatioAt, kLatencyMemoryMs);
-  worker.latencyRatioSum = keep * worker.latencyRatioSum + ratio;
-  worker.latencyRatioCount = keep * worker.latencyRatioCount + 1;
+  if (!hasLatencySample) return;
+  const double retention =
+      kLatencyRetention * decayFactor(now - worker.latencyRatioAt, kLatencyTimeConstantMs);
+  worker.latencyRatioSum = retention * worker.latencyRatioSum + ratio;
+  worker.latencyRatioCount = retention * worker.latencyRatioCount + 1;
   worker.latencyRatioAt = now;
-  double& ofType = typeSlowness_.try_emplace(worker.endpoint.machineType, 1).first->second;
-  ofType += kTypeAnswerWeight * (ratio - ofType);
+  double& slownessOfType = typeSlowness_.try_emplace(worker.endpoint.machineType, 1).first->second;
+  slownessOfType += kTypeSampleWeight * (ratio - slownessOfType);
 }
 
 void OutlierDetection::noteSuccess(UpstreamWorker& worker) {
-  worker.failuresInRow = 0;
+  worker.consecutiveFailures = 0;
   worker.ejectionMs = 0;
   worker.ejectedUntil = 0;
 }
 
 bool OutlierDetection::noteFailure(UpstreamWorker& worker, Time now) {
-  if (++worker.failuresInRow < kFailuresToEject) return false;
+  if (++worker.consecutiveFailures < kConsecutiveFailuresToEject) return false;
   worker.ejectionMs = std::clamp(2 * worker.ejectionMs, kMinEjectionMs, kMaxEjectionMs);
   worker.ejectedUntil = now + worker.ejectionMs;
   return true;
--- a/src/decision/outlier_detection.hpp
+++ b/src/decision/outlier_detection.hpp
@@ -1,4 +1,5 @@
-/// Outlier detection: workers that are slow beside their machine type, fail in a row, or have gone silent.
+/// Outlier detection: finds workers that are slow for their machine type, fail consecutively or stop
+/// answering.
 #pragma once
 
 #include <map>
@@ -8,41 +9,50 @@
 
 namespace wingslip::decision {
 
-/// What it is made with outlives it.
+/// Detects outliers among the workers. The request classes must outlive it.
 class OutlierDetection {
  public:
   explicit OutlierDetection(RequestClasses& classes) : classes_(classes) {}
 
-  /// Latency over the class's usual, as far as the worker's few answers tell against those of its type.
+  /// Ratio of the worker's latency to the usual latency of the request class; 1 is usual. The worker's
+  /// samples are averaged with the slowness of its machine type, which has the weight of kTypeWeight samples
+  /// and so dominates while the worker has few.
   double slowness(const UpstreamWorker& worker) const {
     const auto found = typeSlowness_.find(worker.endpoint.machineType);
-    const double usual = found == typeSlowness_.end() ? 1 : found->second;
-    return (kTypeWeight * usual + worker.latencyRatioSum) / (kTypeWeight + worker.latencyRatioCount);
+    const double slownessOfType = found == typeSlowness_.end() ? 1 : found->second;
+    return (kTypeWeight * slownessOfType + worker.latencyRatioSum) / (kTypeWeight + worker.latencyRatioCount);
   }
-  /// Slow beside its type: its late answers tell of itself, not of what the workers bear together.
+  /// Whether the worker is slow for its machine type. Its late answers then indicate its own state, not
+  /// overload of all workers together.
   bool isSlowForItsType(const UpstreamWorker& worker) const;
-  /// Used only where there is no other.
+  /// Whether the worker is to be used only where there is no other: it is ejected, it is silent, or it
+  /// has been ejected since its last successful answer and has an attempt in flight already.
   bool shouldAvoid(const UpstreamWorker& worker, Time now) {
     return worker.isEjected(now) || (worker.ejectionMs > 0 && worker.inFlight > 0) || isSilent(worker, now);
   }
 
-  /// An answer or a time-out after `latencyMs`, where the class usually takes `usualLatencyMs`.
+  /// Processes the latency of an attempt; results other than an answer or a time-out have no effect.
+  /// @param latencyMs latency of the answer, or the duration after which the attempt timed out.
+  /// @param usualLatencyMs usual latency of the request class; above 0.
   void noteLatency(UpstreamWorker& worker, Time now, AttemptResult result, Time latencyMs,
                    Time usualLatencyMs);
+  /// Ends the ejection and resets the count of failures.
   static void noteSuccess(UpstreamWorker& worker);
-  /// @return whether the worker is ejected by it.
+  /// Counts a failed attempt.
+  /// @return whether this failure ejects the worker.
   [[nodiscard]] static bool noteFailure(UpstreamWorker& worker, Time now);
 
  private:
-  static constexpr double kTypeWeight = 1;  ///< answers that the type's slowness counts for
-  /// Usual latencies without an answer, after which a worker with several attempts in flight is silent.
-  static constexpr double kSilenceLatencies = 3;
+  static constexpr double kTypeWeight = 1;  ///< weight of the machine type's slowness, in samples
+  /// Longest time without an answer of a worker with several attempts in flight, in multiples of the longest
+  /// usual latency; after it the worker is silent.
+  static constexpr double kMaxSilenceLatencies = 3;
 
-  // Cut off, paused or dead, whatever the list says, and seen long before the time-outs. A single attempt may
-  // be very long, so it takes two.
+  // Detects a worker that is partitioned, suspended or dead, regardless of its listed phase and long before
+  // its attempts time out. A single attempt may take very long, so at least two have to be in flight.
   bool isSilent(const UpstreamWorker& worker, Time now) {
     if (worker.inFlight < 2) return false;
-    return now - worker.lastHeardAt > kSilenceLatencies * classes_.longestLatencyMs();
+    return now - worker.lastHeardAt > kMaxSilenceLatencies * classes_.longestLatencyMs();
   }
 
   RequestClasses& classes_;
--- a/src/decision/slow_start.cpp
+++ b/src/decision/slow_start.cpp
@@ -1,4 +1,4 @@
-/// Slow start: budget of a warming worker, and what it is measured by.
+/// Slow start: the budget of a warming worker, derived from the rate of successful answers of warm workers.
 #include "decision/slow_start.hpp"
 
 #include "decision/decay.hpp"
@@ -7,44 +7,47 @@
 namespace wingslip::decision {
 namespace {
 
-constexpr double kSafetyShare = 0.8;  // of a warming worker's capacity; 1 would use up overloadMultiple
-constexpr Time kRateMemoryMs = 4000;
-constexpr Time kRateSmoothingMs = 2000;          // over which the rate of one warm worker is learned
-constexpr Time kWarmWorkerRateMemoryMs = 60000;  // while no worker is warm, as in a release of all
+// Share of a warming worker's capacity that is used; 1 would use up Settings::overloadMultiple.
+constexpr double kSafetyShare = 0.8;
+constexpr Time kRateTimeConstantMs = 4000;           // smoothing of the rate of all warm workers
+constexpr Time kRateSmoothingTimeConstantMs = 2000;  // smoothing of the rate per warm worker
+// Decay of the rate per warm worker while no worker is warm, as in a release that replaces all workers.
+constexpr Time kWarmWorkerRateTimeConstantMs = 60000;
 
 }  // namespace
 
-bool SlowStart::hasBudget(UpstreamWorker& worker, Time now, double capacityShare, unsigned subsets) const {
+bool SlowStart::hasBudget(UpstreamWorker& worker, Time now, double capacityShare,
+                          unsigned subsetCount) const {
   // The budget is divided among the gateways in whose subset the worker is.
   if (!worker.isInSubset) return false;
-  const double gatewaysPerWorker = std::max(1.0, static_cast<double>(settings_.gatewayCount) / subsets);
-  const double leastRate =
+  const double gatewaysPerWorker = std::max(1.0, static_cast<double>(settings_.gatewayCount) / subsetCount);
+  const double minRate =
       settings_.overloadMultiple / std::max(settings_.overloadWindowMs, 1.0) / gatewaysPerWorker;
   const double recentRate =
-      approach(warmRatePerMs_, 0, now - updatedAt_, kRateMemoryMs) / std::max(1u, warmWorkers_);
-  const double knownRate = std::max(recentRate, warmWorkerRate(now));
+      approach(warmRatePerMs_, 0, now - updatedAt_, kRateTimeConstantMs) / std::max(1u, warmWorkers_);
+  const double warmRate = std::max(recentRate, warmWorkerRate(now));
   worker.warmUpTokens =
-      std::min(1.0, worker.warmUpTokens + kSafetyShare * capacityShare * std::max(knownRate, leastRate) *
-                                              (now - worker.warmUpTokensAt));
-  worker.warmUpTokensAt = now;
+      std::min(1.0, worker.warmUpTokens + kSafetyShare * capacityShare * std::max(warmRate, minRate) *
+                                              (now - worker.warmUpTokensUpdatedAt));
+  worker.warmUpTokensUpdatedAt = now;
   return worker.warmUpTokens >= 1;
 }
 
-void SlowStart::noteGoodAnswer(const UpstreamWorker& worker, Time now,
-                               const std::vector<UpstreamWorker>& workers) {
+void SlowStart::noteSuccess(const UpstreamWorker& worker, Time now,
+                            const std::vector<UpstreamWorker>& workers) {
   if (!isWarm(worker, now)) return;
   const Time elapsedMs = now - updatedAt_;
-  warmRatePerMs_ = approach(warmRatePerMs_, 0, elapsedMs, kRateMemoryMs) + 1 / kRateMemoryMs;
+  warmRatePerMs_ = approach(warmRatePerMs_, 0, elapsedMs, kRateTimeConstantMs) + 1 / kRateTimeConstantMs;
   updatedAt_ = now;
   warmWorkers_ = 0;
   for (const UpstreamWorker& other : workers)
     if (other.isInSubset && other.isReady() && isWarm(other, now) && !other.isEjected(now)) ++warmWorkers_;
-  ratePerWarmWorker_ =
-      approach(ratePerWarmWorker_, warmRatePerMs_ / std::max(1u, warmWorkers_), elapsedMs, kRateSmoothingMs);
+  ratePerWarmWorker_ = approach(ratePerWarmWorker_, warmRatePerMs_ / std::max(1u, warmWorkers_), elapsedMs,
+                                kRateSmoothingTimeConstantMs);
 }
 
 double SlowStart::warmWorkerRate(Time now) const {
-  return approach(ratePerWarmWorker_, 0, now - updatedAt_, kWarmWorkerRateMemoryMs);
+  return approach(ratePerWarmWorker_, 0, now - updatedAt_, kWarmWorkerRateTimeConstantMs);
 }
 
 void SlowStart::seedWarmWorkerRate(Time now, double ratePerMs) {
--- a/src/decision/slow_start.hpp
+++ b/src/decision/slow_start.hpp
@@ -1,4 +1,4 @@
-/// Slow start: what a worker that has just started is given until it has its full capacity.
+/// Slow start: limits the attempts at a worker that has just started until it has its full capacity.
 #pragma once
 
 #include <algorithm>
@@ -8,43 +8,50 @@
 
 namespace wingslip::decision {
 
-/// Keeps this gateway's attempts at a warming worker under the worker's share of the good answers that a warm
-/// one gives this gateway. Every gateway does so, so all together stay under the warming worker's share of
-/// what a warm one can do, also while clients send again many times over. A gateway that knows no such rate
-/// keeps to its part of what even a worker of one request per overload window bears.
+/// Limits this gateway's rate of attempts at a warming worker to the worker's capacity share of the rate of
+/// successful answers that this gateway gets from a warm worker. Since every gateway does so, all of them
+/// together stay below the warming worker's share of a warm worker's throughput, even while clients retry
+/// many times. A gateway without a known rate uses its part of the sustained rate of a worker that processes
+/// one request per overload window.
 class SlowStart {
  public:
-  /// Reads the settings it is made with, which outlive it.
+  /// Refers to the settings, which must outlive it.
   explicit SlowStart(const Settings& settings) : settings_(settings) {}
 
-  /// 1 for a warm worker, else the lower bound of its capacity that the settings give.
+  /// The worker's share of its full capacity: 1 for a warm worker, otherwise the lower bound from the
+  /// settings, which grows linearly over Settings::slowStartMs.
   double capacityShare(const UpstreamWorker& worker, Time now) const {
-    const Time startedAt = std::max(worker.endpoint.startedAt, worker.includedAt);
+    const Time startedAt = std::max(worker.endpoint.startedAt, worker.reincludedAt);
     if (startedAt <= 0 || settings_.slowStartMs <= 0) return 1;
     const double progress = std::clamp((now - startedAt) / settings_.slowStartMs, 0.0, 1.0);
     return settings_.slowStartShare + (1 - settings_.slowStartShare) * progress;
   }
+  /// Whether the worker has its full capacity.
   bool isWarm(const UpstreamWorker& worker, Time now) const { return capacityShare(worker, now) >= 1; }
 
-  /// Whether a warming worker may be given an attempt now; earns its tokens up to `now`.
-  /// @param capacityShare of this worker, below 1.
-  /// @param subsets into which the workers are divided among the gateways.
-  bool hasBudget(UpstreamWorker& worker, Time now, double capacityShare, unsigned subsets) const;
+  /// Whether a warming worker may be sent an attempt now. Refills its tokens up to `now`; false for a worker
+  /// outside this gateway's subset.
+  /// @param capacityShare the worker's capacity share, below 1.
+  /// @param subsetCount number of subsets into which the workers are divided.
+  bool hasBudget(UpstreamWorker& worker, Time now, double capacityShare, unsigned subsetCount) const;
+  /// Takes the token of one attempt.
   static void spendBudget(UpstreamWorker& worker) { worker.warmUpTokens -= 1; }
 
-  /// A good answer of `worker`, one of `workers`.
-  void noteGoodAnswer(const UpstreamWorker& worker, Time now, const std::vector<UpstreamWorker>& workers);
+  /// Counts a successful answer of `worker`, one of `workers`; that of a warming worker has no effect.
+  void noteSuccess(const UpstreamWorker& worker, Time now, const std::vector<UpstreamWorker>& workers);
 
-  /// Good answers per ms of a warm worker to this gateway, as remembered while a release leaves none warm.
+  /// Successful answers per ms that this gateway gets from one warm worker. While no worker is warm, as in a
+  /// release that replaces all of them, it decays from the last known rate.
   double warmWorkerRate(Time now) const;
-  /// The same from the process that this one takes over from; a figure that makes no sense is left out.
+  /// Sets the rate to that of the predecessor process in a handover; a negative or non-finite rate is
+  /// ignored.
   void seedWarmWorkerRate(Time now, double ratePerMs);
 
  private:
   const Settings& settings_;
-  double warmRatePerMs_ = 0;  // good answers of all warm workers
-  unsigned warmWorkers_ = 0;
-  double ratePerWarmWorker_ = 0;  // per ms
+  double warmRatePerMs_ = 0;      // successful answers per ms of all warm workers
+  unsigned warmWorkers_ = 0;      // warm workers in this gateway's subset, ready and not ejected
+  double ratePerWarmWorker_ = 0;  // successful answers per ms of one warm worker
   Time updatedAt_ = 0;
 };
 
--- a/src/decision/worker_feedback.hpp
+++ b/src/decision/worker_feedback.hpp
@@ -1,4 +1,5 @@
-/// What the outcome of an attempt tells of its worker, and of what all workers bear.
+/// Worker feedback: processes the outcome of an attempt for its worker and for the gateway's concurrency
+/// limit.
 #pragma once
 
 #include "decision/concurrency_limit.hpp"
@@ -10,7 +11,8 @@
 
 namespace wingslip::decision {
 
-/// Passes each outcome to the modules that learn from it, in a fixed order. What it is made with outlives it.
+/// Passes each outcome to the modules that use it, in a fixed order. The constructor's arguments must outlive
+/// it.
 class WorkerFeedback {
  public:
   WorkerFeedback(RequestClasses& classes, const WorkerTable& workers, OutlierDetection& outliers,
@@ -22,14 +24,15 @@
         loadReports_(loadReports),
         concurrencyLimit_(concurrencyLimit) {}
 
-  /// @param requestClass of the request, which need not be in force any more.
-  /// @return whether the worker is ejected by it.
+  /// Processes the outcome of an attempt at `worker`.
+  /// @param requestClass class of the request, which may have been removed from the settings since.
+  /// @return whether the outcome ejects the worker.
   [[nodiscard]] bool note(UpstreamWorker& worker, Time now, RequestClass& requestClass,
                           const AttemptOutcome& outcome);
 
  private:
-  void steerLimits(UpstreamWorker& worker, Time now, AnswerTiming timing);
-  void noteGoodAnswer(UpstreamWorker& worker, Time now);
+  void updateLimits(UpstreamWorker& worker, Time now, AnswerTiming timing);
+  void noteSuccess(UpstreamWorker& worker, Time now);
 
   RequestClasses& classes_;
   const WorkerTable& workers_;
--- a/src/decision/worker_table.cpp
+++ b/src/decision/worker_table.cpp
@@ -1,4 +1,4 @@
-/// The workers: updates of their list, and exclusion by hand.
+/// Worker table: updates from the endpoint list, and exclusion by an operator.
 #include "decision/worker_table.hpp"
 
 #include "decision/concurrency_limit.hpp"
@@ -11,9 +11,9 @@
   for (const Endpoint& endpoint : list) {
     UpstreamWorker* worker = find(endpoint.worker);
     if (!worker) {
-      indexes_[endpoint.worker] = workers_.size();
+      indexById_[endpoint.worker] = workers_.size();
       worker = &workers_.emplace_back();
-      start(*worker, now);
+      initialize(*worker, now);
     } else if (endpoint.startedAt != worker->endpoint.startedAt) {
       reset(*worker, now);
     }
@@ -26,30 +26,33 @@
     return worker.endpoint.phase == WorkerPhase::removed && worker.inFlight == 0;
   });
   if (dropped == 0) return;
-  indexes_.clear();
-  for (std::size_t i = 0; i < workers_.size(); ++i) indexes_[workers_[i].endpoint.worker] = i;
+  indexById_.clear();
+  for (std::size_t i = 0; i < workers_.size(); ++i) indexById_[workers_[i].endpoint.worker] = i;
 }
 
-// A restarted process: what was learned of the one before is void.
+// The worker's process has restarted: discards all state of the previous process except its attempts in
+// flight.
 void WorkerTable::reset(UpstreamWorker& worker, Time now) {
   const Endpoint endpoint = worker.endpoint;
   const unsigned inFlight = worker.inFlight;
   worker = UpstreamWorker{};
   worker.endpoint = endpoint;
   worker.inFlight = inFlight;
-  start(worker, now);
+  initialize(worker, now);
 }
 
-// Warm-up tokens start at random, so that gateways alike do not all send at the same moment.
-void WorkerTable::start(UpstreamWorker& worker, Time now) {
+// The initial number of warm-up tokens is random, so that gateways in the same state do not all send at the
+// same time.
+void WorkerTable::initialize(UpstreamWorker& worker, Time now) {
   worker.latencyRatioAt = now;
-  worker.othersAt = now;
-  worker.warmUpTokensAt = now;
+  worker.othersInFlightAt = now;
+  worker.warmUpTokensUpdatedAt = now;
   worker.warmUpTokens = random_.next();
   worker.limit = initialWorkerLimit(settings_.gatewayCount);
 }
 
-// The worker may have been restarted in between without the list telling so yet.
+// The worker may have restarted during its exclusion without the endpoint list showing it yet, so its state
+// is reset.
 void WorkerTable::include(Time now, WorkerId id) {
   const auto found = excludedSince_.find(id);
   if (found == excludedSince_.end()) return;
@@ -59,7 +62,7 @@
   if (!worker) return;
   reset(*worker, now);
   worker->lastHeardAt = now;
-  if (worker->endpoint.startedAt < excludedSince) worker->includedAt = now;
+  if (worker->endpoint.startedAt < excludedSince) worker->reincludedAt = now;
 }
 
 WorkerCounts WorkerTable::counts(Time now) const {
