--- a/src/decision/load_balancer.cpp
+++ b/src/decision/load_balancer.cpp
@@ -87,8 +87,8 @@
   return pending.mayHaveRun || hasCapacity(worker);
 }
 
-// The worker's load from all gateways, weighted by its slowness. The cost is scaled by the capacity share, so
-// that a warming worker is used up to its budget. Draws one random number.
+// The worker's load from all gateways, weighted by its slowness. Scaling by the capacity share favours a
+// warming worker, so that its budget is used. Draws one random number.
 inline double LoadBalancer::cost(const UpstreamWorker& worker, Time now, const PendingRequest& pending,
                                  double capacityShare) {
   double cost = outliers_.slowness(worker) * (loadReports_.load(worker, now) + 1) * capacityShare;
