--- a/src/settings/key_values.cpp
+++ b/src/settings/key_values.cpp
@@ -1,3 +1,4 @@
+/// Parsing of `key=value` lines and their typed values.
 #include "settings/key_values.hpp"
 
 #include <charconv>
@@ -7,26 +8,26 @@
 namespace wingslip::settings {
 namespace {
 
-/// A longer list is taken for a damaged frame.
+/// Maximum number of items in a list; a longer one indicates a damaged frame.
 constexpr unsigned kMaxItems = 4096;
-/// Of a faulty line, what its error repeats.
+/// Maximum number of bytes of a malformed line that its error message quotes.
 constexpr std::size_t kMaxQuotedBytes = 60;
-constexpr double kMaxWholeNumber = std::numeric_limits<std::uint32_t>::max();
+constexpr double kMaxUnsigned = std::numeric_limits<std::uint32_t>::max();
 
 std::string_view describe(SettingsError::Kind kind) {
   switch (kind) {
-    case SettingsError::Kind::lineWithoutSign:
-      return "settings: a line without '='";
+    case SettingsError::Kind::missingEqualsSign:
+      return "settings: line without '='";
     case SettingsError::Kind::notANumber:
-      return "settings: not a number";
-    case SettingsError::Kind::notAWholeNumber:
-      return "settings: not a whole number";
+      return "settings: value is not a number";
+    case SettingsError::Kind::outOfRange:
+      return "settings: value is outside the range of an unsigned 32-bit integer";
     case SettingsError::Kind::notABoolean:
-      return "settings: neither true nor false";
-    case SettingsError::Kind::unknownWord:
-      return "settings: unknown word";
+      return "settings: value is neither true nor false";
+    case SettingsError::Kind::unknownValue:
+      return "settings: unknown value";
     case SettingsError::Kind::tooManyItems:
-      return "settings: too many items";
+      return "settings: list has too many items";
   }
   return "settings";
 }
@@ -39,7 +40,7 @@
   return value;
 }
 
-/// The first line of `text`, which is removed from it with its end.
+/// Removes the first line with its line ending from `text` and returns it without the line ending.
 std::string_view takeLine(std::string_view& text) {
   const auto end = text.find('\n');
   std::string_view line = text.substr(0, end);
@@ -57,10 +58,11 @@
   while (!text.empty()) {
     const std::string_view line = takeLine(text);
     if (line.empty()) continue;
-    const auto sign = line.find('=');
-    if (sign == std::string_view::npos)
-      throw SettingsError(SettingsError::Kind::lineWithoutSign, line.substr(0, kMaxQuotedBytes));
-    values_.insert_or_assign(std::string(line.substr(0, sign)), std::string(line.substr(sign + 1)));
+    const auto equalsSign = line.find('=');
+    if (equalsSign == std::string_view::npos)
+      throw SettingsError(SettingsError::Kind::missingEqualsSign, line.substr(0, kMaxQuotedBytes));
+    values_.insert_or_assign(std::string(line.substr(0, equalsSign)),
+                             std::string(line.substr(equalsSign + 1)));
   }
 }
 
@@ -78,8 +80,7 @@
   const std::string* value = find(key);
   if (!value) return fallback;
   const double parsed = parseNumber(key, *value);
-  if (!(parsed >= 0 && parsed <= kMaxWholeNumber))
-    throw SettingsError(SettingsError::Kind::notAWholeNumber, key);
+  if (!(parsed >= 0 && parsed <= kMaxUnsigned)) throw SettingsError(SettingsError::Kind::outOfRange, key);
   return static_cast<unsigned>(parsed);
 }
 
@@ -101,11 +102,11 @@
   const std::string* value = find(key);
   if (!value) return fallback;
   std::vector<std::string> words;
-  std::string_view rest = *value;
-  while (!rest.empty()) {
-    const auto comma = rest.find(',');
-    words.emplace_back(rest.substr(0, comma));
-    rest = comma == std::string_view::npos ? std::string_view{} : rest.substr(comma + 1);
+  std::string_view remaining = *value;
+  while (!remaining.empty()) {
+    const auto comma = remaining.find(',');
+    words.emplace_back(remaining.substr(0, comma));
+    remaining = comma == std::string_view::npos ? std::string_view{} : remaining.substr(comma + 1);
   }
   return words;
 }
--- a/src/settings/key_values.hpp
+++ b/src/settings/key_values.hpp
@@ -1,5 +1,5 @@
-/// Lines of `key=value` with typed access: the form in which settings reach the simulator's adapter, and to
-/// which the gatekeeper's configuration flattens its JSON.
+/// Lines of `key=value` with typed access: the format in which the simulator's adapter receives its settings,
+/// and to which the gatekeeper's configuration flattens its JSON.
 #pragma once
 
 #include <map>
@@ -10,12 +10,12 @@
 
 namespace wingslip::settings {
 
-/// Why settings could not be read. `what()` is one plain line.
+/// Reason for which settings could not be read. `what()` is a single line of text.
 class SettingsError : public std::runtime_error {
  public:
-  enum class Kind { lineWithoutSign, notANumber, notAWholeNumber, notABoolean, unknownWord, tooManyItems };
+  enum class Kind { missingEqualsSign, notANumber, outOfRange, notABoolean, unknownValue, tooManyItems };
 
-  /// @param where the key, or the beginning of the line, at fault.
+  /// @param where the key of the invalid value, or the beginning of the malformed line.
   SettingsError(Kind kind, std::string_view where);
   Kind kind() const { return kind_; }
 
@@ -23,28 +23,29 @@
   Kind kind_;
 };
 
-/// The pairs of one text. Of a key that stands twice the last value counts.
+/// The key-value pairs of a text. Where a key is repeated, its last value is used.
 class KeyValues {
  public:
-  /// @throws SettingsError on a line without `=`. Empty lines are passed over.
+  /// Parses `text`. Empty lines are ignored.
+  /// @throws SettingsError on a line without `=`.
   explicit KeyValues(std::string_view text);
 
-  /// Each returns `fallback` where the key is missing.
-  /// @throws SettingsError on a value of another form.
+  /// Each of the following returns `fallback` where the key is missing.
+  /// @throws SettingsError where the value is not of the requested type.
   double number(const std::string& key, double fallback) const;
-  /// A fraction is cut off.
+  /// A fraction is truncated.
   unsigned wholeNumber(const std::string& key, unsigned fallback) const;
   bool boolean(const std::string& key, bool fallback) const;
   std::string text(const std::string& key, const std::string& fallback) const;
-  /// A list of words with commas between them.
+  /// A list of words separated by commas.
   std::vector<std::string> words(const std::string& key, const std::vector<std::string>& fallback) const;
 
-  /// The number of items of the list `key`, from its key `KEY.count`; 0 where it is missing.
-  /// @throws SettingsError past 4,096.
+  /// Number of items of the list `key`, read from the key `KEY.count`; 0 where that key is missing.
+  /// @throws SettingsError where there are more than 4,096 items.
   unsigned itemCount(const std::string& key) const;
 
  private:
-  /// Null where the key is missing.
+  /// Returns the value, or null where the key is missing.
   const std::string* find(const std::string& key) const;
 
   std::map<std::string, std::string, std::less<>> values_;
--- a/src/settings/settings_reader.cpp
+++ b/src/settings/settings_reader.cpp
@@ -1,3 +1,4 @@
+/// Mapping of the external keys and values of settings to the terms of the code.
 #include "settings/settings_reader.hpp"
 
 namespace wingslip::settings {
@@ -13,21 +14,21 @@
   if (word == "safe") return Idempotency::idempotent;
   if (word == "keyed") return Idempotency::withKey;
   if (word == "unsafe") return Idempotency::notIdempotent;
-  throw SettingsError(SettingsError::Kind::unknownWord, key);
+  throw SettingsError(SettingsError::Kind::unknownValue, key);
 }
 
 DeduplicationScope parseDeduplicationScope(const std::string& key, std::string_view word) {
   if (word == "all") return DeduplicationScope::all;
   if (word == "zone") return DeduplicationScope::zone;
   if (word == "cell") return DeduplicationScope::cell;
-  throw SettingsError(SettingsError::Kind::unknownWord, key);
+  throw SettingsError(SettingsError::Kind::unknownValue, key);
 }
 
-/// How the list of workers is had: it comes by itself, or only when it is asked for.
+/// Whether the gateway polls for the endpoint list, as opposed to discovery pushing it.
 bool parsePollsEndpoints(const std::string& key, std::string_view word) {
   if (word == "on_request") return true;
   if (word == "pushed") return false;
-  throw SettingsError(SettingsError::Kind::unknownWord, key);
+  throw SettingsError(SettingsError::Kind::unknownValue, key);
 }
 
 std::string itemPrefix(const std::string& list, unsigned index) {
--- a/src/settings/settings_reader.hpp
+++ b/src/settings/settings_reader.hpp
@@ -1,4 +1,4 @@
-/// The edge at which the settings' own words are mapped to the terms of the code (`docs/glossary.md`).
+/// Reads settings and maps their external keys and values to the terms of the code (`docs/glossary.md`).
 #pragma once
 
 #include <string>
@@ -10,21 +10,24 @@
 
 namespace wingslip::settings {
 
-/// What the settings say to the host and not to the decision module.
+/// Settings of the host that the decision module does not use.
 struct HostSettings {
-  /// Names as they stand on sockets, by the index that the decision module knows them by.
+  /// Names as transmitted over sockets, at the indexes by which the decision module refers to them.
   std::vector<std::string> classes;
   std::vector<std::string> plans;
   std::vector<std::string> zones;
   std::vector<std::string> machineTypes;
+  /// Time-out for connecting to a worker.
   decision::Time connectTimeoutMs = 250;
-  /// A worker closes a connection that has been idle this long.
+  /// Idle time after which a worker closes a connection.
   decision::Time workerIdleTimeoutMs = 30000;
 };
 
-/// Reads `path=value` lines. Unknown keys are ignored, missing ones leave the default.
-/// @throws SettingsError on a malformed line, number or word.
+/// Reads the decision module's settings from `path=value` lines. Unknown keys are ignored, and missing ones
+/// retain their defaults.
+/// @throws SettingsError on a malformed line or an invalid value.
 decision::Settings parseSettings(std::string_view text);
+/// Reads the host's settings from the same text, with the same treatment of keys and errors.
 HostSettings parseHostSettings(std::string_view text);
 
 }  // namespace wingslip::settings
--- a/src/simulator_adapter/main.cpp
+++ b/src/simulator_adapter/main.cpp
@@ -1,5 +1,6 @@
 /// wingslip-simulator-adapter: hosts gateways of the decision module for the simulator, over standard input
-/// and output. One Gateway per instance; they share nothing but the reply that their actions are written to.
+/// and output. There is one Gateway per instance; the instances share only the reply to which their actions
+/// are written.
 #include <algorithm>
 #include <array>
 #include <cstdio>
@@ -18,13 +19,15 @@
 
 using decision::Gateway;
 
-/// Feeds the events of frames to the instances that they name.
+/// Dispatches the events of frames to the gateway instances that they name.
 class Host : private EventSink {
  public:
-  /// The reply to one frame.
+  /// Processes one frame and returns the reply to it, which is valid until the next call.
+  /// @throws WireError on a malformed frame or an event for an instance that has not been started.
+  /// @throws settings::SettingsError, std::invalid_argument on invalid settings of an instance.
   const std::string& handleFrame(const FrameHeader& header, std::string_view body) {
     clock_ = header.clock;
-    current_ = nullptr;
+    currentGateway_ = nullptr;
     instanceNumber_ = 0;
     reply_.begin(header.number);
     readRecords(header, body, *this);
@@ -35,65 +38,67 @@
   void onInstance(unsigned number) override {
     instanceNumber_ = number;
     const auto found = gateways_.find(number);
-    current_ = found == gateways_.end() ? nullptr : &found->second;
+    currentGateway_ = found == gateways_.end() ? nullptr : &found->second;
     reply_.setInstance(number);
   }
   void onStart(std::uint64_t salt, std::string_view text) override {
     gateways_.erase(instanceNumber_);
     Gateway gateway(settings::parseSettings(text), salt, clock_, reply_);
-    current_ = &gateways_.emplace(instanceNumber_, std::move(gateway)).first->second;
+    currentGateway_ = &gateways_.emplace(instanceNumber_, std::move(gateway)).first->second;
   }
   void onEndpoints(decision::EndpointUpdate kind, const std::vector<decision::Endpoint>& list) override {
-    current().onEndpoints(clock_, kind, list);
+    currentGateway().onEndpoints(clock_, kind, list);
   }
-  void onRequest(const decision::Request& request) override { current().onRequest(clock_, request); }
+  void onRequest(const decision::Request& request) override { currentGateway().onRequest(clock_, request); }
   void onAttemptOutcome(const decision::AttemptOutcome& outcome) override {
-    current().onAttemptOutcome(clock_, outcome);
+    currentGateway().onAttemptOutcome(clock_, outcome);
   }
-  void onClientDisconnect(decision::RequestId id) override { current().onClientDisconnect(clock_, id); }
-  void onTimer(std::uint64_t tag) override { current().onTimer(clock_, tag); }
+  void onClientDisconnect(decision::RequestId id) override {
+    currentGateway().onClientDisconnect(clock_, id);
+  }
+  void onTimer(std::uint64_t tag) override { currentGateway().onTimer(clock_, tag); }
   void onStop() override {
     gateways_.erase(instanceNumber_);
-    current_ = nullptr;
+    currentGateway_ = nullptr;
   }
 
-  Gateway& current() {
-    if (!current_) throw WireError("an event for an instance that was not started");
-    return *current_;
+  Gateway& currentGateway() {
+    if (!currentGateway_) throw WireError("event for an instance that has not been started");
+    return *currentGateway_;
   }
 
   ReplyWriter reply_;
   std::map<unsigned, Gateway> gateways_;
-  Gateway* current_ = nullptr;
+  Gateway* currentGateway_ = nullptr;
   unsigned instanceNumber_ = 0;
   decision::Time clock_ = 0;
 };
 
-/// Frames of standard input.
+/// Reads frames from standard input.
 class FrameReader {
  public:
-  /// The next frame's header; nothing where the input ends.
-  /// @throws WireError where it ends inside a header, or the header is malformed.
+  /// Reads the header of the next frame; no value at the end of the input.
+  /// @throws WireError where the header is truncated or malformed.
   std::optional<FrameHeader> nextHeader() {
     std::array<char, kFrameHeaderBytes> bytes{};
-    const std::size_t got = std::fread(bytes.data(), 1, bytes.size(), stdin);
-    if (got == 0) return std::nullopt;
-    if (got < bytes.size()) throw WireError("the input ends inside a frame's header");
+    const std::size_t bytesRead = std::fread(bytes.data(), 1, bytes.size(), stdin);
+    if (bytesRead == 0) return std::nullopt;
+    if (bytesRead < bytes.size()) throw WireError("input truncated within a frame header");
     return readFrameHeader({bytes.data(), bytes.size()});
   }
 
-  /// The `size` bytes that follow; valid until the next call.
+  /// Reads the next `size` bytes. The result is valid until the next call.
   /// @throws WireError where the input ends before.
   std::string_view readBody(std::size_t size) {
-    // Grown in steps, so that a damaged length cannot claim a huge block at once.
-    constexpr std::size_t kStepBytes = std::size_t{1} << 22;
+    // The buffer grows in chunks, so that a corrupt length cannot cause a single huge allocation.
+    constexpr std::size_t kChunkBytes = std::size_t{1} << 22;
     body_.clear();
     while (body_.size() < size) {
       const std::size_t offset = body_.size();
-      const std::size_t part = std::min(size - offset, kStepBytes);
-      body_.resize(offset + part);
-      if (std::fread(body_.data() + offset, 1, part, stdin) < part)
-        throw WireError("the input ends inside a frame");
+      const std::size_t chunk = std::min(size - offset, kChunkBytes);
+      body_.resize(offset + chunk);
+      if (std::fread(body_.data() + offset, 1, chunk, stdin) < chunk)
+        throw WireError("input truncated within a frame body");
     }
     return body_;
   }
@@ -104,10 +109,10 @@
 
 void writeReply(const std::string& reply) {
   const bool written = std::fwrite(reply.data(), 1, reply.size(), stdout) == reply.size();
-  if (!written || std::fflush(stdout) != 0) throw WireError("the reply could not be written");
+  if (!written || std::fflush(stdout) != 0) throw WireError("failed to write the reply");
 }
 
-/// Answers frames until the input ends.
+/// Replies to each frame until the end of the input.
 void serve() {
   Host host;
   FrameReader frames;
--- a/src/simulator_adapter/wire.cpp
+++ b/src/simulator_adapter/wire.cpp
@@ -1,3 +1,4 @@
+/// Encoding and decoding of the simulator's wire protocol.
 #include "simulator_adapter/wire.hpp"
 
 #include <bit>
@@ -5,7 +6,7 @@
 namespace wingslip::simulator_adapter {
 namespace {
 
-static_assert(std::endian::native == std::endian::little, "the wire is little-endian");
+static_assert(std::endian::native == std::endian::little, "the wire format is little-endian");
 
 using decision::AttemptResult;
 using decision::EndpointUpdate;
@@ -14,7 +15,7 @@
 using decision::WorkerId;
 using decision::WorkerPhase;
 
-/// Codes of the records that the simulator sends.
+/// Record codes of the simulator's events.
 enum class EventCode : std::uint8_t {
   start = 10,
   endpoints = 20,
@@ -30,7 +31,7 @@
   instance = 120,
 };
 
-/// Codes of the records that are sent back.
+/// Record codes of the actions in a reply.
 enum class ActionCode : std::uint8_t {
   startAttempt = 10,
   reject = 20,
@@ -43,10 +44,10 @@
 
 constexpr unsigned kWorkerLowBits = 32;
 
-/// Reads a frame's bytes in order.
+/// Sequential reader of a frame's bytes. Reading beyond the end throws WireError.
 class Cursor {
  public:
-  explicit Cursor(std::string_view bytes) : rest_(bytes) {}
+  explicit Cursor(std::string_view bytes) : remaining_(bytes) {}
 
   template <class T>
   T get() {
@@ -55,9 +56,9 @@
     return value;
   }
   std::string_view bytes(std::size_t count) {
-    if (count > rest_.size()) throw WireError("a record runs past the end of its frame");
-    const auto out = rest_.substr(0, count);
-    rest_.remove_prefix(count);
+    if (count > remaining_.size()) throw WireError("record exceeds its frame");
+    const auto out = remaining_.substr(0, count);
+    remaining_.remove_prefix(count);
     return out;
   }
   template <class T>
@@ -68,11 +69,11 @@
     const WorkerId low = get<std::uint32_t>();
     return low | WorkerId{get<std::uint16_t>()} << kWorkerLowBits;
   }
-  bool empty() const { return rest_.empty(); }
-  std::size_t left() const { return rest_.size(); }
+  bool empty() const { return remaining_.empty(); }
+  std::size_t remaining() const { return remaining_.size(); }
 
  private:
-  std::string_view rest_;
+  std::string_view remaining_;
 };
 
 AttemptResult attemptResult(std::uint8_t code) {
@@ -94,7 +95,7 @@
     case 125:
       return AttemptResult::cancelled;
     default:
-      throw WireError("unknown outcome " + std::to_string(code));
+      throw WireError("unknown attempt result code " + std::to_string(code));
   }
 }
 
@@ -107,7 +108,7 @@
     case 2:
       return WorkerPhase::draining;
     default:
-      throw WireError("unknown phase " + std::to_string(code));
+      throw WireError("unknown worker phase code " + std::to_string(code));
   }
 }
 
@@ -122,7 +123,7 @@
     case 3:
       return EndpointUpdate::snapshot;
     default:
-      throw WireError("unknown kind of list " + std::to_string(code));
+      throw WireError("unknown endpoint update code " + std::to_string(code));
   }
 }
 
@@ -136,7 +137,7 @@
   decision::Endpoint out;
   out.phase = workerPhase(in.get<std::uint8_t>());
   out.worker = in.worker();
-  in.skip<float>();  // a weight against the others, which the module does not use
+  in.skip<float>();  // relative weight, not used by the decision module
   out.zone = in.get<std::uint8_t>();
   out.machineType = in.get<std::uint8_t>();
   out.startedAt = in.get<double>();
@@ -147,9 +148,9 @@
 void readEndpoints(Cursor& in, EventSink& sink) {
   constexpr std::size_t kEndpointBytes = 23;
   const EndpointUpdate kind = endpointUpdate(in.get<std::uint8_t>());
-  in.skip<std::uint32_t>();  // the list's version
+  in.skip<std::uint32_t>();  // version of the endpoint list
   const auto rows = in.get<std::uint32_t>();
-  if (rows > in.left() / kEndpointBytes) throw WireError("a list runs past the end of its frame");
+  if (rows > in.remaining() / kEndpointBytes) throw WireError("endpoint list exceeds its frame");
   std::vector<decision::Endpoint> list(rows);
   for (decision::Endpoint& endpoint : list) endpoint = readEndpoint(in);
   sink.onEndpoints(kind, list);
@@ -166,8 +167,8 @@
   out.units = in.get<float>();
   const float gateways = in.get<float>();
   out.customerGateways = gateways >= 1 && gateways < kMaxGateways ? static_cast<unsigned>(gateways) : 1;
-  in.skip<float>();          // the first gateway of the customer's set
-  in.skip<std::uint16_t>();  // state bits
+  in.skip<float>();          // first gateway of the customer's set
+  in.skip<std::uint16_t>();  // state flags
   sink.onRequest(out);
 }
 
@@ -178,7 +179,7 @@
   out.attempt = in.get<std::uint16_t>();
   out.actualUnits = in.get<std::uint16_t>();
   out.worker = in.worker();
-  out.quotaUsePercent = static_cast<int>(in.get<std::uint16_t>()) - 1;  // 0 on the wire: no reading
+  out.quotaUsePercent = static_cast<int>(in.get<std::uint16_t>()) - 1;  // encoded plus 1; 0: no reading
   out.latencyMs = in.get<double>();
   out.requestFinished = in.get<std::uint8_t>() != 0;
   out.loadReport = readLoadReport(in);
@@ -190,7 +191,7 @@
   sink.onStart(salt, in.bytes(in.get<std::uint32_t>()));
 }
 
-/// Records of features that the module does not use.
+/// Skips a record of a feature that the decision module does not use.
 void skipUnused(EventCode code, Cursor& in) {
   constexpr std::size_t kStreamStartedBytes = 4 + 8 + 6 + 2;
   constexpr std::size_t kProbeBytes = 1 + 6 + 8;
@@ -249,20 +250,20 @@
   out.sizeBytes = in.get<std::uint32_t>();
   out.records = in.get<std::uint32_t>();
   if (out.sizeBytes < kFrameHeaderBytes || out.sizeBytes > kMaxFrameBytes)
-    throw WireError("a frame of " + std::to_string(out.sizeBytes) + " bytes");
+    throw WireError("invalid frame size: " + std::to_string(out.sizeBytes) + " bytes");
   return out;
 }
 
 void readRecords(const FrameHeader& header, std::string_view body, EventSink& sink) {
   Cursor in(body);
   for (std::uint32_t i = 0; i < header.records; ++i) readRecord(in, sink);
-  if (!in.empty()) throw WireError("bytes left over after the last record");
+  if (!in.empty()) throw WireError("trailing bytes after the last record");
 }
 
 void ReplyWriter::begin(std::uint32_t frameNumber) {
   bytes_.clear();
   put(frameNumber);
-  put(std::uint32_t{0});  // size and number of records, filled in by `finish`
+  put(std::uint32_t{0});  // size of the frame and number of records, both set by `finish`
   put(std::uint32_t{0});
   records_ = 0;
   instance_ = kNoInstance;
@@ -319,9 +320,9 @@
 }
 
 void ReplyWriter::pollEndpoints() {
-  constexpr std::uint8_t kWithChanges = 1;
+  constexpr std::uint8_t kIncludeDeltas = 1;
   beginRecord(static_cast<std::uint8_t>(ActionCode::pollEndpoints));
-  put(kWithChanges);
+  put(kIncludeDeltas);
 }
 
 void ReplyWriter::log(const std::string& line) {
--- a/src/simulator_adapter/wire.hpp
+++ b/src/simulator_adapter/wire.hpp
@@ -1,5 +1,5 @@
-/// The simulator's protocol: binary frames of events in, of actions out, with their length, little-endian.
-/// Nothing here decides anything.
+/// The simulator's wire protocol: little-endian binary frames with their length in the header, of events on
+/// input and of actions on output. This layer only decodes and encodes; it makes no decisions.
 #pragma once
 
 #include <cstdint>
@@ -14,22 +14,23 @@
 namespace wingslip::simulator_adapter {
 
 constexpr std::size_t kFrameHeaderBytes = 20;
+/// Maximum size of a frame, including its header.
 constexpr std::size_t kMaxFrameBytes = std::size_t{1} << 30;
 
-/// Input that is no frame of the protocol. `what()` is one plain line.
+/// Malformed input, or a failure to exchange frames. `what()` is a single line of text.
 struct WireError : std::runtime_error {
   explicit WireError(const std::string& what) : std::runtime_error("wire: " + what) {}
 };
 
-/// The header of a frame of events.
+/// Header of a frame of events.
 struct FrameHeader {
-  std::uint32_t number = 0;
-  decision::Time clock = 0;  ///< the same for all events of the frame
-  std::uint32_t sizeBytes = 0;
-  std::uint32_t records = 0;
+  std::uint32_t number = 0;     ///< number of the frame, repeated in its reply
+  decision::Time clock = 0;     ///< time of all events of the frame
+  std::uint32_t sizeBytes = 0;  ///< size of the frame, including this header
+  std::uint32_t records = 0;    ///< number of records in the body
 };
 
-/// Receives the events of a frame, in order; each is for the instance named last.
+/// Receives the events of a frame, in order. Each event is for the instance of the last `onInstance`.
 class EventSink {
  public:
   virtual ~EventSink() = default;
@@ -43,19 +44,22 @@
   virtual void onStop() = 0;
 };
 
+/// Reads a header from its kFrameHeaderBytes bytes.
 /// @throws WireError on malformed input.
 FrameHeader readFrameHeader(std::string_view bytes);
+/// Decodes the records of a frame and passes their events to `sink`.
 /// @param body the frame without its header.
-/// @throws WireError on malformed input; events before the fault have been delivered.
+/// @throws WireError on malformed input, after delivering the events that precede the malformed record.
 void readRecords(const FrameHeader& header, std::string_view body, EventSink& sink);
 
-/// Collects one frame of actions, each for the instance named last.
+/// Encodes a reply frame of actions. Each action is for the instance of the last `setInstance`.
 class ReplyWriter : public decision::Actions {
  public:
-  /// Starts the reply to the frame of this number.
+  /// Starts the reply to the frame with this number.
   void begin(std::uint32_t frameNumber);
+  /// Sets the instance that the following actions are for.
   void setInstance(unsigned instance) { instance_ = instance; }
-  /// The whole frame; valid until the next `begin`.
+  /// Completes the frame and returns it; the result is valid until the next `begin`.
   const std::string& finish();
 
   void startAttempt(decision::RequestId id, decision::WorkerId worker, decision::Time timeoutMs) override;
@@ -80,7 +84,7 @@
   std::string bytes_;
   std::uint32_t records_ = 0;
   long instance_ = kNoInstance;
-  long writtenInstance_ = kNoInstance;  ///< the one that the last record is for
+  long writtenInstance_ = kNoInstance;  ///< instance of the last record written
 };
 
 }  // namespace wingslip::simulator_adapter
--- a/tests/simulator_adapter_test.cpp
+++ b/tests/simulator_adapter_test.cpp
@@ -1,3 +1,4 @@
+/// Tests of the simulator's wire protocol, the settings reader and the adapter as a process.
 #include <gtest/gtest.h>
 #include <sys/wait.h>
 #include <unistd.h>
@@ -14,8 +15,8 @@
 namespace {
 
 template <class T>
-void put(std::string& to, T value) {
-  to.append(reinterpret_cast<const char*>(&value), sizeof value);
+void put(std::string& bytes, T value) {
+  bytes.append(reinterpret_cast<const char*>(&value), sizeof value);
 }
 
 std::string frame(std::uint32_t records, const std::string& body, double clock = 1000) {
@@ -27,7 +28,7 @@
   return out + body;
 }
 
-std::string unhex(const std::string& text) {
+std::string fromHex(const std::string& text) {
   std::string out;
   for (std::size_t i = 0; i + 1 < text.size();) {
     if (text[i] == ' ') {
@@ -64,22 +65,22 @@
 TEST(SimulatorWire, ReadsTheDocumentedRecords) {
   RecordedEvents recorded;
   read(recorded, 2,
-       unhex("78 0300 1e c4913a5d 00 00000000 640ad2557c3bf091 0000000020e6c040 00000040 00004040 0000803f "
-             "0100"));
+       fromHex("78 0300 1e c4913a5d 00 00000000 640ad2557c3bf091 0000000020e6c040 00000040 00004040 0000803f "
+               "0100"));
   ASSERT_EQ(recorded.requests.size(), 1u);
   EXPECT_EQ(recorded.instance, 3u);
   EXPECT_EQ(recorded.requests[0].units, 2);
   EXPECT_EQ(recorded.requests[0].customerGateways, 3u);
   read(recorded, 1,
-       unhex("32 c4913a5d 00 0000 0300 0a124a07 2b23 5600 0000000000803240 01 02 52b81e3f00004040"));
+       fromHex("32 c4913a5d 00 0000 0300 0a124a07 2b23 5600 0000000000803240 01 02 52b81e3f00004040"));
   ASSERT_EQ(recorded.outcomes.size(), 1u);
   EXPECT_EQ(recorded.outcomes[0].quotaUsePercent, 0x55);
   EXPECT_EQ(recorded.outcomes[0].actualUnits, 3);
   EXPECT_TRUE(recorded.outcomes[0].requestFinished);
   EXPECT_EQ(recorded.outcomes[0].loadReport.size(), 2u);
   read(recorded, 1,
-       unhex("14 02 29000000 02000000 01 0a124a07 2b23 0000803f 00 00 0000000000000000 0000"
-             " 01 0a9011f2 5423 0000c03f 01 00 0000000000d4b740 0000"));
+       fromHex("14 02 29000000 02000000 01 0a124a07 2b23 0000803f 00 00 0000000000000000 0000"
+               " 01 0a9011f2 5423 0000c03f 01 00 0000000000d4b740 0000"));
   ASSERT_EQ(recorded.list.size(), 2u);
   EXPECT_EQ(recorded.list[1].zone, 1u);
 }
@@ -93,21 +94,21 @@
   reply.setInstance(5);
   reply.log("two servers unknown");
   const std::string out = reply.finish();
-  EXPECT_EQ(out.substr(0, 4), unhex("0c000000"));
-  EXPECT_EQ(out.substr(8, 4), unhex("05000000"));
-  EXPECT_EQ(out.substr(12, 3 + 19 + 17), unhex("8c 0300 0a c4913a5d 0a124a07 2b23 0000000000005440"
-                                               " 32 0000000000407f40 4d00000000000000"));
+  EXPECT_EQ(out.substr(0, 4), fromHex("0c000000"));
+  EXPECT_EQ(out.substr(8, 4), fromHex("05000000"));
+  EXPECT_EQ(out.substr(12, 3 + 19 + 17), fromHex("8c 0300 0a c4913a5d 0a124a07 2b23 0000000000005440"
+                                                 " 32 0000000000407f40 4d00000000000000"));
 }
 
 TEST(SimulatorWire, MalformedRecordsThrow) {
   RecordedEvents recorded;
-  EXPECT_THROW(read(recorded, 1, unhex("46 4d0000")), std::runtime_error);  // truncated
-  EXPECT_THROW(read(recorded, 1, unhex("fe 00")), std::runtime_error);      // unknown code
-  EXPECT_THROW(read(recorded, 1, unhex("14 03 29000000 ffffffff 01")),
-               std::runtime_error);                                          // count past the end
-  EXPECT_THROW(read(recorded, 1, unhex("78 0300 00")), std::runtime_error);  // bytes left over
-  EXPECT_THROW(read(recorded, 9, unhex("78 0300")), std::runtime_error);     // records missing
-  EXPECT_THROW(simulator_adapter::readFrameHeader(unhex("01000000 00000000206ec040 01000000 00000000")),
+  EXPECT_THROW(read(recorded, 1, fromHex("46 4d0000")), std::runtime_error);  // truncated
+  EXPECT_THROW(read(recorded, 1, fromHex("fe 00")), std::runtime_error);      // unknown code
+  EXPECT_THROW(read(recorded, 1, fromHex("14 03 29000000 ffffffff 01")),
+               std::runtime_error);                                            // count exceeds the frame
+  EXPECT_THROW(read(recorded, 1, fromHex("78 0300 00")), std::runtime_error);  // trailing bytes
+  EXPECT_THROW(read(recorded, 9, fromHex("78 0300")), std::runtime_error);     // records missing
+  EXPECT_THROW(simulator_adapter::readFrameHeader(fromHex("01000000 00000000206ec040 01000000 00000000")),
                std::runtime_error);
 }
 
@@ -133,39 +134,41 @@
   EXPECT_THROW(settings::parseSettings("profiles.count=1\nprofiles.0.repeat=often"), std::runtime_error);
 }
 
-// The adapter as a process: one plain line on standard error and a non-zero exit, never a crash.
-int drill(const std::string& input, std::string& errors) {
+// Runs the adapter as a process on `input` and stores its standard error in `errors`. Returns its exit
+// status, or -1 where it was terminated by a signal. On malformed input the adapter must write a single line
+// to standard error and exit with a non-zero status instead of crashing.
+int runAdapter(const std::string& input, std::string& errors) {
   const auto stem =
       std::filesystem::temp_directory_path() / ("wingslip-simulator-adapter-" + std::to_string(::getpid()));
-  const std::string in = stem.string() + ".in", err = stem.string() + ".err";
-  std::ofstream(in, std::ios::binary) << input;
+  const std::string inputPath = stem.string() + ".in", errorPath = stem.string() + ".err";
+  std::ofstream(inputPath, std::ios::binary) << input;
   const int status =
-      std::system(("'" SIMULATOR_ADAPTER "' <'" + in + "' >/dev/null 2>'" + err + "'").c_str());
-  std::ifstream text(err);
+      std::system(("'" SIMULATOR_ADAPTER "' <'" + inputPath + "' >/dev/null 2>'" + errorPath + "'").c_str());
+  std::ifstream text(errorPath);
   errors.assign(std::istreambuf_iterator<char>(text), {});
-  std::filesystem::remove(in);
-  std::filesystem::remove(err);
+  std::filesystem::remove(inputPath);
+  std::filesystem::remove(errorPath);
   return WIFEXITED(status) ? WEXITSTATUS(status) : -1;
 }
 
-TEST(SimulatorAdapter, EmptyInputAndEmptyBatchesEndWell) {
+TEST(SimulatorAdapter, EmptyInputAndEmptyFramesExitWithZero) {
   std::string errors;
-  EXPECT_EQ(drill("", errors), 0);
-  EXPECT_EQ(drill(frame(0, "") + frame(0, ""), errors), 0);
+  EXPECT_EQ(runAdapter("", errors), 0);
+  EXPECT_EQ(runAdapter(frame(0, "") + frame(0, ""), errors), 0);
   EXPECT_EQ(errors, "");
 }
 
-TEST(SimulatorAdapter, MalformedInputGetsOneLineAndANonZeroExit) {
-  std::string settings = "me=zero\n", start = unhex("78 0000 0a 0100000000000000");
+TEST(SimulatorAdapter, MalformedInputYieldsOneErrorLineAndANonZeroExit) {
+  std::string settings = "me=zero\n", start = fromHex("78 0000 0a 0100000000000000");
   put(start, static_cast<std::uint32_t>(settings.size()));
-  std::string huge = frame(0, "");
-  huge.replace(12, 4, unhex("ffffffff"));
+  std::string oversized = frame(0, "");
+  oversized.replace(12, 4, fromHex("ffffffff"));
   for (const std::string& input :
-       {frame(0, "").substr(0, 11), frame(1, unhex("46 4d00")), frame(1, unhex("fe")), huge,
-        frame(2, start + settings), frame(2, unhex("78 0300 46 4d00000000000000")),
-        frame(1, unhex("46 4d00000000000000")).substr(0, 25)}) {
+       {frame(0, "").substr(0, 11), frame(1, fromHex("46 4d00")), frame(1, fromHex("fe")), oversized,
+        frame(2, start + settings), frame(2, fromHex("78 0300 46 4d00000000000000")),
+        frame(1, fromHex("46 4d00000000000000")).substr(0, 25)}) {
     std::string errors;
-    EXPECT_EQ(drill(input, errors), 1);
+    EXPECT_EQ(runAdapter(input, errors), 1);
     EXPECT_EQ(std::count(errors.begin(), errors.end(), '\n'), 1) << errors;
   }
 }
