--- a/src/decision/outlier_detection.hpp
+++ b/src/decision/outlier_detection.hpp
@@ -33,7 +33,7 @@
 
   /// Processes the latency of an attempt; results other than an answer or a time-out have no effect.
   /// @param latencyMs latency of the answer, or the duration after which the attempt timed out.
-  /// @param usualLatencyMs usual latency of the request class; above 0.
+  /// @param usualLatencyMs usual latency of the request class.
   void noteLatency(UpstreamWorker& worker, Time now, AttemptResult result, Time latencyMs,
                    Time usualLatencyMs);
   /// Ends the ejection and resets the count of failures.
