--- a/tests/attempts_test.cpp
+++ b/tests/attempts_test.cpp
@@ -1,3 +1,4 @@
+// Attempts and retries, outlier detection, concurrency limits and settings updates of the decision module.
 #include <limits>
 #include <random>
 #include <set>
@@ -7,8 +8,10 @@
 namespace wingslip::decision::test {
 namespace {
 
-// An open request keeps its class over changed settings and may lose attempts; the next one has the new ones.
-TEST(ChangedSettings, ApplyFromTheNextRequestOn) {
+// A settings update applies to requests received after it. For a request in flight the request class does not
+// change, but its maximum number of attempts is reduced to the new one. Invalid settings are refused and
+// change nothing.
+TEST(SettingsUpdate, AppliesToRequestsReceivedAfterIt) {
   Settings settings = testSettings();
   settings.classes[0].name = "a";
   settings.classes[2].name = "b";
@@ -20,7 +23,7 @@
   next.maxAttempts = 2;
   harness.gateway.onSettings(harness.now, next);
   harness.endAttempt(open, AttemptResult::reset);
-  EXPECT_EQ(harness.attemptCount(open), 2u);  // idempotent as it came
+  EXPECT_EQ(harness.attemptCount(open), 2u);  // still of the idempotent class
   harness.endAttempt(capped, AttemptResult::connectFailed);
   harness.endAttempt(capped, AttemptResult::connectFailed);
   EXPECT_EQ(harness.attemptCount(capped), 2u);
@@ -33,20 +36,21 @@
   EXPECT_TRUE(harness.wasForwarded(harness.sendRequest(0)));
 }
 
-TEST(Attempts, NotIdempotentThatMayHaveRunFails) {
+TEST(Attempts, NonIdempotentRequestThatMayHaveRunFailsWithoutRetry) {
   for (const AttemptResult result :
        {AttemptResult::error, AttemptResult::timeout, AttemptResult::reset, AttemptResult::cancelled}) {
     GatewayHarness harness;
     harness.updateEndpoints({endpoint(1), endpoint(2)});
     const RequestId id = harness.sendRequest(2);
-    EXPECT_EQ(harness.recorder.startedAttempts.back().timeoutMs, 0);  // an early time-out would end it
+    // An early time-out would end the request without a retry.
+    EXPECT_EQ(harness.recorder.startedAttempts.back().timeoutMs, 0);
     harness.endAttempt(id, result);
     EXPECT_TRUE(harness.hasFailed(id));
     EXPECT_EQ(harness.attemptCount(id), 1u);
   }
 }
 
-TEST(Attempts, NotIdempotentThatHasNotRunIsRetriedElsewhere) {
+TEST(Attempts, NonIdempotentRequestThatHasNotRunIsRetriedOnAnotherWorker) {
   for (const AttemptResult result : {AttemptResult::overloaded, AttemptResult::connectFailed}) {
     GatewayHarness harness;
     harness.updateEndpoints({endpoint(1), endpoint(2)});
@@ -58,7 +62,7 @@
   }
 }
 
-TEST(Attempts, WithKeyStaysInItsZoneAndWindowAndEndsInAFailure) {
+TEST(Attempts, KeyedRequestIsRetriedOnlyWithinItsZoneAndIdempotencyWindow) {
   GatewayHarness harness;
   harness.updateEndpoints({endpoint(1, 0), endpoint(2, 0), endpoint(3, 1), endpoint(4, 1)});
   const RequestId id = harness.sendRequest(1);
@@ -66,13 +70,13 @@
   harness.endAttempt(id, AttemptResult::reset);
   ASSERT_EQ(harness.attemptCount(id), 2u);
   EXPECT_EQ(harness.lastWorker() > 2, zone != 0);
-  harness.now += 2500;  // past the window
+  harness.now += 2500;  // past the idempotency window of 2000 ms
   harness.endAttempt(id, AttemptResult::reset);
   EXPECT_EQ(harness.attemptCount(id), 2u);
   EXPECT_TRUE(harness.hasFailed(id));
 }
 
-TEST(Attempts, TimeoutAtTheDeadlineGetsAFinalAnswer) {
+TEST(Attempts, TimeoutAtTheDeadlineGivesAFinalAnswer) {
   for (unsigned requestClass = 0; requestClass < 3; ++requestClass) {
     GatewayHarness harness;
     harness.updateEndpoints({endpoint(1)});
@@ -84,7 +88,7 @@
   }
 }
 
-TEST(Attempts, WaitingRequestKeepsATimerAndIsAnswered) {
+TEST(Attempts, RequestWaitingForAWorkerIsAnsweredByItsDeadline) {
   GatewayHarness harness;
   harness.updateEndpoints({endpoint(1)});
   const RequestId id = harness.sendRequest(1);
@@ -101,7 +105,7 @@
   EXPECT_LE(harness.now, 3000);
 }
 
-TEST(Attempts, NothingAfterTheClientDisconnects) {
+TEST(Attempts, NoRetryOrAnswerAfterTheClientDisconnects) {
   GatewayHarness harness;
   harness.updateEndpoints({endpoint(1), endpoint(2)});
   const RequestId id = harness.sendRequest();
@@ -111,7 +115,7 @@
   EXPECT_EQ(harness.recorder.finalAnswers[id], 0u);
 }
 
-TEST(Attempts, RetriesTakeNoQuota) {
+TEST(Attempts, RetriesAreNotChargedToTheQuota) {
   GatewayHarness harness;
   harness.updateEndpoints({endpoint(1), endpoint(2)});
   const RequestId id = harness.sendRequest();
@@ -128,36 +132,38 @@
   EXPECT_EQ(admitted, 9);
 }
 
-TEST(OutlierDetection, AWorkerThatKeepsFailingIsEjectedAndReturns) {
+TEST(OutlierDetection, WorkerWithConsecutiveFailuresIsEjectedAndUsedAgainAfterRecovery) {
   GatewayHarness harness;
   harness.updateEndpoints({endpoint(1), endpoint(2)});
-  int toBad = 0;
+  int attemptsAtFailingWorker = 0;
   CustomerId customer = 0;
-  const auto drive = [&](Time span, bool bad) {
-    for (Time end = harness.now + span; harness.now < end; harness.now += 20) {
+  const auto sendRequests = [&](Time durationMs, bool isFailing) {
+    for (Time end = harness.now + durationMs; harness.now < end; harness.now += 20) {
       const RequestId id = harness.sendRequest(0, 0, ++customer);
       while (harness.recorder.startedAttempts.back().id == id && harness.recorder.finalAnswers[id] == 0) {
-        const bool hit = harness.lastWorker() == 1;
-        toBad += hit;
-        const unsigned before = harness.attemptCount(id);
-        harness.endAttempt(id, hit && bad ? AttemptResult::connectFailed : AttemptResult::ok, 50);
-        if (harness.attemptCount(id) == before) break;
+        const bool isFirstWorker = harness.lastWorker() == 1;
+        attemptsAtFailingWorker += isFirstWorker;
+        const unsigned attemptsBefore = harness.attemptCount(id);
+        harness.endAttempt(id, isFirstWorker && isFailing ? AttemptResult::connectFailed : AttemptResult::ok,
+                           50);
+        if (harness.attemptCount(id) == attemptsBefore) break;
       }
     }
   };
-  drive(3000, true);
-  EXPECT_LT(toBad, 12);
-  toBad = 0;
-  drive(15000, false);
-  EXPECT_GT(toBad, 100);
+  sendRequests(3000, true);
+  EXPECT_LT(attemptsAtFailingWorker, 12);
+  attemptsAtFailingWorker = 0;
+  sendRequests(15000, false);
+  EXPECT_GT(attemptsAtFailingWorker, 100);
 }
 
-// Workers that reject as overloaded at once look idle, and would draw all attempts of a least-loaded choice.
+// Workers that immediately reject attempts as overloaded appear idle, so a choice by least load alone would
+// send them all attempts.
 TEST(OutlierDetection, OverloadedWorkersGetFewAttempts) {
   GatewayHarness harness;
-  std::vector<Endpoint> all;
-  for (WorkerId worker = 1; worker <= 6; ++worker) all.push_back(endpoint(worker));
-  harness.updateEndpoints(all);
+  std::vector<Endpoint> endpoints;
+  for (WorkerId worker = 1; worker <= 6; ++worker) endpoints.push_back(endpoint(worker));
+  harness.updateEndpoints(endpoints);
   CustomerId customer = 0;
   for (int i = 0; i < 300; ++i) {
     harness.now += 10;
@@ -168,121 +174,125 @@
   EXPECT_LT(harness.recorder.startedAttempts.size(), 60u);
 }
 
-// Latencies past half of the objective shrink what is sent, so that a start or a slow spell does not drive
-// workers over.
-TEST(ConcurrencyLimit, LateAnswersShrinkTheLimit) {
-  const auto outAtOnce = [](Time elapsed) {
+// Latencies above half of the objective reduce the limit on attempts in flight, so that a start or a slow
+// period does not overload the workers.
+TEST(ConcurrencyLimit, LateAnswersReduceTheLimit) {
+  const auto maxInFlight = [](Time latencyMs) {
     GatewayHarness harness;
     harness.updateEndpoints({endpoint(1)});
     CustomerId customer = 0;
     for (int i = 0; i < 60; ++i) {
       harness.now += 250;
       const RequestId id = harness.sendRequest(2, 0, ++customer);
-      if (harness.wasForwarded(id)) harness.endAttempt(id, AttemptResult::ok, elapsed);
+      if (harness.wasForwarded(id)) harness.endAttempt(id, AttemptResult::ok, latencyMs);
     }
-    int out = 0;
-    while (harness.wasForwarded(harness.sendRequest(2, 0, ++customer))) ++out;
-    return out;
+    int inFlight = 0;
+    while (harness.wasForwarded(harness.sendRequest(2, 0, ++customer))) ++inFlight;
+    return inFlight;
   };
-  EXPECT_GE(outAtOnce(100), 6);
-  EXPECT_LE(outAtOnce(700), 2);
+  EXPECT_GE(maxInFlight(100), 6);
+  EXPECT_LE(maxInFlight(700), 2);
 }
 
-// A worker that is cut off keeps its attempts and answers nothing: passed over long before they time out.
-TEST(OutlierDetection, ASilentWorkerIsPassedOver) {
+// A worker behind a network partition never answers its attempts in flight. It is avoided long before they
+// time out.
+TEST(OutlierDetection, UnresponsiveWorkerIsAvoidedBeforeItsAttemptsTimeOut) {
   GatewayHarness harness;
   harness.updateEndpoints({endpoint(1), endpoint(2)});
   CustomerId customer = 0;
-  const auto drive = [&](Time span, bool isSilent) {
-    int toSilent = 0;
-    for (Time end = harness.now + span; harness.now < end; harness.now += 25) {
+  const auto sendRequests = [&](Time durationMs, bool isUnresponsive) {
+    int attemptsAtUnresponsive = 0;
+    for (Time end = harness.now + durationMs; harness.now < end; harness.now += 25) {
       const RequestId id = harness.sendRequest(2, 0, ++customer);
       if (!harness.wasForwarded(id)) continue;
-      toSilent += harness.lastWorker() == 1;
-      if (!isSilent || harness.lastWorker() != 1) harness.endAttempt(id, AttemptResult::ok, 50);
+      attemptsAtUnresponsive += harness.lastWorker() == 1;
+      if (!isUnresponsive || harness.lastWorker() != 1) harness.endAttempt(id, AttemptResult::ok, 50);
     }
-    return toSilent;
+    return attemptsAtUnresponsive;
   };
-  drive(2000, false);
-  const int first = drive(500, true);
-  EXPECT_LE(first, 3);
-  EXPECT_EQ(drive(1500, true), 0);
+  sendRequests(2000, false);
+  const int beforeDetection = sendRequests(500, true);
+  EXPECT_LE(beforeDetection, 3);
+  EXPECT_EQ(sendRequests(1500, true), 0);
 }
 
 TEST(Settings, InvalidSettingsThrowAtConstruction) {
   Recorder recorder;
-  const auto broken = [&](auto change) {
+  const auto expectInvalid = [&](auto change) {
     Settings settings = testSettings();
     change(settings);
     EXPECT_THROW(Gateway(settings, 1, 0, recorder), std::invalid_argument);
   };
-  broken([](Settings& settings) { settings.plans[0].rate = -1; });
-  broken([](Settings& settings) { settings.plans[0].burst = std::numeric_limits<double>::quiet_NaN(); });
-  broken([](Settings& settings) { settings.slowStartMs = std::numeric_limits<double>::infinity(); });
-  broken([](Settings& settings) { settings.gatewayIndex = 2; });
-  broken([](Settings& settings) { settings.gatewayCount = 0; });
-  broken([](Settings& settings) { settings.classes.clear(); });
+  expectInvalid([](Settings& settings) { settings.plans[0].rate = -1; });
+  expectInvalid(
+      [](Settings& settings) { settings.plans[0].burst = std::numeric_limits<double>::quiet_NaN(); });
+  expectInvalid([](Settings& settings) { settings.slowStartMs = std::numeric_limits<double>::infinity(); });
+  expectInvalid([](Settings& settings) { settings.gatewayIndex = 2; });
+  expectInvalid([](Settings& settings) { settings.gatewayCount = 0; });
+  expectInvalid([](Settings& settings) { settings.classes.clear(); });
 }
 
-// Arbitrary legal orders of events: every request gets one final answer in time, attempts obey its class.
-TEST(Invariants, HoldUnderArbitraryLegalEvents) {
+// For random sequences of legal events, every request gets one final answer by its deadline, and its attempts
+// comply with its request class.
+TEST(Invariants, HoldForRandomSequencesOfLegalEvents) {
   for (unsigned seed = 1; seed <= 12; ++seed) {
     std::mt19937 random(seed);
     GatewayHarness harness;
-    std::vector<Endpoint> all;
-    for (WorkerId worker = 1; worker <= 6; ++worker) all.push_back(endpoint(worker, worker > 3));
-    harness.updateEndpoints(all);
-    struct Open {
+    std::vector<Endpoint> endpoints;
+    for (WorkerId worker = 1; worker <= 6; ++worker) endpoints.push_back(endpoint(worker, worker > 3));
+    harness.updateEndpoints(endpoints);
+    struct TrackedRequest {
       unsigned requestClass;
-      Time expiresAt, ranAt = -1;
-      bool out = false, done = false, mayHaveRun = false;
-      unsigned zone = 0;
+      Time expiresAt, firstRunAt = -1;
+      bool hasAttemptInFlight = false, isFinished = false, mayHaveRun = false;
+      unsigned firstRunZone = 0;
     };
-    std::map<RequestId, Open> open;
+    std::map<RequestId, TrackedRequest> requests;
     std::set<WorkerId> notReady;
-    std::vector<std::pair<Time, std::uint64_t>> due;
-    std::size_t seenSends = 0, seenTimers = 0;
+    std::vector<std::pair<Time, std::uint64_t>> timers;
+    std::size_t checkedAttempts = 0, scheduledTimers = 0;
     const auto check = [&] {
-      for (; seenSends < harness.recorder.startedAttempts.size(); ++seenSends) {
-        const StartedAttempt& settings = harness.recorder.startedAttempts[seenSends];
-        Open& state = open.at(settings.id);
-        EXPECT_FALSE(state.out) << "two attempts out at once";
-        EXPECT_FALSE(state.done);
-        EXPECT_FALSE(notReady.contains(settings.worker));
-        if (state.mayHaveRun && state.requestClass == 2) ADD_FAILURE() << "an unsafe request was repeated";
-        if (state.mayHaveRun && state.requestClass == 1) {
-          EXPECT_EQ(state.zone, static_cast<unsigned>(settings.worker > 3));
-          EXPECT_LE(harness.now, state.ranAt + 2000);
+      for (; checkedAttempts < harness.recorder.startedAttempts.size(); ++checkedAttempts) {
+        const StartedAttempt& attempt = harness.recorder.startedAttempts[checkedAttempts];
+        TrackedRequest& request = requests.at(attempt.id);
+        EXPECT_FALSE(request.hasAttemptInFlight) << "two attempts of a request in flight";
+        EXPECT_FALSE(request.isFinished);
+        EXPECT_FALSE(notReady.contains(attempt.worker));
+        if (request.mayHaveRun && request.requestClass == 2)
+          ADD_FAILURE() << "a non-idempotent request that may have run was retried";
+        if (request.mayHaveRun && request.requestClass == 1) {
+          EXPECT_EQ(request.firstRunZone, static_cast<unsigned>(attempt.worker > 3));
+          EXPECT_LE(harness.now, request.firstRunAt + 2000);
         }
-        state.out = true;
+        request.hasAttemptInFlight = true;
       }
-      for (auto& [id, state] : open) {
+      for (auto& [id, request] : requests) {
         if (harness.recorder.rejected.contains(id) &&
-            (state.mayHaveRun || state.out)) {  // shed while an attempt is out
-          EXPECT_EQ(state.requestClass, 0u);
+            (request.mayHaveRun || request.hasAttemptInFlight)) {  // shed with an attempt in flight
+          EXPECT_EQ(request.requestClass, 0u);
         }
-        if (harness.recorder.finalAnswers[id]) state.done = true;
+        if (harness.recorder.finalAnswers[id]) request.isFinished = true;
       }
-      for (; seenTimers < harness.recorder.timers.size(); ++seenTimers)
-        due.emplace_back(harness.now + harness.recorder.timers[seenTimers].first,
-                         harness.recorder.timers[seenTimers].second);
+      for (; scheduledTimers < harness.recorder.timers.size(); ++scheduledTimers)
+        timers.emplace_back(harness.now + harness.recorder.timers[scheduledTimers].first,
+                            harness.recorder.timers[scheduledTimers].second);
     };
     for (int step = 0; step < 4000; ++step) {
       harness.now += random() % 8;
-      for (std::size_t i = 0; i < due.size();) {
-        if (due[i].first > harness.now) {
+      for (std::size_t i = 0; i < timers.size();) {
+        if (timers[i].first > harness.now) {
           ++i;
           continue;
         }
-        const auto tag = due[i].second;
-        due.erase(due.begin() + static_cast<long>(i));
+        const auto tag = timers[i].second;
+        timers.erase(timers.begin() + static_cast<long>(i));
         harness.gateway.onTimer(harness.now, tag);
         check();
       }
       if (step < 3400 && random() % 3 == 0) {
         const unsigned requestClass = random() % 3;
         const Time deadlineMs = 200 + random() % 2500;
-        open.emplace(harness.lastRequest + 1, Open{requestClass, harness.now + deadlineMs});
+        requests.emplace(harness.lastRequest + 1, TrackedRequest{requestClass, harness.now + deadlineMs});
         harness.sendRequest(requestClass, random() % 3, random() % 40, 1 + random() % 3, 2, deadlineMs);
         check();
       }
@@ -291,29 +301,30 @@
                                                  20000.0 * (random() % 3), 500});
         check();
       }
-      for (auto& [id, state] : open) {
-        if (!state.out || (harness.now < state.expiresAt && random() % 12)) continue;
+      for (auto& [id, request] : requests) {
+        if (!request.hasAttemptInFlight || (harness.now < request.expiresAt && random() % 12)) continue;
         constexpr AttemptResult results[] = {
             AttemptResult::ok,    AttemptResult::error, AttemptResult::overloaded,   AttemptResult::timeout,
             AttemptResult::reset, AttemptResult::ok,    AttemptResult::connectFailed};
         const AttemptResult result =
-            harness.now >= state.expiresAt ? AttemptResult::timeout : results[random() % 7];
-        WorkerId at = 0;
-        for (const StartedAttempt& settings : harness.recorder.startedAttempts)
-          if (settings.id == id) at = settings.worker;
-        state.out = false;
+            harness.now >= request.expiresAt ? AttemptResult::timeout : results[random() % 7];
+        WorkerId worker = 0;
+        for (const StartedAttempt& attempt : harness.recorder.startedAttempts)
+          if (attempt.id == id) worker = attempt.worker;
+        request.hasAttemptInFlight = false;
         if (result != AttemptResult::overloaded && result != AttemptResult::connectFailed &&
-            !state.mayHaveRun) {
-          state.mayHaveRun = true;
-          state.zone = at > 3;
-          state.ranAt = harness.now;
+            !request.mayHaveRun) {
+          request.mayHaveRun = true;
+          request.firstRunZone = worker > 3;
+          request.firstRunAt = harness.now;
         }
-        if (result == AttemptResult::ok) state.done = true;
-        harness.endAttempt(id, result, 30, random() % 2 ? static_cast<int>(random() % 300) : -1, state.done);
+        if (result == AttemptResult::ok) request.isFinished = true;
+        harness.endAttempt(id, result, 30, random() % 2 ? static_cast<int>(random() % 300) : -1,
+                           request.isFinished);
         check();
       }
       if (random() % 60 == 0) {
-        Endpoint changed = all[random() % all.size()];
+        Endpoint changed = endpoints[random() % endpoints.size()];
         changed.phase = random() % 2   ? WorkerPhase::ready
                         : random() % 2 ? WorkerPhase::draining
                                        : WorkerPhase::removed;
@@ -324,18 +335,21 @@
         harness.updateEndpoints({changed}, EndpointUpdate::delta);
       }
     }
-    for (auto& [id, state] : open)
-      EXPECT_TRUE(state.done || harness.now < state.expiresAt + 8) << "request " << id << " is lost";
+    for (auto& [id, request] : requests)
+      EXPECT_TRUE(request.isFinished || harness.now < request.expiresAt + 8)
+          << "request " << id << " has no final answer after its deadline";
   }
 }
 
-// Clients that leave end attempts too, and are no sign of life of the worker.
-TEST(OutlierDetection, ASilentWorkerIsPassedOverThoughClientsDisconnect) {
+// A client disconnect also ends the attempt, but is no answer of the worker: it must not reset the detection
+// of an unresponsive worker.
+TEST(OutlierDetection, UnresponsiveWorkerIsAvoidedDespiteClientDisconnects) {
   GatewayHarness harness;
   harness.updateEndpoints({endpoint(1), endpoint(2)});
   CustomerId customer = 0;
-  std::vector<std::pair<int, RequestId>> busy;  // at the other worker, more than at the silent one
-  int toSilent = 0;
+  // Attempts in flight at worker 2, more of them than at the unresponsive worker 1.
+  std::vector<std::pair<int, RequestId>> busy;
+  int attemptsAtUnresponsive = 0;
   for (int i = 0; i < 400; ++i) {
     harness.now += 25;
     while (!busy.empty() && i - busy.front().first >= 6) {
@@ -348,23 +362,23 @@
       busy.emplace_back(i, id);
     } else if (i < 80) {
       harness.endAttempt(id, AttemptResult::ok, 50);
-    } else if (++toSilent > 2) {
+    } else if (++attemptsAtUnresponsive > 2) {
       harness.gateway.onClientDisconnect(harness.now, id);
       harness.endAttempt(id, AttemptResult::cancelled, 2, -1, true);
     }
   }
-  EXPECT_LE(toSilent, 8);
+  EXPECT_LE(attemptsAtUnresponsive, 8);
 }
 
-// A costly request that is answered late while nothing else is out says nothing of how many at once are too
-// many: the burst after it still finds its idle workers.
-TEST(ConcurrencyLimit, OneLateAnswerInALullLeavesCapacityForTheNextBurst) {
+// A late answer to an expensive request that was the only one in flight is no evidence of too much
+// concurrency. The next burst must still be sent to the idle workers.
+TEST(ConcurrencyLimit, LateAnswerToASingleRequestLeavesCapacityForTheNextBurst) {
   Settings settings = testSettings();
   settings.gatewayCount = 1;
   GatewayHarness harness(settings);
-  std::vector<Endpoint> fleet;
-  for (WorkerId worker = 1; worker <= 9; ++worker) fleet.push_back(endpoint(worker));
-  harness.updateEndpoints(fleet);
+  std::vector<Endpoint> endpoints;
+  for (WorkerId worker = 1; worker <= 9; ++worker) endpoints.push_back(endpoint(worker));
+  harness.updateEndpoints(endpoints);
   CustomerId customer = 0;
   const auto burst = [&] {
     std::vector<RequestId> sent;
@@ -376,14 +390,14 @@
     return sent.size();
   };
   EXPECT_EQ(burst(), 10u);
-  const RequestId costly = harness.sendRequest(2, 0, ++customer);
+  const RequestId expensive = harness.sendRequest(2, 0, ++customer);
   harness.now += 900;
-  harness.endAttempt(costly, AttemptResult::ok, 900);
+  harness.endAttempt(expensive, AttemptResult::ok, 900);
   EXPECT_GE(burst(), 9u);
 }
 
-// One worker that is slow by itself must not limit what goes to the others.
-TEST(ConcurrencyLimit, LateAnswersOfOneSlowWorkerLeaveTheGatewaysLimit) {
+// A single slow worker must not reduce the number of attempts sent to the other workers.
+TEST(ConcurrencyLimit, LateAnswersOfOneSlowWorkerDoNotReduceTheGatewayLimit) {
   Settings settings = testSettings();
   settings.gatewayCount = 1;
   GatewayHarness harness(settings);
@@ -400,24 +414,24 @@
     harness.now += 250;
     harness.endAttempt(id, AttemptResult::ok, 900);
   }
-  int out = 0;
-  while (harness.wasForwarded(harness.sendRequest(2, 0, ++customer))) ++out;
-  EXPECT_GE(out, 9);
+  int inFlight = 0;
+  while (harness.wasForwarded(harness.sendRequest(2, 0, ++customer))) ++inFlight;
+  EXPECT_GE(inFlight, 9);
 }
 
-// Two hundred gateways before twenty workers: one attempt of each at every worker would be ten times what
-// they bear. Late answers bring what a gateway has in flight far below one for each worker, and early ones
-// bring it back.
-TEST(ConcurrencyLimit, OfAGatewayFallsFarBelowOneForEachWorker) {
+// With two hundred gateways and twenty workers, one attempt of each gateway at every worker would be ten
+// times the workers' capacity. Late answers reduce a gateway's limit far below one attempt per worker, and
+// early answers raise it again.
+TEST(ConcurrencyLimit, GatewayLimitFallsBelowOneAttemptPerWorkerAndRecovers) {
   Settings settings = testSettings();
   settings.gatewayCount = 200;
   settings.plans[0].rate = 1000;
   settings.plans[0].burst = 100000;
   GatewayHarness harness(settings);
-  std::vector<Endpoint> fleet;
-  for (WorkerId worker = 1; worker <= 20; ++worker) fleet.push_back(endpoint(worker));
-  harness.updateEndpoints(fleet);
-  const auto sent = [&](Time latency) {
+  std::vector<Endpoint> endpoints;
+  for (WorkerId worker = 1; worker <= 20; ++worker) endpoints.push_back(endpoint(worker));
+  harness.updateEndpoints(endpoints);
+  const auto countAdmitted = [&](Time latencyMs) {
     int admitted = 0;
     for (int i = 0; i < 40; ++i) {
       harness.now += 250;
@@ -425,20 +439,21 @@
       if (!harness.wasForwarded(id)) continue;
       ++admitted;
       harness.now += 10;
-      harness.endAttempt(id, AttemptResult::ok, latency);
+      harness.endAttempt(id, AttemptResult::ok, latencyMs);
     }
     return admitted;
   };
-  EXPECT_EQ(sent(100), 40);
-  sent(900);
-  EXPECT_LT(sent(900), 20);
-  sent(100);
-  sent(100);
-  EXPECT_GT(sent(100), 30);
+  EXPECT_EQ(countAdmitted(100), 40);
+  countAdmitted(900);
+  EXPECT_LT(countAdmitted(900), 20);
+  countAdmitted(100);
+  countAdmitted(100);
+  EXPECT_GT(countAdmitted(100), 30);
 }
 
-// A request that is out while changed settings drop its plan is judged by the plan that it came under.
-TEST(ChangedSettings, ARequestKeepsThePlanThatItWasAdmittedUnder) {
+// If a settings update removes the plan of a request in flight, load shedding still evaluates the request by
+// that plan.
+TEST(SettingsUpdate, RequestInFlightKeepsItsPlan) {
   Settings settings = testSettings();
   for (std::size_t i = 0; i < settings.plans.size(); ++i)
     settings.plans[i].name = "plan-" + std::to_string(i);
--- a/tests/recorder.hpp
+++ b/tests/recorder.hpp
@@ -1,4 +1,5 @@
-/// The decision module alone under test: a recorder of its actions, a harness that feeds it events, settings.
+/// Test support for the decision module: a recorder of its actions, a harness that feeds it events, and
+/// settings.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -9,7 +10,7 @@
 
 namespace wingslip::decision::test {
 
-/// An attempt that the module began.
+/// An attempt that the module has started.
 struct StartedAttempt {
   RequestId id;
   WorkerId worker;
@@ -17,7 +18,8 @@
   unsigned attempt;
 };
 
-/// Records all actions, and checks that each request has one final answer.
+/// Records all actions, and checks that no request gets a second final answer or an attempt after its final
+/// answer.
 class Recorder : public Actions {
  public:
   std::vector<StartedAttempt> startedAttempts;
@@ -28,7 +30,7 @@
   unsigned polls = 0;
 
   void startAttempt(RequestId id, WorkerId worker, Time timeoutMs) override {
-    EXPECT_EQ(finalAnswers[id], 0u) << "an attempt after the final answer of " << id;
+    EXPECT_EQ(finalAnswers[id], 0u) << "attempt started after the final answer to request " << id;
     startedAttempts.push_back({id, worker, timeoutMs, attemptCounts[id]++});
   }
   void reject(RequestId id, Time retryAfterMs) override {
@@ -45,8 +47,8 @@
   void log(const std::string& line) override { logLines.push_back(line); }
 };
 
-/// Classes: idempotent, with a key, not idempotent. Plans: a rate, a concurrency cap, a rate with a hard
-/// ceiling.
+/// Request classes by index: idempotent, with an idempotency key, not idempotent. Plans by index: a rate, a
+/// concurrency cap, a rate with a hard ceiling.
 inline Settings testSettings() {
   Settings out;
   out.gatewayCount = 2;
@@ -90,7 +92,7 @@
   return out;
 }
 
-/// One gateway with its recorder, at a time that the test sets.
+/// A gateway with its recorder and a clock that the test sets.
 class GatewayHarness {
  public:
   explicit GatewayHarness(const Settings& settings = testSettings(), Time start = 0, std::uint64_t salt = 7)
@@ -106,7 +108,7 @@
         now, {++lastRequest, requestClass, planIndex, customer, now + deadlineMs, units, customerGateways});
     return lastRequest;
   }
-  /// Ends the newest attempt of a request.
+  /// Reports the outcome of the request's newest attempt.
   void endAttempt(RequestId id, AttemptResult result, Time latencyMs = 100, int quotaUsePercent = -1,
                   bool finished = false, double actualUnits = 0) {
     for (auto it = recorder.startedAttempts.rbegin(); it != recorder.startedAttempts.rend(); ++it) {
@@ -123,7 +125,7 @@
       gateway.onAttemptOutcome(now, out);
       return;
     }
-    FAIL() << "no attempt of " << id;
+    FAIL() << "no attempt was started for request " << id;
   }
   bool wasForwarded(RequestId id) const { return recorder.attemptCounts.contains(id); }
   unsigned attemptCount(RequestId id) const { return wasForwarded(id) ? recorder.attemptCounts.at(id) : 0; }
