--- a/tests/decision_modules_test.cpp
+++ b/tests/decision_modules_test.cpp
@@ -1,4 +1,5 @@
-// Modules of the decision module alone, among them bounds that the replay's sequences do not reach.
+// Unit tests of the parts of the decision module, including limits that the event sequences of
+// decision_replay_test.cpp do not reach.
 #include <gtest/gtest.h>
 
 #include "decision/admission.hpp"
@@ -14,8 +15,8 @@
 namespace wingslip::decision::test {
 namespace {
 
-const auto kLosesSomething = [](const Customer&) { return false; };
-const auto kIgnore = [](const Customer&) {};
+const auto kNeverLossless = [](const Customer&) { return false; };
+const auto kIgnoreEvicted = [](const Customer&) {};
 
 PendingRequest pendingRequest(unsigned requestClass) {
   PendingRequest pending;
@@ -25,7 +26,7 @@
   return pending;
 }
 
-TEST(CustomerTable, IsFullAtItsBound) {
+TEST(CustomerTable, IsFullAtItsMaximumSize) {
   CustomerTable table;
   for (CustomerId id = 1; id < 4096; ++id) table.add(id);
   EXPECT_FALSE(table.isFull());
@@ -33,33 +34,33 @@
   EXPECT_TRUE(table.isFull());
 }
 
-TEST(CustomerTable, EvictsTheLeastRecentlyUsedWhereAllLoseByIt) {
+TEST(CustomerTable, EvictsTheLeastRecentlyUsedIfEveryEvictionLosesState) {
   CustomerTable table;
   for (CustomerId id = 1; id <= 3; ++id) table.add(id);
   table.findAndTouch(1);
-  table.evictOne(kLosesSomething, kIgnore);
+  table.evictOne(kNeverLossless, kIgnoreEvicted);
   EXPECT_EQ(table.find(2), nullptr);
   EXPECT_NE(table.find(1), nullptr);
 }
 
-TEST(CustomerTable, LooksAtTheOldest32ForOneThatLosesNothing) {
-  for (const CustomerId losesNothing : {32u, 33u}) {
+TEST(CustomerTable, PrefersALosslessEvictionAmongTheOldest32) {
+  for (const CustomerId losslessId : {32u, 33u}) {
     CustomerTable table;
     for (CustomerId id = 1; id <= 40; ++id) table.add(id);
-    table.evictOne([&](const Customer& customer) { return customer.id == losesNothing; }, kIgnore);
-    EXPECT_EQ(table.find(losesNothing) == nullptr, losesNothing == 32);
-    EXPECT_EQ(table.find(1) == nullptr, losesNothing == 33);
+    table.evictOne([&](const Customer& customer) { return customer.id == losslessId; }, kIgnoreEvicted);
+    EXPECT_EQ(table.find(losslessId) == nullptr, losslessId == 32);
+    EXPECT_EQ(table.find(1) == nullptr, losslessId == 33);
   }
 }
 
-TEST(WorkerLimit, GrowsToItsBound) {
+TEST(WorkerLimit, GrowsUpToItsMaximum) {
   UpstreamWorker worker;
   worker.inFlight = 1000;
   for (int i = 0; i < 100000; ++i) steerWorkerLimit(worker, i, {false, true});
   EXPECT_EQ(worker.limit, 200);
 }
 
-TEST(WorkerLimit, SeveralLateAnswersAtATimeAreOneCut) {
+TEST(WorkerLimit, LateAnswersInQuickSuccessionReduceItOnce) {
   UpstreamWorker worker;
   worker.limit = 10;
   worker.inFlight = 100;
@@ -67,7 +68,7 @@
   EXPECT_EQ(worker.limit, 0.85 * 10);
 }
 
-TEST(OverloadPause, DoublesToItsBoundAndIsResetByAGoodAnswer) {
+TEST(OverloadPause, DoublesUpToItsMaximumAndIsResetByASuccess) {
   UpstreamWorker worker;
   for (const Time expectedMs : {150, 300, 600, 1200, 2000, 2000}) {
     pauseOverloaded(worker, 0);
@@ -78,7 +79,7 @@
   EXPECT_EQ(worker.pausedUntil, 150);
 }
 
-TEST(Ejection, DoublesToItsBoundAndIsEndedByAGoodAnswer) {
+TEST(Ejection, TimeDoublesUpToItsMaximumAndASuccessEndsIt) {
   UpstreamWorker worker;
   EXPECT_FALSE(OutlierDetection::noteFailure(worker, 0));
   for (const Time expectedMs : {1000, 2000, 4000, 8000, 8000}) {
@@ -90,7 +91,7 @@
   EXPECT_FALSE(OutlierDetection::noteFailure(worker, 0));
 }
 
-TEST(OutlierDetection, AWorkerIsSilentAfterThreeUsualLatencies) {
+TEST(OutlierDetection, BusyWorkerIsUnresponsiveAfterThreeUsualLatencies) {
   RequestClasses classes(testSettings().classes, 0);
   classes.noteLatency(*classes[0], 0, 100);
   OutlierDetection outliers(classes);
@@ -102,7 +103,7 @@
   EXPECT_FALSE(outliers.shouldAvoid(worker, 301));
 }
 
-TEST(RetryPolicy, FourAttemptsAreTheMostWhateverTheSettingsAllow) {
+TEST(RetryPolicy, AllowsAtMostFourAttemptsEvenIfTheSettingsAllowMore) {
   const RetryPolicy policy;
   PendingRequest pending = pendingRequest(0);
   pending.attempts = 3;
@@ -111,7 +112,7 @@
   EXPECT_FALSE(policy.mayRetry(pending, 10));
 }
 
-TEST(RetryPolicy, OneThatMayHaveRunIsRetriedOnlyAsItsClassAllows) {
+TEST(RetryPolicy, RequestThatMayHaveRunIsRetriedOnlyIfItsClassAllowsIt) {
   const RetryPolicy policy;
   for (const unsigned requestClass : {0u, 1u, 2u}) {
     PendingRequest pending = pendingRequest(requestClass);
@@ -121,7 +122,7 @@
   }
 }
 
-TEST(RetryPolicy, TimeoutsUseUpTheBudgetForRepeats) {
+TEST(RetryPolicy, TimeoutsExhaustTheRetryBudget) {
   RetryPolicy policy;
   PendingRequest pending = pendingRequest(0);
   pending.mayHaveRun = true;
@@ -132,7 +133,7 @@
   EXPECT_EQ(policy.attemptTimeoutMs(pending, 10), 0);
 }
 
-TEST(LoadShedding, ReleasesThoseOverTheirQuotaFirstAndStartedResponsesLast) {
+TEST(LoadShedding, ReleasesRequestsOverQuotaFirstAndStartedResponsesLast) {
   RequestTable requests;
   const auto add = [&](RequestId id, double bytes, bool responseStarted) {
     PendingRequest pending = pendingRequest(0);
@@ -152,7 +153,7 @@
   EXPECT_EQ(order, (std::vector<RequestId>{4, 3, 2, 1}));
 }
 
-TEST(Admission, TellsTheReasonOfARejection) {
+TEST(Admission, ReturnsTheReasonOfARejection) {
   Settings settings = testSettings();
   settings.gatewayCount = 1;
   const CustomerQuota quota(settings);
@@ -176,10 +177,11 @@
   EXPECT_EQ(reason(1, 1), std::nullopt);
   EXPECT_EQ(reason(1, 1), std::nullopt);
   EXPECT_EQ(reason(1, 1), RejectionReason::concurrencyCap);
-  EXPECT_EQ(reason(2, 1), RejectionReason::hardCeiling);  // nothing of it is left to a gateway that starts
+  // A newly started gateway has no tokens of the hard ceiling yet.
+  EXPECT_EQ(reason(2, 1), RejectionReason::hardCeiling);
 }
 
-TEST(UnknownCustomers, ReachIsBounded) {
+TEST(UnknownCustomers, ReachIsWithinItsMinimumAndMaximum) {
   Settings settings = testSettings();
   UsualRequestSize usualSize;
   usualSize.note(1);
--- a/tests/decision_replay_test.cpp
+++ b/tests/decision_replay_test.cpp
@@ -1,9 +1,8 @@
-// Replays seeded event sequences against the decision module and compares a digest of every action with the
-// recorded one: a change of the code that was meant to keep all decisions shows here if it did not.
+// Replays seeded event sequences against the decision module and compares a digest of all actions with the
+// recorded one, to detect refactorings that change a decision unintentionally.
 //
-// The recorded digests are in decision_replay_digests.txt, one line a sequence: seed, number of events,
-// XXH3-64. With WINGSLIP_REPLAY=record the digests are printed in the file's format instead of being
-// compared.
+// decision_replay_digests.txt has one line per sequence: seed, number of events, XXH3-64 digest. With
+// WINGSLIP_REPLAY=record the digests are printed in the file's format instead of being compared.
 #include <gtest/gtest.h>
 
 #define XXH_INLINE_ALL
@@ -29,7 +28,7 @@
 constexpr unsigned kShortEvents = 4000;
 constexpr unsigned kLongEvents = 40000;
 
-/// splitmix64, so that the sequences are the same with every standard library.
+/// Generator of the event sequences: splitmix64, so that they are the same with every standard library.
 class Generator {
  public:
   explicit Generator(std::uint64_t seed) : state_(seed * 0x9e3779b97f4a7c15ULL + 1) {}
@@ -49,8 +48,9 @@
   std::uint64_t state_;
 };
 
-/// Settings of the first kind of site: quotas on the rate with readings, keyed classes bound to a zone.
-Settings quotaSite(Generator& random) {
+/// Settings with rate quotas, quota readings in most sequences, and request classes of each idempotency and
+/// deduplication scope.
+Settings quotaSettings(Generator& random) {
   Settings out;
   out.gatewayCount = 1 + random.below(random.chance(0.5) ? 4 : 120);
   out.gatewayIndex = random.below(out.gatewayCount);
@@ -67,8 +67,8 @@
   out.overloadWindowMs = 1000;
   out.crossZonePrice = random.between(0, 0.3);
   out.loadReportFields = {"inflight", "queue", "cpu"};
-  const std::array<Idempotency, 3> repeats{Idempotency::idempotent, Idempotency::withKey,
-                                           Idempotency::notIdempotent};
+  const std::array<Idempotency, 3> idempotencies{Idempotency::idempotent, Idempotency::withKey,
+                                                 Idempotency::notIdempotent};
   const std::array<DeduplicationScope, 3> scopes{DeduplicationScope::zone, DeduplicationScope::cell,
                                                  DeduplicationScope::all};
   for (unsigned i = 0; i < 4; ++i) {
@@ -76,7 +76,7 @@
     item.name = "class-" + std::to_string(i);
     item.latencyObjectiveMs = random.between(150, 900);
     item.deadlineMs = item.latencyObjectiveMs * random.between(1.5, 4);
-    item.idempotency = repeats[i % repeats.size()];
+    item.idempotency = idempotencies[i % idempotencies.size()];
     item.deduplicationScope = scopes[random.below(3)];
     item.idempotencyWindowMs = random.between(500, 3000);
     item.priorityWeight = random.between(0.5, 4);
@@ -96,10 +96,9 @@
   return out;
 }
 
-/// Settings of the second kind of site: hard ceilings, caps on open requests, a list that has to be asked
-/// for.
-Settings ceilingSite(Generator& random) {
-  Settings out = quotaSite(random);
+/// Settings with hard ceilings, concurrency caps and, in half of the sequences, a polled endpoint list.
+Settings ceilingSettings(Generator& random) {
+  Settings out = quotaSettings(random);
   out.pollsEndpoints = random.chance(0.5);
   out.pollTimeoutMs = 500;
   out.plans[0].ceilingRate = out.plans[0].rate * 2;
@@ -113,18 +112,18 @@
   return out;
 }
 
-/// Drives one gateway with random events and hashes every action that it asks for.
+/// Feeds random events to one gateway and hashes every action that it requests.
 class Replay : private Actions {
  public:
   Replay(std::uint64_t seed, unsigned events)
       : random_(seed),
-        settings_(seed % 2 == 0 ? quotaSite(random_) : ceilingSite(random_)),
+        settings_(seed % 2 == 0 ? quotaSettings(random_) : ceilingSettings(random_)),
         customers_(random_.chance(0.2) ? 20000 : 60),
         gateway_(settings_, seed, now_, *this) {
     XXH3_64bits_reset(&hash_);
     startWorkers();
     for (unsigned i = 0; i < events; ++i) step();
-    finish();
+    hashFinalState();
   }
 
   std::uint64_t digest() const { return XXH3_64bits_digest(&hash_); }
@@ -145,7 +144,7 @@
 
   void startAttempt(RequestId id, WorkerId worker, Time timeout) override {
     hash('s'), hash(id), hash(worker), hash(timeout);
-    open_.push_back({id, attempts_[id]++, worker, now_, timeout});
+    attemptsInFlight_.push_back({id, attemptCounts_[id]++, worker, now_, timeout});
   }
   void reject(RequestId id, Time retryAfter) override { hash('r'), hash(id), hash(retryAfter); }
   void fail(RequestId id) override { hash('f'), hash(id); }
@@ -173,7 +172,7 @@
   }
 
   void step() {
-    // Quiet times between bursts, so that everything that fades with time is seen to.
+    // Idle periods between bursts, so that the sequences cover the decay of all averages over time.
     now_ += random_.exponential(random_.chance(0.001) ? 20000 : 3);
     while (!timers_.empty() && timers_.begin()->first <= now_) {
       const std::uint64_t tag = timers_.begin()->second;
@@ -182,11 +181,11 @@
     }
     const double kind = random_.uniform();
     if (kind < 0.45)
-      arrive();
+      sendRequest();
     else if (kind < 0.93)
       endAttempt();
     else if (kind < 0.95)
-      touchRequest();
+      reportRequestEvent();
     else if (kind < 0.985)
       changeWorkers();
     else if (kind < 0.99)
@@ -196,10 +195,10 @@
     else if (kind < 0.998)
       changeSettings();
     else
-      observe();
+      hashState();
   }
 
-  void arrive() {
+  void sendRequest() {
     Request request;
     request.id = ++lastRequest_;
     request.classIndex = random_.below(static_cast<unsigned>(settings_.classes.size()));
@@ -214,15 +213,17 @@
     gateway_.onRequest(now_, request);
   }
 
-  /// Some workers fail nearly always, so that what grows with failures in a row reaches its bounds.
+  /// Nearly all attempts at some workers fail, so that values that grow with consecutive failures reach their
+  /// limits.
   static bool isFaulty(WorkerId worker) { return worker % 11 == 0; }
 
   void endAttempt() {
-    // In some sequences answers stop for a while, so that many attempts are in flight.
-    if (open_.empty() || (random_.chance(0.5) && std::fmod(now_, 30000) < 4000)) return;
-    const std::size_t at = random_.chance(0.7) ? 0 : random_.below(static_cast<unsigned>(open_.size()));
-    const Attempt attempt = open_[at];
-    open_.erase(open_.begin() + static_cast<std::ptrdiff_t>(at));
+    // Half of the outcomes are delayed during a part of each period, so that many attempts are in flight.
+    if (attemptsInFlight_.empty() || (random_.chance(0.5) && std::fmod(now_, 30000) < 4000)) return;
+    const std::size_t index =
+        random_.chance(0.7) ? 0 : random_.below(static_cast<unsigned>(attemptsInFlight_.size()));
+    const Attempt attempt = attemptsInFlight_[index];
+    attemptsInFlight_.erase(attemptsInFlight_.begin() + static_cast<std::ptrdiff_t>(index));
     constexpr std::array<AttemptResult, 7> failures{
         AttemptResult::error, AttemptResult::overloaded, AttemptResult::timeout, AttemptResult::connectFailed,
         AttemptResult::reset, AttemptResult::cancelled,  AttemptResult::notSent};
@@ -244,7 +245,7 @@
     if (random_.chance(0.01)) gateway_.onAttemptOutcome(now_, outcome);
   }
 
-  void touchRequest() {
+  void reportRequestEvent() {
     const RequestId id = lastRequest_ > 30 ? lastRequest_ - random_.below(30) : lastRequest_;
     const unsigned kind = random_.below(3);
     if (kind == 0) gateway_.onClientDisconnect(now_, id);
@@ -261,13 +262,13 @@
       addWorker(now_);
       return gateway_.onEndpoints(now_, EndpointUpdate::delta, {workers_.back()});
     }
-    const unsigned at = random_.below(static_cast<unsigned>(workers_.size()));
-    Endpoint& worker = workers_[at];
+    const unsigned index = random_.below(static_cast<unsigned>(workers_.size()));
+    Endpoint& worker = workers_[index];
     if (kind == 4) worker.startedAt = now_;
     if (kind >= 5) worker.phase = random_.chance(0.3) ? WorkerPhase::draining : WorkerPhase::ready;
     if (kind == 7 && workers_.size() > 3 && random_.chance(0.4)) worker.phase = WorkerPhase::removed;
     gateway_.onEndpoints(now_, EndpointUpdate::delta, {worker});
-    if (worker.phase == WorkerPhase::removed) workers_.erase(workers_.begin() + at);
+    if (worker.phase == WorkerPhase::removed) workers_.erase(workers_.begin() + index);
   }
 
   void changeExclusions() {
@@ -292,28 +293,28 @@
   }
 
   void changeSettings() {
-    Settings to = settings_;
-    to.maxAttempts = 1 + random_.below(5);
-    for (ClassSettings& item : to.classes) item.latencyObjectiveMs *= random_.between(0.9, 1.1);
-    for (PlanSettings& item : to.plans) item.rate *= random_.between(0.8, 1.2);
-    if (random_.chance(0.3)) std::swap(to.plans.front(), to.plans.back());
-    if (random_.chance(0.3)) std::swap(to.classes.front(), to.classes.back());
-    if (random_.chance(0.2)) to.plans.back().name += "'";
-    if (random_.chance(0.2)) to.gatewayCount = to.gatewayIndex + 1 + random_.below(120);
-    if (random_.chance(0.1)) to.quotaReadingPeriodMs = to.quotaReadingPeriodMs > 0 ? 0 : 1000;
-    settings_ = to;
-    gateway_.onSettings(now_, to);
+    Settings next = settings_;
+    next.maxAttempts = 1 + random_.below(5);
+    for (ClassSettings& item : next.classes) item.latencyObjectiveMs *= random_.between(0.9, 1.1);
+    for (PlanSettings& item : next.plans) item.rate *= random_.between(0.8, 1.2);
+    if (random_.chance(0.3)) std::swap(next.plans.front(), next.plans.back());
+    if (random_.chance(0.3)) std::swap(next.classes.front(), next.classes.back());
+    if (random_.chance(0.2)) next.plans.back().name += "'";
+    if (random_.chance(0.2)) next.gatewayCount = next.gatewayIndex + 1 + random_.below(120);
+    if (random_.chance(0.1)) next.quotaReadingPeriodMs = next.quotaReadingPeriodMs > 0 ? 0 : 1000;
+    settings_ = next;
+    gateway_.onSettings(now_, next);
   }
 
-  void observe() {
+  void hashState() {
     const WorkerCounts counts = gateway_.workerCounts(now_);
     hash(static_cast<std::uint64_t>(counts.listed)), hash(static_cast<std::uint64_t>(counts.avoided));
     hash(gateway_.warmWorkerRate(now_));
     if (random_.chance(0.1)) gateway_.seedWarmWorkerRate(now_, random_.between(0, 0.2));
   }
 
-  void finish() {
-    observe();
+  void hashFinalState() {
+    hashState();
     const RejectionCounts counts = gateway_.rejectionCounts();
     hash(counts.localQuota), hash(counts.fleetQuota), hash(counts.unknownCustomer);
     hash(counts.noWorker), hash(counts.concurrencyLimit), hash(counts.overload);
@@ -327,8 +328,8 @@
   unsigned customers_;
   XXH3_state_t hash_{};
   std::vector<Endpoint> workers_;
-  std::vector<Attempt> open_;
-  std::map<RequestId, unsigned> attempts_;
+  std::vector<Attempt> attemptsInFlight_;
+  std::map<RequestId, unsigned> attemptCounts_;
   std::multimap<Time, std::uint64_t> timers_;
   RequestId lastRequest_ = 0;
   WorkerId lastWorker_ = 0;
@@ -359,14 +360,14 @@
                   static_cast<unsigned long long>(digest));
       continue;
     }
-    ASSERT_TRUE(recorded.contains({seed, events})) << "no digest of seed " << seed;
+    ASSERT_TRUE(recorded.contains({seed, events})) << "no recorded digest for seed " << seed;
     EXPECT_EQ(digest, recorded.at({seed, events})) << "seed " << seed << ", " << events << " events";
   }
 }
 
-TEST(DecisionReplay, ShortSequencesGiveTheRecordedActions) { replayAll(kShortEvents); }
+TEST(DecisionReplay, ShortSequencesMatchTheRecordedDigests) { replayAll(kShortEvents); }
 
-TEST(DecisionReplay, LongSequencesGiveTheRecordedActions) { replayAll(kLongEvents); }
+TEST(DecisionReplay, LongSequencesMatchTheRecordedDigests) { replayAll(kLongEvents); }
 
 }  // namespace
 }  // namespace wingslip::decision::test
