--- a/tests/growth.hpp
+++ b/tests/growth.hpp
@@ -1,4 +1,4 @@
-// How the processor time of some work grows with its size: tells a walk within a walk from a single one.
+// Measures how the processor time of an operation grows with the size of its input, to detect quadratic work.
 #pragma once
 
 #include <algorithm>
@@ -7,29 +7,31 @@
 
 namespace growth {
 
-// Between the sizes that are compared. Work in proportion to the size (and its logarithm) grows by 16 to 25,
-// work in proportion to its square by 256; the limit between the two leaves each a factor of more than two.
-constexpr std::size_t kLarger = 16;
+// Ratio of the two sizes that are compared. Linear and linearithmic work grows by a factor of 16 to 25,
+// quadratic work by 256. The limit lies between them with a margin of more than a factor of two on either
+// side.
+constexpr std::size_t kSizeRatio = 16;
 constexpr double kMost = 64;
 
-// Milliseconds of this thread's processor time; what else the machine does is not in it.
+// Processor time of this thread in milliseconds. Other load on the machine is not included.
 inline double processorTime() {
   timespec now{};
   clock_gettime(CLOCK_THREAD_CPUTIME_ID, &now);
   return static_cast<double>(now.tv_sec) * 1e3 + static_cast<double>(now.tv_nsec) / 1e6;
 }
 
-// `measure(n)` returns the milliseconds that work of size n took; the least of some runs counts.
+// Factor by which the time of `measure` grows from size `small` to kSizeRatio times that size. `measure(n)`
+// returns the milliseconds for size n; the minimum of several runs is used.
 template <class Measure>
 double between(std::size_t small, Measure measure) {
   constexpr int kRuns = 3;
-  constexpr double kLeast = 0.02;  // ms; less is not told from nothing
-  double first = measure(small), second = measure(small * kLarger);
+  constexpr double kMinMs = 0.02;  // shorter times are within the noise of the measurement
+  double smallMs = measure(small), largeMs = measure(small * kSizeRatio);
   for (int run = 1; run < kRuns; ++run) {
-    first = std::min(first, measure(small));
-    if (second > kMost * std::max(first, kLeast)) second = std::min(second, measure(small * kLarger));
+    smallMs = std::min(smallMs, measure(small));
+    if (largeMs > kMost * std::max(smallMs, kMinMs)) largeMs = std::min(largeMs, measure(small * kSizeRatio));
   }
-  return second / std::max(first, kLeast);
+  return largeMs / std::max(smallMs, kMinMs);
 }
 
 }  // namespace growth
--- a/tests/growth_test.cpp
+++ b/tests/growth_test.cpp
@@ -1,5 +1,5 @@
-// The module's work for one event at the fleet's target size: in proportion to what the event names, or to
-// one walk over the workers or classes, never to a walk within a walk.
+// Processor time of the decision module for one event at the fleet's target size: proportional to the size of
+// the event or to one pass over the workers or request classes, never quadratic.
 #include "growth.hpp"
 
 #include <gtest/gtest.h>
@@ -13,13 +13,13 @@
 namespace wingslip::decision::test {
 namespace {
 
-std::vector<Endpoint> workers(std::size_t n) {
+std::vector<Endpoint> endpoints(std::size_t n) {
   std::vector<Endpoint> out;
   for (WorkerId id = 1; id <= n; ++id) out.push_back(endpoint(id * 0x9e3779b97f4a7c15ULL));
   return out;
 }
 
-Settings withClasses(std::size_t n) {
+Settings settingsWithClasses(std::size_t n) {
   Settings out = testSettings();
   const ClassSettings requestClass = out.classes[0];
   out.classes.clear();
@@ -30,17 +30,17 @@
   return out;
 }
 
-double timeOf(const std::function<void()>& work) {
-  const double before = growth::processorTime();
-  work();
-  return growth::processorTime() - before;
+double cpuTimeMs(const std::function<void()>& operation) {
+  const double startMs = growth::processorTime();
+  operation();
+  return growth::processorTime() - startMs;
 }
 
-TEST(Growth, AListOfWorkersTakesNoQuadraticTime) {
+TEST(EventProcessingTime, EndpointListIsNotQuadraticInItsLength) {
   const double factor = growth::between(2000, [](std::size_t n) {
     GatewayHarness harness;
-    const auto list = workers(n);
-    return timeOf([&] {
+    const auto list = endpoints(n);
+    return cpuTimeMs([&] {
       harness.updateEndpoints(list);
       harness.updateEndpoints(list);
     });
@@ -48,46 +48,48 @@
   EXPECT_LT(factor, growth::kMost);
 }
 
-TEST(Growth, ChangedSettingsTakeNoQuadraticTime) {
+TEST(EventProcessingTime, SettingsUpdateIsNotQuadraticInTheNumberOfClasses) {
   const double factor = growth::between(1000, [](std::size_t n) {
-    const Settings to = withClasses(n);
-    GatewayHarness harness(to);
-    return timeOf([&] { harness.gateway.onSettings(1, to); });
+    const Settings settings = settingsWithClasses(n);
+    GatewayHarness harness(settings);
+    return cpuTimeMs([&] { harness.gateway.onSettings(1, settings); });
   });
   EXPECT_LT(factor, growth::kMost);
 }
 
-// Each worker has several attempts out, so that whether it is silent is looked at for each.
-TEST(Growth, AChoiceAmongBusyWorkersTakesNoQuadraticTime) {
+// Each worker has several attempts in flight, so that the check for unresponsive workers runs for each of
+// them.
+TEST(EventProcessingTime, ChoiceAmongBusyWorkersIsNotQuadraticInTheirNumber) {
   const double factor = growth::between(50, [](std::size_t n) {
-    Settings settings = withClasses(n);
+    Settings settings = settingsWithClasses(n);
     settings.gatewayCount = 1;
     settings.plans = {PlanSettings{}};
     GatewayHarness harness(settings);
-    harness.updateEndpoints(workers(n));
+    harness.updateEndpoints(endpoints(n));
     for (std::size_t i = 0; i < 3 * n; ++i) harness.sendRequest(0, 0, i);
     EXPECT_EQ(harness.recorder.startedAttempts.size(), 3 * n);
-    return timeOf([&] {
+    return cpuTimeMs([&] {
       for (CustomerId i = 0; i < 100; ++i) harness.sendRequest(0, 0, i);
     });
   });
   EXPECT_LT(factor, growth::kMost);
 }
 
-// Of classes that share a name the last one's latency goes on, of plans the first one's number.
-TEST(Growth, OfEqualPlanNamesTheFirstCounts) {
+// A settings update finds classes and plans by name. If several classes share a name, the learned latency of
+// the last one is carried over; if several plans share a name, customers are assigned to the first one.
+TEST(SettingsUpdate, CustomersOfADuplicatePlanNameGetTheFirstPlan) {
   Settings settings = testSettings();
   settings.plans = {settings.plans[1], settings.plans[1]};
   settings.plans[0].name = settings.plans[1].name = "open";
   settings.plans[0].maxConcurrent = 1;
   settings.plans[1].maxConcurrent = 2;
   GatewayHarness harness(settings);
-  harness.updateEndpoints(workers(4));
+  harness.updateEndpoints(endpoints(4));
   harness.sendRequest(0, 1, 7);
   ASSERT_EQ(harness.recorder.startedAttempts.size(), 1u);
   harness.gateway.onSettings(harness.now, settings);
   EXPECT_TRUE(harness.wasRejected(harness.sendRequest(0, 0, 7)))
-      << "one is out, and the first of the name allows one";
+      << "one attempt is in flight, and the first plan of that name allows one";
 }
 
 }  // namespace
--- a/tests/lines_test.cpp
+++ b/tests/lines_test.cpp
@@ -1,4 +1,5 @@
-// The limits that keep the decision module readable, and where the deploy file says that it is.
+// Checks that the decision module's files stay readable (size, line length, header comment), that gateway.cpp
+// names the module's interface, and that the deploy file lists all files of the module as policy.
 #include <gtest/gtest.h>
 
 #include <filesystem>
@@ -8,10 +9,10 @@
 
 namespace {
 
-constexpr int kMaxLinesOfAFile = 400;  // without blank ones
+constexpr int kMaxFileLines = 400;  // blank lines not counted
 constexpr std::size_t kMaxLineLength = 110;
 
-// Checks one source file and returns its number of lines that are not blank.
+// Checks one source file and returns the number of its non-blank lines.
 int checkSourceFile(const std::filesystem::path& path) {
   std::ifstream in(path);
   EXPECT_TRUE(in) << path;
@@ -23,36 +24,38 @@
     EXPECT_LE(line.size(), kMaxLineLength) << path << ": " << line;
     lines += line.find_first_not_of(" \t\r") != std::string::npos;
   } while (std::getline(in, line));
-  EXPECT_LE(lines, kMaxLinesOfAFile) << path;
+  EXPECT_LE(lines, kMaxFileLines) << path;
   return lines;
 }
 
-TEST(Lines, EachFileOfTheModuleStaysSmallAndHasAHeaderComment) {
-  const std::filesystem::path folder = std::string(WINGSLIP_ROOT) + "/src/decision";
+TEST(SourceLayout, DecisionModuleFilesAreSmallAndHaveAHeaderComment) {
+  const std::filesystem::path directory = std::string(WINGSLIP_ROOT) + "/src/decision";
   int lines = 0;
-  for (const auto& entry : std::filesystem::recursive_directory_iterator(folder)) {
+  for (const auto& entry : std::filesystem::recursive_directory_iterator(directory)) {
     if (!entry.is_regular_file()) continue;
     const std::string extension = entry.path().extension().string();
     EXPECT_TRUE(extension == ".cpp" || extension == ".hpp") << entry.path();
     lines += checkSourceFile(entry.path());
   }
   EXPECT_GT(lines, 100);
-  EXPECT_GT(checkSourceFile(folder / "gateway.cpp"), 100);
+  EXPECT_GT(checkSourceFile(directory / "gateway.cpp"), 100);
 }
 
-TEST(Lines, TheModuleNamesItsInterfaceAndIsThePolicy) {
-  std::ifstream module(std::string(WINGSLIP_ROOT) + "/src/decision/gateway.cpp");
-  std::string first;
-  std::getline(module, first);
-  EXPECT_NE(first.find("include/wingslip/decision/gateway.hpp"), std::string::npos);
+TEST(SourceLayout, GatewayNamesItsInterfaceAndDeployFileListsTheModuleAsPolicy) {
+  std::ifstream gatewaySource(std::string(WINGSLIP_ROOT) + "/src/decision/gateway.cpp");
+  std::string headerLine;
+  std::getline(gatewaySource, headerLine);
+  EXPECT_NE(headerLine.find("include/wingslip/decision/gateway.hpp"), std::string::npos);
   std::ifstream deploy(std::string(WINGSLIP_ROOT) + "/deploy/balancer.toml");
   std::string text((std::istreambuf_iterator<char>(deploy)), {});
   const std::size_t policy = text.find("policy = [");
   ASSERT_NE(policy, std::string::npos);
-  const std::string listed = text.substr(policy, text.find(']', policy) - policy);
-  // The deploy file takes files here, not folders: one that it does not list would not be known as policy.
+  const std::string policyFiles = text.substr(policy, text.find(']', policy) - policy);
+  // The deploy file takes file names here, not directories, so a file missing from the list would not be
+  // treated as policy.
   for (const auto& entry : std::filesystem::directory_iterator(std::string(WINGSLIP_ROOT) + "/src/decision"))
-    EXPECT_NE(listed.find("\"src/decision/" + entry.path().filename().string() + "\""), std::string::npos)
+    EXPECT_NE(policyFiles.find("\"src/decision/" + entry.path().filename().string() + "\""),
+              std::string::npos)
         << entry.path();
 }
 
