--- a/tests/guards_test.cpp
+++ b/tests/guards_test.cpp
@@ -1,3 +1,4 @@
+// Limits of the decision module: hard ceilings, draining and excluded workers, slow start and bounded memory.
 #include <cmath>
 #include <deque>
 
@@ -6,9 +7,10 @@
 namespace wingslip::decision::test {
 namespace {
 
-double ceilingUnits(GatewayHarness& harness, Time span, CustomerId customer = 1) {
+// Sends requests under the plan with a hard ceiling for `durationMs`. Returns the units admitted.
+double countAdmittedUnits(GatewayHarness& harness, Time durationMs, CustomerId customer = 1) {
   double units = 0;
-  for (Time end = harness.now + span; harness.now < end; harness.now += 10) {
+  for (Time end = harness.now + durationMs; harness.now < end; harness.now += 10) {
     const RequestId id = harness.sendRequest(0, 2, customer, 2);
     if (!harness.wasForwarded(id)) continue;
     units += 2;
@@ -17,47 +19,48 @@
   return units;
 }
 
-TEST(HardCeiling, OneGatewayKeepsToItsShareHoweverTheTrafficIsSplit) {
+// A gateway must not exceed its share of the hard ceiling, even if it receives all of the customer's traffic.
+TEST(HardCeiling, GatewayStaysWithinItsShareUnderUnevenTraffic) {
   Settings settings = testSettings();
-  settings.plans[2].rate = 1000, settings.plans[2].burst = 1000;  // the quota is not what holds here
+  settings.plans[2].rate = 1000, settings.plans[2].burst = 1000;  // so that the quota does not limit
   GatewayHarness harness(settings);
   harness.updateEndpoints({endpoint(1)});
   harness.now += 60000;
-  EXPECT_LE(ceilingUnits(harness, 10000), 20 + 10 * 10);
+  EXPECT_LE(countAdmittedUnits(harness, 10000), 20 + 10 * 10);
 }
 
-TEST(HardCeiling, ARestartDoesNotRefillIt) {
+TEST(HardCeiling, RestartOfAGatewayDoesNotRefillIt) {
   Settings settings = testSettings();
   settings.plans[2].rate = 1000;
   settings.plans[2].burst = 1000;
   GatewayHarness harness(settings, 50000);
   harness.updateEndpoints({endpoint(1)});
-  EXPECT_LE(ceilingUnits(harness, 1000), 10);
+  EXPECT_LE(countAdmittedUnits(harness, 1000), 10);
 }
 
-TEST(HardCeiling, AnEvictionDoesNotRefillIt) {
+TEST(HardCeiling, EvictionOfACustomerDoesNotRefillIt) {
   Settings settings = testSettings();
   settings.plans[2].rate = 1000;
   settings.plans[2].burst = 1000;
   GatewayHarness harness(settings);
   harness.updateEndpoints({endpoint(1)});
   harness.now += 60000;
-  ceilingUnits(harness, 5000);
+  countAdmittedUnits(harness, 5000);
   for (CustomerId customer = 100; customer < 9000; ++customer) {
     const RequestId id = harness.sendRequest(0, 2, customer, 2);
     if (harness.wasForwarded(id)) harness.endAttempt(id, AttemptResult::ok, 10);
   }
-  EXPECT_LE(ceilingUnits(harness, 1000), 12);
+  EXPECT_LE(countAdmittedUnits(harness, 1000), 12);
 }
 
-TEST(Drain, NothingNewToADrainingRemovedOrUnlistedWorker) {
+TEST(Drain, NoAttemptsAtDrainingRemovedOrUnlistedWorkers) {
   GatewayHarness harness;
   harness.updateEndpoints({endpoint(1), endpoint(2), endpoint(3), endpoint(4)});
   Endpoint draining = endpoint(1), removed = endpoint(2);
   draining.phase = WorkerPhase::draining;
   removed.phase = WorkerPhase::removed;
   harness.updateEndpoints({draining, removed}, EndpointUpdate::delta);
-  harness.updateEndpoints({draining, endpoint(4)});  // worker 3 is missing from the whole list
+  harness.updateEndpoints({draining, endpoint(4)});  // worker 3 is missing from the new snapshot
   for (CustomerId customer = 0; customer < 40; ++customer) {
     const RequestId id = harness.sendRequest(0, 0, customer);
     ASSERT_TRUE(harness.wasForwarded(id));
@@ -66,44 +69,45 @@
   }
 }
 
-TEST(Drain, EmptyListRejects) {
+TEST(Drain, RequestIsRejectedWhileTheEndpointListIsEmpty) {
   GatewayHarness harness;
   const RequestId id = harness.sendRequest();
   EXPECT_TRUE(harness.wasRejected(id));
 }
 
-TEST(SlowStart, AttemptsStayUnderTheWarmingWorkersShareAndAreSpreadOut) {
+TEST(SlowStart, AttemptsAtAWarmingWorkerStayWithinItsShareWithoutABurst) {
   Settings settings = testSettings();
   GatewayHarness harness(settings, 100000);
   harness.updateEndpoints({endpoint(1), endpoint(2), endpoint(3)});
-  std::map<WorkerId, int> first, count;
-  std::deque<RequestId> out;
-  const auto drive = [&](Time span, std::map<WorkerId, int>& into) {
-    for (Time end = harness.now + span; harness.now < end; harness.now += 10) {
+  std::map<WorkerId, int> beforeStart, afterStart;
+  std::deque<RequestId> inFlight;
+  const auto sendRequests = [&](Time durationMs, std::map<WorkerId, int>& attempts) {
+    for (Time end = harness.now + durationMs; harness.now < end; harness.now += 10) {
       const RequestId id = harness.sendRequest(0, 0, harness.lastRequest);
       if (!harness.wasForwarded(id)) continue;
-      ++into[harness.lastWorker()];
-      out.push_back(id);
-      if (out.size() > 8) {
-        harness.endAttempt(out.front(), AttemptResult::ok, 50);
-        out.pop_front();
+      ++attempts[harness.lastWorker()];
+      inFlight.push_back(id);
+      if (inFlight.size() > 8) {
+        harness.endAttempt(inFlight.front(), AttemptResult::ok, 50);
+        inFlight.pop_front();
       }
     }
   };
-  drive(5000, first);
+  sendRequests(5000, beforeStart);
   harness.updateEndpoints({endpoint(4, 0, harness.now)}, EndpointUpdate::delta);
-  std::map<WorkerId, int> burst;
-  drive(100, burst);
-  EXPECT_LE(burst[4], 1);
-  drive(2000, count);
-  const double warm = (count[1] + count[2] + count[3]) / 3.0;
-  EXPECT_GT(count[4], 0);
-  EXPECT_LE(count[4], 0.36 * warm + 1);
+  std::map<WorkerId, int> directlyAfterStart;
+  sendRequests(100, directlyAfterStart);
+  EXPECT_LE(directlyAfterStart[4], 1);
+  sendRequests(2000, afterStart);
+  const double warmMean = (afterStart[1] + afterStart[2] + afterStart[3]) / 3.0;
+  EXPECT_GT(afterStart[4], 0);
+  EXPECT_LE(afterStart[4], 0.36 * warmMean + 1);
 }
 
-// Every gateway has just restarted and all workers are warming up: together they keep to what one request a
-// span at every worker allows, instead of one each at once.
-TEST(SlowStart, RestartedGatewaysSendLittleToAWarmingFleetAtFirst) {
+// All gateways have just restarted and all workers are warming up. Together the gateways stay within the load
+// allowed for workers with a capacity of one request per overload window, instead of each sending a request
+// immediately.
+TEST(SlowStart, RestartedGatewaysTogetherLimitTheInitialLoadOnWarmingWorkers) {
   Settings settings = testSettings();
   settings.gatewayCount = 200;
   settings.plans[0].rate = 1000;
@@ -117,11 +121,13 @@
     for (RequestId i = 0; i < 20; ++i) gateway.onRequest(50000 + 50 * i, {i, 0, 0, 1, 60000, 1, 200});
     sent += static_cast<unsigned>(recorder.startedAttempts.size());
   }
-  EXPECT_LE(sent, 2 * settings.overloadMultiple);  // a multiple of one for each of two workers in one span
+  // The limit for one overload window: overloadMultiple times one request for each of the two workers.
+  EXPECT_LE(sent, 2 * settings.overloadMultiple);
 }
 
-// A customer whose set of gateways grows leaves this gateway a smaller part of its ceiling at once.
-TEST(HardCeiling, FollowsTheCustomersSetOfGateways) {
+// When the requests of a customer come through more gateways, this gateway's share of the customer's hard
+// ceiling shrinks immediately.
+TEST(HardCeiling, ShareShrinksWhenACustomerUsesMoreGateways) {
   Settings settings = testSettings();
   settings.gatewayCount = 40;
   settings.plans[2].rate = 1000;
@@ -137,10 +143,12 @@
     ++admitted;
     harness.endAttempt(id, AttemptResult::ok);
   }
-  EXPECT_LE(admitted, 2);  // a twentieth of forty units
+  EXPECT_LE(admitted, 2);  // a twentieth of the forty units of the ceiling's burst
 }
 
-TEST(Workers, ListedTwiceOrBackUnderANewStartAreOne) {
+// A worker that is listed twice, or listed again with a new start time, is still one worker. An attempt that
+// was in flight over the update ends as usual.
+TEST(WorkerTable, DuplicateOrRestartedEndpointIsOneWorker) {
   GatewayHarness harness(testSettings(), 50000);
   harness.updateEndpoints({endpoint(1), endpoint(1), endpoint(2)});
   const RequestId id = harness.sendRequest();
@@ -152,7 +160,7 @@
   EXPECT_TRUE(harness.wasForwarded(harness.sendRequest()));
 }
 
-TEST(Clock, AGapOfAnHourIsLegal) {
+TEST(Clock, ForwardJumpOfAnHourIsHandled) {
   GatewayHarness harness;
   harness.updateEndpoints({endpoint(1)});
   const RequestId id = harness.sendRequest(0, 0, 1, 1, 2, 5e6);
@@ -168,9 +176,9 @@
   EXPECT_GT(admitted, 0);
 }
 
-// An exclusion is apart from the list and from health: neither ends it, and a restart under it means slow
-// start.
-TEST(Exclusion, NothingNewUntilIncludedAndThenSlowStart) {
+// An exclusion is independent of the endpoint list and of the worker's health: neither ends it. A worker that
+// is included again goes through slow start, since it may have restarted while it was excluded.
+TEST(Exclusion, NoAttemptsUntilInclusionAndThenSlowStart) {
   GatewayHarness harness(testSettings(), 50000);
   harness.updateEndpoints({endpoint(1), endpoint(2)});
   harness.gateway.exclude(harness.now, 1);
@@ -187,7 +195,7 @@
   harness.gateway.include(harness.now, 1);
   EXPECT_EQ(harness.gateway.workerCounts(harness.now).avoided, 0u);
   unsigned sent = 0;
-  for (int i = 0; i < 200; ++i) {  // 5 s
+  for (int i = 0; i < 200; ++i) {  // for 5 s
     harness.now += 25;
     const RequestId id = harness.sendRequest(0, 0, 1000 + static_cast<CustomerId>(i));
     if (!harness.wasForwarded(id)) continue;
@@ -195,22 +203,23 @@
     harness.endAttempt(id, AttemptResult::ok);
   }
   EXPECT_GT(sent, 0u);
-  EXPECT_LT(sent, 80u);  // a warm one as idle as the other would have half
+  EXPECT_LT(sent, 80u);  // a warm worker as idle as the other one would get half
 }
 
-// The rate of a warm worker is known after a release has left none, and to a process that is given it.
-TEST(SlowStart, BudgetFollowsTheRateOfAWarmWorker) {
-  const auto sentTo = [](double seeded, bool learns) {
+// The rate of a warm worker is remembered while a release restarts all workers, and can be passed to a new
+// process of the gateway.
+TEST(SlowStart, BudgetUsesTheLearnedOrSeededRateOfAWarmWorker) {
+  const auto attemptsDuringWarmUp = [](double seededRate, bool learnsRate) {
     GatewayHarness harness(testSettings(), 50000);
     harness.updateEndpoints({endpoint(1)});
-    if (seeded > 0) harness.gateway.seedWarmWorkerRate(harness.now, seeded);
-    for (CustomerId customer = 0; learns && customer < 400; ++customer) {
+    if (seededRate > 0) harness.gateway.seedWarmWorkerRate(harness.now, seededRate);
+    for (CustomerId customer = 0; learnsRate && customer < 400; ++customer) {
       harness.now += 20;
       const RequestId id = harness.sendRequest(0, 0, customer);
       if (harness.wasForwarded(id)) harness.endAttempt(id, AttemptResult::ok, 20);
     }
     EXPECT_LT(harness.gateway.warmWorkerRate(harness.now), 0.1);
-    harness.now += 20000;  // nothing warm for long
+    harness.now += 20000;  // no answer of a warm worker for 20 s
     harness.updateEndpoints({endpoint(1, 0, harness.now)});
     int sent = 0;
     for (CustomerId customer = 1000; customer < 1400; ++customer) {
@@ -222,15 +231,16 @@
     }
     return sent;
   };
-  const int unknown = sentTo(0, false);
-  EXPECT_GT(sentTo(0, true), unknown + 10);
-  EXPECT_GT(sentTo(0.05, false), unknown + 10);
-  EXPECT_EQ(sentTo(std::nan(""), false), unknown);
-  EXPECT_LT(sentTo(0.05, false), 0.05 * 4000);
+  const int withoutRate = attemptsDuringWarmUp(0, false);
+  EXPECT_GT(attemptsDuringWarmUp(0, true), withoutRate + 10);
+  EXPECT_GT(attemptsDuringWarmUp(0.05, false), withoutRate + 10);
+  EXPECT_EQ(attemptsDuringWarmUp(std::nan(""), false), withoutRate);
+  EXPECT_LT(attemptsDuringWarmUp(0.05, false), 0.05 * 4000);
 }
 
-// Memory over a long stream of new customers, with answers that never come but end by their time-outs.
-TEST(Memory, StaysBoundedOverALongStreamOfNewCustomers) {
+// Memory must not grow with a long stream of new customers, including requests that are never answered and
+// end by a time-out.
+TEST(Memory, IsBoundedForALongStreamOfNewCustomers) {
   GatewayHarness harness;
   harness.updateEndpoints({endpoint(1), endpoint(2)});
   for (int i = 0; i < 20000; ++i) {
