--- a/tests/load_shedding_test.cpp
+++ b/tests/load_shedding_test.cpp
@@ -1,4 +1,4 @@
-// Which requests the decision module sheds and rejects under overload.
+// Load shedding: the choice of requests that the decision module sheds or rejects under overload.
 #include <algorithm>
 #include <vector>
 
@@ -7,7 +7,7 @@
 namespace wingslip::decision::test {
 namespace {
 
-// Enough workers and quota that only overload rejects.
+// A gateway with enough workers and quota that requests are rejected only because of overload.
 struct OverloadedGateway : GatewayHarness {
   static Settings unlimitedPlans() {
     Settings settings = test::testSettings();
@@ -28,120 +28,123 @@
     for (WorkerId id = 1; id <= 40; ++id) workers.push_back(endpoint(id));
     updateEndpoints(workers);
   }
-  RequestId request(double bytes, unsigned klass = 0, unsigned plan = 0, CustomerId customer = 1) {
-    gateway.onRequest(now, {++lastRequest, klass, plan, customer, now + 3000, 1, 2, bytes});
+  RequestId request(double bytes, unsigned requestClass = 0, unsigned plan = 0, CustomerId customer = 1) {
+    gateway.onRequest(now, {++lastRequest, requestClass, plan, customer, now + 3000, 1, 2, bytes});
     return lastRequest;
   }
-  void overload(double share, double excess = 0, Time lasts = 1000) {
-    gateway.onOverload(now, {true, excess > 0, share, excess, lasts});
+  void overload(double shedFraction, double excessBytes = 0, Time expectedMs = 1000) {
+    gateway.onOverload(now, {true, excessBytes > 0, shedFraction, excessBytes, expectedMs});
   }
 };
 
-TEST(LoadShedding, WithoutOverloadNothingChanges) {
-  OverloadedGateway plain, notified;
-  notified.gateway.onOverload(0, {});
+TEST(LoadShedding, InactiveOverloadSignalDoesNotChangeDecisions) {
+  OverloadedGateway withoutSignal, withSignal;
+  withSignal.gateway.onOverload(0, {});
   for (int i = 0; i < 200; ++i) {
-    for (OverloadedGateway* bench : {&plain, &notified}) {
-      bench->now += 7;
+    for (OverloadedGateway* harness : {&withoutSignal, &withSignal}) {
+      harness->now += 7;
       const RequestId id =
-          bench->request(bench == &notified ? 1e6 : 0, static_cast<unsigned>(i % 3), 0, 1 + i % 5);
-      if (i % 2 && bench->wasForwarded(id)) bench->endAttempt(id, AttemptResult::ok, 50, 30);
+          harness->request(harness == &withSignal ? 1e6 : 0, static_cast<unsigned>(i % 3), 0, 1 + i % 5);
+      if (i % 2 && harness->wasForwarded(id)) harness->endAttempt(id, AttemptResult::ok, 50, 30);
     }
   }
-  EXPECT_EQ(plain.recorder.startedAttempts.size(), notified.recorder.startedAttempts.size());
-  EXPECT_EQ(plain.recorder.rejected, notified.recorder.rejected);
-  for (std::size_t i = 0; i < plain.recorder.startedAttempts.size(); ++i)
-    EXPECT_EQ(plain.recorder.startedAttempts[i].worker, notified.recorder.startedAttempts[i].worker);
+  EXPECT_EQ(withoutSignal.recorder.startedAttempts.size(), withSignal.recorder.startedAttempts.size());
+  EXPECT_EQ(withoutSignal.recorder.rejected, withSignal.recorder.rejected);
+  for (std::size_t i = 0; i < withoutSignal.recorder.startedAttempts.size(); ++i)
+    EXPECT_EQ(withoutSignal.recorder.startedAttempts[i].worker,
+              withSignal.recorder.startedAttempts[i].worker);
 }
 
-TEST(LoadShedding, CustomersBeyondTheirQuotaAreRejectedFirst) {
+TEST(LoadShedding, CustomersOverQuotaAreRejectedFirst) {
   Settings settings = OverloadedGateway::unlimitedPlans();
   settings.plans[1].rate = 1;
   settings.plans[1].burst = 4;
-  OverloadedGateway bench(settings);
-  bench.overload(0);  // overloaded, but nothing has to be shed
-  unsigned refused = 0;
+  OverloadedGateway harness(settings);
+  harness.overload(0);  // overloaded, but without a need to shed requests
+  unsigned rejected = 0;
   for (int i = 0; i < 12; ++i) {
-    EXPECT_TRUE(bench.wasForwarded(bench.request(1000, 0, 0, 1))) << "within its quota";
-    refused += bench.wasRejected(bench.request(1000, 0, 1, 2));
+    EXPECT_TRUE(harness.wasForwarded(harness.request(1000, 0, 0, 1))) << "within its quota";
+    rejected += harness.wasRejected(harness.request(1000, 0, 1, 2));
   }
-  EXPECT_GE(refused, 8u);
+  EXPECT_GE(rejected, 8u);
 }
 
-TEST(LoadShedding, RequestsOfTheLeastValuePerByteAreShedFirst) {
-  OverloadedGateway bench;
-  const RequestId small = bench.request(2000), large = bench.request(200000),
-                  dear = bench.request(200000, 0, 1);
-  bench.overload(0, 1000);
-  EXPECT_TRUE(bench.wasRejected(large));
-  EXPECT_FALSE(bench.wasRejected(small) || bench.wasRejected(dear));
-  bench.overload(0, 1000);
-  EXPECT_TRUE(bench.wasRejected(dear));
-  bench.overload(0, 0);
-  EXPECT_FALSE(bench.wasRejected(small));
-  EXPECT_EQ(bench.gateway.requestsInFlight(), 1u);
-  bench.endAttempt(large, AttemptResult::cancelled);  // what comes of it later changes nothing
-  EXPECT_EQ(bench.recorder.finalAnswers[large], 1u);
+TEST(LoadShedding, RequestsWithTheLeastValuePerByteAreShedFirst) {
+  OverloadedGateway harness;
+  const RequestId small = harness.request(2000), large = harness.request(200000),
+                  expensive = harness.request(200000, 0, 1);
+  harness.overload(0, 1000);
+  EXPECT_TRUE(harness.wasRejected(large));
+  EXPECT_FALSE(harness.wasRejected(small) || harness.wasRejected(expensive));
+  harness.overload(0, 1000);
+  EXPECT_TRUE(harness.wasRejected(expensive));
+  harness.overload(0, 0);
+  EXPECT_FALSE(harness.wasRejected(small));
+  EXPECT_EQ(harness.gateway.requestsInFlight(), 1u);
+  harness.endAttempt(large, AttemptResult::cancelled);  // the later outcome of a shed request is ignored
+  EXPECT_EQ(harness.recorder.finalAnswers[large], 1u);
 }
 
 TEST(LoadShedding, RequestsWithAStartedResponseAreShedLastAndFail) {
-  OverloadedGateway bench;
-  const RequestId answered = bench.request(400000), other = bench.request(2000);
-  bench.gateway.onResponseStarted(bench.now, answered);
-  bench.overload(0, 1500);
-  EXPECT_TRUE(bench.wasRejected(other));
-  EXPECT_FALSE(bench.hasFailed(answered) || bench.wasRejected(answered));
-  bench.overload(0, 1500);
-  EXPECT_TRUE(bench.hasFailed(answered));
-  EXPECT_EQ(bench.gateway.requestsInFlight(), 0u);
+  OverloadedGateway harness;
+  const RequestId responding = harness.request(400000), other = harness.request(2000);
+  harness.gateway.onResponseStarted(harness.now, responding);
+  harness.overload(0, 1500);
+  EXPECT_TRUE(harness.wasRejected(other));
+  EXPECT_FALSE(harness.hasFailed(responding) || harness.wasRejected(responding));
+  harness.overload(0, 1500);
+  EXPECT_TRUE(harness.hasFailed(responding));
+  EXPECT_EQ(harness.gateway.requestsInFlight(), 0u);
 }
 
-// A rejection would say that a retry is harmless.
-TEST(LoadShedding, AnAttemptThatMayHaveRunIsRejectedOnlyIfIdempotent) {
-  OverloadedGateway bench;
-  const RequestId safe = bench.request(1e6, 0), unsafe = bench.request(1e6, 2);
-  bench.overload(0, 1e9);
-  EXPECT_TRUE(bench.wasRejected(safe));
-  EXPECT_TRUE(bench.hasFailed(unsafe));
+// A rejection signals to the client that a retry is harmless. A request that may have run is therefore
+// rejected only if it is idempotent, and fails otherwise.
+TEST(LoadShedding, RequestThatMayHaveRunIsRejectedOnlyIfIdempotent) {
+  OverloadedGateway harness;
+  const RequestId idempotent = harness.request(1e6, 0), nonIdempotent = harness.request(1e6, 2);
+  harness.overload(0, 1e9);
+  EXPECT_TRUE(harness.wasRejected(idempotent));
+  EXPECT_TRUE(harness.hasFailed(nonIdempotent));
 }
 
-TEST(LoadShedding, AShareOfNewRequestsIsRejectedTheLeastValuableFirst) {
-  OverloadedGateway bench;
-  bench.overload(0.3);
-  unsigned refusedCheap = 0, refusedDear = 0, n = 2000;
+TEST(LoadShedding, ShedFractionOfNewRequestsIsRejectedLeastValuableFirst) {
+  OverloadedGateway harness;
+  harness.overload(0.3);
+  unsigned rejectedLowValue = 0, rejectedHighValue = 0, n = 2000;
   for (unsigned i = 0; i < n; ++i) {
-    bench.now += 5;
-    const bool cheap = i % 2;
-    const RequestId id = bench.request(1000, 0, cheap ? 0 : 1, 1 + i % 50);
-    (cheap ? refusedCheap : refusedDear) += bench.wasRejected(id);
-    if (bench.wasForwarded(id)) bench.endAttempt(id, AttemptResult::ok, 50);
+    harness.now += 5;
+    const bool isLowValue = i % 2;
+    const RequestId id = harness.request(1000, 0, isLowValue ? 0 : 1, 1 + i % 50);
+    (isLowValue ? rejectedLowValue : rejectedHighValue) += harness.wasRejected(id);
+    if (harness.wasForwarded(id)) harness.endAttempt(id, AttemptResult::ok, 50);
   }
-  EXPECT_NEAR(refusedCheap + refusedDear, 0.3 * n, 0.06 * n);
-  EXPECT_GT(refusedCheap, 20 * refusedDear);
+  EXPECT_NEAR(rejectedLowValue + rejectedHighValue, 0.3 * n, 0.06 * n);
+  EXPECT_GT(rejectedLowValue, 20 * rejectedHighValue);
 }
 
-// Gatekeepers that shed at the same moment must not bring all clients back at the same moment.
+// Gatekeepers that shed requests at the same time must not cause all clients to retry at the same time.
 TEST(LoadShedding, RetryAfterIsSpreadOverTheSecondHalfOfTheExpectedDuration) {
   std::vector<Time> waits;
   for (std::uint64_t salt = 0; salt < 300; ++salt) {
-    OverloadedGateway bench(OverloadedGateway::unlimitedPlans(), salt);
-    const RequestId id = bench.request(1e6);
-    bench.overload(0, 1, 2000);
-    waits.push_back(bench.recorder.rejected.at(id));
+    OverloadedGateway harness(OverloadedGateway::unlimitedPlans(), salt);
+    const RequestId id = harness.request(1e6);
+    harness.overload(0, 1, 2000);
+    waits.push_back(harness.recorder.rejected.at(id));
   }
   std::sort(waits.begin(), waits.end());
   EXPECT_GE(waits.front(), 1000);
   EXPECT_LE(waits.back(), 2000);
-  for (std::size_t i = 0; i < 10; ++i) {  // no tenth of the time gets more than a fifth of them
-    const auto in = std::count_if(waits.begin(), waits.end(), [&](Time w) {
-      return w >= 1000 + 100.0 * static_cast<double>(i) && w < 1100 + 100.0 * static_cast<double>(i);
+  for (std::size_t i = 0; i < 10; ++i) {  // every tenth of the interval gets less than a fifth of the retries
+    const auto count = std::count_if(waits.begin(), waits.end(), [&](Time waitMs) {
+      return waitMs >= 1000 + 100.0 * static_cast<double>(i) &&
+             waitMs < 1100 + 100.0 * static_cast<double>(i);
     });
-    EXPECT_LT(in, 60) << i;
+    EXPECT_LT(count, 60) << i;
   }
-  OverloadedGateway bench;
-  const RequestId id = bench.request(1e6);
-  bench.overload(0, 1, 1e9);
-  EXPECT_LE(bench.recorder.rejected.at(id), 4000);  // the settings' most
+  OverloadedGateway harness;
+  const RequestId id = harness.request(1e6);
+  harness.overload(0, 1, 1e9);
+  EXPECT_LE(harness.recorder.rejected.at(id), 4000);  // limited to maxRetryAfterMs of the settings
 }
 
 }  // namespace
--- a/tests/quota_test.cpp
+++ b/tests/quota_test.cpp
@@ -1,55 +1,58 @@
+// Quotas of customers: buckets, quota readings, concurrency caps and changes of plan.
 #include "recorder.hpp"
 
 namespace wingslip::decision::test {
 namespace {
 
-// Sends a request and, when it is forwarded, answers at once. Returns whether it was admitted.
-bool isServed(GatewayHarness& harness, unsigned plan = 0, CustomerId customer = 1, int percent = -1,
-              double units = 1, unsigned customerGateways = 2) {
+// Sends a request and, if it is forwarded, completes its attempt immediately. Returns whether the request was
+// admitted.
+bool sendAndComplete(GatewayHarness& harness, unsigned plan = 0, CustomerId customer = 1, int percent = -1,
+                     double units = 1, unsigned customerGateways = 2) {
   const RequestId id = harness.sendRequest(0, plan, customer, units, customerGateways);
   if (!harness.wasForwarded(id)) return false;
   harness.endAttempt(id, AttemptResult::ok, 50, percent);
   return true;
 }
 
-std::vector<Endpoint> fleet() {
-  std::vector<Endpoint> all;
-  for (WorkerId worker = 1; worker <= 50; ++worker) all.push_back(endpoint(worker));
-  return all;
+std::vector<Endpoint> fiftyEndpoints() {
+  std::vector<Endpoint> endpoints;
+  for (WorkerId worker = 1; worker <= 50; ++worker) endpoints.push_back(endpoint(worker));
+  return endpoints;
 }
 
-TEST(Quota, NewCustomerStartsAtBurstOverItsGateways) {
+TEST(Quota, NewCustomerStartsWithTheBurstDividedByItsGateways) {
   GatewayHarness harness;
   harness.updateEndpoints({endpoint(1)});
   int admittedCount = 0;
-  while (isServed(harness)) ++admittedCount;
+  while (sendAndComplete(harness)) ++admittedCount;
   EXPECT_EQ(admittedCount, 10);
 }
 
-TEST(Quota, FillsTowardTheWholeRateAndBurst) {
+TEST(Quota, RefillsAtTheFullRateUpToTheBurst) {
   Settings settings = testSettings();
   settings.gatewayCount = 1;
   GatewayHarness harness(settings);
   harness.updateEndpoints({endpoint(1)});
-  while (isServed(harness, 0, 1, -1, 1, 1)) {
+  while (sendAndComplete(harness, 0, 1, -1, 1, 1)) {
   }
   harness.now += 500;
   int admittedCount = 0;
-  while (isServed(harness, 0, 1, -1, 1, 1)) ++admittedCount;
+  while (sendAndComplete(harness, 0, 1, -1, 1, 1)) ++admittedCount;
   EXPECT_EQ(admittedCount, 5);
   harness.now += 60000;
   admittedCount = 0;
-  while (isServed(harness, 0, 1, -1, 1, 1)) ++admittedCount;
+  while (sendAndComplete(harness, 0, 1, -1, 1, 1)) ++admittedCount;
   EXPECT_EQ(admittedCount, 20);
 }
 
-TEST(Quota, EmptyBucketRejectsAtOnceWithItsRefillTimeAsRetryAfter) {
+TEST(Quota, EmptyBucketRejectsImmediatelyWithItsRefillTimeAsRetryAfter) {
   GatewayHarness harness;
   harness.updateEndpoints({endpoint(1)});
-  while (isServed(harness)) {
+  while (sendAndComplete(harness)) {
   }
   EXPECT_TRUE(harness.wasRejected(harness.lastRequest));
-  EXPECT_NEAR(harness.recorder.rejected[harness.lastRequest], 100, 1);  // one unit at ten a second
+  // The refill time of one unit at ten units per second.
+  EXPECT_NEAR(harness.recorder.rejected[harness.lastRequest], 100, 1);
   EXPECT_TRUE(harness.recorder.timers.empty());
 }
 
@@ -60,33 +63,34 @@
   GatewayHarness harness(settings);
   harness.updateEndpoints({endpoint(1)});
   const RequestId id = harness.sendRequest(0, 0, 1, 8, 1);
-  harness.endAttempt(id, AttemptResult::ok, 50, -1, true, 3);  // five come back
+  harness.endAttempt(id, AttemptResult::ok, 50, -1, true, 3);  // five units are credited back
   int admittedCount = 0;
-  while (isServed(harness, 0, 1, -1, 1, 1)) ++admittedCount;
+  while (sendAndComplete(harness, 0, 1, -1, 1, 1)) ++admittedCount;
   EXPECT_EQ(admittedCount, 17);
 }
 
-// A reading counts once, however many answers of its period it rides on.
-TEST(Quota, RepeatedReadingCountsOnce) {
+// A reading is applied once, although every answer within its period carries it.
+TEST(Quota, RepeatedReadingIsAppliedOnce) {
   Settings settings = testSettings();
   settings.gatewayCount = 1;
   const auto admitted = [&](int repeats) {
     GatewayHarness harness(settings);
     harness.updateEndpoints({endpoint(1)});
-    for (int i = 0; i < 20; ++i) isServed(harness, 0, 1, -1, 1, 1);
+    for (int i = 0; i < 20; ++i) sendAndComplete(harness, 0, 1, -1, 1, 1);
     harness.now += 1100;
-    for (int i = 0; i < repeats; ++i) isServed(harness, 0, 1, 200, 1, 1);
+    for (int i = 0; i < repeats; ++i) sendAndComplete(harness, 0, 1, 200, 1, 1);
     int admittedCount = 0;
     for (int i = 0; i < 400; ++i) {
       harness.now += 100;
-      admittedCount += isServed(harness, 0, 1, -1, 1, 1);
+      admittedCount += sendAndComplete(harness, 0, 1, -1, 1, 1);
     }
     return admittedCount;
   };
   EXPECT_NEAR(admitted(1), admitted(6), 12);
 }
 
-// Two gateways' worth of traffic: readings well above the quota reduce what is admitted past it.
+// The customer's requests come through two gateways. Readings far above its quota reduce the number of
+// requests that this gateway admits over the quota.
 TEST(Quota, ReadingsAboveTheQuotaReduceAdmission) {
   const auto admitted = [](int percent) {
     GatewayHarness harness;
@@ -94,7 +98,7 @@
     int admittedCount = 0;
     for (int i = 0; i < 600; ++i) {
       harness.now += 50;
-      admittedCount += isServed(harness, 0, 1, percent);
+      admittedCount += sendAndComplete(harness, 0, 1, percent);
     }
     return admittedCount;
   };
@@ -106,19 +110,20 @@
   harness.updateEndpoints({endpoint(1)});
   for (int i = 0; i < 200; ++i) {
     harness.now += 50;
-    isServed(harness, 0, 1, 400);
+    sendAndComplete(harness, 0, 1, 400);
   }
   harness.now += 60000;
   int admittedCount = 0;
   for (int i = 0; i < 40; ++i) {
-    harness.now += 500;  // two a second against ten
-    admittedCount += isServed(harness);
+    harness.now += 500;  // two requests per second, at a quota of ten
+    admittedCount += sendAndComplete(harness);
   }
   EXPECT_EQ(admittedCount, 40);
 }
 
-// A gateway that rejects gets no readings; its estimate of the others lasts for a while, not for ever.
-TEST(Quota, EstimateOfOtherGatewaysFadesWithoutReadings) {
+// A gateway that rejects all requests receives no readings. Its estimate of the other gateways' use
+// remains valid for a while and then decays, since it would otherwise reject forever.
+TEST(Quota, EstimateOfOtherGatewaysDecaysWithoutReadings) {
   Settings settings = testSettings();
   settings.plans[1].overQuotaCost = 1.2;
   GatewayHarness harness(settings);
@@ -129,12 +134,12 @@
     if (harness.wasForwarded(id)) harness.endAttempt(id, AttemptResult::ok, 50, 400);
   }
   harness.now += 3000;
-  int soon = 0, late = 0;
-  for (int i = 0; i < 20; ++i) soon += harness.wasForwarded(harness.sendRequest(0, 1));
-  EXPECT_EQ(soon, 0);
+  int admittedSoon = 0, admittedLater = 0;
+  for (int i = 0; i < 20; ++i) admittedSoon += harness.wasForwarded(harness.sendRequest(0, 1));
+  EXPECT_EQ(admittedSoon, 0);
   harness.now += 300000;
-  for (int i = 0; i < 20; ++i) late += harness.wasForwarded(harness.sendRequest(0, 1));
-  EXPECT_EQ(late, 2);
+  for (int i = 0; i < 20; ++i) admittedLater += harness.wasForwarded(harness.sendRequest(0, 1));
+  EXPECT_EQ(admittedLater, 2);
 }
 
 TEST(Quota, ConcurrencyCapLimitsAttemptsInFlight) {
@@ -149,61 +154,62 @@
   EXPECT_TRUE(harness.wasForwarded(harness.sendRequest(0, 1)));
 }
 
-TEST(Quota, EvictionDoesNotRefillAHeavyCustomer) {
+TEST(Quota, EvictionDoesNotRefillTheBucketOfAHeavyCustomer) {
   Settings settings = testSettings();
   settings.plans[0].rate = 0.001;
   GatewayHarness harness(settings);
   harness.updateEndpoints({endpoint(1)});
-  while (isServed(harness)) {
+  while (sendAndComplete(harness)) {
   }
   for (CustomerId customer = 100; customer < 9000; ++customer) {
     harness.gateway.onRequest(harness.now, {++harness.lastRequest, 0, 0, customer, harness.now + 3000, 100000,
-                                            2});  // never admitted: loses nothing
+                                            2});  // never admitted, so its eviction loses no state
   }
   EXPECT_LE(harness.gateway.trackedCustomers(), 4096u);
-  EXPECT_FALSE(isServed(harness));
+  EXPECT_FALSE(sendAndComplete(harness));
 }
 
-// A trickle past the fraction's floor, for a customer that asks many times its quota, adds up to a good part
-// of it.
-TEST(Quota, NoTrickleWhileTheEstimateIsInDebt) {
+// The admit fraction has a minimum above zero. For a customer that sends many times its quota, requests
+// admitted by that minimum would add up to a large part of the quota, so none are admitted while the estimate
+// of the fleet's remaining tokens is negative.
+TEST(Quota, CustomerFarOverQuotaIsNotAdmittedWhileTheEstimateIsNegative) {
   GatewayHarness harness;
   harness.updateEndpoints({endpoint(1)});
   int admittedCount = 0;
   for (int i = 0; i < 4000; ++i) {
-    harness.now += 5;  // 200 a second against ten, and readings of twice the rate
-    admittedCount += isServed(harness, 0, 1, 200);
+    harness.now += 5;  // 200 requests per second at a quota of ten, and readings of twice the rate
+    admittedCount += sendAndComplete(harness, 0, 1, 200);
   }
-  EXPECT_LT(admittedCount, 20 * 10 / 2 + 20);  // half the rate, and the first burst
+  EXPECT_LT(admittedCount, 20 * 10 / 2 + 20);  // half the rate over 20 s, and the initial burst
 }
 
-// Many gateways: each meets a customer rarely, and its part of a small burst is under one request. A gateway
-// that has long been up lets the first one in.
-TEST(Quota, FirstRequestOfACustomerAtAGatewayLongUpIsAdmitted) {
+// With many gateways, each rarely receives a request of a customer, and its share of a small burst is less
+// than one request. A gateway that has run for long enough still admits the customer's first request.
+TEST(Quota, LongRunningGatewayAdmitsTheFirstRequestOfACustomer) {
   Settings settings = testSettings();
   settings.gatewayCount = 200;
   settings.plans[0].rate = 1;
   settings.plans[0].burst = 4;
   GatewayHarness harness(settings);
-  harness.updateEndpoints(fleet());
+  harness.updateEndpoints(fiftyEndpoints());
   harness.now += 20000;
-  EXPECT_TRUE(isServed(harness, 0, 1, -1, 1, 30));
+  EXPECT_TRUE(sendAndComplete(harness, 0, 1, -1, 1, 30));
 }
 
-// Its own rare requests and readings of little use say nothing against a light customer among thirty
-// gateways; readings of three times the quota reduce what it is admitted.
-TEST(Quota, RareRequestsGoByTheReadings) {
+// A customer whose requests come through thirty gateways sends few of them to this one. Readings of little
+// use must not cause rejections; readings of three times the quota reduce admission.
+TEST(Quota, AdmissionOfRareRequestsFollowsTheReadings) {
   const auto admitted = [](int percent) {
     Settings settings = testSettings();
     settings.gatewayCount = 200;
     settings.plans[0].rate = 1;
     settings.plans[0].burst = 4;
     GatewayHarness harness(settings);
-    harness.updateEndpoints(fleet());
+    harness.updateEndpoints(fiftyEndpoints());
     int admittedCount = 0;
     for (int i = 0; i < 40; ++i) {
       harness.now += 5000;
-      admittedCount += isServed(harness, 0, 1, percent, 1, 30);
+      admittedCount += sendAndComplete(harness, 0, 1, percent, 1, 30);
     }
     return admittedCount;
   };
@@ -211,55 +217,57 @@
   EXPECT_LT(admitted(300), 25);
 }
 
-// A customer far past its quota, spread evenly over ten gateways: each admits about its tenth of the rate,
-// whatever it makes of the demand. Together they would else go past the quota by what they misjudge.
-TEST(Quota, WhileTheFleetQuotaIsUsedUpAGatewayAdmitsItsShareOfTheRate) {
+// The requests of a customer far over its quota are spread evenly over ten gateways. Each gateway admits
+// about a tenth of the rate, independently of its estimate of the demand. Otherwise the errors of these
+// estimates would add up to use over the quota.
+TEST(Quota, GatewayAdmitsItsShareOfTheRateWhileTheFleetQuotaIsUsedUp) {
   Settings settings = testSettings();
   settings.gatewayCount = 10;
   GatewayHarness harness(settings);
   harness.updateEndpoints({endpoint(1)});
   int admittedCount = 0;
   for (int i = 0; i < 1200; ++i) {
-    harness.now += 50;  // twenty a second here, two hundred in all, against ten; readings of 100%
-    const bool let = isServed(harness, 0, 1, 100, 1, 10);
-    if (i >= 200) admittedCount += let;
+    // Twenty requests per second here and two hundred in all, at a quota of ten, and readings of 100%.
+    harness.now += 50;
+    const bool admitted = sendAndComplete(harness, 0, 1, 100, 1, 10);
+    if (i >= 200) admittedCount += admitted;
   }
   EXPECT_GT(admittedCount, 25);
-  EXPECT_LT(admittedCount, 75);  // of 50 seconds at one a second
+  EXPECT_LT(admittedCount, 75);  // expected: 50, in 50 seconds at one request per second
 }
 
-TEST(Quota, ZeroRatesAndAbsentReadingsAreLegal) {
+TEST(Quota, ZeroRatesAndMissingReadingsAreAccepted) {
   Settings settings = testSettings();
   settings.quotaReadingPeriodMs = 0;
   settings.plans = {PlanSettings{}};
   GatewayHarness harness(settings);
   harness.updateEndpoints({endpoint(1)});
-  for (int i = 0; i < 50; ++i) EXPECT_TRUE(isServed(harness, 0, 1, i % 2 ? 0 : -1));
+  for (int i = 0; i < 50; ++i) EXPECT_TRUE(sendAndComplete(harness, 0, 1, i % 2 ? 0 : -1));
 }
 
-// A customer that comes under another plan has that plan's quota from then on, and going to and fro fills
-// nothing.
-TEST(Quota, FollowsTheCustomersPlan) {
+// A customer whose plan changes has the new plan's quota from then on. Changing back and forth between plans
+// does not refill its bucket.
+TEST(Quota, FollowsChangesOfTheCustomersPlan) {
   Settings settings = testSettings();
   settings.gatewayCount = 1;
   settings.plans[2] = settings.plans[0];
   settings.plans[2].name = "large", settings.plans[2].rate = 1000, settings.plans[2].burst = 1000;
   GatewayHarness harness(settings);
   harness.updateEndpoints({endpoint(1)});
-  while (isServed(harness, 0, 1, -1, 1, 1)) {
+  while (sendAndComplete(harness, 0, 1, -1, 1, 1)) {
   }
   harness.now += 1000;
   int admittedCount = 0;
-  while (admittedCount < 500 && isServed(harness, 2, 1, -1, 1, 1)) ++admittedCount;
-  EXPECT_EQ(admittedCount, 10);  // what the small plan has filled in a second
+  while (admittedCount < 500 && sendAndComplete(harness, 2, 1, -1, 1, 1)) ++admittedCount;
+  EXPECT_EQ(admittedCount, 10);  // refilled by the small plan within a second
   harness.now += 500;
   admittedCount = 0;
-  while (admittedCount < 500 && isServed(harness, 2, 1, -1, 1, 1)) ++admittedCount;
+  while (admittedCount < 500 && sendAndComplete(harness, 2, 1, -1, 1, 1)) ++admittedCount;
   EXPECT_EQ(admittedCount, 500);
   harness.now += 1000;
   admittedCount = 0;
-  while (admittedCount < 500 && isServed(harness, 0, 1, -1, 1, 1)) ++admittedCount;
-  EXPECT_EQ(admittedCount, 20);  // the small plan's burst, not what the large one had filled
+  while (admittedCount < 500 && sendAndComplete(harness, 0, 1, -1, 1, 1)) ++admittedCount;
+  EXPECT_EQ(admittedCount, 20);  // the small plan's burst, not the tokens refilled by the large plan
 }
 
 }  // namespace
