--- a/src/gatekeeper/client_request.cpp
+++ b/src/gatekeeper/client_request.cpp
@@ -1,3 +1,4 @@
+/// Parsing and validation of client requests: path, headers and customer key.
 #include "gatekeeper/client_request.hpp"
 
 #include <algorithm>
@@ -11,7 +12,7 @@
 constexpr decision::CustomerId kCustomerCount = decision::CustomerId{1} << 33;
 constexpr double kMaxClientWaitMs = 10 * 60 * 1000;
 
-// The number that all of `text` is.
+// Parses `text` as a number; none if any character is left over.
 template <class T, class... Base>
 std::optional<T> parseNumber(std::string_view text, Base... base) {
   T value{};
@@ -22,25 +23,25 @@
 
 std::string_view header(const ClientMessage& message, const char* name) { return view(message[name]); }
 
-// The part before the first `separator`; `text` becomes what follows it.
-std::string_view takeUntil(std::string_view& text, char separator) {
+// Returns the part of `text` before the first `separator` and removes it and the separator from `text`.
+std::string_view consumeUntil(std::string_view& text, char separator) {
   const auto at = text.find(separator);
   const auto part = text.substr(0, at);
   text = at == std::string_view::npos ? std::string_view{} : text.substr(at + 1);
   return part;
 }
 
-// The value of `name` in a list of name=value.
-std::string_view valueOf(std::string_view list, char separator, std::string_view name) {
+// The value of `name` in a list of name=value; empty if there is none.
+std::string_view findValue(std::string_view list, char separator, std::string_view name) {
   while (!list.empty()) {
-    std::string_view value = takeUntil(list, separator);
+    std::string_view value = consumeUntil(list, separator);
     while (!value.empty() && value.front() == ' ') value.remove_prefix(1);
-    if (takeUntil(value, '=') == name) return value;
+    if (consumeUntil(value, '=') == name) return value;
   }
   return {};
 }
 
-// Whether one of the service's headers is there twice: a worker might take the other one.
+// Whether a header of the service is present twice: a worker might use the other value.
 bool hasDuplicateHeader(const ClientMessage& message) {
   for (const char* name : {"Req-Id", "X-Tier", "Req-Deadline-Ms", "X-Call-Terms", "Idempotency-Key"})
     if (message.count(name) > 1) return true;
@@ -60,11 +61,11 @@
   return static_cast<unsigned>(found - names.begin());
 }
 
-// Reads X-Call-Terms: `units=1,spread=2,first=1`. False: it is malformed or out of range.
+// Parses X-Call-Terms, such as `units=1,spread=2,first=1`. Returns false if it is malformed or out of range.
 bool parseTerms(std::string_view terms, const decision::Settings& settings, ParsedRequest& request) {
-  const auto units = parseNumber<double>(valueOf(terms, ',', "units"));
-  const auto spread = parseNumber<unsigned>(valueOf(terms, ',', "spread"));
-  const auto first = parseNumber<unsigned>(valueOf(terms, ',', "first"));
+  const auto units = parseNumber<double>(findValue(terms, ',', "units"));
+  const auto spread = parseNumber<unsigned>(findValue(terms, ',', "spread"));
+  const auto first = parseNumber<unsigned>(findValue(terms, ',', "first"));
   if (!units || !std::isfinite(*units) || *units <= 0 || *units > settings.maxUnits) return false;
   if (!spread || *spread < 1 || *spread > settings.gatewayCount || !first || *first >= settings.gatewayCount)
     return false;
@@ -95,12 +96,12 @@
                                                                   const Config& config) {
   constexpr auto kBadRequest = http::status::bad_request;
   std::string_view target = originForm(view(message.target()));
-  const std::string_view path = takeUntil(target, '?');
+  const std::string_view path = consumeUntil(target, '?');
   if (path.size() < 2 || path.front() != '/')
     return ImmediateResponse{http::status::not_found, "no such path"};
   std::string_view rest = path.substr(1);
-  const auto classIndex = indexOf(config.host.classes, takeUntil(rest, '/'));
-  // A request of this service has a Req-Id; any other one gets the answer for an unknown path.
+  const auto classIndex = indexOf(config.host.classes, consumeUntil(rest, '/'));
+  // A request of this service has a Req-Id; without one, an unknown class is an unknown path.
   const bool hasId = !header(message, "Req-Id").empty();
   if (!classIndex && !hasId) return ImmediateResponse{http::status::not_found, "no such path"};
   if (!classIndex) return ImmediateResponse{kBadRequest, "unknown class"};
@@ -115,7 +116,7 @@
   const auto planIndex = indexOf(config.host.plans, header(message, "X-Tier"));
   if (!planIndex) return ImmediateResponse{kBadRequest, "unknown plan"};
   request.planIndex = *planIndex;
-  const std::string_view key = valueOf(target, '&', "client");
+  const std::string_view key = findValue(target, '&', "client");
   const auto customer = parseNumber<decision::CustomerId>(key, 16);
   if (key.size() != 16 || !customer || *customer >= kCustomerCount)
     return ImmediateResponse{kBadRequest, "bad customer"};
--- a/src/gatekeeper/client_request.hpp
+++ b/src/gatekeeper/client_request.hpp
@@ -1,4 +1,4 @@
-/// A client's request, parsed and checked: what the decision module is asked, and what a worker is sent.
+/// Parsing and validation of client requests.
 #pragma once
 
 #include <cstdint>
@@ -11,30 +11,33 @@
 
 namespace wingslip {
 
+/// The HTTP message of a request; the body may be incomplete.
 using ClientMessage = http::request<WindowBody>;
 
-/// What a request states of itself.
+/// The validated attributes of a request.
 struct ParsedRequest {
-  unsigned classIndex = 0;  ///< in HostSettings::classes
-  unsigned planIndex = 0;   ///< in HostSettings::plans
+  unsigned classIndex = 0;  ///< request class, index in HostSettings::classes
+  unsigned planIndex = 0;   ///< customer plan, index in HostSettings::plans
   decision::CustomerId customer = 0;
-  decision::Time clientWaitMs = 0;  ///< how long the client waits from when it sent the request
-  double units = 1;
-  unsigned customerGateways = 1;               ///< gateways that this customer's requests come through
-  bool bodyComplete = true;                    ///< else its rest is read by Responder::readBody
-  std::size_t memoryBytes = 0;                 ///< that the request holds, or may come to hold
-  std::optional<std::uint64_t> contentLength;  ///< of an incomplete body, where the client states it
+  decision::Time clientWaitMs = 0;  ///< how long the client waits after sending the request, ms
+  double units = 1;                 ///< cost of the request, above 0
+  unsigned customerGateways = 1;    ///< number of gateways that receive this customer's requests
+  bool bodyComplete = true;         ///< if false, the remaining body is read with Responder::readBody
+  std::size_t memoryBytes = 0;      ///< upper bound of the memory that the request uses on the connection
+  std::optional<std::uint64_t> contentLength;  ///< of an incomplete body, if the client states it
 };
 
-/// An answer that a request gets without reaching a worker.
+/// A response that is sent without calling a worker.
 struct ImmediateResponse {
   http::status status = http::status::bad_request;
   std::string_view message;
 };
 
-/// The path and query of a request target; a target in absolute form (`http://host/path`) loses its host.
+/// The path and query of a request target: removes scheme and host from a target in absolute form
+/// (`http://host/path`).
 std::string_view originForm(std::string_view target);
-/// The request, or why it is malformed. `message` is complete but for the body.
+/// Parses a request. `message` must be complete except for its body.
+/// @return the request, or the error response if it is malformed
 std::variant<ParsedRequest, ImmediateResponse> parseClientRequest(const ClientMessage& message,
                                                                   const Config& config);
 
--- a/src/gatekeeper/client_response.cpp
+++ b/src/gatekeeper/client_response.cpp
@@ -1,3 +1,4 @@
+/// Serialization of responses to clients.
 #include "gatekeeper/client_response.hpp"
 
 #include <charconv>
@@ -6,9 +7,9 @@
 namespace wingslip {
 namespace {
 
-constexpr std::size_t kKeptCapacity = kReadBytes;  // a larger output buffer is freed after the write
+constexpr std::size_t kMaxRetainedCapacity = kReadBytes;  // larger buffers are freed after the write
 
-std::string secondsText(decision::Time ms) {
+std::string formatSeconds(decision::Time ms) {
   char text[32];
   const auto end = std::to_chars(text, text + sizeof text, ms / 1000, std::chars_format::fixed, 3).ptr;
   return std::string(text, end);
@@ -19,7 +20,7 @@
 void ResponseBuffer::addResponse(const ClientResponse& response, bool keepAlive) {
   http::response<http::string_body> message(response.status, 11, response.body);
   if (!response.contentType.empty()) message.set(http::field::content_type, response.contentType);
-  if (response.retryAfterMs > 0) message.set(http::field::retry_after, secondsText(response.retryAfterMs));
+  if (response.retryAfterMs > 0) message.set(http::field::retry_after, formatSeconds(response.retryAfterMs));
   message.keep_alive(keepAlive);
   message.prepare_payload();
   append(pending_, message);
@@ -59,7 +60,7 @@
 }
 
 void ResponseBuffer::finishWrite() {
-  if (writing_.capacity() > kKeptCapacity)
+  if (writing_.capacity() > kMaxRetainedCapacity)
     std::string().swap(writing_);
   else
     writing_.clear();
--- a/src/gatekeeper/client_response.hpp
+++ b/src/gatekeeper/client_response.hpp
@@ -1,4 +1,4 @@
-/// Responses to clients: what they consist of, and their bytes on the wire. No sockets.
+/// Responses to clients and their serialization. Uses no sockets.
 #pragma once
 
 #include <boost/asio/buffer.hpp>
@@ -12,38 +12,42 @@
 
 namespace wingslip {
 
-/// A response that is sent as a whole.
+/// A response with a buffered body.
 struct ClientResponse {
   http::status status = http::status::ok;
   std::string body;
   std::string contentType = "text/plain";
-  decision::Time retryAfterMs = 0;  ///< Retry-After; 0: none
-  MemoryBudget::Charge bodyMemory;  ///< accounts for `body` until it is written
+  decision::Time retryAfterMs = 0;  ///< value of Retry-After, ms; 0: no such header
+  MemoryBudget::Charge bodyMemory;  ///< charge for `body`, released when it is written
 };
 
 /// The head of a 200 response whose body is streamed.
 struct StreamedResponseHead {
   std::string contentType;
-  std::optional<std::uint64_t> contentLength;  ///< none: delimited by chunks or by the connection's end
+  std::optional<std::uint64_t> contentLength;  ///< none: the body is chunked or ends with the connection
 };
 
-/// Output of one client connection: bytes that are being written, and bytes to be written next.
+/// The output buffers of a client connection: one being written, and one with the bytes to write next.
 class ResponseBuffer {
  public:
   void addResponse(const ClientResponse& response, bool keepAlive);
+  /// Adds a 100 Continue response.
   void addContinue();
 
-  /// How the body of a streamed response is delimited, from the HTTP version of the request (11: HTTP/1.1).
+  /// Chooses the framing of a streamed body: Content-Length, chunks or the connection's end.
+  /// @param requestVersion HTTP version of the request; 11: HTTP/1.1
   void chooseFraming(const StreamedResponseHead& head, unsigned requestVersion);
-  /// Whether the client can tell the streamed body's end from a closed connection.
+  /// Whether the client can distinguish the end of the streamed body from a lost connection.
   bool isDelimited() const { return delimited_; }
   void addStreamHead(const StreamedResponseHead& head, bool keepAlive);
+  /// Adds a part of the streamed body; `last`: ends it.
   void addPiece(std::string&& piece, bool last);
 
   bool hasPending() const { return !pending_.empty(); }
   bool isWriting() const { return !writing_.empty(); }
-  /// Takes what is pending as the bytes to write now; they stay in place until `finishWrite`.
+  /// Makes the pending bytes the ones being written. The buffer is valid until `finishWrite`.
   boost::asio::const_buffer startWrite();
+  /// Releases the written bytes.
   void finishWrite();
 
  private:
--- a/src/gatekeeper/decision_clock.hpp
+++ b/src/gatekeeper/decision_clock.hpp
@@ -1,4 +1,4 @@
-/// The gatekeeper's one clock for deadlines, windows and ages.
+/// The clock of the gatekeeper for deadlines, time windows and ages.
 #pragma once
 
 #include <chrono>
@@ -7,23 +7,27 @@
 
 namespace wingslip {
 
-/// Milliseconds of the machine's monotonic clock from an origin far in its past, so that "long ago" is a time
-/// like any other. The same in every process of the machine, and untouched by steps of the wall clock.
+/// The machine's monotonic clock in milliseconds, plus a large constant offset, so that times before the
+/// start of the machine can be represented as positive values too. All processes on the machine have the same
+/// time. Steps of the wall clock do not affect it.
 class DecisionClock {
  public:
   using Steady = std::chrono::steady_clock;
 
+  /// The present time, ms.
   decision::Time now() const { return at(Steady::now()); }
 
+  /// Converts a time of the steady clock.
   static decision::Time at(Steady::time_point moment) {
     return kOrigin + std::chrono::duration<double, std::milli>(moment.time_since_epoch()).count();
   }
+  /// Converts to a time of the steady clock.
   static Steady::time_point steady(decision::Time time) {
     return Steady::time_point(std::chrono::duration_cast<Steady::duration>(
         std::chrono::duration<double, std::milli>(time - kOrigin)));
   }
 
-  /// This clock less the wall clock, as the wall clock is now: a hint, since that may be wrong.
+  /// This clock minus the wall clock, ms. Approximate: the wall clock may be wrong.
   decision::Time wallOffset() const {
     const std::chrono::duration<double, std::milli> wall =
         std::chrono::system_clock::now().time_since_epoch();
@@ -31,7 +35,7 @@
   }
 
  private:
-  static constexpr decision::Time kOrigin = 1e12;
+  static constexpr decision::Time kOrigin = 1e12;  // ms
 };
 
 }  // namespace wingslip
--- a/src/gatekeeper/request_handler.hpp
+++ b/src/gatekeeper/request_handler.hpp
@@ -1,4 +1,4 @@
-/// What the clients' side and the gatekeeper call on each other for a request. All on the event loop.
+/// The interfaces between the client server and the request handling of the gatekeeper. Not thread-safe.
 #pragma once
 
 #include <functional>
@@ -12,44 +12,50 @@
 
 namespace wingslip {
 
-/// The connection that a request came on, as its handler sees it. Calls after the request's end do nothing.
+/// Writes the response of one request to its client connection, and reads its remaining request body.
+/// Calls after the end of the request have no effect.
 class Responder {
  public:
+  /// Receives body bytes; `last`: the body is complete.
   using BodyPieceHandler = std::function<void(std::string&& piece, bool last)>;
 
   virtual ~Responder() = default;
-  /// The final response, once for each request.
+  /// Sends the final response. At most once per request, and not together with `startStream`.
   virtual void respond(ClientResponse&& response) = 0;
-  /// Or a streamed one: its head, then its pieces, each after `onWritten` was called for the one before.
+  /// Starts a streamed response: its head, followed by `sendPiece` for each part of the body.
   virtual void startStream(const StreamedResponseHead& head) = 0;
+  /// Sends a part of the body. `onWritten` is called when it is written; the next part may be sent then.
   virtual void sendPiece(std::string&& piece, bool last, std::function<void()> onWritten) = 0;
-  /// Accounts for the last piece until it is written.
+  /// Takes over the memory charge for the final piece; released when that piece is written.
   virtual void holdMemory(MemoryBudget::Charge&& memory) = 0;
-  /// Ends a streamed response that cannot be completed, so that the client can tell.
+  /// Aborts a streamed response that cannot be completed, so that the client detects the truncation.
   virtual void abortStream() = 0;
-  /// Asks for the next piece of a streamed request body. Called back later; never, if the client disconnects.
+  /// Requests the next piece of a streamed request body. `onPiece` is called after this returns; it is not
+  /// called if the client disconnects.
   virtual void readBody(BodyPieceHandler onPiece) = 0;
-  /// Whether the client has disconnected, also behind bytes that nobody has read.
+  /// Whether the client has disconnected, even if bytes sent before that are still unread.
   virtual bool hasDisconnected() = 0;
-  /// After `hasDisconnected`: closes the connection.
+  /// Closes the connection of a request in flight after `hasDisconnected` has returned true.
   virtual void closeDisconnected() = 0;
 };
 
-/// Receives the requests of clients, on the event loop.
+/// Receives the clients' requests. Called on the event loop.
 class RequestHandler {
  public:
   virtual ~RequestHandler() = default;
-  /// Whether requests are served, for the readiness endpoint.
+  /// Whether requests are served; reported by the readiness endpoint.
   virtual bool ready() const = 0;
+  /// Returns a new id for the next request.
   virtual decision::RequestId nextRequestId() = 0;
-  /// Takes over a request. The responder is answered once, maybe before this returns.
+  /// Handles a request. `responder` gets one response, possibly before this returns.
   virtual void onRequest(decision::RequestId id, const ParsedRequest& request, ClientMessage&& message,
                          const std::shared_ptr<Responder>& responder) = 0;
-  /// The client has disconnected: no answer is wanted.
+  /// The client of a request in flight has disconnected, or its body is malformed or too slow: the handler's
+  /// response is no longer needed.
   virtual void onClientDisconnect(decision::RequestId id) = 0;
-  /// A request of this class was rejected here and never reached `onRequest`.
+  /// A request of this class was rejected by the client server, without a call of `onRequest`.
   virtual void onRequestRejected(unsigned classIndex) = 0;
-  /// A connection was closed with a request read and not answered, while its client was still connected.
+  /// A connection was closed by the server while a request on it was unanswered.
   virtual void onClosedUnanswered(CloseReason reason) = 0;
 };
 
