--- a/src/gatekeeper/body_rate.hpp
+++ b/src/gatekeeper/body_rate.hpp
@@ -1,4 +1,4 @@
-/// Measures how fast a client sends the body of a request.
+/// Measures the rate at which a client sends a request body.
 #pragma once
 
 #include <chrono>
@@ -6,22 +6,25 @@
 
 namespace wingslip {
 
-/// Only the time counts during which more of the body was awaited.
+/// The average rate over the time during which a read of body bytes was pending; no other time is counted.
 class BodyRate {
  public:
   using Clock = std::chrono::steady_clock;
 
-  /// A new body.
+  /// Starts the measurement of a new body.
   void reset() {
     bytes_ = 0;
     waited_ = {};
   }
+  /// Marks the start of a wait for body bytes.
   void startRead() { readStartedAt_ = Clock::now(); }
+  /// Adds the `bytes` read and the time since `startRead`.
   void finishRead(std::size_t bytes) {
     bytes_ += static_cast<double>(bytes);
     waited_ += Clock::now() - readStartedAt_;
   }
-  /// Whether so much has come as `minBytesPerMs` asks for, apart from the first `grace`.
+  /// Whether the average rate is at least `minBytesPerMs`, with the first `grace` of waiting time not
+  /// counted.
   bool isAtLeast(double minBytesPerMs, std::chrono::milliseconds grace) const {
     const std::chrono::duration<double, std::milli> counted = waited_ - grace;
     return bytes_ >= minBytesPerMs * counted.count();
--- a/src/gatekeeper/client_connection.cpp
+++ b/src/gatekeeper/client_connection.cpp
@@ -1,4 +1,4 @@
-/// The life of a client connection: its start, idle times, time limits and close.
+/// The lifecycle of a client connection: start, idle periods, time limits and close.
 #include "gatekeeper/client_connection.hpp"
 
 #include <algorithm>
@@ -13,8 +13,8 @@
 using asio::ip::tcp;
 using namespace std::chrono_literals;
 
-constexpr std::size_t kBareConnectionBytes = 2 * 1024;  // without buffer and request
-constexpr auto kHalfSentAtStop = 500ms;  // left to a half-sent request once nobody accepts any more
+constexpr std::size_t kBareConnectionBytes = 2 * 1024;   // without the input buffer and the request
+constexpr auto kIncompleteRequestTimeoutAtStop = 500ms;  // to complete a header after accepting stops
 
 }  // namespace
 
@@ -23,18 +23,19 @@
   socket_.set_option(tcp::no_delay(true), ignored);
   socket_.non_blocking(true, ignored);
   tcpStateKnown_ = !hasPeerClosed(socket_);
-  awaitRequest();
+  startAwaitingRequest();
   read();
 }
 
 // --- Close -------------------------------------------------------------------------------------------------
 
-// The one place from which a connection is closed; a close over a request is reported with its reason.
+// All closes except `abandon` go through here; if a request is unanswered, the reason is reported to the
+// handler.
 void ClientServer::Connection::close(CloseReason reason) {
   if (state_ == State::closed) return;
   const bool inFlight = state_ == State::inFlight || state_ == State::streaming;
   server_.closes_.add(reason);
-  if (owesAnswer() && !isByPeer(reason) && reason != CloseReason::responseCut)
+  if (hasUnansweredRequest() && !isPeerInitiated(reason) && reason != CloseReason::responseTruncated)
     server_.handler_.onClosedUnanswered(reason);
   abandon();
   const auto self = shared_from_this();
@@ -42,8 +43,8 @@
   if (inFlight) server_.handler_.onClientDisconnect(requestId_);
 }
 
-// Part of a request was read, and nothing of its answer is on its way.
-bool ClientServer::Connection::owesAnswer() const {
+// Whether a request is at least partly read and the handler has not completed its response.
+bool ClientServer::Connection::hasUnansweredRequest() const {
   return state_ == State::inFlight || state_ == State::streaming ||
          (state_ == State::reading && requestStarted());
 }
@@ -51,7 +52,7 @@
 void ClientServer::Connection::abandon() {
   state_ = State::closed;
   leaveOrder();
-  bodyReader_ = nullptr;
+  bodyPieceHandler_ = nullptr;
   onPieceWritten_ = nullptr;
   waitRecord_.leave();
   pausedRead_.clear();
@@ -63,21 +64,21 @@
 }
 
 void ClientServer::Connection::closeIfIdle() {
-  const bool isNew = firstRequest_ && Clock::now() - openedAt_ < kHalfSentAtStop;
+  const bool isNew = awaitingFirstRequest_ && Clock::now() - openedAt_ < kIncompleteRequestTimeoutAtStop;
   if (isIdle() && !hasUnreadData() && !isNew) return closeIdle();
-  if (state_ == State::reading && !parser_->is_header_done()) armTimer(kHalfSentAtStop);
+  if (state_ == State::reading && !parser_->is_header_done()) armTimer(kIncompleteRequestTimeoutAtStop);
 }
 
 void ClientServer::Connection::closeIdle() {
-  if (firstRequest_)
-    return close(CloseReason::idleTimeout);  // no response was written that a reset could lose
+  if (awaitingFirstRequest_)
+    return close(CloseReason::idleTimeout);  // there is no response that a reset could discard
   if (!overflow_) server_.lingering_.append(*this);
   linger();
 }
 
 void ClientServer::Connection::evictFromOverflow() {
-  if (!requestStarted()) return close(CloseReason::evictedFromOverflow);
-  leaveOrder();  // ends by itself, once its response is written
+  if (!requestStarted()) return close(CloseReason::overflowEvicted);
+  leaveOrder();  // is closed once the response is written
   rejectForCapacity(WaitQueue::freeConnection);
 }
 
@@ -88,17 +89,18 @@
 
 bool ClientServer::Connection::hasDisconnected() {
   if (state_ == State::closed) return true;
-  const PeerState seen = peerState(socket_);
-  if (seen == PeerState::hasSent) return hasPeerFinishedSending(socket_);
-  return seen == PeerState::ended;
+  const PeerState peer = peerState(socket_);
+  if (peer == PeerState::hasSent) return hasPeerFinishedSending(socket_);
+  return peer == PeerState::ended;
 }
 
 void ClientServer::Connection::closeDisconnected() {
   if (state_ == State::inFlight) close(CloseReason::peerClosed);
 }
 
-// Ends the sending at once, and the connection when the client has seen that: bytes that it is still sending
-// would otherwise reset what it has not read yet.
+// Shuts down the sending side and closes the connection once the client has closed its side. With an
+// immediate close, bytes that the client is still sending would cause a reset, and the client could lose the
+// unread part of the response.
 void ClientServer::Connection::linger() {
   state_ = State::lingering;
   waitRecord_.leave();
@@ -110,11 +112,11 @@
   if (discardInput()) read();
 }
 
-// False: the client has sent too much after its last response, and the connection is closed.
+// Returns false if the client has sent too much after its last response; the connection is then closed.
 bool ClientServer::Connection::discardInput() {
   discardedBytes_ += input_.size();
   input_.clear();
-  inBody_ = false;  // small reads from here on
+  inBody_ = false;  // small reads from now on
   if (!reading_) {
     input_.shrink_to_fit();
     memory_.shrinkTo(memoryBytes(0));
@@ -134,7 +136,7 @@
 }
 
 void ClientServer::Connection::onTimer() {
-  // Not the client's fault: there is no memory to read the request into.
+  // The read is paused for lack of memory: a rejection for capacity, not a time-out of the client.
   if (state_ == State::reading && requestStarted() && pausedRead_.isPaused())
     return rejectForCapacity(WaitQueue::pausedRead);
   if (state_ == State::reading && requestStarted()) {
@@ -147,40 +149,40 @@
   }
   if (state_ == State::streaming) recordTimeout(WaitQueue::responseBodyWindow);
   if (state_ == State::responding) recordTimeout(WaitQueue::responseWrite);
-  if (state_ == State::reading && hasUnreadData()) return;  // its handler comes next
+  if (state_ == State::reading && hasUnreadData()) return;  // its read handler is due
   if (state_ == State::reading) return closeIdle();
   if (state_ == State::lingering) return close(CloseReason::lastResponse);
-  if (state_ == State::skippingBody) return close(CloseReason::bodyTimeout);
+  if (state_ == State::discardingBody) return close(CloseReason::bodyTimeout);
   if (state_ != State::inFlight) close(CloseReason::writeTimeout);
 }
 
 // --- Between requests --------------------------------------------------------------------------------------
 
-void ClientServer::Connection::awaitRequest() {
+void ClientServer::Connection::startAwaitingRequest() {
   state_ = State::reading;
   waitRecord_.leave();
   requestStarted_ = false;
-  continueConsidered_ = false;
+  continueHandled_ = false;
   inBody_ = false;
   bodyDone_ = true;
-  if (input_.size() == 0 && !reading_) input_.shrink_to_fit();  // a pending read goes into it
+  if (input_.size() == 0 && !reading_) input_.shrink_to_fit();  // a pending read writes into it
   releaseRequestMemory();
   idleSince_ = Clock::now();
   parser_.emplace();
   parser_->body_limit(kMaxBodyBytes);
   parser_->header_limit(kMaxHeaderBytes);
-  armTimer(firstRequest_ ? server_.limits_.firstRequestTimeout : server_.limits_.idleTimeout);
+  armTimer(awaitingFirstRequest_ ? server_.limits_.firstRequestTimeout : server_.limits_.idleTimeout);
   if (input_.size() == 0) return enterIdleOrder();
   server_.accept();
 }
 
-// From here on it may be closed where another connection needs its place.
+// The connection is idle and may be evicted from now on.
 void ClientServer::Connection::enterIdleOrder() {
   if (!overflow_) server_.idle_.append(*this);
   server_.accept();
 }
 
-// There is capacity after all: it becomes a regular connection.
+// There is capacity now: the connection becomes a regular one.
 void ClientServer::Connection::leaveOverflow() {
   if (!std::exchange(overflow_, false)) return;
   --server_.overflowCount_;
@@ -189,16 +191,17 @@
     server_.closeLeastRecentlyUsed();
 }
 
-// The exchange is over on both sides.
+// The request is fully read or discarded, and its response is written.
 void ClientServer::Connection::finishExchange() {
   if (closeAfterResponse_) return linger();
-  awaitRequest();
+  startAwaitingRequest();
   if (input_.size() > 0) parseRequest();
   if (state_ != State::closed) read();
 }
 
 // --- Memory ------------------------------------------------------------------------------------------------
 
+// Bytes to charge for the connection and its request, with `more` bytes to be read.
 std::size_t ClientServer::Connection::memoryBytes(std::size_t more) const {
   const std::size_t buffer = std::max(input_.capacity(), input_.size() + more);
   return std::max(kClientConnectionBytes, kBareConnectionBytes + buffer + requestBytes_ + more);
--- a/src/gatekeeper/client_connection.hpp
+++ b/src/gatekeeper/client_connection.hpp
@@ -1,4 +1,4 @@
-/// One connection of a client: reads requests, hands them to the handler and writes the responses.
+/// A client connection: reads requests, passes them to the handler and writes the responses.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -19,20 +19,21 @@
 
 namespace wingslip {
 
-/// Bytes that a connection is charged with: its parser, a first buffer, a request of 2 KiB and a short
-/// response. Once it is accepted, a small request never waits for memory.
+/// Bytes charged for a connection when it is accepted: its parser, a first buffer, a request of 2 KiB and a
+/// short response. So a small request on an accepted connection never waits for memory.
 constexpr std::size_t kClientConnectionBytes = 12 * 1024;
 
+/// The response to a request for which there is no connection or memory.
 constexpr ImmediateResponse kNoCapacity{http::status::service_unavailable,
                                         "refused: no room, try again later"};
 
-/// Why a connection is closed after an error of a read or write.
+/// The reason to close a connection with after a read or write error.
 inline CloseReason closeReasonOf(const Error& error) {
   return error == asio::error::eof ? CloseReason::peerClosed : CloseReason::peerReset;
 }
 
-/// One client connection: one request at a time, in the order in which they come. Held by the server's set
-/// and by pending handlers. Everything runs on the one event loop.
+/// A client connection. Handles pipelined requests one at a time, in order of arrival. Owned by the server's
+/// set and by pending handlers. Not thread-safe: runs on the event loop only.
 class ClientServer::Connection : public Responder,
                                  public ConnectionOrder::Entry,
                                  public std::enable_shared_from_this<Connection> {
@@ -40,8 +41,9 @@
   using Clock = std::chrono::steady_clock;
   using Socket = boost::asio::ip::tcp::socket;
 
-  /// `memory`: holds kClientConnectionBytes. `overflow`: beyond the limit of regular connections; its request
-  /// is read as far as the header and rejected, unless there is capacity by then.
+  /// @param memory a charge of kClientConnectionBytes
+  /// @param overflow the connection is beyond the limit of regular connections: its request is read up to the
+  ///     end of the header and rejected, unless there is capacity by then
   Connection(ClientServer& server, Socket socket, MemoryBudget::Charge memory, bool overflow)
       : server_(server),
         memory_(std::move(memory)),
@@ -49,6 +51,7 @@
         socket_(std::move(socket)),
         timer_(socket_.get_executor()) {}
 
+  /// Sets the socket options and starts reading.
   void start();
 
   // Responder
@@ -61,44 +64,47 @@
   bool hasDisconnected() override;
   void closeDisconnected() override;
 
-  /// No byte of a request has been read since the last response.
+  /// Whether no byte of a request has been read since the last response.
   bool isIdle() const { return state_ == State::reading && !requestStarted(); }
   bool isOverflow() const { return overflow_; }
   Clock::time_point openedAt() const { return openedAt_; }
   Clock::time_point idleSince() const { return idleSince_; }
-  /// Whether bytes have arrived that no handler has read yet.
+  /// Whether the kernel has received bytes that are not read yet.
   bool hasUnreadData();
 
-  /// Closes at once. A request on it ends; one that is owed an answer is reported.
+  /// Closes the connection immediately and cancels its request. An unanswered request is reported to the
+  /// handler, unless the client has closed the connection or its response was truncated.
   void close(CloseReason reason);
-  /// Closes without telling anybody, as the server is destroyed.
+  /// Closes without notifying the handler or the server; for use on the server's destruction.
   void abandon();
-  /// Nobody accepts any more: ends an idle connection. A new one may still bring its first request.
+  /// For use once accepting has stopped: closes the connection if it is idle. A new connection or an
+  /// incomplete request header gets a short time limit instead.
   void closeIfIdle();
-  /// Ends an idle connection, at first only its sending. A request that crosses this is not read, and its
-  /// client sends it again on another connection.
+  /// Closes an idle connection; if a response was written, with a lingering close. A request that arrives
+  /// during the lingering close is discarded; its client retries it on another connection.
   void closeIdle();
-  /// An overflow connection makes way for another: with a rejection if a request has started.
+  /// Closes an overflow connection to free its slot; with a rejection if a request has started.
   void evictFromOverflow();
 
  private:
   enum class State {
-    reading,       // idle, or a request is being read
-    inFlight,      // the handler has the request
-    streaming,     // the response is streamed
-    responding,    // the last bytes of the response are being written
-    skippingBody,  // the response is written, and the rest of the request's body is read and dropped
-    lingering,     // nothing more is sent; waits for the client's end
+    reading,         // idle, or a request is being read
+    inFlight,        // the request is with the handler
+    streaming,       // the response is being streamed
+    responding,      // the last bytes of the response are being written
+    discardingBody,  // the response is written; the remaining request body is read and discarded
+    lingering,       // the sending side is shut down; waits for the client to close
     closed,
   };
 
-  // A completion handler that does nothing once the connection is closed.
+  // Wraps a completion handler: keeps the connection alive, and does nothing once it is closed.
   template <class Handler>
   auto guard(Handler handler) {
     return [self = shared_from_this(), this, handler](const Error& error, std::size_t bytes = 0) {
       if (state_ != State::closed) handler(error, bytes);
     };
   }
+  // The same for a handler without arguments.
   template <class Handler>
   auto guardPosted(Handler handler) {
     return [self = shared_from_this(), this, handler] {
@@ -106,16 +112,16 @@
     };
   }
 
-  // Life of the connection, time limits (client_connection.cpp)
+  // Lifecycle and time limits (client_connection.cpp)
   bool requestStarted() const { return requestStarted_ || input_.size() > 0; }
-  bool owesAnswer() const;
+  bool hasUnansweredRequest() const;
   void recordWait(WaitQueue reason) {
-    waitRecord_.enter(server_.pressure_.waitQueues(), reason, OverloadManager::now());
+    waitRecord_.enter(server_.overloadManager_.waitQueues(), reason, OverloadManager::now());
   }
-  void recordTimeout(WaitQueue reason) { server_.pressure_.waitQueues().countRejection(reason); }
+  void recordTimeout(WaitQueue reason) { server_.overloadManager_.waitQueues().countRejection(reason); }
   void armTimer(std::chrono::milliseconds span);
   void onTimer();
-  void awaitRequest();
+  void startAwaitingRequest();
   void enterIdleOrder();
   void leaveOverflow();
   void finishExchange();
@@ -128,11 +134,11 @@
   void read();
   void waitForMemory(bool awaitingBody);
   void onReadable(const Error& waitError);
-  std::size_t readStep() const;
+  std::size_t readSize() const;
   bool reserveReadMemory();
-  bool wantsInput() const;
+  bool canBufferInput() const;
   void checkDisconnect();
-  bool isBodyInTime(std::size_t bytes);
+  bool checkBodyRate(std::size_t bytes);
   void processInput();
   void parseRequest();
   void parseBody();
@@ -143,7 +149,7 @@
   void sendContinue();
   decision::Time measureUnreadWait();
   void onStreamedRequest();
-  void onWholeRequest(ClientMessage&& message);
+  void onBufferedRequest(ClientMessage&& message);
   void admit(const ParsedRequest& request, ClientMessage&& message);
 
   // Writing a response (client_connection_writing.cpp)
@@ -155,34 +161,34 @@
   void onWritten();
 
   ClientServer& server_;
-  MemoryBudget::Charge memory_;          // of this connection and of the request on it
-  MemoryBudget::Charge responseMemory_;  // of a response that is being written
-  WaitQueues::QueueEntry waitRecord_;
+  MemoryBudget::Charge memory_;          // for this connection and the request on it
+  MemoryBudget::Charge responseMemory_;  // for the response being written
+  WaitQueues::QueueEntry waitRecord_;    // the wait that is counted in the metrics
   OverloadManager::PausedReader pausedRead_;
-  std::size_t requestBytes_ = 0;    // read of the request and not yet released
-  std::size_t forwardedBytes_ = 0;  // of these: given to the handler and not yet written to the worker
-  bool overflow_;
+  std::size_t requestBytes_ = 0;    // bytes of the request that are read and not yet released
+  std::size_t forwardedBytes_ = 0;  // those of them passed to the handler and not yet written to the worker
+  bool overflow_;                   // beyond the limit of regular connections
   const Clock::time_point openedAt_ = Clock::now();
   Socket socket_;
   boost::asio::steady_timer timer_;
   beast::flat_buffer input_;
   std::optional<http::request_parser<WindowBody>> parser_;
-  BodyPieceHandler bodyReader_;           // waits for the next piece of the request's body
-  std::function<void()> onPieceWritten_;  // waits for the last piece of the response to be written
+  BodyPieceHandler bodyPieceHandler_;     // called with the next piece of the request's body
+  std::function<void()> onPieceWritten_;  // called when the last piece sent is written
   ResponseBuffer output_;
   State state_ = State::reading;
   Clock::time_point idleSince_;
   decision::RequestId requestId_ = 0;
-  std::size_t discardedBytes_ = 0;
-  bool firstRequest_ = true;         // no whole request has come yet
-  bool requestStarted_ = false;      // a request's first byte has come
-  bool continueConsidered_ = false;  // 100 Continue was sent, or is not expected
+  std::size_t discardedBytes_ = 0;    // in the lingering close
+  bool awaitingFirstRequest_ = true;  // no complete request has been received yet
+  bool requestStarted_ = false;       // the first byte of a request has been parsed
+  bool continueHandled_ = false;      // 100 Continue has been sent, or is not expected
   bool closeAfterResponse_ = false;
-  bool reading_ = false;
-  bool tcpStateKnown_ = false;  // the kernel tells of the connection's state, as it does on Linux
-  bool inBody_ = false;         // a header has come, and a body follows
-  bool bodyDone_ = true;        // nothing more of the body is to come
-  unsigned requestVersion_ = 11;
+  bool reading_ = false;          // a read is pending
+  bool tcpStateKnown_ = false;    // the kernel reports the TCP state, as on Linux
+  bool inBody_ = false;           // the header is read, and a body follows
+  bool bodyDone_ = true;          // no more of the body is expected
+  unsigned requestVersion_ = 11;  // HTTP version; 11: HTTP/1.1
   BodyRate bodyRate_;
 };
 
--- a/src/gatekeeper/client_connection_reading.cpp
+++ b/src/gatekeeper/client_connection_reading.cpp
@@ -1,4 +1,4 @@
-/// How a client connection reads a request: its header, its body whole or in pieces, and their limits.
+/// The reading side of a client connection: request headers, buffered and streamed bodies, and their limits.
 #include <algorithm>
 #include <boost/asio/post.hpp>
 #include <utility>
@@ -13,7 +13,7 @@
 
 using asio::ip::tcp;
 
-constexpr std::size_t kMaxReadAhead = 16 * 1024;  // bytes of what follows a request that is in flight
+constexpr std::size_t kMaxReadAhead = 16 * 1024;  // bytes read beyond the request in flight
 
 http::status statusOf(const Error& error) {
   if (error == http::error::body_limit) return http::status::payload_too_large;
@@ -25,28 +25,28 @@
 
 // --- Input -------------------------------------------------------------------------------------------------
 
-// One read is pending in every state, so that a disconnect is seen while the request is in flight; none where
-// the next piece of a streamed body is not wanted yet.
+// A read is pending in every state, so that a disconnect is detected while the request is in flight. The
+// exceptions are a full input buffer or body window and a shortage of memory.
 void ClientServer::Connection::read() {
   if (reading_) return;
   const bool awaitingBody = !bodyDone_ && (state_ == State::reading || state_ == State::inFlight);
-  if (!wantsInput()) {
+  if (!canBufferInput()) {
     if (awaitingBody) timer_.cancel();
-    return server_.pressure_.watchPeer(pausedRead_, weak_from_this(), [this] { checkDisconnect(); });
+    return server_.overloadManager_.watchPeer(pausedRead_, weak_from_this(), [this] { checkDisconnect(); });
   }
   if (!reserveReadMemory()) return waitForMemory(awaitingBody);
   pausedRead_.clear();
   reading_ = true;
   bodyRate_.startRead();
-  if (awaitingBody) armTimer(server_.limits_.bodyPieceTimeout);
-  // What has come stays in the kernel until it is handled: whoever looks in between, to close an idle
-  // connection, sees it there.
+  if (awaitingBody) armTimer(server_.limits_.bodyReadTimeout);
+  // Waits for readability instead of reading: received bytes stay in the kernel until the handler runs, so
+  // that the eviction of idle connections sees them there.
   socket_.async_wait(tcp::socket::wait_read,
                      guard([this](const Error& error, std::size_t) { onReadable(error); }));
 }
 
-// No time limit runs for a body meanwhile. A request that is not in flight yet finds memory soon or is
-// rejected.
+// Pauses reading until memory is available, and the body's time limit with it. A request that is not in
+// flight yet is rejected if it gets no memory within `maxMemoryWait`.
 void ClientServer::Connection::waitForMemory(bool awaitingBody) {
   if (state_ == State::reading && awaitingBody) armTimer(server_.limits_.maxMemoryWait);
   if (state_ == State::inFlight && awaitingBody) timer_.cancel();
@@ -57,48 +57,48 @@
     read();
     return true;
   };
-  server_.pressure_.pauseUntilMemory(pausedRead_, Account::clients, weak_from_this(), retry,
-                                     [this] { checkDisconnect(); });
+  server_.overloadManager_.pauseUntilMemory(pausedRead_, Account::clients, weak_from_this(), retry,
+                                            [this] { checkDisconnect(); });
 }
 
 void ClientServer::Connection::onReadable(const Error& waitError) {
   reading_ = false;
   Error error = waitError;
-  const std::size_t bytes = error ? 0 : readSome(socket_, input_.prepare(readStep()), error);
+  const std::size_t bytes = error ? 0 : readSome(socket_, input_.prepare(readSize()), error);
   if (error == asio::error::would_block) return read();
   if (error) return close(closeReasonOf(error));
   input_.commit(bytes);
   if (state_ == State::reading || !bodyDone_) requestBytes_ += bytes;
   if (state_ == State::lingering && !discardInput()) return;
-  if (inBody_ && !bodyDone_ && !isBodyInTime(bytes)) return;
+  if (inBody_ && !bodyDone_ && !checkBodyRate(bytes)) return;
   processInput();
   if (state_ != State::closed) read();
 }
 
-std::size_t ClientServer::Connection::readStep() const { return inBody_ ? kStreamPieceBytes : kReadBytes; }
+std::size_t ClientServer::Connection::readSize() const { return inBody_ ? kStreamPieceBytes : kReadBytes; }
 
-// A long body waits before the budget is used up.
+// Under memory overload, a streamed body is not read any further, before the budget is exhausted.
 bool ClientServer::Connection::reserveReadMemory() {
-  if (!bodyDone_ && state_ == State::inFlight && server_.pressure_.isMemoryOverloaded()) return false;
-  return memory_.resize(memoryBytes(readStep()));
+  if (!bodyDone_ && state_ == State::inFlight && server_.overloadManager_.isMemoryOverloaded()) return false;
+  return memory_.resize(memoryBytes(readSize()));
 }
 
-bool ClientServer::Connection::wantsInput() const {
+bool ClientServer::Connection::canBufferInput() const {
   if (!bodyDone_ && state_ != State::reading) return parser_->get().body().size() < kStreamPieceBytes;
   return input_.size() < kMaxReadAhead;
 }
 
-// No read is pending, so that nothing else shows a disconnect.
+// For use while no read is pending, which would detect a disconnect.
 void ClientServer::Connection::checkDisconnect() {
   if (state_ != State::closed && !reading_ && tcpStateKnown_ && hasPeerClosed(socket_))
     close(CloseReason::peerClosed);
 }
 
-// False: the client sends too slowly, and its time limit has been applied.
-bool ClientServer::Connection::isBodyInTime(std::size_t bytes) {
+// Returns false if the client sends the body too slowly; it is then handled like a time-out.
+bool ClientServer::Connection::checkBodyRate(std::size_t bytes) {
   bodyRate_.finishRead(bytes);
   const bool awaited = state_ == State::reading || state_ == State::inFlight;
-  if (!awaited || bodyRate_.isAtLeast(server_.limits_.minBodyBytesPerMs, server_.limits_.bodyGrace))
+  if (!awaited || bodyRate_.isAtLeast(server_.limits_.minBodyBytesPerMs, server_.limits_.bodyRateGracePeriod))
     return true;
   onTimer();
   return false;
@@ -113,13 +113,13 @@
 
 void ClientServer::Connection::parseRequest() {
   if (!requestStarted_) skipBlankLines();
-  if (isIdle() && !inOrder() && !overflow_) return enterIdleOrder();  // nothing but blank lines had come
+  if (isIdle() && !inOrder() && !overflow_) return enterIdleOrder();  // only blank lines were received
   if (!requestStarted_ && input_.size() > 0) {
     requestStarted_ = true;
     if (!overflow_) leaveOrder();
     recordWait(WaitQueue::incompleteRequest);
-    server_.pressure_.noteDescriptorUse();
-    if (!firstRequest_) armTimer(server_.limits_.headerTimeout);
+    server_.overloadManager_.noteDescriptorUse();
+    if (!awaitingFirstRequest_) armTimer(server_.limits_.headerTimeout);
   }
   Error error;
   const bool complete = feed(*parser_, input_, error);
@@ -132,7 +132,7 @@
   if (complete) {
     timer_.cancel();
     requestVersion_ = parser_->get().version();
-    return onWholeRequest(parser_->release());
+    return onBufferedRequest(parser_->release());
   }
   if (!parser_->is_header_done()) return;
   if (!inBody_) startBody();
@@ -148,7 +148,7 @@
   bodyRate_.reset();
 }
 
-// Some clients send an empty line after a body.
+// Some clients send an empty line after a body. It is not part of the next request.
 void ClientServer::Connection::skipBlankLines() {
   const auto* text = static_cast<const char*>(input_.data().data());
   std::size_t blank = 0;
@@ -162,26 +162,26 @@
 }
 
 void ClientServer::Connection::sendContinue() {
-  if (bodyDone_ || continueConsidered_) return;
-  continueConsidered_ = true;
+  if (bodyDone_ || continueHandled_) return;
+  continueHandled_ = true;
   if (!expectsContinue()) return;
   output_.addContinue();
   write();
 }
 
-// How long the last byte of the connection's first request has waited to be read, ms: the time that the
-// connection waited to be accepted counts against the client's deadline. Later requests are read as they
-// come.
+// Time, ms, from the arrival of the last byte of the connection's first request until now, so that the time
+// in the accept queue counts against the client's deadline. 0 for later requests, which are read as they
+// arrive.
 decision::Time ClientServer::Connection::measureUnreadWait() {
-  if (!firstRequest_ || !tcpStateKnown_) return 0;
+  if (!awaitingFirstRequest_ || !tcpStateKnown_) return 0;
   const double waitedMs = static_cast<double>(timeSinceLastData(socket_).count());
   server_.stats_.mostWaited = std::max(server_.stats_.mostWaited, waitedMs);
   return waitedMs;
 }
 
-void ClientServer::Connection::onWholeRequest(ClientMessage&& message) {
+void ClientServer::Connection::onBufferedRequest(ClientMessage&& message) {
   const decision::Time waitedMs = measureUnreadWait();
-  firstRequest_ = false;
+  awaitingFirstRequest_ = false;
   inBody_ = false;
   bodyDone_ = true;
   closeAfterResponse_ = !message.keep_alive();
@@ -209,10 +209,11 @@
 
 // --- Streamed bodies ---------------------------------------------------------------------------------------
 
-// A body too long to be buffered: the request is judged by its header, and goes on with the body's beginning.
+// The body is too long to be buffered: the request is admitted by its header, with the part of the body read
+// so far.
 void ClientServer::Connection::onStreamedRequest() {
   timer_.cancel();
-  firstRequest_ = false;
+  awaitingFirstRequest_ = false;
   ClientMessage message(parser_->get().base());
   message.body() = std::exchange(parser_->get().body(), {});
   closeAfterResponse_ = !parser_->keep_alive();
@@ -223,7 +224,7 @@
   ParsedRequest& request = std::get<ParsedRequest>(parsed);
   request.bodyComplete = false;
   request.memoryBytes =
-      memoryBytes(2 * kStreamPieceBytes) + requestBytes_;  // here, and on the way to the worker
+      memoryBytes(2 * kStreamPieceBytes) + requestBytes_;  // one piece here and one being sent to the worker
   forwardedBytes_ = requestBytes_;
   if (const auto length = parser_->content_length()) request.contentLength = *length;
   admit(request, std::move(message));
@@ -231,8 +232,8 @@
 
 void ClientServer::Connection::readBody(BodyPieceHandler onPiece) {
   if (state_ != State::inFlight) return;
-  bodyReader_ = std::move(onPiece);
-  requestBytes_ -= std::min(requestBytes_, std::exchange(forwardedBytes_, 0));  // the worker has it
+  bodyPieceHandler_ = std::move(onPiece);
+  requestBytes_ -= std::min(requestBytes_, std::exchange(forwardedBytes_, 0));  // written to the worker
   recordWait(WaitQueue::incompleteRequest);
   sendContinue();
   asio::post(socket_.get_executor(), guardPosted([this] { deliverBody(); }));
@@ -248,18 +249,18 @@
     closeAfterResponse_ = true;
     return reject({statusOf(error), "malformed request"});
   }
-  if (bodyDone_ && state_ != State::skippingBody) timer_.cancel();
+  if (bodyDone_ && state_ != State::discardingBody) timer_.cancel();
   if (state_ == State::inFlight) return deliverBody();
   parser_->get().body().clear();
   requestBytes_ = 0;
-  if (bodyDone_ && state_ == State::skippingBody) finishExchange();
+  if (bodyDone_ && state_ == State::discardingBody) finishExchange();
 }
 
 void ClientServer::Connection::deliverBody() {
-  if (!bodyReader_) return;
+  if (!bodyPieceHandler_) return;
   std::string& body = parser_->get().body();
   if (body.empty() && !bodyDone_) return read();
-  const auto onPiece = std::exchange(bodyReader_, nullptr);
+  const auto onPiece = std::exchange(bodyPieceHandler_, nullptr);
   forwardedBytes_ = body.size();
   recordWait(bodyDone_ ? WaitQueue::inFlight : WaitQueue::requestBodyWindow);
   onPiece(std::exchange(body, {}), bodyDone_);
--- a/src/gatekeeper/client_connection_writing.cpp
+++ b/src/gatekeeper/client_connection_writing.cpp
@@ -1,4 +1,4 @@
-/// How a client connection writes responses: the handler's, and its own rejections.
+/// The writing side of a client connection: the handler's responses and the server's own.
 #include <boost/asio/post.hpp>
 #include <string>
 #include <utility>
@@ -15,11 +15,11 @@
   if (state_ != State::inFlight) return;
   responseMemory_ = std::move(response.bodyMemory);
   closeAfterResponse_ = closeAfterResponse_ || server_.draining_ || overflow_ ||
-                        server_.pressure_.areDescriptorsOverloaded() ||
-                        (server_.pressure_.isMemoryOverloaded() && !bodyDone_);
+                        server_.overloadManager_.areDescriptorsOverloaded() ||
+                        (server_.overloadManager_.isMemoryOverloaded() && !bodyDone_);
   state_ = State::responding;
   recordWait(WaitQueue::responseWrite);
-  bodyReader_ = nullptr;
+  bodyPieceHandler_ = nullptr;
   releaseRequestMemory();
   output_.addResponse(response, !closeAfterResponse_);
   write();
@@ -31,7 +31,7 @@
   closeAfterResponse_ = closeAfterResponse_ || server_.draining_ || !output_.isDelimited();
   state_ = State::streaming;
   recordWait(WaitQueue::responseBodyWindow);
-  bodyReader_ = nullptr;
+  bodyPieceHandler_ = nullptr;
   releaseRequestMemory();
   output_.addStreamHead(head, !closeAfterResponse_);
   write();
@@ -51,12 +51,12 @@
   if (state_ != State::closed) responseMemory_ = std::move(memory);
 }
 
-// The client misses the end of a delimited response; a reset tells it of any other.
+// The client detects the truncation by the missing end of a delimited body; any other body is reset.
 void ClientServer::Connection::abortStream() {
   if (state_ != State::streaming) return;
   Error ignored;
   if (!output_.isDelimited()) socket_.set_option(asio::socket_base::linger(true, 0), ignored);
-  close(CloseReason::responseCut);
+  close(CloseReason::responseTruncated);
 }
 
 // --- Responses of this connection --------------------------------------------------------------------------
@@ -67,7 +67,7 @@
   reject({ready ? http::status::ok : http::status::service_unavailable, ready ? "ready" : "not ready"});
 }
 
-// The request never reaches the handler, or has ended there.
+// Responds without the handler: it has not received the request, or has ended it.
 void ClientServer::Connection::reject(const ImmediateResponse& rejection, decision::Time retryAfterMs) {
   server_.stats_.rejected += rejection.status != http::status::ok;
   if (rejection.status == http::status::request_timeout) {
@@ -95,10 +95,10 @@
   reject(kNoCapacity, server_.rejectionRetryAfterMs());
 }
 
-// In the middle of a streamed request body.
+// For a streamed request body whose request is with the handler.
 void ClientServer::Connection::rejectSlowBody() {
   server_.handler_.onClientDisconnect(requestId_);
-  bodyDone_ = true;  // nothing more of it is awaited
+  bodyDone_ = true;  // no more of the body is awaited
   reject({http::status::request_timeout, "too slow"});
 }
 
@@ -127,14 +127,16 @@
   if (state_ != State::responding) return;
   onPieceWritten_ = nullptr;
   responseMemory_.release();
-  if (!bodyDone_ && !continueConsidered_ && expectsContinue()) {  // the client will not send the body
+  // Without a 100 Continue, the client does not send the body.
+  if (!bodyDone_ && !continueHandled_ && expectsContinue()) {
     bodyDone_ = true;
     closeAfterResponse_ = true;
   }
-  if (bodyDone_ || (closeAfterResponse_ && server_.pressure_.isMemoryOverloaded())) return finishExchange();
-  state_ = State::skippingBody;
+  if (bodyDone_ || (closeAfterResponse_ && server_.overloadManager_.isMemoryOverloaded()))
+    return finishExchange();
+  state_ = State::discardingBody;
   recordWait(WaitQueue::incompleteRequest);
-  armTimer(server_.limits_.skipBodyTimeout);
+  armTimer(server_.limits_.bodyDiscardTimeout);
   processInput();
   if (state_ != State::closed) read();
 }
--- a/src/gatekeeper/client_server.cpp
+++ b/src/gatekeeper/client_server.cpp
@@ -1,3 +1,4 @@
+/// Accepting, limiting and evicting client connections.
 #include "gatekeeper/client_server.hpp"
 
 #include <algorithm>
@@ -17,13 +18,13 @@
 using Clock = std::chrono::steady_clock;
 using namespace std::chrono_literals;
 
-constexpr double kMinRetryAfterMs = 250;  // where the overload is expected to end sooner
-constexpr auto kAcceptRetryDelay = 50ms;  // after an accept that failed for want of descriptors
-constexpr auto kUnreadDelay = 1ms;        // for the handler of unread data on a connection to be evicted
-constexpr auto kStopRetryDelay = 10ms;    // between looks at the accept queue before the listener closes
+constexpr double kMinRetryAfterMs = 250;            // minimum, if the overload is expected to end sooner
+constexpr auto kAcceptRetryDelay = 50ms;            // after an accept that failed for lack of descriptors
+constexpr auto kUnreadDataRetryDelay = 1ms;         // for a read handler that is due, before an eviction
+constexpr auto kAcceptQueueDrainRetryDelay = 10ms;  // retry of draining the accept queue
 
-// Whether the accept queue is empty. Any other error but a shortage is that of one connection, or of an
-// interrupted call: the next accept may succeed (accept(2), "Error handling").
+// Whether the accept queue is empty. All other errors except a shortage concern one connection or an
+// interrupted call, so the next accept may succeed (accept(2), "Error handling").
 bool isQueueEmpty(const Error& error) {
   return error == asio::error::would_block || error == asio::error::try_again;
 }
@@ -31,31 +32,31 @@
 }  // namespace
 
 ClientServer::ClientServer(asio::io_context& io, const Config& config, const Limits& limits,
-                           RequestHandler& handler, OverloadManager& pressure)
+                           RequestHandler& handler, OverloadManager& overloadManager)
     : config_(config),
       limits_(limits),
       handler_(handler),
       acceptor_(io),
       acceptRetryTimer_(io),
       overflowTimer_(io),
-      pressure_(pressure),
+      overloadManager_(overloadManager),
       jitter_(config.seed ^ 0x5bd1e995) {
-  pressure_.waitQueues().setReader(WaitQueue::acceptBacklog, [this](double now) {
+  overloadManager_.waitQueues().setReader(WaitQueue::acceptBacklog, [this](double now) {
     WaitQueues::Figures out;
     out.waiting = acceptBacklogLength(acceptor_);
-    if (out.waiting > 0 && fullRecord_.isIn(WaitQueue::freeConnection))
-      out.oldestMs = now - fullRecord_.since();
+    if (out.waiting > 0 && capacityWait_.isIn(WaitQueue::freeConnection))
+      out.oldestMs = now - capacityWait_.since();
     return out;
   });
   reserveOverflowMemory();
-  pressure_.setConnectionRetry([this] {
-    if (fullRecord_.isIn(WaitQueue::freeConnection)) accept();
+  overloadManager_.setConnectionRetry([this] {
+    if (capacityWait_.isIn(WaitQueue::freeConnection)) accept();
   });
 }
 
 ClientServer::~ClientServer() {
-  pressure_.setConnectionRetry(nullptr);
-  pressure_.waitQueues().setReader(WaitQueue::acceptBacklog, nullptr);
+  overloadManager_.setConnectionRetry(nullptr);
+  overloadManager_.waitQueues().setReader(WaitQueue::acceptBacklog, nullptr);
   for (const auto& connection : connections_) connection->abandon();
 }
 
@@ -76,67 +77,68 @@
 }
 
 void ClientServer::startAccepting() {
-  open_ = true;
+  acceptEnabled_ = true;
   accept();
 }
 
-// Whether one more connection may be accepted: below the limit, or in place of an idle one. Does not ask the
-// kernel.
+// Whether one more connection may be accepted: below the limit, or by evicting an idle connection. Makes no
+// system call.
 bool ClientServer::hasCapacity() const {
-  if (pressure_.memory().available(Account::clients) < kClientConnectionBytes) return false;
+  if (overloadManager_.memory().available(Account::clients) < kClientConnectionBytes) return false;
   return connections_.size() - overflowCount_ < maxRegular() || !idle_.empty() || !lingering_.empty();
 }
 
 void ClientServer::accept() {
-  if (!open_) return;
+  if (!acceptEnabled_) return;
   if (!hasCapacity()) {
-    if (accepted_ && overflowOpen_) return acceptToOverflow();
-    if (overflowOpen_) return acceptNext();
-    return openOverflowLater();
+    if (acceptedSocket_ && overflowEnabled_) return acceptToOverflow();
+    if (overflowEnabled_) return acceptNext();
+    return scheduleOverflow();
   }
-  if (fullRecord_.isIn(WaitQueue::freeConnection)) {
-    fullRecord_.leave();
+  if (capacityWait_.isIn(WaitQueue::freeConnection)) {
+    capacityWait_.leave();
     overflowTimer_.cancel();
-    overflowOpen_ = false;
+    overflowEnabled_ = false;
   }
-  if (accepted_) return admitAccepted();
+  if (acceptedSocket_) return admitAccepted();
   acceptNext();
 }
 
 void ClientServer::admitAccepted() {
-  tcp::socket socket = *std::exchange(accepted_, std::nullopt);
+  tcp::socket socket = *std::exchange(acceptedSocket_, std::nullopt);
   const bool full = connections_.size() - overflowCount_ >= maxRegular();
   if (!full || closeLeastRecentlyUsed()) return add(std::move(socket));
-  // Requests had come on all connections that were idle.
-  accepted_ = std::move(socket);
+  // Requests have arrived on all connections that were idle.
+  acceptedSocket_ = std::move(socket);
   accept();
 }
 
 void ClientServer::acceptNext() {
-  if (accepting_) return;
+  if (acceptPending_) return;
   if (!acceptor_.is_open()) return;
-  accepting_ = true;
-  // The connection is accepted in the handler, so that none is lost between queue and handler when accepting
-  // stops. One accept a turn of the loop: however long the queue, other sockets and timers are served
-  // between.
+  acceptPending_ = true;
+  // The connection is accepted in the handler, so that none is lost between the queue and the handler when
+  // accepting stops. One accept per iteration of the event loop: other sockets and timers are served in
+  // between, however long the accept queue is.
   acceptor_.async_wait(tcp::acceptor::wait_read, [this](const Error& waited) {
     if (waited == asio::error::operation_aborted) return;
-    accepting_ = false;
-    if (!open_ || accepted_) return;
-    pressure_.noteActivity();
+    acceptPending_ = false;
+    if (!acceptEnabled_ || acceptedSocket_) return;
+    overloadManager_.noteActivity();
     Error error;
     tcp::socket socket(acceptor_.get_executor());
     acceptor_.accept(socket, error);
     if (isShortage(error)) return retryAccept();
     if (!error) {
       ++stats_.accepted;
-      accepted_ = std::move(socket);
+      acceptedSocket_ = std::move(socket);
     }
     accept();
   });
 }
 
-// Out of descriptors: the connection stays in the accept queue and would be reported again at once.
+// Out of descriptors: the connection stays in the accept queue, so the listener would become readable again
+// immediately.
 void ClientServer::retryAccept() {
   closeLeastRecentlyUsed();
   acceptRetryTimer_.expires_after(kAcceptRetryDelay);
@@ -146,35 +148,36 @@
 }
 
 void ClientServer::add(tcp::socket socket) {
-  auto memory = pressure_.memory().open(Account::clients);
+  auto memory = overloadManager_.memory().open(Account::clients);
   if (!memory.resize(kClientConnectionBytes)) closeLeastRecentlyUsed();
   if (!memory.resize(kClientConnectionBytes))
-    return;  // only while draining: otherwise `hasCapacity` was asked before
+    return;  // only while draining: otherwise `hasCapacity` has been checked
   memory.markPermanent();
   const auto connection = std::make_shared<Connection>(*this, std::move(socket), std::move(memory), false);
   connections_.insert(connection);
   connection->start();  // calls accept
 }
 
-// Reserved from the start, so that overflow connections can be read where memory is short.
+// The memory is reserved at start-up, so that overflow connections can be read when memory is short.
 void ClientServer::reserveOverflowMemory() {
   while (overflowMemory_.size() + overflowCount_ < limits_.overflowSlots()) {
-    auto memory = pressure_.memory().open(Account::clients);
+    auto memory = overloadManager_.memory().open(Account::clients);
     if (!memory.resize(kClientConnectionBytes)) return;
     memory.markPermanent();
     overflowMemory_.push_back(std::move(memory));
   }
 }
 
-// All connections are busy. New ones wait in the kernel for a while, since most requests end soon.
-void ClientServer::openOverflowLater() {
-  if (fullRecord_.isIn(WaitQueue::freeConnection)) return;
-  fullRecord_.enter(pressure_.waitQueues(), WaitQueue::freeConnection, OverloadManager::now());
+// All connections are busy. New connections stay in the accept queue for `overflowDelay`, since most requests
+// end within it.
+void ClientServer::scheduleOverflow() {
+  if (capacityWait_.isIn(WaitQueue::freeConnection)) return;
+  capacityWait_.enter(overloadManager_.waitQueues(), WaitQueue::freeConnection, OverloadManager::now());
   if (limits_.overflowSlots() == 0) return;
   overflowTimer_.expires_after(limits_.overflowDelay);
   overflowTimer_.async_wait([this](const Error& error) {
-    if (error || !fullRecord_.isIn(WaitQueue::freeConnection)) return;
-    overflowOpen_ = true;
+    if (error || !capacityWait_.isIn(WaitQueue::freeConnection)) return;
+    overflowEnabled_ = true;
     accept();
   });
 }
@@ -183,15 +186,16 @@
   if (!freeOverflowSlot()) return;
   auto memory = std::move(overflowMemory_.back());
   overflowMemory_.pop_back();
-  const auto connection =
-      std::make_shared<Connection>(*this, *std::exchange(accepted_, std::nullopt), std::move(memory), true);
+  const auto connection = std::make_shared<Connection>(*this, *std::exchange(acceptedSocket_, std::nullopt),
+                                                       std::move(memory), true);
   ++overflowCount_;
   connections_.insert(connection);
   overflowOrder_.append(*connection);
   connection->start();
 }
 
-// The oldest one is evicted after `minOverflowTime`; until then the next one waits.
+// Evicts the oldest overflow connection once it is `minOverflowTime` old; until then the accepted one waits.
+// Returns whether a slot is free now.
 bool ClientServer::freeOverflowSlot() {
   reserveOverflowMemory();
   if (!overflowMemory_.empty()) return true;
@@ -201,44 +205,44 @@
   if (Clock::now() < until) {
     overflowTimer_.expires_at(until);
     overflowTimer_.async_wait([this](const Error& error) {
-      if (!error && fullRecord_.isIn(WaitQueue::freeConnection)) accept();
+      if (!error && capacityWait_.isIn(WaitQueue::freeConnection)) accept();
     });
     return false;
   }
-  if (oldest->hasUnreadData()) {  // its handler comes next and answers it
-    overflowTimer_.expires_after(kUnreadDelay);
+  if (oldest->hasUnreadData()) {  // its read handler is due and responds
+    overflowTimer_.expires_after(kUnreadDataRetryDelay);
     overflowTimer_.async_wait([this](const Error& error) {
-      if (!error && fullRecord_.isIn(WaitQueue::freeConnection)) accept();
+      if (!error && capacityWait_.isIn(WaitQueue::freeConnection)) accept();
     });
     return false;
   }
-  pressure_.waitQueues().countRejection(WaitQueue::freeConnection);
+  overloadManager_.waitQueues().countRejection(WaitQueue::freeConnection);
   oldest->evictFromOverflow();  // calls accept
   return false;
 }
 
-// With jitter, so that clients that are rejected together do not come back together.
+// With jitter, so that clients that are rejected together do not retry together.
 decision::Time ClientServer::rejectionRetryAfterMs() const {
   const double maxMs = config_.settings.maxRetryAfterMs;
   const double overloadMs =
-      std::max(pressure_.state().expectedDurationMs(OverloadManager::now()), kMinRetryAfterMs);
+      std::max(overloadManager_.state().expectedDurationMs(OverloadManager::now()), kMinRetryAfterMs);
   return (maxMs > 0 ? std::min(maxMs, overloadMs) : overloadMs) *
          std::uniform_real_distribution<>(0.5, 1.0)(jitter_);
 }
 
 double ClientServer::busyShare() const {
-  const auto& places = pressure_.waitQueues();
+  const auto& queues = overloadManager_.waitQueues();
   const std::size_t busy =
-      places.waiting(WaitQueue::incompleteRequest) + places.waiting(WaitQueue::inFlight) +
-      places.waiting(WaitQueue::requestBodyWindow) + places.waiting(WaitQueue::responseBodyWindow) +
-      places.waiting(WaitQueue::responseWrite);
+      queues.waiting(WaitQueue::incompleteRequest) + queues.waiting(WaitQueue::inFlight) +
+      queues.waiting(WaitQueue::requestBodyWindow) + queues.waiting(WaitQueue::responseBodyWindow) +
+      queues.waiting(WaitQueue::responseWrite);
   return static_cast<double>(busy) / static_cast<double>(std::max<std::size_t>(1, maxRegular()));
 }
 
 void ClientServer::closeLongIdle() {
-  const auto before = Clock::now() - limits_.minIdleTime;
+  const auto cutoff = Clock::now() - limits_.minIdleTime;
   while (const auto oldest = static_cast<Connection*>(idle_.oldest())) {
-    if (oldest->idleSince() >= before) return;
+    if (oldest->idleSince() >= cutoff) return;
     oldest->leaveOrder();
     if (!oldest->hasUnreadData()) oldest->shared_from_this()->closeIdle();
   }
@@ -248,17 +252,18 @@
   connections_.erase(connection);
   overflowCount_ -= connection->isOverflow();
   reserveOverflowMemory();
-  pressure_.noteDescriptorUse();
+  overloadManager_.noteDescriptorUse();
   accept();
   if (connections_.empty() && !acceptor_.is_open() && done_) done_();
 }
 
-// Closes the connection that has been idle longest; false: none is idle. One with unread data leaves the
-// order, and its handler, which comes next, puts it back if the data is no request: the kernel is asked only
-// once for each time that a connection turns idle.
+// Closes a connection in lingering close or else the one that has been idle longest. Returns false if there
+// is neither. A connection with unread data is removed from the idle order; its read handler, which is due,
+// adds it again if the data is not a request. So the kernel is queried only once per idle period of a
+// connection.
 bool ClientServer::closeLeastRecentlyUsed() {
-  if (const auto ending = static_cast<Connection*>(lingering_.oldest())) {
-    ending->close(CloseReason::evicted);
+  if (const auto lingering = static_cast<Connection*>(lingering_.oldest())) {
+    lingering->close(CloseReason::evicted);
     return true;
   }
   while (const auto oldest = static_cast<Connection*>(idle_.oldest())) {
@@ -271,43 +276,43 @@
 }
 
 void ClientServer::stopAccepting() {
-  open_ = false;
+  acceptEnabled_ = false;
   acceptRetryTimer_.cancel();
   overflowTimer_.cancel();
-  fullRecord_.leave();
-  if (accepted_) addAtStop(*std::exchange(accepted_, std::nullopt));
-  if (config_.acceptFd < 0) return acceptQueued();
+  capacityWait_.leave();
+  if (acceptedSocket_) addWhileStopping(*std::exchange(acceptedSocket_, std::nullopt));
+  if (config_.acceptFd < 0) return drainAcceptQueue();
   closeListener();
 }
 
-// Accepts what the queue still holds, then closes the listener, which would reset it. Where descriptors or
-// memory are short the listener stays open until the queue is empty.
-void ClientServer::acceptQueued() {
-  for (int left = tcp::acceptor::max_listen_connections; left > 0; --left) {
-    if (!freeMemoryAtStop()) return acceptQueuedLater();
+// Accepts the connections in the accept queue, then closes the listener; closing it first would reset them.
+// When descriptors or memory are short, the listener stays open until the queue is empty.
+void ClientServer::drainAcceptQueue() {
+  for (int remaining = tcp::acceptor::max_listen_connections; remaining > 0; --remaining) {
+    if (!freeMemoryWhileStopping()) return scheduleAcceptQueueDrain();
     Error error;
     tcp::socket socket(acceptor_.get_executor());
     acceptor_.accept(socket, error);
     if (isQueueEmpty(error)) break;
     if (isShortage(error)) {
       closeLeastRecentlyUsed();
-      return acceptQueuedLater();
+      return scheduleAcceptQueueDrain();
     }
-    if (!error) addAtStop(std::move(socket));
+    if (!error) addWhileStopping(std::move(socket));
   }
   closeListener();
 }
 
-void ClientServer::acceptQueuedLater() {
-  acceptRetryTimer_.expires_after(kStopRetryDelay);
+void ClientServer::scheduleAcceptQueueDrain() {
+  acceptRetryTimer_.expires_after(kAcceptQueueDrainRetryDelay);
   acceptRetryTimer_.async_wait([this](const Error& error) {
-    if (!error) acceptQueued();
+    if (!error) drainAcceptQueue();
   });
 }
 
-// Whether there is memory for one more connection, if need be in place of idle ones.
-bool ClientServer::freeMemoryAtStop() {
-  while (pressure_.memory().available(Account::clients) < kClientConnectionBytes)
+// Evicts idle connections until there is memory for one more connection. Returns false if there is not.
+bool ClientServer::freeMemoryWhileStopping() {
+  while (overloadManager_.memory().available(Account::clients) < kClientConnectionBytes)
     if (!closeLeastRecentlyUsed()) return false;
   return true;
 }
@@ -318,8 +323,8 @@
   if (connections_.empty() && done_) done_();
 }
 
-// No other process would accept it: it is taken even beyond the limit, where no connection is idle.
-void ClientServer::addAtStop(tcp::socket socket) {
+// No other process would accept this connection, so it is added even beyond the limit if none is idle.
+void ClientServer::addWhileStopping(tcp::socket socket) {
   if (connections_.size() - overflowCount_ >= maxRegular()) closeLeastRecentlyUsed();
   add(std::move(socket));
 }
--- a/src/gatekeeper/client_server.hpp
+++ b/src/gatekeeper/client_server.hpp
@@ -1,4 +1,4 @@
-/// The clients' side: the listener, how many connections there may be, and which are closed for others.
+/// The server for client connections: listener, connection limit and eviction of idle connections.
 #pragma once
 
 #include <algorithm>
@@ -23,68 +23,77 @@
 
 namespace wingslip {
 
-/// Owns the listener and all client connections. Everything runs on the one event loop.
+/// Owns the listener and all client connections. Not thread-safe: runs on the event loop only.
 class ClientServer {
  public:
+  /// Connection limit and time-outs of the server.
   struct Limits {
+    /// Maximum number of open client connections, including the overflow connections.
     std::size_t maxConnections = 480;
-    /// Connections of the maximum that are kept for overflow: where all others are busy for `overflowDelay`,
-    /// a peer is read on one of them as far as its header and rejected, so that a malformed or silent one is
-    /// not left in the kernel's accept queue.
+    /// Number of connections, out of `maxConnections`, that are reserved for overflow. They are used once all
+    /// regular connections have been busy for `overflowDelay`: the request is read up to the end of its
+    /// header and rejected, so that malformed and silent peers do not stay in the kernel's accept queue.
     std::size_t overflowSlots() const { return std::min<std::size_t>(8, maxConnections / 16); }
-    std::chrono::milliseconds overflowDelay{500};
-    std::chrono::milliseconds minOverflowTime{1000};  ///< then an overflow connection makes way for the next
-    std::chrono::milliseconds maxMemoryWait{1000};    ///< of a request that comes and finds no memory
-    std::chrono::milliseconds minIdleTime{2000};  ///< then an idle connection may be closed under overload
-    std::chrono::milliseconds idleTimeout{75000};
-    // A peer that sends no whole request is owed an error or a close within 3 s of connecting.
-    std::chrono::milliseconds firstRequestTimeout{2500};  ///< from the accept to the header's end
-    std::chrono::milliseconds headerTimeout{2500};        ///< of a later request, from its first byte
-    std::chrono::milliseconds bodyPieceTimeout{1500};     ///< between two pieces of a body
-    std::chrono::milliseconds bodyGrace{2000};         ///< then a body must have come at `minBodyBytesPerMs`
-    double minBodyBytesPerMs = 32;                     ///< slow clients send 64
-    std::chrono::milliseconds skipBodyTimeout{10000};  ///< for the rest of a body that is answered already
-    std::chrono::milliseconds writeTimeout{10000};
-    std::chrono::milliseconds lingerTimeout{1000};  ///< for the client's end after the last response
-    std::size_t maxLingerBytes = 256 * 1024;        ///< dropped of what the client sends meanwhile
+    std::chrono::milliseconds overflowDelay{500};     ///< all regular connections busy, until overflow starts
+    std::chrono::milliseconds minOverflowTime{1000};  ///< minimum age of an overflow connection to evict
+    std::chrono::milliseconds maxMemoryWait{1000};    ///< for memory to read a request, then it is rejected
+    std::chrono::milliseconds minIdleTime{2000};   ///< idle time from which overload may close a connection
+    std::chrono::milliseconds idleTimeout{75000};  ///< between two requests of a connection
+    // A peer that sends no complete request must get an error or a close within 3 s of connecting.
+    std::chrono::milliseconds firstRequestTimeout{2500};  ///< from the accept to the end of the header
+    std::chrono::milliseconds headerTimeout{2500};        ///< for later requests, from their first byte
+    std::chrono::milliseconds bodyReadTimeout{1500};      ///< between two reads of a request body
+    std::chrono::milliseconds bodyRateGracePeriod{2000};  ///< waiting time exempt from `minBodyBytesPerMs`
+    double minBodyBytesPerMs = 32;  ///< minimum body rate, bytes/ms; slow clients send at 64
+    std::chrono::milliseconds bodyDiscardTimeout{10000};  ///< for the remaining body of an answered request
+    std::chrono::milliseconds writeTimeout{10000};        ///< for each write of response bytes
+    std::chrono::milliseconds lingerTimeout{1000};        ///< for the client to close after the last response
+    std::size_t maxLingerBytes = 256 * 1024;  ///< input discarded during the lingering close, bytes
   };
 
-  /// Counts since the last `takeStats`, for the service log.
+  /// Counters and maxima since the last `takeStats`, for the service log.
   struct Stats {
-    unsigned accepted = 0;         ///< connections taken from the kernel's queue
-    unsigned rejected = 0;         ///< requests answered here: malformed, too large, too slow, no capacity
-    std::size_t mostBuffered = 0;  ///< bytes of one connection read and not yet parsed
-    double mostWaited = 0;         ///< ms from a first request's last byte until it was read
+    unsigned accepted = 0;  ///< connections accepted from the kernel's queue
+    unsigned rejected = 0;  ///< requests rejected by this server: malformed, too large, too slow, no capacity
+    std::size_t mostBuffered = 0;  ///< maximum of the bytes read and not yet parsed on one connection
+    double mostWaited = 0;         ///< maximum time, ms, that a connection's first request was unread
   };
 
+  /// The references must outlive the server.
   ClientServer(boost::asio::io_context& io, const Config& config, const Limits& limits,
-               RequestHandler& handler, OverloadManager& pressure);
+               RequestHandler& handler, OverloadManager& overloadManager);
   ~ClientServer();
   ClientServer(const ClientServer&) = delete;
   ClientServer& operator=(const ClientServer&) = delete;
 
-  /// Throws std::runtime_error if it cannot listen.
+  /// Opens the listener, or adopts the socket passed by the platform (`Config::acceptFd`).
+  /// @throws std::runtime_error if listening fails
   void start();
-  /// Where the platform holds the listening socket connections wait there from `start` until this.
+  /// Starts accepting. Called by `start`, unless the platform owns the listening socket: there, connections
+  /// stay in the kernel's accept queue from `start` until this call.
   void startAccepting();
   boost::asio::ip::tcp::endpoint address() const { return acceptor_.local_endpoint(); }
 
+  /// Number of open client connections, including the overflow connections.
   std::size_t connections() const { return connections_.size(); }
-  /// Connections with a request as a share (0 to 1) of the most regular connections.
+  /// Connections with a request, as a share (0 to 1) of the maximum number of regular connections.
   double busyShare() const;
-  /// Under overload: closes what has been idle for `minIdleTime`.
+  /// For use under overload: closes the connections that have been idle for at least `minIdleTime`.
   void closeLongIdle();
+  /// Returns the statistics and resets them.
   Stats takeStats() { return std::exchange(stats_, {}); }
+  /// Closed connections by reason, since the start of the process.
   const CloseCounts& closes() const { return closes_; }
 
-  /// From here on every response ends its connection.
+  /// From this call on, the connection is closed after each response.
   void startDrain() { draining_ = true; }
-  /// No more connections. Those in the accept queue of its own socket are still taken; a socket that the
-  /// platform holds goes on listening, and its queue is the next process's.
+  /// Stops accepting. With a listening socket of its own, the server first accepts the connections in the
+  /// accept queue; a socket owned by the platform keeps listening, and the next process accepts its queue.
   void stopAccepting();
-  /// Closes the connections without a request.
+  /// Closes the connections that have no request in progress. A new connection and an incomplete request
+  /// header get a short time limit instead.
   void closeIdle();
-  /// `done` is called as soon as no connection is left and the listener is closed.
+  /// Calls `done` once all connections and the listener are closed, possibly before this returns.
   void whenEmpty(std::function<void()> done);
 
  private:
@@ -94,7 +103,7 @@
   std::size_t maxRegular() const { return limits_.maxConnections - limits_.overflowSlots(); }
   void accept();
   void acceptNext();
-  void openOverflowLater();
+  void scheduleOverflow();
   void reserveOverflowMemory();
   void acceptToOverflow();
   bool freeOverflowSlot();
@@ -102,10 +111,10 @@
   void retryAccept();
   void admitAccepted();
   void add(boost::asio::ip::tcp::socket socket);
-  void addAtStop(boost::asio::ip::tcp::socket socket);
-  void acceptQueued();
-  void acceptQueuedLater();
-  bool freeMemoryAtStop();
+  void addWhileStopping(boost::asio::ip::tcp::socket socket);
+  void drainAcceptQueue();
+  void scheduleAcceptQueueDrain();
+  bool freeMemoryWhileStopping();
   void closeListener();
   void remove(const std::shared_ptr<Connection>& connection);
   bool closeLeastRecentlyUsed();
@@ -116,22 +125,22 @@
   boost::asio::ip::tcp::acceptor acceptor_;
   boost::asio::steady_timer acceptRetryTimer_;
   boost::asio::steady_timer overflowTimer_;
-  OverloadManager& pressure_;
+  OverloadManager& overloadManager_;
   std::unordered_set<std::shared_ptr<Connection>> connections_;
-  ConnectionOrder idle_;           // without a request, least recently used first
-  ConnectionOrder lingering_;      // ended while idle; closed first where capacity is needed
+  ConnectionOrder idle_;           // connections without a request, least recently used first
+  ConnectionOrder lingering_;      // closed while idle, in lingering close; evicted first
   ConnectionOrder overflowOrder_;  // oldest first
-  std::optional<boost::asio::ip::tcp::socket> accepted_;  // no capacity for it yet
-  WaitQueues::QueueEntry fullRecord_;                     // since when there is no capacity
+  std::optional<boost::asio::ip::tcp::socket> acceptedSocket_;  // accepted, waiting for capacity
+  WaitQueues::QueueEntry capacityWait_;                         // entered while there is no capacity
   std::size_t overflowCount_ = 0;
-  std::vector<MemoryBudget::Charge> overflowMemory_;  // one for each overflow slot that is free
-  bool overflowOpen_ = false;
+  std::vector<MemoryBudget::Charge> overflowMemory_;  // one charge for each free overflow slot
+  bool overflowEnabled_ = false;                      // `overflowDelay` has passed without capacity
   std::function<void()> done_;
   Stats stats_;
   CloseCounts closes_;
-  mutable std::mt19937_64 jitter_;  // of Retry-After; from the configured seed
-  bool open_ = false;               // connections may be accepted
-  bool accepting_ = false;          // an accept is pending
+  mutable std::mt19937_64 jitter_;  // for Retry-After; seeded from the configuration
+  bool acceptEnabled_ = false;      // between `startAccepting` and `stopAccepting`
+  bool acceptPending_ = false;      // a wait for the listener to become readable is pending
   bool draining_ = false;
 };
 
--- a/src/gatekeeper/close_reason.hpp
+++ b/src/gatekeeper/close_reason.hpp
@@ -1,4 +1,4 @@
-/// Why the gatekeeper ended a client's connection.
+/// The reasons for which a client connection is closed.
 #pragma once
 
 #include <array>
@@ -10,33 +10,35 @@
 
 namespace wingslip {
 
+/// Why a client connection was closed.
 enum class CloseReason : std::uint8_t {
-  peerClosed,              ///< the client closed it or ended its sending
-  peerReset,               ///< reset, or broken on the way
-  idleTimeout,             ///< no request came within the idle time-out
-  evicted,                 ///< it was idle, and another connection needs its place
-  evictedFromOverflow,     ///< an overflow connection, and another one comes
-  lastResponse,            ///< the last response announced the close, or the process drains
-  sendsAfterLastResponse,  ///< the client goes on sending after its last response
-  writeTimeout,            ///< the client does not read its response
-  bodyTimeout,             ///< the rest of a body that is answered already does not come
-  malformedBody,           ///< the rest of a body that is answered already is malformed
-  responseCut,             ///< a streamed response ended early
-  processEnd,              ///< the process ends
+  peerClosed,              ///< the client closed the connection or its sending side
+  peerReset,               ///< reset by the client, or another network error
+  idleTimeout,             ///< no request within the idle time-out
+  evicted,                 ///< idle, closed to make room for another connection
+  overflowEvicted,         ///< an overflow connection without a request, closed for another
+  lastResponse,            ///< the last response announced the close, or the process is draining
+  sendsAfterLastResponse,  ///< too much input after the last response
+  writeTimeout,            ///< the client did not read its response within the write time-out
+  bodyTimeout,             ///< the remaining body of an answered request timed out
+  malformedBody,           ///< the remaining body of an answered request is malformed
+  responseTruncated,       ///< a streamed response could not be completed
+  processEnd,              ///< the process exits
 };
 constexpr std::size_t kCloseReasonCount = static_cast<std::size_t>(CloseReason::processEnd) + 1;
 
-/// As figures name them, in the order of CloseReason.
+/// Names in the metrics, in the order of CloseReason.
 inline constexpr std::array<std::string_view, kCloseReasonCount> kCloseReasonNames{
     "peer_ended", "peer_broken",   "idle",         "evicted",        "evicted_silent", "last_answer",
     "sends_on",   "write_timeout", "body_timeout", "malformed_body", "answer_cut",     "process_end"};
 static_assert(!kCloseReasonNames.back().empty(), "every reason has a name");
 
-/// Whether the client itself closed it, so that it is owed no answer.
-constexpr bool isByPeer(CloseReason reason) {
+/// Whether the client closed or lost the connection, so that no response is expected.
+constexpr bool isPeerInitiated(CloseReason reason) {
   return reason == CloseReason::peerClosed || reason == CloseReason::peerReset;
 }
 
+/// Number of closed connections by reason.
 using CloseCounts = ReasonCounts<CloseReason, kCloseReasonNames>;
 
 }  // namespace wingslip
--- a/src/gatekeeper/connection_order.hpp
+++ b/src/gatekeeper/connection_order.hpp
@@ -1,14 +1,14 @@
-/// An order of connections, oldest first, with constant-time insertion and removal.
+/// A list of connections, oldest first, with insertion and removal in constant time.
 #pragma once
 
 #include <boost/intrusive/list.hpp>
 
 namespace wingslip {
 
-/// Connections in the order in which they were appended. Owns none of them.
+/// Connections in the order in which they were appended. Does not own them.
 class ConnectionOrder {
  public:
-  /// A connection's position. It is in one order at a time, or in none, and leaves it when destroyed.
+  /// Base of a connection. Is in at most one order at a time and removes itself when destroyed.
   class Entry
       : public boost::intrusive::list_base_hook<boost::intrusive::link_mode<boost::intrusive::auto_unlink>> {
    public:
@@ -19,13 +19,13 @@
     bool inOrder() const { return is_linked(); }
   };
 
-  /// Makes `entry` the newest of this order; it leaves the one that it is in.
+  /// Appends `entry` as the newest; removes it from its present order first, if it is in one.
   void append(Entry& entry) {
     entry.leaveOrder();
     entries_.push_back(entry);
   }
   bool empty() const { return entries_.empty(); }
-  /// The one that was appended first; null where there is none.
+  /// The entry that was appended first; null if the order is empty.
   Entry* oldest() { return entries_.empty() ? nullptr : &entries_.front(); }
 
  private:
