--- a/tests/accept_cost_test.cpp
+++ b/tests/accept_cost_test.cpp
@@ -1,5 +1,5 @@
-// More idle clients than connections: what an accept costs, and whether the loop's other work is done
-// meanwhile. Counts system calls and accepts, never time.
+// Accepting connections at the connection limit, in place of idle ones: the system calls per accept, and
+// whether the event loop serves other sockets in between. Counts system calls and accepts, not time.
 #include <poll.h>
 #include <sys/ioctl.h>
 #include <sys/resource.h>
@@ -13,12 +13,12 @@
 
 namespace {
 
-// Calls by which the program asks the kernel about one connection, made by this process so far.
+// System calls of this process so far that query the state of a connection.
 std::size_t socketQueries = 0;
 
 }  // namespace
 
-// These take the place of the C library's in this program and pass on to the kernel.
+// Replace the C library's functions in this program: they count the call and make the system call.
 extern "C" {
 int ioctl(int descriptor, unsigned long request, ...) noexcept {
   va_list arguments;
@@ -48,7 +48,7 @@
 
 struct SilentHandler : RequestHandler {
   bool ready() const override { return true; }
-  decision::RequestId nextRequestId() override { return ++last; }
+  decision::RequestId nextRequestId() override { return ++lastRequestId; }
   void onRequest(decision::RequestId, const ParsedRequest&, ClientMessage&&,
                  const std::shared_ptr<Responder>& responder) override {
     responders.push_back(responder);
@@ -56,9 +56,9 @@
   void onClientDisconnect(decision::RequestId) override {}
   void onRequestRejected(unsigned) override {}
   void onClosedUnanswered(CloseReason reason) override {
-    ADD_FAILURE() << "closed over a request: " << static_cast<int>(reason);
+    ADD_FAILURE() << "connection closed with an unanswered request, reason " << static_cast<int>(reason);
   }
-  decision::RequestId last = 0;
+  decision::RequestId lastRequestId = 0;
   std::vector<std::shared_ptr<Responder>> responders;
 };
 
@@ -66,14 +66,15 @@
   rlimit limit{};
   ASSERT_EQ(getrlimit(RLIMIT_NOFILE, &limit), 0);
   if (limit.rlim_cur >= needed) return;
-  ASSERT_TRUE(limit.rlim_max == RLIM_INFINITY || limit.rlim_max >= needed) << "too few descriptors allowed";
+  ASSERT_TRUE(limit.rlim_max == RLIM_INFINITY || limit.rlim_max >= needed)
+      << "the hard limit of RLIMIT_NOFILE is too low";
   limit.rlim_cur = needed;
   ASSERT_EQ(setrlimit(RLIMIT_NOFILE, &limit), 0);
 }
 
 class AcceptCost : public Loopback {
  protected:
-  // A server with room for `connections` connections, of which idle clients hold all.
+  // Starts a server with `connections` regular connections, all in use by idle clients.
   void open(std::size_t connections) {
     allowDescriptors(2 * connections + 256);
     ClientServer::Limits limits;
@@ -81,7 +82,7 @@
     limits.firstRequestTimeout = limits.idleTimeout = 10min;
     ASSERT_EQ(limits.maxConnections - limits.overflowSlots(), connections);
     config = parseConfig(configJson("127.0.0.1:1").dump());
-    server.emplace(io, config, limits, handler, pressure);
+    server.emplace(io, config, limits, handler, overloadManager);
     server->start();
     while (clients.size() < connections) {
       clients.push_back(connect());
@@ -94,23 +95,23 @@
     socket.connect(server->address());
     return socket;
   }
-  std::size_t accepted() { return total += server->takeStats().accepted; }
+  std::size_t accepted() { return totalAccepted += server->takeStats().accepted; }
 
-  OverloadManager pressure{io, sharesOf({512 * kMebibyte}), OverloadState::Limits{}};
+  OverloadManager overloadManager{io, sharesOf({512 * kMebibyte}), OverloadState::Limits{}};
   Config config;
   SilentHandler handler;
   std::optional<ClientServer> server;
   std::vector<tcp::socket> clients;
-  std::size_t total = 0;
+  std::size_t totalAccepted = 0;
 };
 
-class AcceptCostOf : public AcceptCost, public ::testing::WithParamInterface<std::size_t> {};
+class AcceptCostByConnectionCount : public AcceptCost, public ::testing::WithParamInterface<std::size_t> {};
 
-// Three: the state of TCP as the new connection starts, and whether bytes wait on the one to be closed; one
-// is left for a retry.
-TEST_P(AcceptCostOf, SystemCallsOfAnAcceptDoNotGrowWithTheConnections) {
+// An accept takes two queries: the TCP state of the new connection, and whether the one to be evicted has
+// unread data. The third is allowed for a retry.
+TEST_P(AcceptCostByConnectionCount, SystemCallsPerAcceptDoNotGrowWithTheNumberOfConnections) {
   constexpr std::size_t kAccepts = 32;
-  constexpr std::size_t kMostQueries = 3;
+  constexpr std::size_t kMaxQueries = 3;
   open(GetParam());
   const std::size_t before = accepted();
   const std::size_t queriesBefore = socketQueries;
@@ -119,43 +120,44 @@
     until([&] { return accepted() == before + i; }, "an accept");
   }
   EXPECT_EQ(server->connections(), GetParam());
-  EXPECT_LE(socketQueries - queriesBefore, kAccepts * kMostQueries);
+  EXPECT_LE(socketQueries - queriesBefore, kAccepts * kMaxQueries);
 }
 
-INSTANTIATE_TEST_SUITE_P(Sizes, AcceptCostOf, ::testing::Values(64, 512, 4096));
+INSTANTIATE_TEST_SUITE_P(Sizes, AcceptCostByConnectionCount, ::testing::Values(64, 512, 4096));
 
-TEST_F(AcceptCost, TheConnectionIdleLongestIsClosedFirst) {
+TEST_F(AcceptCost, TheLongestIdleConnectionIsEvictedFirst) {
   open(4);
   const auto first = std::make_shared<Peer>(std::move(clients[0]));
   const auto second = std::make_shared<Peer>(std::move(clients[1]));
   first->read();
   second->read();
   first->send("GET /health/ready HTTP/1.1\r\nHost: b\r\n\r\n");
-  until([&] { return first->has("HTTP/1.1 200"); }, "an answer");
+  until([&] { return first->has("HTTP/1.1 200"); }, "a response");
   clients.push_back(connect());
-  until([&] { return second->ended; }, "an end");
+  until([&] { return second->ended; }, "the eviction");
   EXPECT_FALSE(first->ended);
   EXPECT_EQ(server->connections(), 4u);
 }
 
-// It is found when room is needed, with its bytes unread; after that its request is heard and answered.
-TEST_F(AcceptCost, AConnectionWithUnreadBytesIsNotClosedForAnother) {
+// A connection selected for eviction may have received a request that is not read yet: the request is served,
+// and another connection is evicted.
+TEST_F(AcceptCost, AConnectionWithUnreadDataIsNotEvicted) {
   open(2);
-  const auto asking = std::make_shared<Peer>(std::move(clients[0]));
+  const auto requesting = std::make_shared<Peer>(std::move(clients[0]));
   const auto idle = std::make_shared<Peer>(std::move(clients[1]));
-  asking->send(Ask().text());
+  requesting->send(Ask().text());
   clients.push_back(connect());
-  asking->read();
+  requesting->read();
   idle->read();
-  until([&] { return idle->ended; }, "the idle one is closed");
+  until([&] { return idle->ended; }, "the eviction of the idle connection");
   until([&] { return handler.responders.size() == 1; }, "the request");
   handler.responders[0]->respond({});
-  until([&] { return asking->has("HTTP/1.1 200"); }, "its answer");
-  EXPECT_FALSE(asking->ended);
+  until([&] { return requesting->has("HTTP/1.1 200"); }, "its response");
+  EXPECT_FALSE(requesting->ended);
 }
 
-// An empty line is no request: whoever sends only these may be closed like any idle client.
-TEST_F(AcceptCost, BlankLinesDoNotKeepAConnection) {
+// An empty line is not a request: a client that sends only empty lines may be evicted like any idle client.
+TEST_F(AcceptCost, BlankLinesDoNotPreventEviction) {
   open(2);
   const auto first = std::make_shared<Peer>(std::move(clients[0]));
   const auto second = std::make_shared<Peer>(std::move(clients[1]));
@@ -169,10 +171,10 @@
   EXPECT_EQ(server->connections(), 2u);
 }
 
-// The list of workers comes while many clients wait to be accepted.
-TEST_F(AcceptCost, AnotherSocketIsReadWithinAFewAccepts) {
+// The endpoint list must be received while many clients are in the accept queue.
+TEST_F(AcceptCost, OtherSocketsAreReadWithinAFewAccepts) {
   constexpr std::size_t kWaiting = 300;
-  constexpr std::size_t kMostAccepts = 4;
+  constexpr std::size_t kMaxAccepts = 4;
   open(32);
   Listener agent(io);
   tcp::socket watch(io);
@@ -187,18 +189,18 @@
   const std::size_t before = accepted();
   agent.peers[0]->send("{}\n");
   until([&] { return acceptsWhenRead.has_value(); }, "the line");
-  EXPECT_LE(*acceptsWhenRead - before, kMostAccepts);
+  EXPECT_LE(*acceptsWhenRead - before, kMaxAccepts);
   until([&] { return accepted() == before + kWaiting; }, "all accepted");
 }
 
-// No request comes: connections alone have to show how late the loop is.
-TEST_F(AcceptCost, ALateLoopIsNoticedWhileOnlyConnectionsArrive) {
+// The event loop's lag must be measured when connections arrive, even if no request does.
+TEST_F(AcceptCost, EventLoopLagIsDetectedWhenOnlyConnectionsArrive) {
   open(4);
   bool overloaded = false;
   std::function<void()> keepLoopBusy = [&] {
     for (const auto end = Steady::now() + 40ms; Steady::now() < end;) {
     }
-    overloaded = pressure.state().level(OverloadSource::eventLoop) != OverloadLevel::none;
+    overloaded = overloadManager.state().level(OverloadSource::eventLoop) != OverloadLevel::none;
     if (!overloaded) asio::post(io, keepLoopBusy);
   };
   asio::post(io, keepLoopBusy);
@@ -207,22 +209,24 @@
         if (!overloaded) clients.push_back(connect());
         return overloaded;
       },
-      "a stage of pressure");
+      "event loop overload");
 }
 
-// Its handler would be the first of the turn, so that only a timer tells what the turn takes.
-TEST_F(AcceptCost, TheLoopLagCoversAWholeTurn) {
+// `noteActivity` is called by the first handler of the loop iteration; only a timer measures the handlers
+// after it.
+TEST_F(AcceptCost, EventLoopLagIncludesAllHandlersOfAnIteration) {
   bool ran = false;
   asio::post(io, [&] {
-    pressure.noteActivity();
+    overloadManager.noteActivity();
     ran = true;
   });
   asio::post(io, [] {
     for (const auto until = Steady::now() + 300ms; Steady::now() < until;) {
     }
   });
-  until([&] { return ran && pressure.waitQueues().figures(WaitQueue::eventLoop, 0).peak >= 250; }, "the lag");
-  EXPECT_EQ(pressure.state().level(OverloadSource::eventLoop), OverloadLevel::shedding);
+  until([&] { return ran && overloadManager.waitQueues().figures(WaitQueue::eventLoop, 0).peak >= 250; },
+        "the lag");
+  EXPECT_EQ(overloadManager.state().level(OverloadSource::eventLoop), OverloadLevel::shedding);
 }
 
 }  // namespace
--- a/tests/client_server_test.cpp
+++ b/tests/client_server_test.cpp
@@ -1,4 +1,5 @@
-/// The clients' side alone: time limits, body limits, connection limit, one response a request.
+/// The client server without a gatekeeper: time limits, body limit, connection limit, one response per
+/// request.
 #include "loopback.hpp"
 
 namespace wingslip::test {
@@ -6,54 +7,54 @@
 
 using namespace std::chrono_literals;
 
-struct Silent : RequestHandler {  // never answers
+struct UnresponsiveHandler : RequestHandler {  // never responds by itself
   bool ready() const override { return true; }
-  decision::RequestId nextRequestId() override { return ++last; }
+  decision::RequestId nextRequestId() override { return ++lastRequestId; }
   void onRequest(decision::RequestId, const ParsedRequest&, ClientMessage&&,
-                 const std::shared_ptr<Responder>& a) override {
-    responder = a;
+                 const std::shared_ptr<Responder>& newResponder) override {
+    responder = newResponder;
   }
-  void onClientDisconnect(decision::RequestId) override { ++gone; }
-  void onRequestRejected(unsigned) override { ++turned; }
+  void onClientDisconnect(decision::RequestId) override { ++disconnects; }
+  void onRequestRejected(unsigned) override { ++rejections; }
   void onClosedUnanswered(CloseReason reason) override {
-    ADD_FAILURE() << "closed over a request: " << static_cast<int>(reason);
+    ADD_FAILURE() << "connection closed with an unanswered request, reason " << static_cast<int>(reason);
   }
-  int turned = 0;
-  decision::RequestId last = 0;
-  int gone = 0;
+  int rejections = 0;
+  decision::RequestId lastRequestId = 0;
+  int disconnects = 0;
   std::shared_ptr<Responder> responder;
 };
 
-class Clients : public Loopback {
+class ClientConnections : public Loopback {
  protected:
   void open(const ClientServer::Limits& limits) {
     config = parseConfig(configJson("127.0.0.1:1").dump());
-    server.emplace(io, config, limits, handler, pressure);
+    server.emplace(io, config, limits, handler, overloadManager);
     server->start();
   }
   Config config;
-  Silent handler;
-  OverloadManager pressure{io, sharesOf({std::size_t{64} << 20}), OverloadState::Limits{}};
+  UnresponsiveHandler handler;
+  OverloadManager overloadManager{io, sharesOf({std::size_t{64} << 20}), OverloadState::Limits{}};
   std::optional<ClientServer> server;
 };
 
-// A client that stops in the middle must not hold its connection for ever.
-TEST_F(Clients, AHalfSentRequestIsTimedOut) {
+// A client that stops in the middle of a request must not occupy its connection indefinitely.
+TEST_F(ClientConnections, AnIncompleteRequestIsTimedOut) {
   ClientServer::Limits limits;
   limits.headerTimeout = 50ms;
   open(limits);
   const auto client = dial(server->address());
   client->send(
-      "GET /health/ready HTTP/1.1\r\nHost: b\r\n\r\n");  // a later request: the first has its own limit
-  until([&] { return client->has("ready"); }, "the first answer");
+      "GET /health/ready HTTP/1.1\r\nHost: b\r\n\r\n");  // the first request has a time limit of its own
+  until([&] { return client->has("ready"); }, "the first response");
   client->send(Ask().text().substr(0, 40));
   until([&] { return client->ended; }, "the connection ends");
   EXPECT_TRUE(client->has("HTTP/1.1 408")) << client->got;
-  EXPECT_EQ(handler.last, 0u);
+  EXPECT_EQ(handler.lastRequestId, 0u);
 }
 
-// Counted from the connection's start, however its bytes trickle in.
-TEST_F(Clients, AClientWithoutACompleteFirstRequestIsClosedInTime) {
+// The time limit counts from the accept, even if a slow client sends a few bytes at a time.
+TEST_F(ClientConnections, AConnectionWithoutACompleteFirstRequestIsClosedWithinTheTimeLimit) {
   EXPECT_LT(ClientServer::Limits().firstRequestTimeout, 3s);
   EXPECT_LT(ClientServer::Limits().headerTimeout, 3s);
   ClientServer::Limits limits;
@@ -66,76 +67,77 @@
   until([&] { return silent->ended && trickling->ended; }, "both connections end");
   EXPECT_TRUE(silent->got.empty());
   EXPECT_TRUE(trickling->has("HTTP/1.1 408")) << trickling->got;
-  EXPECT_EQ(handler.last, 0u);
+  EXPECT_EQ(handler.lastRequestId, 0u);
 }
 
-TEST_F(Clients, AClientThatSendsOnAfterItsLastResponseIsClosed) {
+TEST_F(ClientConnections, InputAfterTheLastResponseIsLimited) {
   ClientServer::Limits limits;
   limits.lingerTimeout = 60s;
   limits.maxLingerBytes = 1000;
   open(limits);
   const auto client = dial(server->address());
   client->send("POST /order HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n");
-  until([&] { return client->has("HTTP/1.1 413"); }, "an answer");
+  until([&] { return client->has("HTTP/1.1 413"); }, "a response");
   client->send(std::string(20000, 'x'));
   until([&] { return server->connections() == 0; }, "the connection ends");
 }
 
-TEST_F(Clients, ARequestBeyondTheBodyLimitIsRejectedAtItsHeader) {
+TEST_F(ClientConnections, ARequestBeyondTheBodyLimitIsRejectedAtItsHeader) {
   open({});
   const auto client = dial(server->address());
   client->send("POST /order HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n" + std::string(500, 'x'));
-  until([&] { return client->has("\r\n\r\n"); }, "an answer");
+  until([&] { return client->has("\r\n\r\n"); }, "a response");
   EXPECT_TRUE(client->has("HTTP/1.1 413")) << client->got;
-  EXPECT_EQ(handler.last, 0u);
+  EXPECT_EQ(handler.lastRequestId, 0u);
 }
 
-TEST_F(Clients, AtTheLimitTheOldestIdleConnectionIsClosed) {
+TEST_F(ClientConnections, AtTheConnectionLimitTheLongestIdleConnectionIsEvicted) {
   ClientServer::Limits limits;
   limits.maxConnections = 2;
   open(limits);
   const auto first = dial(server->address());
   first->send(Ask().text());
-  until([&] { return handler.last == 1; }, "a held request");
+  until([&] { return handler.lastRequestId == 1; }, "a request in flight");
   const auto second = dial(server->address());
   const auto third = dial(server->address());
   third->send("GET /health/ready HTTP/1.1\r\nHost: b\r\n\r\n");
-  until([&] { return third->has("HTTP/1.1 200"); }, "the third is served");
+  until([&] { return third->has("HTTP/1.1 200"); }, "the response on the third connection");
   EXPECT_TRUE(second->ended);
   EXPECT_FALSE(first->ended);
 }
 
-// Where every connection holds a request the next waits in the machine's queue, and comes in when one ends.
-TEST_F(Clients, AtTheLimitWithNoneIdleTheNextWaits) {
+// While every connection has a request in flight, a new one waits in the kernel's accept queue; it is
+// accepted when a connection closes.
+TEST_F(ClientConnections, AtTheConnectionLimitWithoutIdleConnectionsANewOneWaits) {
   ClientServer::Limits limits;
   limits.maxConnections = 1;
   open(limits);
   const auto first = dial(server->address());
   first->send(Ask().text());
-  until([&] { return handler.last == 1; }, "a held request");
+  until([&] { return handler.lastRequestId == 1; }, "a request in flight");
   const auto second = dial(server->address());
   second->send(Ask().text());
   io.restart();
   io.run_for(50ms);
-  EXPECT_EQ(handler.last, 1u);
+  EXPECT_EQ(handler.lastRequestId, 1u);
   first->end();
-  until([&] { return handler.last == 2; }, "the second request");
-  EXPECT_EQ(handler.gone, 1);
+  until([&] { return handler.lastRequestId == 2; }, "the second request");
+  EXPECT_EQ(handler.disconnects, 1);
 }
 
-TEST_F(Clients, ARequestGetsOnlyOneFinalResponse) {
+TEST_F(ClientConnections, ARequestGetsOnlyOneFinalResponse) {
   open({});
   const auto client = dial(server->address());
   client->send(Ask().text());
-  until([&] { return handler.responder != nullptr; }, "a held request");
+  until([&] { return handler.responder != nullptr; }, "a request in flight");
   for (int i = 0; i < 2; ++i) {
-    ClientResponse answer;
-    answer.body = "only";
-    handler.responder->respond(std::move(answer));
+    ClientResponse response;
+    response.body = "only";
+    handler.responder->respond(std::move(response));
   }
-  until([&] { return client->has("only"); }, "the answer");
+  until([&] { return client->has("only"); }, "the response");
   client->send("GET /health/ready HTTP/1.1\r\nHost: b\r\n\r\n");
-  until([&] { return client->has("ready"); }, "the next answer");
+  until([&] { return client->has("ready"); }, "the next response");
   EXPECT_EQ(client->count("only"), 1u);
 }
 
--- a/tests/overflow_connections_test.cpp
+++ b/tests/overflow_connections_test.cpp
@@ -1,4 +1,4 @@
-// Connections beyond those that may be busy.
+// Overflow connections: connections accepted while all regular connections are busy.
 #include <algorithm>
 #include <thread>
 
@@ -11,12 +11,13 @@
 
 constexpr std::size_t kMiB = std::size_t{1} << 20;
 
-// All connections are busy, and others send nothing, or something malformed.
+// All regular connections have a request in flight; other clients send nothing, or a malformed or valid
+// request.
 class OverflowConnections : public Loopback {
  protected:
   struct RecordingHandler : RequestHandler {
     bool ready() const override { return true; }
-    decision::RequestId nextRequestId() override { return ++last; }
+    decision::RequestId nextRequestId() override { return ++lastRequestId; }
     void onRequest(decision::RequestId, const ParsedRequest&, ClientMessage&&,
                    const std::shared_ptr<Responder>& responder) override {
       responders.push_back(responder);
@@ -26,7 +27,7 @@
     void onClosedUnanswered(CloseReason reason) override {
       ADD_FAILURE() << "closed over a request: " << static_cast<int>(reason);
     }
-    decision::RequestId last = 0;
+    decision::RequestId lastRequestId = 0;
     int rejections = 0;
     std::vector<std::shared_ptr<Responder>> responders;
   };
@@ -36,15 +37,15 @@
     limits.overflowDelay = 100ms;
     limits.minOverflowTime = 200ms;
     limits.firstRequestTimeout = 600ms;
-    server.emplace(io, config, limits, handler, pressure);
+    server.emplace(io, config, limits, handler, overloadManager);
     server->start();
     for (std::size_t i = 0; i < 30; ++i) {
       busy.push_back(dial(server->address()));
       busy.back()->send(Ask().text());
     }
-    until([&] { return handler.responders.size() == 30; }, "all are busy");
+    until([&] { return handler.responders.size() == 30; }, "a request in flight on every regular connection");
   }
-  OverloadManager pressure{io, sharesOf({64 * kMiB}), OverloadState::Limits{}};
+  OverloadManager overloadManager{io, sharesOf({64 * kMiB}), OverloadState::Limits{}};
   ClientServer::Limits limits;
   Config config;
   RecordingHandler handler;
@@ -54,13 +55,15 @@
 
 TEST_F(OverflowConnections, MalformedAndSilentPeersAreClosedAndRequestsAreRejected) {
   ASSERT_EQ(limits.overflowSlots(), 2u);
-  const auto silent = dial(server->address()), odd = dial(server->address()), real = dial(server->address());
-  odd->send("NONSENSE\r\n\r\n");
-  real->send(Ask().text());
-  until([&] { return silent->ended && odd->ended && real->ended; }, "an end for each");
-  EXPECT_TRUE(odd->has("HTTP/1.1 400")) << odd->got;
-  EXPECT_TRUE(real->has("HTTP/1.1 503")) << real->got;
-  EXPECT_TRUE(real->has("Retry-After: ") && real->has("Connection: close")) << real->got;
+  const auto silent = dial(server->address()), malformed = dial(server->address()),
+             valid = dial(server->address());
+  malformed->send("NONSENSE\r\n\r\n");
+  valid->send(Ask().text());
+  until([&] { return silent->ended && malformed->ended && valid->ended; },
+        "the close of all three connections");
+  EXPECT_TRUE(malformed->has("HTTP/1.1 400")) << malformed->got;
+  EXPECT_TRUE(valid->has("HTTP/1.1 503")) << valid->got;
+  EXPECT_TRUE(valid->has("Retry-After: ") && valid->has("Connection: close")) << valid->got;
   EXPECT_EQ(handler.rejections, 1);
   EXPECT_EQ(handler.responders.size(), 30u);
 }
@@ -70,26 +73,26 @@
   silent.reserve(12);
   for (int i = 0; i < 12; ++i) silent.push_back(dial(server->address()));
   until([&] { return std::all_of(silent.begin(), silent.end(), [](const auto& p) { return p->ended; }); },
-        "an end for each");
-  const auto late = dial(server->address());
-  until([&] { return server->connections() == 31; }, "one on overflow");
+        "the close of all silent connections");
+  const auto lateClient = dial(server->address());
+  until([&] { return server->connections() == 31; }, "an overflow connection");
   busy.front()->end();
   until([&] { return server->connections() == 30; }, "room");
-  late->send(Ask().text());
-  until([&] { return handler.responders.size() == 31; }, "it is taken");
+  lateClient->send(Ask().text());
+  until([&] { return handler.responders.size() == 31; }, "the admission of the request");
   EXPECT_EQ(handler.rejections, 0);
 }
 
-// Its connection is wanted in the loop turn in which its request arrives.
-TEST_F(OverflowConnections, ARequestThatCrossesTheEndOfItsOverflowConnectionIsAnswered) {
+// The request arrives in the loop iteration in which its connection would be evicted for another one.
+TEST_F(OverflowConnections, ARequestThatArrivesAtTheEvictionOfItsOverflowConnectionIsAnswered) {
   const auto first = dial(server->address()), second = dial(server->address());
-  until([&] { return server->connections() == 32; }, "both on overflow");
+  until([&] { return server->connections() == 32; }, "two overflow connections");
   std::this_thread::sleep_for(limits.minOverflowTime + 20ms);
   const auto third = dial(server->address());
   first->send(Ask().text());
-  until([&] { return first->ended; }, "its end");
+  until([&] { return first->ended; }, "the close of the first connection");
   EXPECT_TRUE(first->has("HTTP/1.1 503")) << first->got;
-  until([&] { return second->ended && third->ended; }, "an end for the silent ones");
+  until([&] { return second->ended && third->ended; }, "the close of the silent connections");
 }
 
 }  // namespace
