--- a/src/gatekeeper/fleet_services.cpp
+++ b/src/gatekeeper/fleet_services.cpp
@@ -1,3 +1,4 @@
+/// Start, restart and end of leader election and replication. See fleet_services.hpp.
 #include "gatekeeper/fleet_services.hpp"
 
 #include <utility>
@@ -5,39 +6,41 @@
 namespace wingslip {
 namespace {
 
-constexpr decision::Time kLeaveStoreTimeoutMs = 1000;  // for leadership in a store that is used no more
+// How long the release of leadership in a store that is no longer configured may take.
+constexpr decision::Time kReleaseTimeoutMs = 1000;
 
 }  // namespace
 
-FleetServices::FleetServices(boost::asio::io_context& io, const Config& config, OverloadManager& overload,
-                             RowChanged rowChanged)
-    : io_(io), config_(config), overload_(overload), rowChanged_(std::move(rowChanged)) {}
+FleetServices::FleetServices(boost::asio::io_context& io, const Config& config,
+                             OverloadManager& overloadManager, RowCallback onRowChanged)
+    : io_(io), config_(config), overloadManager_(overloadManager), onRowChanged_(std::move(onRowChanged)) {}
 
 void FleetServices::startCoordinator() {
   if (!config_.coordination) return;
-  coordinator_ = std::make_unique<leader_election::Coordinator>(
-      io_, *config_.coordination, config_.name, config_.settings.gatewayCount, config_.seed, overload_);
+  coordinator_ = std::make_unique<leader_election::Coordinator>(io_, *config_.coordination, config_.name,
+                                                                config_.settings.gatewayCount, config_.seed,
+                                                                overloadManager_);
   coordinator_->start();
 }
 
 void FleetServices::startReplica() {
   if (!config_.replication) return;
   replica_ = std::make_unique<replication::ReplicaNode>(
-      io_, *config_.replication, config_.name, config_.stateDir, config_.seed, overload_,
-      [this](const replication::Row& row) { rowChanged_(row); });
+      io_, *config_.replication, config_.name, config_.stateDir, config_.seed, overloadManager_,
+      [this](const replication::Row& row) { onRowChanged_(row); });
   replica_->start();
 }
 
 void FleetServices::restartCoordinator() {
   if (coordinator_) coordinator_->drain();
-  leavingCoordinator_ = std::move(coordinator_);
-  if (leavingCoordinator_) leavingCoordinator_->leave(kLeaveStoreTimeoutMs, [] {});
+  previousCoordinator_ = std::move(coordinator_);
+  if (previousCoordinator_) previousCoordinator_->leave(kReleaseTimeoutMs, [] {});
   startCoordinator();
 }
 
 void FleetServices::restartReplica() {
   if (replica_) replica_->drain();
-  leavingReplica_ = std::move(replica_);
+  previousReplica_ = std::move(replica_);
   startReplica();
 }
 
@@ -63,19 +66,19 @@
   return (coordinator_ ? coordinator_->telemetry() : "") + (replica_ ? replica_->telemetry() : "");
 }
 
-std::string FleetServices::duties() const {
+std::string FleetServices::leaderTasks() const {
   return coordinator_ ? coordinator_->dutiesAnswer() : "400 no store is configured\n";
 }
 
-std::string FleetServices::roster() const {
+std::string FleetServices::membershipRecord() const {
   return coordinator_ ? coordinator_->rosterAnswer() : "400 no store is configured\n";
 }
 
-std::string FleetServices::sharers() const {
+std::string FleetServices::replicationMembers() const {
   return replica_ ? replica_->members() : "400 no replica is configured\n";
 }
 
-std::string FleetServices::replica() const {
+std::string FleetServices::replicationState() const {
   return replica_ ? replica_->state() : "400 no replica is configured\n";
 }
 
--- a/src/gatekeeper/fleet_services.hpp
+++ b/src/gatekeeper/fleet_services.hpp
@@ -1,4 +1,5 @@
-/// What one gatekeeper shares with the others of its fleet: the coordination store and the replicated state.
+/// A gatekeeper's services shared with its fleet: leader election through the coordination store, and
+/// replicated state.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -13,48 +14,52 @@
 
 namespace wingslip {
 
-/// Owns the coordinator and the replica, each of which is there only where it is configured. Everything is
-/// called on the one event loop.
+/// Owns the coordinator and the replica; each exists only if it is configured. All calls are made on one
+/// event loop.
 class FleetServices {
  public:
-  using RowChanged = std::function<void(const replication::Row&)>;
+  /// Called with each row that another gatekeeper wrote or that was read from the snapshot.
+  using RowCallback = std::function<void(const replication::Row&)>;
 
-  /// `config` is read at each (re)start and outlives this, as does `overload`.
-  FleetServices(boost::asio::io_context& io, const Config& config, OverloadManager& overload,
-                RowChanged rowChanged);
+  /// @param config read at each start and restart; must outlive this, as must `io` and `overloadManager`
+  FleetServices(boost::asio::io_context& io, const Config& config, OverloadManager& overloadManager,
+                RowCallback onRowChanged);
 
+  /// Starts leader election, if a coordination store is configured.
   void startCoordinator();
+  /// Starts replication, if it is configured.
   void startReplica();
-  /// The configured store has changed: leadership in the earlier one is given back.
+  /// Switches to another coordination store: releases leadership in the previous store.
   void restartCoordinator();
-  /// The configured replica has changed: the earlier one tells its members that it leaves.
+  /// Switches to another replication configuration: the previous replica announces its departure.
   void restartReplica();
 
-  /// SIGTERM: leadership is given back and the members are told.
+  /// On SIGTERM: releases leadership and announces this member's departure.
   void drain();
-  /// After `drain`: ends the session with the store, then calls `done`.
+  /// After `drain`: ends the session with the coordination store, then calls `done`. Without a coordinator
+  /// `done` is called before this returns.
   void leave(const std::function<void()>& done);
 
-  /// Writes a row for all gatekeepers; nothing where no replica is configured.
+  /// Writes or removes a replicated row; no effect if no replica is configured.
   void setRow(const std::string& table, const std::string& key, const std::string& value);
   void removeRow(const std::string& table, const std::string& key);
 
-  std::string telemetry() const;  ///< `svc.` lines
-  /// Operators' answers; `400 ...` where the service is not configured.
-  std::string duties() const;
-  std::string roster() const;
-  std::string sharers() const;
-  std::string replica() const;
+  std::string telemetry() const;  ///< `svc.` lines of both services
+  /// Answers to operators' calls; `400 ...` if the service is not configured.
+  std::string leaderTasks() const;
+  std::string membershipRecord() const;
+  std::string replicationMembers() const;
+  std::string replicationState() const;
 
  private:
   boost::asio::io_context& io_;
   const Config& config_;
-  OverloadManager& overload_;
-  const RowChanged rowChanged_;
+  OverloadManager& overloadManager_;
+  const RowCallback onRowChanged_;
   std::unique_ptr<replication::ReplicaNode> replica_;
-  std::unique_ptr<replication::ReplicaNode> leavingReplica_;
+  std::unique_ptr<replication::ReplicaNode> previousReplica_;
   std::unique_ptr<leader_election::Coordinator> coordinator_;
-  std::unique_ptr<leader_election::Coordinator> leavingCoordinator_;
+  std::unique_ptr<leader_election::Coordinator> previousCoordinator_;
 };
 
 }  // namespace wingslip
--- a/src/gatekeeper/gatekeeper.cpp
+++ b/src/gatekeeper/gatekeeper.cpp
@@ -1,4 +1,4 @@
-/// The gatekeeper's start, reload, lists of workers and drain.
+/// The gatekeeper's start, reload, drain and handling of endpoint lists.
 #include "gatekeeper/gatekeeper.hpp"
 
 #include <algorithm>
@@ -18,28 +18,29 @@
 using decision::WorkerId;
 using namespace std::chrono_literals;
 
-// Drain, from SIGTERM on. Connections go on coming for up to 400 ms.
+// Times of a drain, from SIGTERM on. New connections arrive for up to 400 ms after it.
 constexpr auto kAcceptAfterSigterm = 500ms;
-// In an upgrade idle connections are closed then, and their clients go on to the new process.
-constexpr auto kKeepIdleAfterSigterm = 1200ms;
-// The platform may end the process 700 ms after the longest deadline, counted as kMaxDrainDeadlineMs at most:
-// requests still in flight at that deadline and kFailRemainingAfterMs fail, and the process ends at
-// kExitAfterMs.
+// In an upgrade, idle connections are closed at this time; their clients then connect to the new process.
+constexpr auto kCloseIdleAfterSigterm = 1200ms;
+// The platform may kill the process 700 ms after the longest deadline, of which at most kMaxDrainDeadlineMs
+// count. Requests still in flight kFailRemainingAfterMs after that deadline are failed, and the process exits
+// kExitAfterMs after it.
 constexpr Time kMaxDrainDeadlineMs = 3000;
 constexpr Time kFailRemainingAfterMs = 400;
 constexpr Time kExitAfterMs = 550;
 
-constexpr auto kExclusionsTimeout = 20s;   // to read them at the start; the platform gives up after 30 s
-constexpr auto kReadyPollInterval = 20ms;  // before connections are accepted
-constexpr Time kMaxHandoverAgeMs = 30000;  // an older one: nobody has served since
-constexpr std::size_t kMaxCountedClasses = 512;
+// Limits the wait for the exclusions at the start: the platform kills a process that is not ready after 30 s.
+constexpr auto kExclusionsTimeout = 20s;
+constexpr auto kReadyPollInterval = 20ms;  // until the process is ready and starts to accept connections
+constexpr Time kMaxHandoverAgeMs = 30000;  // no process has served since an older handover was written
+constexpr std::size_t kMaxCountedClasses = 512;  // request classes with counts of their own
 
 invariant::WorkerRules workerRules(const decision::Settings& settings) {
   return {settings.drainGraceMs, settings.overloadMultiple, settings.slowStartShare,
           settings.overloadWindowMs, settings.slowStartMs};
 }
 
-std::chrono::steady_clock::time_point processFrom(const WorkerStart& start) {
+std::chrono::steady_clock::time_point processStartOf(const WorkerStart& start) {
   if (start.processStartedAt <= 0) return std::chrono::steady_clock::time_point::min();
   return DecisionClock::steady(start.processStartedAt);
 }
@@ -49,16 +50,16 @@
 Gatekeeper::Gatekeeper(asio::io_context& io, const Config& config)
     : io_(io),
       config_(config),
-      pressure_(io, memoryShares(config), pressureLimits(config)),
-      pool_(io, poolLimits(config), config.settings.loadReportFields, pressure_,
+      overloadManager_(io, memoryShares(config), overloadLimits(config)),
+      pool_(io, poolLimits(config), config.settings.loadReportFields, overloadManager_,
             [this](AttemptEnd&& end) { onAttemptDone(std::move(end)); }),
-      server_(io, config_, serverLimits(config), *this, pressure_),
+      server_(io, config_, serverLimits(config), *this, overloadManager_),
       gateway_(config.settings, config.seed, clock_.now(), *this),
       monitor_([](const std::string& line) { processLog().error("event=invariant text=\"{}\"", line); },
                [this] { return gateway_.warmWorkerRate(clock_.now()); }),
       exclusions_(io, config.stateDir,
                   [this](const ExclusionChange& change) { onExclusionsChanged(change); }),
-      fleet_(io, config_, pressure_, [this](const replication::Row& row) { onReplicatedRow(row); }),
+      fleet_(io, config_, overloadManager_, [this](const replication::Row& row) { onReplicatedRow(row); }),
       startTimer_(io),
       drainTimer_(io),
       acceptTimer_(io),
@@ -69,24 +70,25 @@
          onResponseStart(id, type, length);
        },
        [this](RequestId id, std::string&& piece) { forwardPiece(id, std::move(piece)); }});
-  pressure_.start([this] { return std::max(server_.busyShare(), pool_.busyShare()); },
-                  [this](double excess) { onOverload(excess); });
-  if (config_.ops) ops_.emplace(io, OpsServer::Limits{}, static_cast<OperatorCalls&>(*this), pressure_);
+  overloadManager_.start([this] { return std::max(server_.busyShare(), pool_.busyShare()); },
+                         [this](double excess) { onOverload(excess); });
+  if (config_.ops)
+    ops_.emplace(io, OpsServer::Limits{}, static_cast<OperatorCalls&>(*this), overloadManager_);
   for (const std::string& name : config_.host.classes) metrics_.classes.try_emplace(name);
   monitor_.setRules(workerRules(config_.settings));
   exclusions_.applyAll();
   applyHandover();
-  EndpointList known;
+  EndpointList cachedList;
   if (!config_.known.empty()) {
-    known = parseEndpointList(config_.known);
-    onEndpointList(known, EndpointUpdate::cached);
+    cachedList = parseEndpointList(config_.known);
+    onEndpointList(cachedList, EndpointUpdate::cached);
   }
   discovery_ = std::make_unique<DiscoveryClient>(
-      io, config_.discovery, std::move(known), watchLimits(config_), config_.seed,
-      [this](const EndpointList& roster) {
-        onEndpointList(roster, roster.isSnapshot ? EndpointUpdate::snapshot : EndpointUpdate::delta);
+      io, config_.discovery, std::move(cachedList), watchLimits(config_), config_.seed,
+      [this](const EndpointList& list) {
+        onEndpointList(list, list.isSnapshot ? EndpointUpdate::snapshot : EndpointUpdate::delta);
       },
-      pressure_);
+      overloadManager_);
 }
 
 Gatekeeper::~Gatekeeper() = default;
@@ -109,7 +111,8 @@
   reportTimer_.start();
 }
 
-// The platform holds the listening socket: the process before goes on accepting until this one is ready.
+// The platform owns the listening socket, so the previous process continues to accept until this one is
+// ready.
 void Gatekeeper::acceptOnceReady() {
   if (draining_) return;
   if (readyToServe()) return server_.startAccepting();
@@ -119,27 +122,28 @@
   });
 }
 
-// Without it a new process would have to learn the warm rate anew, while new workers get next to nothing.
+// Without the handover a new process would have to relearn the rate of warm workers, and workers in slow
+// start would receive almost no requests until then.
 void Gatekeeper::applyHandover() {
   if (config_.acceptFd < 0) return;
   const Time now = clock_.now();
   const auto handover = readHandover(config_.stateDir);
   if (!handover || std::abs(now - handover->at) >= kMaxHandoverAgeMs) return;
   if (handover->warmRate > 0) gateway_.seedWarmWorkerRate(now, handover->warmRate);
-  starts_ = StartTimes(handover->clockOffset);
+  startTimes_ = StartTimes(handover->clockOffset);
 }
 
 std::optional<Handover> Gatekeeper::currentHandover() const {
   if (draining_) return std::nullopt;
   const Time now = clock_.now();
-  return Handover{now, gateway_.warmWorkerRate(now), starts_.clockOffsetMs()};
+  return Handover{now, gateway_.warmWorkerRate(now), startTimes_.clockOffsetMs()};
 }
 
-// What the agent knew when the process started is binding, and the configured list may be older: nothing is
-// sent before the agent's first list. An agent that stays silent for longer than a working one can is down;
-// then the configured list is used.
+// Requests are sent to workers only after the agent's first list: the gatekeeper is bound by what the agent
+// knew when the process started, and the configured list may be older. An agent that is silent for longer
+// than a working one can be is down; the configured list is used then.
 //
-// Nor before it is known who is excluded by hand: a file that cannot be read is tried again
+// Requests also wait until the operators' exclusions are loaded: an unreadable file is retried
 // (ExclusionControl::follow) for kExclusionsTimeout.
 void Gatekeeper::onEndpointsKnown() {
   endpointsKnown_ = true;
@@ -147,7 +151,9 @@
   startTimer_.expires_at(startedAt_ + kExclusionsTimeout);
   startTimer_.async_wait([this](const Error& error) {
     if (error) return;
-    processLog().error("event=exclusions text=\"serving without knowing who is excluded by hand\"");
+    processLog().error(
+        "event=exclusions text=\"exclusion file unreadable since the start; serving without it until it can "
+        "be read\"");
     startServing();
   });
 }
@@ -161,22 +167,23 @@
 
 // --- Overload --------------------------------------------------------------------------------------------
 
-// The decision module chooses which requests to shed; idle connections serve nobody.
+// The decision module chooses which requests to shed. Connections that have long been idle are closed here,
+// since they use descriptors without serving a request.
 void Gatekeeper::onOverload(double excess) {
-  const OverloadState& now = pressure_.state();
-  if (pressure_.areDescriptorsOverloaded()) server_.closeLongIdle();
+  const OverloadState& state = overloadManager_.state();
+  if (overloadManager_.areDescriptorsOverloaded()) server_.closeLongIdle();
   gateway_.onOverload(clock_.now(),
-                      {now.level() != OverloadLevel::none, pressure_.isMemoryOverloaded(), now.rejectShare(),
-                       excess, now.expectedDurationMs(OverloadManager::now())});
+                      {state.level() != OverloadLevel::none, overloadManager_.isMemoryOverloaded(),
+                       state.rejectShare(), excess, state.expectedDurationMs(OverloadManager::now())});
 }
 
 // --- Reload ----------------------------------------------------------------------------------------------
 
-// The indexes of an early request are those of the settings then. False: its class or plan is no more; it is
-// rejected at its deadline.
+// Translates the class and plan indexes of an early request from the previous settings to the new ones.
+// Returns false if the new settings lack its class or plan; the request is then rejected at its deadline.
 bool Gatekeeper::remap(decision::Request& request, const NameIndex& classes, const NameIndex& plans) const {
-  const unsigned classIndex = classes.of(config_.host.classes[request.classIndex]);
-  const unsigned planIndex = plans.of(config_.host.plans[request.planIndex]);
+  const unsigned classIndex = classes.indexOf(config_.host.classes[request.classIndex]);
+  const unsigned planIndex = plans.indexOf(config_.host.plans[request.planIndex]);
   if (classIndex == NameIndex::kNone || planIndex == NameIndex::kNone) return false;
   request.classIndex = classIndex;
   request.planIndex = planIndex;
@@ -186,17 +193,17 @@
 std::vector<decision::Request> Gatekeeper::remappedEarlyRequests(const settings::HostSettings& host) const {
   const NameIndex classes(host.classes);
   const NameIndex plans(host.plans);
-  std::vector<decision::Request> out;
+  std::vector<decision::Request> remapped;
   for (decision::Request request : earlyRequests_)
-    if (remap(request, classes, plans)) out.push_back(request);
-  return out;
+    if (remap(request, classes, plans)) remapped.push_back(request);
+  return remapped;
 }
 
-// New zones and machine types come behind the present ones, so that indexes that were given out stay valid.
+// Appends new zones and machine types to the present ones, so that indexes already in use stay valid.
 settings::HostSettings Gatekeeper::mergedHostSettings(const Config& config) const {
   settings::HostSettings host = config.host;
-  host.zones = joinedNames(config_.host.zones, host.zones);
-  host.machineTypes = joinedNames(config_.host.machineTypes, host.machineTypes);
+  host.zones = mergedNames(config_.host.zones, host.zones);
+  host.machineTypes = mergedNames(config_.host.machineTypes, host.machineTypes);
   return host;
 }
 
@@ -204,7 +211,7 @@
   decision::Settings settings = config.settings;
   settings::HostSettings host = mergedHostSettings(config);
   if (settings.zone < config.host.zones.size())
-    settings.zone = NameIndex(host.zones).of(config.host.zones[settings.zone]);
+    settings.zone = NameIndex(host.zones).indexOf(config.host.zones[settings.zone]);
   std::vector<decision::Request> earlyRequests = remappedEarlyRequests(config.host);
   gateway_.onSettings(clock_.now(), settings);
   earlyRequests_ = std::move(earlyRequests);
@@ -214,10 +221,12 @@
   config_.keys = config.keys;
   config_.discovery = config.discovery;
   pool_.updateSettings(poolLimits(config_), config_.settings.loadReportFields);
-  pressure_.setLimits(pressureLimits(config_));
+  overloadManager_.setLimits(overloadLimits(config_));
   if (config.memoryMb != config_.memoryMb)
-    processLog().warn("event=reload text=\"limits.memory_mb stays as at the start\" memory_mb={}",
-                      config_.memoryMb);
+    processLog().warn(
+        "event=reload text=\"limits.memory_mb cannot change at a reload; the value of the start stays in "
+        "effect\" memory_mb={}",
+        config_.memoryMb);
   for (const std::string& name : config_.host.classes)
     if (metrics_.classes.size() < kMaxCountedClasses) metrics_.classes.try_emplace(name);
   reloadFleetServices(config);
@@ -226,8 +235,8 @@
   processLog().info("event=reloaded");
 }
 
-// Not while draining: both services have been told that this process leaves, and the end of the drain waits
-// for the coordinator that it had then.
+// Does nothing while draining: both services have been notified that this process leaves, and the end of the
+// drain waits for the coordinator that was in use at its start.
 void Gatekeeper::reloadFleetServices(const Config& config) {
   if (draining_) return;
   if (config.coordination != config_.coordination) {
@@ -242,8 +251,8 @@
 
 // --- Drain -----------------------------------------------------------------------------------------------
 
-// Where the platform holds the listening socket the next process accepts already. Connections that this one
-// has are kept for a while, so that requests that clients are sending are still read.
+// If the platform owns the listening socket, the next process accepts already. This process's connections
+// stay open for kCloseIdleAfterSigterm, so that requests that clients are sending are still read.
 void Gatekeeper::drain(std::function<void()> done) {
   draining_ = true;
   processLog().info("event=drain held={} client_connections={}", requests_.size(), server_.connections());
@@ -257,7 +266,7 @@
     longestDeadlineMs = std::max(longestDeadlineMs, requestClass.deadlineMs);
   const Time waitMs = std::min(longestDeadlineMs, kMaxDrainDeadlineMs);
   const auto sigtermAt = std::chrono::steady_clock::now();
-  const auto closeIdleAt = sigtermAt + (nextProcessAccepts ? kKeepIdleAfterSigterm : kAcceptAfterSigterm);
+  const auto closeIdleAt = sigtermAt + (nextProcessAccepts ? kCloseIdleAfterSigterm : kAcceptAfterSigterm);
   drainStepAt(closeIdleAt, [this, sigtermAt, waitMs, nextProcessAccepts, done = std::move(done)] {
     if (!nextProcessAccepts) server_.stopAccepting();
     closeIdleClients(done);
@@ -268,7 +277,7 @@
   });
 }
 
-// Replaces the step before, which has been run.
+// Reuses the timer of the previous step, which has run by then.
 void Gatekeeper::drainStepAt(SteadyTime at, std::function<void()> step) {
   drainTimer_.expires_at(at);
   drainTimer_.async_wait([step = std::move(step)](const Error& error) {
@@ -281,7 +290,8 @@
   server_.whenEmpty([this, done] { finishDrain(done); });
 }
 
-// The process ends: requests still in flight were owed an answer.
+// The process exits: requests in flight without a response are reported to the invariant monitor, since each
+// should have had one.
 void Gatekeeper::finishDrain(const std::function<void()>& done) {
   const Time now = clock_.now();
   processLog().info("event=drained held={} client_connections={} invariants_broken={}", requests_.size(),
@@ -289,59 +299,61 @@
   for (auto& [id, request] : requests_)
     if (!request.responseStarted) monitor_.requestReleased(request.trace, now);
   if (server_.connections() == 0)
-    monitor_.checkNothingHeld(requests_.size(),
-                              std::to_string(requests_.size()) + " requests held without a connection", now);
+    monitor_.checkNothingHeld(
+        requests_.size(),
+        std::to_string(requests_.size()) + " requests in flight without a client connection", now);
   done();
 }
 
-// --- From discovery --------------------------------------------------------------------------------------
+// --- Endpoint lists --------------------------------------------------------------------------------------
 
-// A zone or machine type that the settings do not name is none of theirs, also after others were added.
-Endpoint Gatekeeper::endpointOf(const EndpointEntry& instance, const WorkerStart& start,
-                                const NameIndex& zones, const NameIndex& kinds) const {
+// A zone or machine type that the settings do not name gets NameIndex::kNone, which stays distinct from every
+// index that a reload adds.
+Endpoint Gatekeeper::endpointOf(const EndpointEntry& entry, const WorkerStart& start, const NameIndex& zones,
+                                const NameIndex& machineTypes) const {
   Endpoint out;
-  out.worker = workerIdOf(instance.id);
-  out.phase = instance.phase;
-  out.zone = zones.of(instance.zone);
-  out.machineType = kinds.of(instance.machineType);
-  out.cell = instance.cell;
+  out.worker = workerIdOf(entry.id);
+  out.phase = entry.phase;
+  out.zone = zones.indexOf(entry.zone);
+  out.machineType = machineTypes.indexOf(entry.machineType);
+  out.cell = entry.cell;
   out.startedAt = start.slowStartFrom;
   return out;
 }
 
-// The worker drains or is gone: no new attempt goes to it.
+// The worker drains or was removed: no new attempt is sent to it.
 void Gatekeeper::onWorkerRetired(WorkerId worker, decision::WorkerPhase phase, Time now) {
-  listed_.erase(worker);
+  readyWorkers_.erase(worker);
   monitor_.workerRetired(worker, phase, now);
   pool_.retireWorker(worker);
 }
 
-void Gatekeeper::onEndpointList(const EndpointList& roster, EndpointUpdate kind) {
+void Gatekeeper::onEndpointList(const EndpointList& list, EndpointUpdate kind) {
   const Time now = clock_.now();
   const bool live = endpointsKnown_ && kind != EndpointUpdate::cached;
-  for (const EndpointEntry& instance : roster.entries) starts_.observe(instance.startedAtMs, now);
-  std::vector<Endpoint> members;
-  std::unordered_set<WorkerId> unnamed;
-  if (kind != EndpointUpdate::delta) unnamed = listed_;
-  const NameIndex zones(config_.host.zones), kinds(config_.host.machineTypes);
-  for (const EndpointEntry& instance : roster.entries) {
-    const WorkerId worker = workerIdOf(instance.id);
-    const WorkerStart start = starts_.startOf(worker, instance.startedAtMs, now, live);
-    members.push_back(endpointOf(instance, start, zones, kinds));
-    exclusions_.addNamed(instance.id);
-    unnamed.erase(worker);
-    if (instance.phase == decision::WorkerPhase::ready) {
-      listed_.insert(worker);
+  for (const EndpointEntry& entry : list.entries) startTimes_.observe(entry.startedAtMs, now);
+  std::vector<Endpoint> endpoints;
+  std::unordered_set<WorkerId> unlisted;
+  if (kind != EndpointUpdate::delta) unlisted = readyWorkers_;
+  const NameIndex zones(config_.host.zones), machineTypes(config_.host.machineTypes);
+  for (const EndpointEntry& entry : list.entries) {
+    const WorkerId worker = workerIdOf(entry.id);
+    const WorkerStart start = startTimes_.startOf(worker, entry.startedAtMs, now, live);
+    endpoints.push_back(endpointOf(entry, start, zones, machineTypes));
+    exclusions_.addNamed(entry.id);
+    unlisted.erase(worker);
+    if (entry.phase == decision::WorkerPhase::ready) {
+      readyWorkers_.insert(worker);
       monitor_.workerReady(worker, start.slowStartFrom);
-      pool_.setWorkerAddress(worker, {instance.address, processFrom(start)});
+      pool_.setWorkerAddress(worker, {entry.address, processStartOf(start)});
     } else {
-      onWorkerRetired(worker, instance.phase, now);
+      onWorkerRetired(worker, entry.phase, now);
     }
   }
-  for (const WorkerId worker : unnamed) onWorkerRetired(worker, decision::WorkerPhase::removed, now);
-  starts_.forgetUnlisted([this](WorkerId worker) { return listed_.contains(worker); });
-  gateway_.onEndpoints(now, kind, members);
-  workersKnown_ = workersKnown_ || !listed_.empty();
+  for (const WorkerId worker : unlisted) onWorkerRetired(worker, decision::WorkerPhase::removed, now);
+  startTimes_.forgetUnlisted([this](WorkerId worker) { return readyWorkers_.contains(worker); });
+  gateway_.onEndpoints(now, kind, endpoints);
+  workersKnown_ = workersKnown_ || !readyWorkers_.empty();
   if (kind != EndpointUpdate::cached) onEndpointsKnown();
 }
 
--- a/src/gatekeeper/gatekeeper.hpp
+++ b/src/gatekeeper/gatekeeper.hpp
@@ -1,7 +1,7 @@
-/// One gatekeeper: connects the decision module with clients, workers and discovery. Turns socket events into
-/// the module's events and the module's actions into socket operations, and decides nothing itself, but for
-/// three things: whether an attempt may still be sent (`refusalOf`), the answer at the deadline, and the
-/// answers before it serves.
+/// The gatekeeper: connects the decision module with clients, workers and discovery. Translates socket events
+/// into the module's events and the module's actions into socket operations. It makes only three decisions of
+/// its own: whether an attempt may still be sent (`refusalOf`), the response at a request's deadline, and the
+/// responses before it starts serving.
 #pragma once
 
 #include <chrono>
@@ -35,31 +35,38 @@
 
 namespace wingslip {
 
-/// Owns all parts of a gatekeeper. Everything runs on the one event loop, which outlives it.
+/// Owns all components of a gatekeeper. All calls and callbacks run on one event loop, which must outlive it.
 class Gatekeeper : private decision::Actions, private RequestHandler, private OperatorCalls {
  public:
-  /// Throws std::runtime_error where the configured memory does not hold one process.
+  /// @throws std::runtime_error if the configured memory limit is too small for one process.
   Gatekeeper(boost::asio::io_context& io, const Config& config);
   ~Gatekeeper() override;
 
-  /// Listens and starts the timers. Throws std::runtime_error if it cannot listen.
+  /// Starts to listen and starts the timers.
+  /// @throws std::runtime_error if it cannot listen.
   void start();
-  /// Takes over what may change while the process runs: the settings, keys, and the addresses of discovery,
-  /// the coordination store and the replica. The rest stays as it was at the start. Throws, with nothing
-  /// changed, if the decision module cannot take the settings.
+  /// Applies the settings, the keys, and the addresses of discovery, the coordination store and the replica.
+  /// All other values stay those of the process's start.
+  /// @throws std::invalid_argument if the decision module rejects the settings; nothing has changed then.
   void reload(const Config& config);
+  /// The configuration in effect.
   const Config& config() const { return config_; }
-  /// A changed configuration was not taken over: counts it.
+  /// Counts a changed configuration that could not be applied.
   void reloadFailed() { ++metrics_.reloadsFailed; }
-  /// SIGTERM: accepts a little longer, finishes the requests in flight, then calls `done`, maybe twice.
+  /// On SIGTERM: accepts connections for a short time, finishes the requests in flight, then calls `done`,
+  /// possibly twice.
   void drain(std::function<void()> done);
 
+  /// Where clients connect.
   boost::asio::ip::tcp::endpoint address() const { return server_.address(); }
+  /// Where operators connect; requires that `Config::ops` is set.
   boost::asio::ip::tcp::endpoint opsAddress() const { return ops_->address(); }
-  /// A worker is known and requests are served.
+  /// Whether a list has named a ready worker and requests are served.
   bool ready() const override { return workersKnown_ && serving_; }
+  /// Requests without a final answer, including those received before serving started.
   std::size_t requestsInFlight() const { return requests_.size(); }
-  OverloadManager& pressure() { return pressure_; }
+  /// Owned by the gatekeeper.
+  OverloadManager& pressure() { return overloadManager_; }
 
  private:
   using SteadyTime = std::chrono::steady_clock::time_point;
@@ -77,20 +84,20 @@
   std::string telemetry() const override;
   ExclusionResult exclude(const std::string& id) override;
   ExclusionResult include(const std::string& id) override;
-  std::string leaderTasks() const override { return fleet_.duties(); }
-  std::string membershipRecord() const override { return fleet_.roster(); }
-  std::string replicationMembers() const override { return fleet_.sharers(); }
-  std::string replicationState() const override { return fleet_.replica(); }
+  std::string leaderTasks() const override { return fleet_.leaderTasks(); }
+  std::string membershipRecord() const override { return fleet_.membershipRecord(); }
+  std::string replicationMembers() const override { return fleet_.replicationMembers(); }
+  std::string replicationState() const override { return fleet_.replicationState(); }
 
   // decision::Actions
   void startAttempt(decision::RequestId id, decision::WorkerId worker, decision::Time timeout) override;
   void reject(decision::RequestId id, decision::Time retryAfter) override;
   void fail(decision::RequestId id) override;
   void setTimer(decision::Time wait, std::uint64_t tag) override;
-  void pollEndpoints() override {}  // the watch is always open
+  void pollEndpoints() override {}  // not needed: the watch is always open
   void log(const std::string& line) override;
 
-  // Start and handover from the process before (gatekeeper.cpp)
+  // Start, and handover from the previous process (gatekeeper.cpp)
   void onEndpointsKnown();
   void startServing();
   void acceptOnceReady();
@@ -110,10 +117,10 @@
   void finishDrain(const std::function<void()>& done);
 
   // Workers and overload (gatekeeper.cpp)
-  void onEndpointList(const EndpointList& roster, decision::EndpointUpdate kind);
+  void onEndpointList(const EndpointList& list, decision::EndpointUpdate kind);
   void onWorkerRetired(decision::WorkerId worker, decision::WorkerPhase phase, decision::Time now);
-  decision::Endpoint endpointOf(const EndpointEntry& instance, const WorkerStart& start,
-                                const NameIndex& zones, const NameIndex& kinds) const;
+  decision::Endpoint endpointOf(const EndpointEntry& entry, const WorkerStart& start, const NameIndex& zones,
+                                const NameIndex& machineTypes) const;
   void onOverload(double excess);
 
   // Operators (gatekeeper_operators.cpp)
@@ -121,7 +128,7 @@
   void onReplicatedRow(const replication::Row& row);
   void report();
 
-  // A request and its attempts (gatekeeper_requests.cpp)
+  // Requests and their attempts (gatekeeper_requests.cpp)
   ClassCounts& countsOf(unsigned classIndex);
   void startDeadlineTimer(decision::RequestId id, RequestInFlight& request);
   void onDeadline(decision::RequestId id);
@@ -140,41 +147,41 @@
   void forwardPiece(decision::RequestId id, std::string&& piece);
   void finishStreamedResponse(AttemptEnd& end);
   void respond(decision::RequestId id, ClientResponse&& response);
-  std::shared_ptr<Responder> conclude(decision::RequestId id, invariant::RequestState how);
+  std::shared_ptr<Responder> conclude(decision::RequestId id, invariant::RequestState finalState);
 
   boost::asio::io_context& io_;
   Config config_;
   const DecisionClock clock_{};
-  StartTimes starts_{clock_.wallOffset()};
-  OverloadManager pressure_;
+  StartTimes startTimes_{clock_.wallOffset()};
+  OverloadManager overloadManager_;
   UpstreamPool pool_;
   ClientServer server_;
-  std::unordered_set<decision::WorkerId> listed_;  // named as ready by the present list
+  std::unordered_set<decision::WorkerId> readyWorkers_;  // ready on the current endpoint list
   std::unordered_map<decision::RequestId, RequestInFlight> requests_;
   decision::RequestId lastRequestId_ = 0;
   decision::Gateway gateway_;
   invariant::Monitor monitor_;
   SendRefusals sendRefusals_;
-  std::unordered_set<decision::WorkerId> excluded_;  // by hand
+  std::unordered_set<decision::WorkerId> excluded_;  // by an operator
   std::unique_ptr<DiscoveryClient> discovery_;
   Metrics metrics_;
-  ClassCounts uncounted_;  // of classes past the most that are counted
+  ClassCounts overflowClassCounts_;  // of classes beyond kMaxCountedClasses; not reported
   ExclusionControl exclusions_;
   std::optional<OpsServer> ops_;
   FleetServices fleet_;
-  std::vector<decision::Request> earlyRequests_;  // came before serving; one that has ended is skipped
-  boost::asio::steady_timer startTimer_;          // for the first list, then for the exclusions
+  std::vector<decision::Request> earlyRequests_;  // received before serving; may include ended ones
+  boost::asio::steady_timer startTimer_;          // limits the wait for the first list, then the exclusions
   boost::asio::steady_timer drainTimer_;
   boost::asio::steady_timer acceptTimer_;
   ReportTimer reportTimer_;
   HandoverWriter handoverWriter_;
   FinalAnswerCounts finalAnswers_;
-  bool workersKnown_ = false;
+  bool workersKnown_ = false;  // an endpoint list has named a ready worker
   const SteadyTime startedAt_ = std::chrono::steady_clock::now();
-  bool endpointsKnown_ = false;  // discovery has sent a list, or is not there
-  bool serving_ = false;         // so it has, and it is known who is excluded by hand
+  bool endpointsKnown_ = false;  // discovery has sent a list, or the wait for the first one timed out
+  bool serving_ = false;         // endpointsKnown_, and the exclusions are loaded or their wait timed out
   bool draining_ = false;
-  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);  // for posted handlers
+  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);  // expires with this, for posted handlers
 };
 
 }  // namespace wingslip
--- a/src/gatekeeper/gatekeeper_limits.cpp
+++ b/src/gatekeeper/gatekeeper_limits.cpp
@@ -1,3 +1,4 @@
+/// Resource limits and time limits of a gatekeeper. See gatekeeper_limits.hpp.
 #include "gatekeeper/gatekeeper_limits.hpp"
 
 #include <algorithm>
@@ -8,21 +9,22 @@
 namespace wingslip {
 namespace {
 
-// Descriptors that are reserved: for the listener, discovery, timers and standard streams; and, where they
-// are configured, for operators' calls, the coordination store and the other gatekeepers.
+// Reserved file descriptors: for the listener, discovery, timers and standard streams; and, if configured,
+// for operators' calls, the coordination store and replication with the other gatekeepers.
 constexpr unsigned kReservedSockets = 24;
 constexpr unsigned kOpsSockets = 18;
 constexpr unsigned kStoreSockets = 8;
 constexpr unsigned kReplicaSockets = 50;
-// Shares of all descriptors for either process of an upgrade; both processes fit under the limit.
+// Shares of all file descriptors that each of the two processes of an upgrade may use. Both processes
+// together stay below the limit.
 constexpr double kClientShare = 0.27;
 constexpr double kWorkerShare = 0.13;
-constexpr double kIdleTimeoutShare = 0.8;  // of the worker's own idle time-out
+constexpr double kIdleTimeoutShare = 0.8;  // of the worker's idle timeout: closes before the worker does
 constexpr std::size_t kMinConnections = 8;
 
-std::size_t shareOfSockets(const Config& config, double shareInUpgrade) {
+std::size_t maxConnectionsFor(const Config& config, double descriptorShare) {
   if (config.acceptFd >= 0)
-    return std::max<std::size_t>(kMinConnections, static_cast<std::size_t>(config.sockets * shareInUpgrade));
+    return std::max<std::size_t>(kMinConnections, static_cast<std::size_t>(config.sockets * descriptorShare));
   const unsigned reserved = kReservedSockets + (config.ops ? kOpsSockets : 0) +
                             (config.coordination ? kStoreSockets : 0) +
                             (config.replication ? kReplicaSockets : 0);
@@ -42,30 +44,31 @@
   out.connectTimeout = std::chrono::milliseconds(std::lround(std::max(1.0, config.host.connectTimeoutMs)));
   out.idleTimeout =
       std::chrono::milliseconds(std::lround(kIdleTimeoutShare * config.host.workerIdleTimeoutMs));
-  out.maxConnections = shareOfSockets(config, kWorkerShare);
+  out.maxConnections = maxConnectionsFor(config, kWorkerShare);
   return out;
 }
 
 ClientServer::Limits serverLimits(const Config& config) {
   ClientServer::Limits out;
-  out.maxConnections = shareOfSockets(config, kClientShare);
+  out.maxConnections = maxConnectionsFor(config, kClientShare);
   return out;
 }
 
 MemoryBudget::Shares memoryShares(const Config& config) {
-  MemoryLimit room;
-  room.bytes = static_cast<std::size_t>(config.memoryMb * 1024 * 1024);
-  room.twoProcesses = config.acceptFd >= 0;
-  room.stateFiles = !config.stateDir.empty();
-  const MemoryBudget::Shares out = sharesOf(room);
+  MemoryLimit limit;
+  limit.bytes = static_cast<std::size_t>(config.memoryMb * 1024 * 1024);
+  limit.twoProcesses = config.acceptFd >= 0;
+  limit.stateFiles = !config.stateDir.empty();
+  const MemoryBudget::Shares out = sharesOf(limit);
   if (out.total > 0) return out;
-  const std::size_t least = minMemoryLimit(room.twoProcesses, room.stateFiles);
-  throw std::runtime_error("configuration: limits.memory_mb is too small: it takes " +
-                           std::to_string((least + 1024 * 1024 - 1) / (1024 * 1024)) + " at least here");
+  const std::size_t minBytes = minMemoryLimit(limit.twoProcesses, limit.stateFiles);
+  throw std::runtime_error(
+      "configuration: limits.memory_mb is too small: this configuration needs at least " +
+      std::to_string((minBytes + 1024 * 1024 - 1) / (1024 * 1024)) + " MiB");
 }
 
-OverloadState::Limits pressureLimits(const Config& config) {
-  decision::Time objectiveMs = 0;  // the shortest of all classes; 0: none has one
+OverloadState::Limits overloadLimits(const Config& config) {
+  decision::Time objectiveMs = 0;  // the shortest latency objective of all classes; 0: no class has one
   for (const auto& requestClass : config.settings.classes)
     if (requestClass.latencyObjectiveMs > 0)
       objectiveMs = objectiveMs > 0 ? std::min(objectiveMs, requestClass.latencyObjectiveMs)
--- a/src/gatekeeper/gatekeeper_limits.hpp
+++ b/src/gatekeeper/gatekeeper_limits.hpp
@@ -1,4 +1,4 @@
-/// What a gatekeeper may hold and how long it waits, from its configuration.
+/// Resource limits and time limits of a gatekeeper, derived from its configuration.
 #pragma once
 
 #include <chrono>
@@ -12,21 +12,25 @@
 
 namespace wingslip {
 
-/// Milliseconds of the module's clock as a span of the steady one.
+/// Converts milliseconds of the decision module's clock to a duration of the steady clock.
 std::chrono::steady_clock::duration toDuration(decision::Time ms);
 
-/// Connections to workers and of clients: their shares of the descriptors.
+/// Time limits of connections to workers, and how many of the process's file descriptors they may use.
 UpstreamPool::Limits poolLimits(const Config& config);
+/// How many of the process's file descriptors client connections may use.
 ClientServer::Limits serverLimits(const Config& config);
 
-/// Throws std::runtime_error where `limits.memory_mb` does not hold one process.
+/// How the memory limit is divided, in bytes.
+/// @throws std::runtime_error if `limits.memory_mb` is too small for one process.
 MemoryBudget::Shares memoryShares(const Config& config);
 
-OverloadState::Limits pressureLimits(const Config& config);
+/// Thresholds of overload control, from the shortest latency objective of all request classes.
+OverloadState::Limits overloadLimits(const Config& config);
+/// Time limits of the watch on the endpoint list, from the drain grace period and the number of gatekeepers.
 EndpointWatch::Limits watchLimits(const Config& config);
 
-/// The module's number of a worker: the same at every gatekeeper, whatever the address, since they all run
-/// this program.
+/// The decision module's id of a worker. It depends only on the instance id, not on the address, and is the
+/// same at every gatekeeper, since all run this program.
 decision::WorkerId workerIdOf(const std::string& instanceId);
 
 }  // namespace wingslip
--- a/src/gatekeeper/gatekeeper_operators.cpp
+++ b/src/gatekeeper/gatekeeper_operators.cpp
@@ -1,4 +1,4 @@
-/// Operators' calls and figures, workers excluded by hand, and the periodic report.
+/// Operators' calls, metrics, workers excluded by operators, and the periodic report.
 #include "gatekeeper/gatekeeper.hpp"
 #include "gatekeeper/gatekeeper_limits.hpp"
 
@@ -8,47 +8,48 @@
 using decision::Time;
 using decision::WorkerId;
 
-constexpr const char* kExcludedTable = "excluded";  // replicated: workers excluded by hand
+constexpr const char* kExcludedTable = "excluded";  // replicated table of workers excluded by operators
 constexpr const char* kExcludedValue = "1";
 
-// Whether the change is in force, so that the other gatekeepers have to know of it.
-bool isInForce(const ExclusionResult& result) {
+// Whether the change has taken effect and must be replicated to the other gatekeepers.
+bool isInEffect(const ExclusionResult& result) {
   return result.status == ExclusionResult::Status::done ||
          result.status == ExclusionResult::Status::notPersisted;
 }
 
 }  // namespace
 
-// Another gatekeeper, or this one before its restart, has excluded or included a worker.
+// Applies an exclusion or inclusion by another gatekeeper, or by this one before its restart.
 void Gatekeeper::onReplicatedRow(const replication::Row& row) {
   if (row.table != kExcludedTable || row.key.empty()) return;
   exclusions_.onReplicated(row.key, !row.tombstone);
 }
 
-// Operators' `readyz`: the list and the exclusions are known, and the process does not drain.
+// Answers the operators' call `readyz`: a worker is known, requests are served, and the process is not
+// draining.
 bool Gatekeeper::readyToServe() const { return ready() && !draining_; }
 
 std::string Gatekeeper::telemetry() const {
   const decision::WorkerCounts workers = gateway_.workerCounts(clock_.now());
-  Metrics figures = metrics_;
-  figures.attemptsWritten = pool_.attemptsWritten();
-  figures.localShortages = pool_.localShortages();
-  figures.rejections = gateway_.rejectionCounts();
-  return telemetryText(figures, {requests_.size(), workers.listed, workers.avoided},
+  Metrics metrics = metrics_;
+  metrics.attemptsWritten = pool_.attemptsWritten();
+  metrics.localShortages = pool_.localShortages();
+  metrics.rejections = gateway_.rejectionCounts();
+  return telemetryText(metrics, {requests_.size(), workers.listed, workers.avoided},
                        monitor_.telemetry() + server_.closes().telemetry("close") +
-                           sendRefusals_.telemetry("not_sent", 1) + pressure_.telemetry() +
+                           sendRefusals_.telemetry("not_sent", 1) + overloadManager_.telemetry() +
                            fleet_.telemetry());
 }
 
 ExclusionResult Gatekeeper::exclude(const std::string& id) {
   const ExclusionResult out = exclusions_.set(id, true);
-  if (isInForce(out)) fleet_.setRow(kExcludedTable, id, kExcludedValue);
+  if (isInEffect(out)) fleet_.setRow(kExcludedTable, id, kExcludedValue);
   return out;
 }
 
 ExclusionResult Gatekeeper::include(const std::string& id) {
   const ExclusionResult out = exclusions_.set(id, false);
-  if (isInForce(out)) fleet_.removeRow(kExcludedTable, id);
+  if (isInEffect(out)) fleet_.removeRow(kExcludedTable, id);
   return out;
 }
 
@@ -80,7 +81,7 @@
   sample.workerConnections = pool_.connections();
   sample.invariantsBroken = monitor_.total();
   logServiceReport(sample);
-  pressure_.logReport();
+  overloadManager_.logReport();
 }
 
 }  // namespace wingslip
--- a/src/gatekeeper/gatekeeper_requests.cpp
+++ b/src/gatekeeper/gatekeeper_requests.cpp
@@ -1,4 +1,5 @@
-/// One request: admitted from its client, sent to workers as the decision module asks, answered once.
+/// The life of a request: received from a client, sent to workers as the decision module directs, answered
+/// exactly once.
 #include <algorithm>
 #include <boost/asio/post.hpp>
 #include <cmath>
@@ -16,16 +17,17 @@
 using decision::Time;
 using decision::WorkerId;
 
-// Kept of the client's deadline for the answer's way back; within the program 0.4 ms at the 99th percentile.
-constexpr Time kAnswerReserveMs = 10;
-constexpr Time kMaxUploadMs = 30 * 60 * 1000;  // longer than the slowest client takes for a body
-constexpr Time kStartingRetryAfterMs = 250;    // advice to requests that came before serving and timed out
+// Part of the client's deadline that is reserved for returning the response. Within the program that takes
+// 0.4 ms at the 99th percentile.
+constexpr Time kResponseReserveMs = 10;
+constexpr Time kMaxUploadMs = 30 * 60 * 1000;  // longer than the slowest client takes to send a body
+constexpr Time kStartingRetryAfterMs = 250;    // for requests that ended before the gatekeeper served
 
 invariant::RequestState stateOf(http::status status) {
   if (status == http::status::ok) return invariant::RequestState::answered;
-  const bool refused =
+  const bool rejected =
       status == http::status::too_many_requests || status == http::status::service_unavailable;
-  return refused ? invariant::RequestState::rejected : invariant::RequestState::failed;
+  return rejected ? invariant::RequestState::rejected : invariant::RequestState::failed;
 }
 
 }  // namespace
@@ -39,9 +41,10 @@
   request.classCounts = &countsOf(parsed.classIndex);
   request.message = std::move(message);
   request.responder = responder;
-  request.clientWaitMs = std::max(0.0, parsed.clientWaitMs - kAnswerReserveMs);
+  request.clientWaitMs = std::max(0.0, parsed.clientWaitMs - kResponseReserveMs);
   request.body = {!parsed.bodyComplete, parsed.contentLength};
-  // The deadline counts from the last byte. Until a streamed body has ended, the client connection limits it.
+  // The deadline counts from the request's last byte. The client connection limits the time of a streamed
+  // body.
   const Time uploadMs = request.body.streamed ? kMaxUploadMs : 0;
   const decision::ClassSettings& requestClass = config_.settings.classes[parsed.classIndex];
   request.trace.requestId = std::string(view(request.message["Req-Id"]));
@@ -52,7 +55,7 @@
   monitor_.requestReceived(request.trace, now);
   request.expiresAt = now + request.clientWaitMs + uploadMs;
   if (!request.body.streamed) startDeadlineTimer(id, request);
-  pressure_.noteActivity();
+  overloadManager_.noteActivity();
   const decision::Request decisionRequest{id,
                                           parsed.classIndex,
                                           parsed.planIndex,
@@ -67,7 +70,7 @@
 
 ClassCounts& Gatekeeper::countsOf(unsigned classIndex) {
   const auto found = metrics_.classes.find(config_.host.classes[classIndex]);
-  return found == metrics_.classes.end() ? uncounted_ : found->second;
+  return found == metrics_.classes.end() ? overflowClassCounts_ : found->second;
 }
 
 void Gatekeeper::onRequestRejected(unsigned classIndex) {
@@ -103,7 +106,7 @@
 void Gatekeeper::onRequestComplete(RequestId id, RequestInFlight& request) {
   const Time now = clock_.now();
   request.expiresAt = now + request.clientWaitMs;
-  request.trace.deadline = request.expiresAt + kAnswerReserveMs;
+  request.trace.deadline = request.expiresAt + kResponseReserveMs;
   startDeadlineTimer(id, request);
   gateway_.onRequestComplete(now, id, request.expiresAt);
 }
@@ -118,7 +121,8 @@
   if (auto end = pool_.cancelAttempt(id, AttemptResult::cancelled)) onAttemptDone(std::move(*end));
 }
 
-// An attempt that is out has timed out. The answer is sent now, whatever the decision module asks for.
+// An attempt in flight ends as timed out. The client gets a response now, even if the decision module then
+// starts another attempt.
 void Gatekeeper::onDeadline(RequestId id) {
   const auto found = requests_.find(id);
   if (found == requests_.end() || found->second.responseStarted) return;
@@ -136,7 +140,7 @@
 void Gatekeeper::failRemaining() {
   std::vector<RequestId> ids;
   for (const auto& [id, request] : requests_)
-    if (!request.responseStarted) ids.push_back(id);  // a streamed response goes on to its end
+    if (!request.responseStarted) ids.push_back(id);  // a response being streamed may finish
   for (const RequestId id : ids) {
     if (!serving_) {
       reject(id, kStartingRetryAfterMs);
@@ -162,17 +166,17 @@
   recordAttemptEnd(outcome);
   const bool inFlight = requests_.contains(outcome.id);
   outcome.requestFinished = !inFlight || outcome.result == AttemptResult::ok;
-  pressure_.noteActivity();
+  overloadManager_.noteActivity();
   if (inFlight && requests_.at(outcome.id).responseStarted) {
     finishStreamedResponse(end);
   } else if (inFlight && outcome.result == AttemptResult::ok) {
-    ClientResponse served;
-    served.body = std::move(end.body);
-    served.contentType = std::move(end.contentType);
-    served.bodyMemory = std::move(end.bodyMemory);
+    ClientResponse response;
+    response.body = std::move(end.body);
+    response.contentType = std::move(end.contentType);
+    response.bodyMemory = std::move(end.bodyMemory);
     ++finalAnswers_.served;
     ++requests_.at(outcome.id).classCounts->success;
-    respond(outcome.id, std::move(served));
+    respond(outcome.id, std::move(response));
   }
   gateway_.onAttemptOutcome(clock_.now(), outcome);
 }
@@ -195,7 +199,7 @@
   responder->sendPiece(std::move(piece), false, [this, id] { pool_.resumeResponse(id); });
 }
 
-// The end of a streamed response, complete or cut short.
+// Ends a streamed response, complete or truncated.
 void Gatekeeper::finishStreamedResponse(AttemptEnd& end) {
   end.outcome.requestFinished = true;
   const auto found = requests_.find(end.outcome.id);
@@ -213,20 +217,21 @@
 }
 
 // --- Actions of the decision module -----------------------------------------------------------------------
-// Called from within an event of the module: none of them may pass it another event.
+// The module calls these while it handles an event, so none of them may pass it another event synchronously.
 
 void Gatekeeper::startAttempt(RequestId id, WorkerId worker, Time timeout) {
   const auto found = requests_.find(id);
   if (found == requests_.end()) return;
   RequestInFlight& request = found->second;
   const Time now = clock_.now();
-  const Time leftMs = request.expiresAt - now;
-  // No pending read may have seen the disconnect yet. The connection is closed from a handler of its own.
+  const Time remainingMs = request.expiresAt - now;
+  // The client may have disconnected before any pending read noticed. The connection is closed from a posted
+  // handler, since closing it passes an event to the decision module.
   const bool disconnected = request.responder->hasDisconnected();
   if (disconnected) asio::post(io_, [responder = request.responder] { responder->closeDisconnected(); });
-  if (disconnected || leftMs <= 0 || request.bodyForwarded)
+  if (disconnected || remainingMs <= 0 || request.bodyForwarded)
     return reportNotSent(id, request.attemptCount++, worker);
-  const bool beforeDeadline = timeout > 0 && timeout < leftMs;
+  const bool beforeDeadline = timeout > 0 && timeout < remainingMs;
   if (request.attemptCount > 0) metrics_.retries.add(request.lastAttemptResult);
   request.attemptExpiresAt = beforeDeadline ? now + timeout : request.expiresAt;
   monitor_.attemptConnecting(request.trace, worker, now);
@@ -234,34 +239,37 @@
                      beforeDeadline ? std::optional(toDuration(timeout)) : std::nullopt);
 }
 
-// Asked again at the first byte: since the decision a connection may have had to be established.
+// Checked again before the first byte is sent: establishing a connection may have taken time since the
+// decision.
 SendRefusal Gatekeeper::refusalOf(RequestId id, WorkerId worker, Time now) const {
   const auto found = requests_.find(id);
   if (found == requests_.end()) return SendRefusal::requestOver;
   if (found->second.responder->hasDisconnected()) return SendRefusal::clientDisconnected;
   if (found->second.expiresAt <= now) return SendRefusal::deadlinePassed;
-  if (!listed_.contains(worker)) return SendRefusal::workerNotReady;
+  if (!readyWorkers_.contains(worker)) return SendRefusal::workerNotReady;
   if (excluded_.contains(worker)) return SendRefusal::workerExcluded;
   return SendRefusal::none;
 }
 
-// The one place from which a request goes to a worker, called when its first byte may be written. The
-// deadline that is passed on is computed here: earlier, it would be too long by the time that the connection
-// took.
+// The only place that permits a request to be sent to a worker, called when its first byte may be written.
+// The deadline for the worker is computed here: computed earlier, it would be too long by the time that
+// connecting took.
 std::optional<std::string> Gatekeeper::authorizeSend(RequestId id, WorkerId worker) {
   const Time now = clock_.now();
   const SendRefusal refusal = refusalOf(id, worker, now);
   sendRefusals_.add(refusal);
   if (refusal != SendRefusal::none) return std::nullopt;
   RequestInFlight& request = requests_.at(id);
-  const Time leftMs = request.body.streamed ? request.clientWaitMs
-                                            : std::min(request.attemptExpiresAt, request.expiresAt) - now;
-  const Time deadlineMs = std::max(1.0, std::floor(leftMs));
+  const Time remainingMs = request.body.streamed
+                               ? request.clientWaitMs
+                               : std::min(request.attemptExpiresAt, request.expiresAt) - now;
+  const Time deadlineMs = std::max(1.0, std::floor(remainingMs));
   monitor_.attemptSending(request.trace, worker, now, deadlineMs);
   return serializeAttempt(request.message, request.body, deadlineMs);
 }
 
-// Nothing is sent. The decision module is told from a handler of its own, not from within its action.
+// Ends an attempt of which nothing is sent. The decision module gets the outcome from a posted handler, since
+// it may not get an event during one of its actions.
 void Gatekeeper::reportNotSent(RequestId id, unsigned attempt, WorkerId worker) {
   AttemptEnd end;
   end.outcome.id = id;
@@ -272,14 +280,14 @@
 }
 
 void Gatekeeper::reject(RequestId id, Time retryAfter) {
-  ClientResponse refusal;
-  refusal.status = http::status::too_many_requests;
-  refusal.body = "refused: try again later\n";
-  refusal.retryAfterMs = retryAfter;
+  ClientResponse rejection;
+  rejection.status = http::status::too_many_requests;
+  rejection.body = "refused: try again later\n";
+  rejection.retryAfterMs = retryAfter;
   ++finalAnswers_.rejected;
   if (const auto found = requests_.find(id); found != requests_.end()) ++found->second.classCounts->rejected;
   cancelAttempt(id);
-  respond(id, std::move(refusal));
+  respond(id, std::move(rejection));
 }
 
 void Gatekeeper::fail(RequestId id) {
@@ -305,12 +313,12 @@
 
 void Gatekeeper::log(const std::string& line) { processLog().info("event=decisions text=\"{}\"", line); }
 
-// The one place from which a request gets its final answer, complete or cut short: events that come later for
-// it find no request, so that no client gets a second answer.
-std::shared_ptr<Responder> Gatekeeper::conclude(RequestId id, invariant::RequestState how) {
+// The only place where a request gets its final response, complete or truncated. It removes the request, so
+// later events for it have no effect and no client gets a second response.
+std::shared_ptr<Responder> Gatekeeper::conclude(RequestId id, invariant::RequestState finalState) {
   const auto found = requests_.find(id);
   if (found == requests_.end()) return nullptr;
-  monitor_.requestAnswered(found->second.trace, how, clock_.now());
+  monitor_.requestAnswered(found->second.trace, finalState, clock_.now());
   auto responder = std::move(found->second.responder);
   requests_.erase(found);
   return responder;
@@ -321,7 +329,7 @@
   if (responder) responder->respond(std::move(response));
 }
 
-// The bytes are made when they can be written (`authorizeSend`).
+// The request is serialized only when it can be written (`authorizeSend`).
 AttemptRequest Gatekeeper::attemptRequest(RequestId id, const RequestInFlight& request, WorkerId worker) {
   AttemptRequest out;
   out.serialize = [this, id, worker] { return authorizeSend(id, worker); };
@@ -332,8 +340,8 @@
   return out;
 }
 
-// The decision module has ended the request while an attempt is out; it is told the attempt's end from a
-// handler of its own.
+// Cancels the attempt in flight of a request that the decision module has ended. The module gets the outcome
+// from a posted handler.
 void Gatekeeper::cancelAttempt(RequestId id) {
   auto end = pool_.cancelAttempt(id, AttemptResult::cancelled);
   if (!end) return;
--- a/src/gatekeeper/handover.cpp
+++ b/src/gatekeeper/handover.cpp
@@ -1,3 +1,4 @@
+/// Format of the handover file, and its periodic writing. See handover.hpp.
 #include "gatekeeper/handover.hpp"
 
 #include <chrono>
@@ -15,7 +16,7 @@
 constexpr std::size_t kMaxFileBytes = 512;
 constexpr auto kWriteInterval = std::chrono::seconds(1);
 
-std::string pathIn(const std::string& folder) { return folder + "/burlwind-handover.json"; }
+std::string handoverPath(const std::string& stateDir) { return stateDir + "/burlwind-handover.json"; }
 
 std::optional<double> numberIn(const json& file, const char* key) {
   const auto found = file.find(key);
@@ -25,31 +26,31 @@
 
 }  // namespace
 
-void writeHandover(const std::string& folder, const Handover& handover) {
-  if (folder.empty()) return;
+void writeHandover(const std::string& stateDir, const Handover& handover) {
+  if (stateDir.empty()) return;
   const json file{
       {"at", handover.at}, {"warmRate", handover.warmRate}, {"clockOffset", handover.clockOffset}};
-  // Written every second and valid for some seconds: not synced to disk.
-  replaceFile(pathIn(folder), file.dump(), Durability::inKernel);
+  // Not synced to disk: the file is written every second and is valid for some seconds only.
+  replaceFile(handoverPath(stateDir), file.dump(), Durability::inKernel);
 }
 
-std::optional<Handover> readHandover(const std::string& folder) {
+std::optional<Handover> readHandover(const std::string& stateDir) {
   std::string text;
-  if (folder.empty() || readFile(pathIn(folder), kMaxFileBytes, text)) return std::nullopt;
+  if (stateDir.empty() || readFile(handoverPath(stateDir), kMaxFileBytes, text)) return std::nullopt;
   const json file = json::parse(text, nullptr, false);
   if (!file.is_object()) return std::nullopt;
-  const auto at = numberIn(file, "at");
+  const auto writtenAt = numberIn(file, "at");
   const auto warmRate = numberIn(file, "warmRate");
   const auto clockOffset = numberIn(file, "clockOffset");
-  if (!at || !warmRate || !clockOffset || *at < 0 || *warmRate < 0) return std::nullopt;
-  return Handover{*at, *warmRate, *clockOffset};
+  if (!writtenAt || !warmRate || !clockOffset || *writtenAt < 0 || *warmRate < 0) return std::nullopt;
+  return Handover{*writtenAt, *warmRate, *clockOffset};
 }
 
-HandoverWriter::HandoverWriter(boost::asio::io_context& io, const std::string& folder)
-    : folder_(folder), timer_(io) {}
+HandoverWriter::HandoverWriter(boost::asio::io_context& io, const std::string& stateDir)
+    : stateDir_(stateDir), timer_(io) {}
 
-void HandoverWriter::start(std::function<std::optional<Handover>()> current) {
-  current_ = std::move(current);
+void HandoverWriter::start(std::function<std::optional<Handover>()> currentHandover) {
+  currentHandover_ = std::move(currentHandover);
   scheduleNext();
 }
 
@@ -57,9 +58,9 @@
   timer_.expires_after(kWriteInterval);
   timer_.async_wait([this](const boost::system::error_code& error) {
     if (error) return;
-    const std::optional<Handover> handover = current_();
+    const std::optional<Handover> handover = currentHandover_();
     if (!handover) return;
-    writeHandover(folder_, *handover);
+    writeHandover(stateDir_, *handover);
     scheduleNext();
   });
 }
--- a/src/gatekeeper/handover.hpp
+++ b/src/gatekeeper/handover.hpp
@@ -1,5 +1,5 @@
-/// Hot restart: what a process writes to a file of the state folder for the process that an upgrade starts:
-/// what takes long to learn, or what only the older process can know.
+/// Handover in a hot restart: a file in the state directory by which a process passes values to the process
+/// that an upgrade starts. It has values that take long to learn or that only the older process can know.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -12,32 +12,33 @@
 
 namespace wingslip {
 
-/// Both processes read one monotonic clock (`DecisionClock`), whatever is done to the wall clock between
-/// them.
+/// The handed-over values. Times are valid in both processes, since both read the machine's monotonic clock
+/// (`DecisionClock`), which steps of the wall clock do not affect.
 struct Handover {
-  decision::Time at = 0;           ///< of the writing, on the monotonic clock
-  double warmRate = 0;             ///< good answers a ms of a warm worker
-  decision::Time clockOffset = 0;  ///< the monotonic clock less the true Unix time, in ms (`StartTimes`)
+  decision::Time at = 0;           ///< when it was written, ms of the monotonic clock
+  double warmRate = 0;             ///< successful responses per ms of one warm worker
+  decision::Time clockOffset = 0;  ///< the monotonic clock minus the true Unix time, in ms (`StartTimes`)
 };
 
-/// Does nothing where no folder is given. The file is replaced whole; one that cannot be written is not
-/// there.
-void writeHandover(const std::string& folder, const Handover& handover);
-/// None where the file cannot be read or makes no sense.
-std::optional<Handover> readHandover(const std::string& folder);
+/// Replaces the file atomically. Does nothing if `stateDir` is empty. An error in writing is ignored: the
+/// next process then finds the previous file or none.
+void writeHandover(const std::string& stateDir, const Handover& handover);
+/// Returns `nullopt` if `stateDir` is empty, or if the file cannot be read or is invalid.
+std::optional<Handover> readHandover(const std::string& stateDir);
 
-/// Writes the handover every second on the event loop, for as long as it lives.
+/// Writes the handover every second on the event loop until it is destroyed.
 class HandoverWriter {
  public:
-  HandoverWriter(boost::asio::io_context& io, const std::string& folder);
-  /// `current` is asked before each writing; `nullopt` ends them.
-  void start(std::function<std::optional<Handover>()> current);
+  /// @param stateDir empty: nothing is written
+  HandoverWriter(boost::asio::io_context& io, const std::string& stateDir);
+  /// @param currentHandover called before each write; `nullopt` ends the writing
+  void start(std::function<std::optional<Handover>()> currentHandover);
 
  private:
   void scheduleNext();
 
-  const std::string folder_;
-  std::function<std::optional<Handover>()> current_;
+  const std::string stateDir_;
+  std::function<std::optional<Handover>()> currentHandover_;
   boost::asio::steady_timer timer_;
 };
 
--- a/src/gatekeeper/name_index.hpp
+++ b/src/gatekeeper/name_index.hpp
@@ -1,4 +1,4 @@
-/// Indexes of the names that settings list, by hash.
+/// Lookup of names that the settings list, such as zones and machine types.
 #pragma once
 
 #include <limits>
@@ -9,17 +9,18 @@
 
 namespace wingslip {
 
-/// The index of each name in a list; of one that is there twice, the first. Holds copies of the names.
+/// Hash table from each name of a list to its index; a name listed twice has its first index. Copies the
+/// names.
 class NameIndex {
  public:
-  /// Returned for a name that the list does not have.
+  /// The index of a name that is not in the list.
   static constexpr unsigned kNone = std::numeric_limits<unsigned>::max();
 
   explicit NameIndex(const std::vector<std::string>& names) {
     for (unsigned i = 0; i < names.size(); ++i) indexes_.try_emplace(names[i], i);
   }
 
-  unsigned of(const std::string& name) const {
+  unsigned indexOf(const std::string& name) const {
     const auto found = indexes_.find(name);
     return found == indexes_.end() ? kNone : found->second;
   }
@@ -28,12 +29,12 @@
   std::unordered_map<std::string, unsigned> indexes_;
 };
 
-/// `names` followed by those of `added` that are not among them, each once.
-inline std::vector<std::string> joinedNames(std::vector<std::string> names,
+/// Returns `names` followed by the names of `added` that are not in `names`, each once.
+inline std::vector<std::string> mergedNames(std::vector<std::string> names,
                                             const std::vector<std::string>& added) {
-  std::unordered_set<std::string> known(names.begin(), names.end());
+  std::unordered_set<std::string> present(names.begin(), names.end());
   for (const std::string& name : added)
-    if (known.insert(name).second) names.push_back(name);
+    if (present.insert(name).second) names.push_back(name);
   return names;
 }
 
--- a/src/gatekeeper/request_in_flight.hpp
+++ b/src/gatekeeper/request_in_flight.hpp
@@ -1,4 +1,4 @@
-/// A client's request from its receipt, before the decision module admits it, to its final answer.
+/// State of a client's request from its receipt, before the decision module admits it, to its final response.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -14,22 +14,23 @@
 
 namespace wingslip {
 
-/// Owned by the gatekeeper's table of requests; its timer runs on the one event loop.
+/// Owned by the gatekeeper's request table and used on the event loop only. Times are ms of the decision
+/// clock.
 struct RequestInFlight {
   explicit RequestInFlight(boost::asio::io_context& io) : deadlineTimer(io) {}
 
   ClientMessage message;
   std::shared_ptr<Responder> responder;
   boost::asio::steady_timer deadlineTimer;
-  decision::Time expiresAt = 0;
-  decision::Time clientWaitMs = 0;  ///< from the request's last byte to the client's deadline
-  BodyFraming body;
-  bool bodyForwarded = false;    ///< pieces of the body went to a worker: `message` lacks it, no retry
-  bool responseStarted = false;  ///< the client has the beginning of a streamed response
-  unsigned attemptCount = 0;
+  decision::Time expiresAt = 0;     ///< when the response is due; while a body is uploaded, an upper bound
+  decision::Time clientWaitMs = 0;  ///< from the last byte of the request until the response is due
+  BodyFraming body;                 ///< whether the body is streamed, and its length if known
+  bool bodyForwarded = false;       ///< a worker receives the streamed body; `message` lost it: no retry
+  bool responseStarted = false;     ///< a response is being streamed to the client
+  unsigned attemptCount = 0;        ///< attempts started, including those not sent
   decision::AttemptResult lastAttemptResult = decision::AttemptResult::ok;
-  decision::Time attemptExpiresAt = 0;  ///< of the attempt that is out
-  ClassCounts* classCounts = nullptr;   ///< in the gatekeeper's metrics
+  decision::Time attemptExpiresAt = 0;  ///< time limit of the attempt in flight
+  ClassCounts* classCounts = nullptr;   ///< counts of its request class, owned by the gatekeeper
   invariant::RequestTrace trace;
 };
 
--- a/src/gatekeeper/send_guard.hpp
+++ b/src/gatekeeper/send_guard.hpp
@@ -1,4 +1,4 @@
-/// Why an attempt that the decision module asked for was not sent after all.
+/// Reasons why an attempt that the decision module started is not sent to its worker.
 #pragma once
 
 #include <array>
@@ -10,22 +10,22 @@
 
 namespace wingslip {
 
-/// Checked when an attempt's first byte could be written: since the decision a connection may have had to be
-/// established.
+/// Checked when an attempt's first byte can be written: establishing a connection may have taken time since
+/// the decision.
 enum class SendRefusal : std::uint8_t {
-  none,                ///< it is sent
-  requestOver,         ///< the request has its final answer
+  none,                ///< the attempt is sent
+  requestOver,         ///< the request already has its final response
   clientDisconnected,  ///< the client has disconnected
   deadlinePassed,      ///< the deadline has passed
-  workerNotReady,      ///< the endpoint list does not name the worker as ready any more
-  workerExcluded,      ///< by an operator
+  workerNotReady,      ///< the endpoint list no longer names the worker as ready
+  workerExcluded,      ///< an operator has excluded the worker
 };
 constexpr std::size_t kSendRefusalCount = static_cast<std::size_t>(SendRefusal::workerExcluded) + 1;
 
-/// As figures name them, in the order of SendRefusal; the first is no refusal.
+/// Names in the metrics, in the order of SendRefusal. `none` is not reported.
 inline constexpr std::array<std::string_view, kSendRefusalCount> kSendRefusalNames{
     "none", "request_over", "client_gone", "time_over", "worker_left", "worker_excluded"};
-static_assert(!kSendRefusalNames.back().empty(), "every reason has a name");
+static_assert(!kSendRefusalNames.back().empty(), "every SendRefusal has a name");
 
 using SendRefusals = ReasonCounts<SendRefusal, kSendRefusalNames>;
 
