--- a/src/gatekeeper/main.cpp
+++ b/src/gatekeeper/main.cpp
@@ -1,4 +1,5 @@
-/// The gatekeeper program: one gatekeeper on one event loop; SIGHUP reloads, SIGTERM and SIGINT drain.
+/// The gatekeeper program: one gatekeeper on one event loop. SIGHUP reloads the configuration; SIGTERM and
+/// SIGINT drain.
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/steady_timer.hpp>
 #include <chrono>
@@ -14,45 +15,48 @@
 
 using Error = boost::system::error_code;
 
-constexpr int kMaxReads = 3;  // of a file that is not valid JSON: it may be half written
+// A configuration file that is not valid JSON may be half written: it is read up to this many times.
+constexpr int kMaxReads = 3;
 constexpr auto kReadInterval = std::chrono::milliseconds(100);
 
-// Reads the configuration again at SIGHUP. One that is invalid changes nothing.
+// Reloads the configuration on SIGHUP. An invalid one changes nothing.
 class Reloader {
  public:
   Reloader(boost::asio::io_context& io, wingslip::Gatekeeper& gatekeeper)
       : gatekeeper_(gatekeeper), retryTimer_(io) {}
 
   void onSighup() {
-    // The change before this one was never read.
+    // The configuration of the previous SIGHUP was never read completely; it counts as failed.
     if (std::exchange(retryPending_, false)) gatekeeper_.reloadFailed();
     retryTimer_.cancel();
     reload(kMaxReads);
   }
 
  private:
-  void reload(int readsLeft) {
+  void reload(int remainingReads) {
     try {
       retryPending_ = false;
       gatekeeper_.reload(wingslip::rereadConfig(gatekeeper_.config()));
-    } catch (const wingslip::IncompleteConfigError& wrong) {
-      if (readsLeft > 1) return retryLater(readsLeft - 1);
-      reject(wrong);
-    } catch (const std::exception& wrong) {
-      reject(wrong);
+    } catch (const wingslip::IncompleteConfigError& error) {
+      if (remainingReads > 1) return retryLater(remainingReads - 1);
+      reject(error);
+    } catch (const std::exception& error) {
+      reject(error);
     }
   }
 
-  void reject(const std::exception& wrong) {
+  void reject(const std::exception& error) {
     gatekeeper_.reloadFailed();
-    wingslip::processLog().error("event=reload_failed text=\"kept as it was: {}\"", wrong.what());
+    wingslip::processLog().error(
+        "event=reload_failed text=\"configuration not reloaded, the previous one stays in effect: {}\"",
+        error.what());
   }
 
-  void retryLater(int readsLeft) {
+  void retryLater(int remainingReads) {
     retryPending_ = true;
     retryTimer_.expires_after(kReadInterval);
-    retryTimer_.async_wait([this, readsLeft](const Error& error) {
-      if (!error) reload(readsLeft);
+    retryTimer_.async_wait([this, remainingReads](const Error& error) {
+      if (!error) reload(remainingReads);
     });
   }
 
--- a/src/gatekeeper/metrics.hpp
+++ b/src/gatekeeper/metrics.hpp
@@ -1,4 +1,4 @@
-/// The figures that operators fetch: counts since the start of the process.
+/// The metrics that operators poll: counts since the start of the process, and gauges.
 #pragma once
 
 #include <array>
@@ -11,44 +11,48 @@
 
 namespace wingslip {
 
-/// Final answers to the requests of one class.
+/// Final responses to the requests of one request class.
 struct ClassCounts {
   std::uint64_t success = 0;
   std::uint64_t rejected = 0;
   std::uint64_t failure = 0;
 };
 
-/// Retries, by the result of the attempt before (decision::AttemptResult).
+/// Retries, by the result of the previous attempt (decision::AttemptResult).
 struct RetryCounts {
   static constexpr std::array<const char*, 8> kNames{"ok",          "error", "declined",  "timeout",
                                                      "unconnected", "reset", "cancelled", "never_sent"};
   std::array<std::uint64_t, kNames.size()> counts{};
 
-  void add(decision::AttemptResult before) { ++counts[static_cast<std::size_t>(before)]; }
+  void add(decision::AttemptResult previousResult) { ++counts[static_cast<std::size_t>(previousResult)]; }
 };
 
+/// Counts since the start of the process.
 struct Metrics {
-  /// By the name of the request class: one that a reload drops keeps its counts.
+  /// By the name of the request class. A class that a reload removes retains its counts.
   std::map<std::string, ClassCounts> classes;
-  std::uint64_t attemptsWritten = 0;  ///< of which the kernel has the last byte
-  std::uint64_t localShortages = 0;   ///< attempts not started for want of descriptors or memory here
+  std::uint64_t attemptsWritten = 0;  ///< attempts whose last byte was passed to the kernel
+  std::uint64_t localShortages = 0;   ///< attempts not started for lack of descriptors or memory here
   std::uint64_t reloadsOk = 0;
   std::uint64_t reloadsFailed = 0;
   RetryCounts retries;
   decision::RejectionCounts rejections;
 };
 
+/// Present values.
 struct Gauges {
   std::size_t requestsInFlight = 0;
-  std::size_t workersListed = 0;
+  std::size_t workersListed = 0;   ///< workers on the endpoint list
   std::size_t workersAvoided = 0;  ///< of these: excluded, draining or ejected
 };
 
-/// In lines `svc.NAME:VALUE|c` (counts) and `|g` (as it is now), then `more` and a line EOF.
-inline std::string telemetryText(const Metrics& metrics, const Gauges& gauges, const std::string& more) {
+/// The metrics as lines `svc.NAME:VALUE|c` (counts) and `svc.NAME:VALUE|g` (gauges), followed by `extraLines`
+/// and a line EOF.
+inline std::string telemetryText(const Metrics& metrics, const Gauges& gauges,
+                                 const std::string& extraLines) {
   std::string out;
-  const auto line = [&](const std::string& name, std::uint64_t value, const char* kind) {
-    out += "svc." + name + ":" + std::to_string(value) + "|" + kind + "\n";
+  const auto line = [&](const std::string& name, std::uint64_t value, const char* type) {
+    out += "svc." + name + ":" + std::to_string(value) + "|" + type + "\n";
   };
   for (const auto& [name, counts] : metrics.classes) {
     line("success." + name, counts.success, "c");
@@ -70,7 +74,7 @@
   line("inflight", gauges.requestsInFlight, "g");
   line("hosts_listed", gauges.workersListed, "g");
   line("hosts_down", gauges.workersAvoided, "g");
-  return out + more + "EOF\n";
+  return out + extraLines + "EOF\n";
 }
 
 }  // namespace wingslip
--- a/src/gatekeeper/reason_counts.hpp
+++ b/src/gatekeeper/reason_counts.hpp
@@ -1,4 +1,4 @@
-/// Counts by a typed reason since the process's start.
+/// Event counts by reason since the process's start.
 #pragma once
 
 #include <array>
@@ -9,14 +9,15 @@
 
 namespace wingslip {
 
-/// `Reason`: an enumeration from 0 whose values `names` names in their order.
+/// @tparam Reason an enumeration with values from 0 without gaps
+/// @tparam names the names of its values in their order, as the metrics have them
 template <class Reason, const auto& names>
 class ReasonCounts {
  public:
   void add(Reason reason) { ++counts_[static_cast<std::size_t>(reason)]; }
-  std::uint64_t of(Reason reason) const { return counts_[static_cast<std::size_t>(reason)]; }
+  std::uint64_t count(Reason reason) const { return counts_[static_cast<std::size_t>(reason)]; }
 
-  /// Lines `svc.KIND.NAME:VALUE|c`, from the reason `first` on.
+  /// Lines `svc.KIND.NAME:VALUE|c`, starting with the reason whose value is `first`.
   std::string telemetry(std::string_view kind, std::size_t first = 0) const {
     std::string out;
     for (std::size_t i = first; i < counts_.size(); ++i)
--- a/src/gatekeeper/service_report.cpp
+++ b/src/gatekeeper/service_report.cpp
@@ -1,3 +1,4 @@
+/// Format and interval of the service log's periodic lines. See service_report.hpp.
 #include "gatekeeper/service_report.hpp"
 
 #include <chrono>
@@ -16,7 +17,7 @@
 }  // namespace
 
 void logServiceReport(const ServiceSample& sample) {
-  const auto ended = [&](AttemptResult result) {
+  const auto countOf = [&](AttemptResult result) {
     return sample.upstream.results[static_cast<std::size_t>(result)];
   };
   processLog().info(
@@ -28,10 +29,11 @@
   processLog().info(
       "event=attempts ok={} error={} unreadable={} full={} timeout={} unconnected={} reset={} "
       "reset_reused={} reset_in_answer={} cancelled={} worker_connections={} most_buffered_worker={}",
-      ended(AttemptResult::ok), ended(AttemptResult::error), sample.upstream.malformedResponses,
-      ended(AttemptResult::overloaded), ended(AttemptResult::timeout), ended(AttemptResult::connectFailed),
-      ended(AttemptResult::reset), sample.upstream.resetReused, sample.upstream.resetInResponse,
-      ended(AttemptResult::cancelled), sample.workerConnections, sample.upstream.maxBufferedBytes);
+      countOf(AttemptResult::ok), countOf(AttemptResult::error), sample.upstream.malformedResponses,
+      countOf(AttemptResult::overloaded), countOf(AttemptResult::timeout),
+      countOf(AttemptResult::connectFailed), countOf(AttemptResult::reset), sample.upstream.resetReused,
+      sample.upstream.resetInResponse, countOf(AttemptResult::cancelled), sample.workerConnections,
+      sample.upstream.maxBufferedBytes);
   processLog().info("event=lists read={} longest_line={} lists={} calls={} invariants_broken={}",
                     sample.discovery.bytesRead, sample.discovery.longestMessageBytes, sample.discovery.lists,
                     sample.discovery.connects, sample.invariantsBroken);
--- a/src/gatekeeper/service_report.hpp
+++ b/src/gatekeeper/service_report.hpp
@@ -1,5 +1,5 @@
-/// The service log's periodic lines, from which on-call engineers tell causes apart: final answers, how
-/// attempts ended, connections, and the largest buffers.
+/// Periodic lines of the service log, by which on-call engineers distinguish the causes of an incident: final
+/// responses, results of attempts, connections, and the largest buffers.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -14,14 +14,14 @@
 
 namespace wingslip {
 
-/// Final answers since the last report.
+/// Final responses since the last report.
 struct FinalAnswerCounts {
   unsigned served = 0;
   unsigned rejected = 0;
   unsigned failed = 0;
 };
 
-/// What one report says: counts since the last one, and the present state.
+/// Content of one report: counts since the last report, and present values.
 struct ServiceSample {
   FinalAnswerCounts answers;
   UpstreamPool::Stats upstream;
@@ -33,13 +33,14 @@
   std::uint64_t invariantsBroken = 0;
 };
 
-/// Writes one report.
+/// Writes one report to the service log.
 void logServiceReport(const ServiceSample& sample);
 
-/// Calls `report` every 5 s on the event loop, for as long as it lives.
+/// Calls `report` every 5 s on the event loop until it is destroyed.
 class ReportTimer {
  public:
   ReportTimer(boost::asio::io_context& io, std::function<void()> report);
+  /// Schedules the next report.
   void start();
 
  private:
--- a/src/gatekeeper/signal_watch.hpp
+++ b/src/gatekeeper/signal_watch.hpp
@@ -1,8 +1,8 @@
-/// Passes the process's signals to the event loop.
+/// Delivers the process's signals on the event loop.
 ///
-/// A signal's handler sets a flag and writes to a pipe; the loop wakes by the pipe and reads the
-/// flags, so that an interrupted or short read or write of the pipe loses no signal. Asio's own signal_set
-/// takes the number from the pipe and loses it where the read is interrupted.
+/// The signal handler sets a flag per signal and writes a byte to a pipe. The pipe only wakes the event loop,
+/// which then reads the flags, so that an interrupted or short read or write of the pipe loses no signal.
+/// Asio's signal_set reads the signal number from the pipe and loses it if the read is interrupted.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -12,12 +12,13 @@
 
 namespace wingslip {
 
-/// At most one at a time in a process: signal handlers are global.
+/// At most one instance may exist at a time, since signal handlers are global to the process.
 class SignalWatch {
  public:
-  /// `onSignal(number)` is called from the loop, once for all signals of that number that came together.
-  /// Throws std::runtime_error where there is no pipe or a handler cannot be set.
-  SignalWatch(boost::asio::io_context& io, std::initializer_list<int> numbers,
+  /// @param onSignal called on the event loop with the signal's number, once for all signals of that number
+  /// that arrived since the last call
+  /// @throws std::runtime_error if the pipe cannot be created or a signal handler cannot be installed.
+  SignalWatch(boost::asio::io_context& io, std::initializer_list<int> signals,
               std::function<void(int)> onSignal);
   ~SignalWatch();
   SignalWatch(const SignalWatch&) = delete;
@@ -29,7 +30,7 @@
   void dispatchPending();
 
   const std::function<void(int)> onSignal_;
-  boost::asio::posix::stream_descriptor wake_;
+  boost::asio::posix::stream_descriptor wakePipe_;
 };
 
 }  // namespace wingslip
