--- a/tests/config_said.hpp
+++ b/tests/config_said.hpp
@@ -1,4 +1,4 @@
-// What the reader of configurations says to one optional part of a file.
+// Validation of one optional section of a configuration file.
 #pragma once
 
 #include <stdexcept>
@@ -8,7 +8,8 @@
 
 namespace wingslip {
 
-// "" where the part is taken, else the line that turns it down; the rest of the file is well.
+// Parses a configuration whose section `key` is `json` and whose other sections are valid. Returns the error
+// that rejects the section, or "" if it is accepted.
 inline std::string saidOf(const std::string& key, const std::string& json) {
   try {
     parseConfig(R"({"name": "g", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "settings":
@@ -17,7 +18,8 @@
                 "\": " + json + "}");
   } catch (const std::runtime_error& error) {
     const std::string what = error.what();
-    // The settings are read after the optional parts, and are too short here.
+    // The settings are incomplete here. They are parsed after the optional sections, so their error, which
+    // does not name the section, means that the section was accepted.
     if (what.find(key) != std::string::npos || what.rfind("not an address", 0) == 0) return what;
   }
   return "";
--- a/tests/loopback.hpp
+++ b/tests/loopback.hpp
@@ -1,5 +1,5 @@
-// Peers over loopback sockets for the tests of the program: clients, workers and discovery that do as the
-// test says. Everything runs in the test's own thread, and waits are for events, with a generous limit.
+// Scripted peers over loopback sockets for tests of the gatekeeper: clients, workers and the discovery agent.
+// Everything runs on the test's thread. Waits end with the awaited event, and fail after 30 s.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -20,43 +20,43 @@
 using asio::ip::tcp;
 using nlohmann::json;
 
-// One end of a connection: what has come so far, and whether the other side has ended it.
+// The test's end of a connection: the bytes received so far, and whether the other side has closed it.
 class Peer : public std::enable_shared_from_this<Peer> {
  public:
   explicit Peer(tcp::socket socket) : socket_(std::move(socket)) {}
-  std::string got;
-  bool ended = false;
+  std::string got;     // all bytes received
+  bool ended = false;  // the other side has closed the connection, or it failed
 
-  // Reads no more until `goOn`; what it was reading still comes.
-  void stall() { stalled_ = true; }
+  // Pauses reading until `goOn`; a read that is already pending still completes.
+  void stall() { readPaused_ = true; }
   void goOn() {
-    if (std::exchange(stalled_, false) && !reading_) read();
+    if (std::exchange(readPaused_, false) && !readPending_) read();
   }
-  // Sends this many bytes in pieces as the other side takes them.
+  // Sends this many bytes in pieces, as fast as the other side reads them; `streamed` counts those sent.
   void stream(std::size_t bytes) {
-    left_ += bytes;
-    if (!writing_) writeOn();
+    unsentBytes_ += bytes;
+    if (!writePending_) sendNextPiece();
   }
   std::size_t streamed = 0;
 
   void read() {
-    reading_ = true;
-    socket_.async_read_some(asio::buffer(piece_),
+    readPending_ = true;
+    socket_.async_read_some(asio::buffer(readBuffer_),
                             [self = shared_from_this(), this](const Error& error, std::size_t n) {
-                              reading_ = false;
-                              got.append(piece_.data(), n);
+                              readPending_ = false;
+                              got.append(readBuffer_.data(), n);
                               if (error)
                                 ended = true;
-                              else if (!stalled_)
+                              else if (!readPaused_)
                                 read();
                             });
   }
   void send(const std::string& text) {
-    Error ignored;  // the other side may have gone already
+    Error ignored;  // the other side may have closed the connection already
     asio::write(socket_, asio::buffer(text), ignored);
   }
   void end() { socket_.close(); }
-  // Leaves as one that dies does: what it had sent and the other side has not taken is lost.
+  // Closes with a TCP reset, as a crashed process does: sent bytes that the other side has not read are lost.
   void reset() {
     socket_.set_option(asio::socket_base::linger(true, 0));
     socket_.close();
@@ -64,34 +64,37 @@
   bool has(const std::string& text) const { return got.find(text) != std::string::npos; }
   std::size_t count(const std::string& text) const {
     std::size_t n = 0;
-    for (auto at = got.find(text); at != std::string::npos; at = got.find(text, at + 1)) ++n;
+    for (auto position = got.find(text); position != std::string::npos;
+         position = got.find(text, position + 1))
+      ++n;
     return n;
   }
 
  private:
-  void writeOn() {
-    if (left_ == 0 || ended) return;
-    writing_ = true;
+  void sendNextPiece() {
+    if (unsentBytes_ == 0 || ended) return;
+    writePending_ = true;
     static const std::string piece(16384, 'x');
-    socket_.async_write_some(asio::buffer(piece.data(), std::min(left_, piece.size())),
+    socket_.async_write_some(asio::buffer(piece.data(), std::min(unsentBytes_, piece.size())),
                              [self = shared_from_this(), this](const Error& error, std::size_t n) {
-                               writing_ = false;
+                               writePending_ = false;
                                streamed += n;
-                               left_ -= n;
+                               unsentBytes_ -= n;
                                if (error)
                                  ended = true;
                                else
-                                 writeOn();
+                                 sendNextPiece();
                              });
   }
 
   tcp::socket socket_;
-  std::size_t left_ = 0;
-  bool reading_ = false, writing_ = false, stalled_ = false;
-  std::array<char, 4096> piece_{};
+  std::size_t unsentBytes_ = 0;
+  bool readPending_ = false, writePending_ = false, readPaused_ = false;
+  std::array<char, 4096> readBuffer_{};
 };
 using PeerPtr = std::shared_ptr<Peer>;
 
+// Accepts connections at a free port and reads from all of them.
 class Listener {
  public:
   explicit Listener(asio::io_context& io)
@@ -102,9 +105,9 @@
 
   tcp::endpoint address() const { return acceptor_.local_endpoint(); }
   std::string text() const { return "127.0.0.1:" + std::to_string(address().port()); }
-  std::size_t count(const std::string& what) const {
+  std::size_t count(const std::string& pattern) const {
     std::size_t n = 0;
-    for (const auto& peer : peers) n += peer->count(what);
+    for (const auto& peer : peers) n += peer->count(pattern);
     return n;
   }
 
@@ -120,16 +123,19 @@
   tcp::acceptor acceptor_;
 };
 
+// A worker in an endpoint list.
 inline json entry(const std::string& id, const std::string& address, const std::string& lifecycle = "Ready",
                   double startedAtMs = 0) {
   return {{"instanceId", id}, {"hostPort", address},    {"zone", "a"},   {"machineType", "m"},
           {"cell", 0},        {"lifecycle", lifecycle}, {"weight", 1.0}, {"startedAtMs", startedAtMs}};
 }
 
+// An endpoint list as discovery sends it: a snapshot if `reset`, else a delta.
 inline std::string roster(int generation, bool reset, const json& instances) {
   return json{{"generation", generation}, {"reset", reset}, {"instances", instances}}.dump();
 }
 
+// Settings with three request classes, one for each kind of idempotency, and two plans.
 inline json settingsJson() {
   return json::parse(R"({
     "me": 0, "nInstances": 2, "locality": 0, "localities": ["a", "b"], "shapes": ["m"],
@@ -149,6 +155,8 @@
       {"name": "large", "unitsPerS": 1000.0, "depth": 1000.0, "pays": 1.0, "overrunCost": 1.0}]})");
 }
 
+// A configuration file with the addresses of discovery and, if not null, the workers of the configured
+// endpoint list.
 inline json configJson(const std::string& discovery, const json& known = {}) {
   json out{{"name", "n0"},
            {"listen", "127.0.0.1:0"},
@@ -160,6 +168,7 @@
   return out;
 }
 
+// A client's request.
 struct Ask {
   std::string klass = "look";
   std::string plan = "large";
@@ -180,22 +189,24 @@
   }
 };
 
+// A worker's HTTP response.
 inline std::string reply(const std::string& status, const std::string& body, const std::string& extra = "") {
   return "HTTP/1.1 " + status + "\r\nContent-Length: " + std::to_string(body.size()) + "\r\n" + extra +
          "\r\n" + body;
 }
 
+// Runs the event loop, and connects clients.
 class Loopback : public ::testing::Test {
  protected:
   using Condition = std::function<bool()>;
 
-  // Runs until the condition holds; fails the test if it does not for a long time.
-  void until(const Condition& holds, const char* what) {
-    const auto limit = std::chrono::steady_clock::now() + std::chrono::seconds(30);
-    while (!holds()) {
+  // Runs the event loop until the condition is true; fails the test after 30 s.
+  void until(const Condition& condition, const char* description) {
+    const auto deadline = std::chrono::steady_clock::now() + std::chrono::seconds(30);
+    while (!condition()) {
       io.restart();
       io.run_one_for(std::chrono::milliseconds(100));
-      ASSERT_LT(std::chrono::steady_clock::now(), limit) << "never: " << what;
+      ASSERT_LT(std::chrono::steady_clock::now(), deadline) << "timed out waiting for: " << description;
     }
   }
   PeerPtr dial(const tcp::endpoint& to) {
@@ -205,7 +216,7 @@
     peer->read();
     return peer;
   }
-  // A port at which nobody listens.
+  // The address of a port on which no socket listens.
   std::string nobody() { return Listener(io).text(); }
 
   asio::io_context io{1};
