--- a/src/gatekeeper/attempt_message.cpp
+++ b/src/gatekeeper/attempt_message.cpp
@@ -1,3 +1,4 @@
+/// Serializes the HTTP request that is sent to a worker for a client's request.
 #include "gatekeeper/attempt_message.hpp"
 
 #include <cmath>
@@ -6,9 +7,10 @@
 namespace wingslip {
 namespace {
 
-// Beside the client's header and body: the request line, the fields that are set here, a chunk's frame.
-constexpr std::size_t kAddedBytes = 160;
-constexpr std::size_t kFieldFramingBytes = 4;  // `: ` and the line's end
+// Upper bound of the bytes beside the client's target, header fields and body: the remainder of the request
+// line, the header fields set here and the framing of one chunk.
+constexpr std::size_t kFramingOverheadBytes = 160;
+constexpr std::size_t kFieldFramingBytes = 4;  // `: ` and the line terminator
 
 }  // namespace
 
@@ -43,7 +45,7 @@
 }
 
 std::size_t maxAttemptBytes(const ClientMessage& message) {
-  std::size_t bytes = kAddedBytes + view(message.target()).size() + message.body().size();
+  std::size_t bytes = kFramingOverheadBytes + view(message.target()).size() + message.body().size();
   for (const auto& field : message.base())
     bytes += view(field.name_string()).size() + view(field.value()).size() + kFieldFramingBytes;
   return bytes;
--- a/src/gatekeeper/attempt_message.hpp
+++ b/src/gatekeeper/attempt_message.hpp
@@ -1,4 +1,4 @@
-/// The HTTP request that a worker is sent for a client's request.
+/// Serializes the HTTP request that is sent to a worker for a client's request.
 #pragma once
 
 #include <cstddef>
@@ -11,18 +11,19 @@
 
 namespace wingslip {
 
-/// How the body of a client's request goes to a worker.
+/// How the body of a client's request is forwarded to a worker.
 struct BodyFraming {
-  bool streamed = false;                       ///< the message holds only its beginning
-  std::optional<std::uint64_t> contentLength;  ///< of a streamed body; none: chunked
+  bool streamed = false;                       ///< the message contains only the first piece
+  std::optional<std::uint64_t> contentLength;  ///< in bytes, of a streamed body; `nullopt`: chunked encoding
 };
 
-/// The client's request with the time that is left, without the fields that concern only the client's
-/// connection. `deadlineMs`: what the worker is told, rounded to whole milliseconds.
+/// Returns the client's request as it is sent to a worker: without the header fields that apply only to the
+/// client's connection, and with the remaining time `deadlineMs`, rounded to whole milliseconds, in
+/// `Req-Deadline-Ms`. Of a streamed body only the first piece is included.
 std::string serializeAttempt(const ClientMessage& message, const BodyFraming& framing,
                              decision::Time deadlineMs);
 
-/// Upper bound in bytes of what `serializeAttempt` makes of this message, for the memory budget.
+/// Upper bound in bytes of the size that `serializeAttempt` returns for this message, for the memory budget.
 std::size_t maxAttemptBytes(const ClientMessage& message);
 
 }  // namespace wingslip
--- a/src/gatekeeper/upstream_attempt.hpp
+++ b/src/gatekeeper/upstream_attempt.hpp
@@ -1,4 +1,5 @@
-/// What goes in and out of the upstream pool: an attempt's request and end, limits, addresses and counts.
+/// Types of the upstream pool's interface: the request and outcome of an attempt, limits, worker addresses
+/// and statistics.
 #pragma once
 
 #include <array>
@@ -15,63 +16,67 @@
 
 namespace wingslip {
 
-/// How an attempt ended, with the response body if the worker answered 200.
+/// The outcome of an attempt, with the response body if the worker's status was 200.
 struct AttemptEnd {
   decision::AttemptOutcome outcome;
-  std::string body;  ///< of a streamed response: its last piece only
+  std::string body;  ///< the complete body; only its last piece if the response was streamed
   std::string contentType;
-  bool streamed = false;            ///< earlier pieces of the body have been handed to UpstreamStreams
-  MemoryBudget::Charge bodyMemory;  ///< accounts for `body`; travels with it
+  bool streamed = false;            ///< `UpstreamStreams` received the earlier pieces of the body
+  MemoryBudget::Charge bodyMemory;  ///< the memory charge for `body`; moves with it
 };
 
-/// What an attempt sends: all bytes at once, or the head with the beginning of a body that is streamed.
+/// The request of an attempt: either the complete message, or the header and the first piece of a streamed
+/// body.
 struct AttemptRequest {
   using BodyPieceHandler = std::function<void(std::string&& piece, bool last)>;
 
-  /// Called once, when the first byte may be written: the one place from which anything is sent to a worker.
-  /// `nullopt`: nothing may be sent any more, and the attempt ends as one that could not connect.
+  /// Returns the first bytes to write. Called at most once, immediately before the first byte is written;
+  /// every request to a worker passes through this call. `nullopt` if the request must no longer be sent; the
+  /// attempt then ends as connectFailed.
   std::function<std::optional<std::string>()> serialize;
-  std::size_t maxSerializedBytes = 0;  ///< upper bound of what `serialize` returns, for the memory budget
-  /// Asks for the next body piece; empty where `serialize` returns the whole request.
+  /// Upper bound in bytes of the size that `serialize` returns, for the memory budget.
+  std::size_t maxSerializedBytes = 0;
+  /// Reads the next piece of a streamed body. Null if `serialize` returns the complete request.
   std::function<void(BodyPieceHandler)> readBody;
   bool chunkedBody = false;  ///< the streamed body is sent with chunked transfer encoding
 };
 
-/// Limits of the upstream pool.
+/// Connection limits and time-outs of the upstream pool.
 struct UpstreamLimits {
   std::chrono::milliseconds connectTimeout{250};
-  std::chrono::milliseconds idleTimeout{24000};  ///< shorter than a worker's own
-  std::size_t maxConnections = 480;              ///< to all workers together
+  std::chrono::milliseconds idleTimeout{24000};  ///< shorter than the workers' own idle time-out
+  std::size_t maxConnections = 480;              ///< to all workers in total
   std::size_t maxIdlePerWorker = 64;
-  /// Longest pause of a worker within a streamed request body or response.
+  /// Longest time without progress by the worker while a request body or a response is streamed.
   std::chrono::milliseconds streamStallTimeout{10000};
 };
 
-/// Where a worker listens.
+/// The address of a worker, and the start time of its process.
 struct WorkerAddress {
   boost::asio::ip::tcp::endpoint endpoint;
-  /// Start of the worker's present process: connections opened earlier went to the one before.
+  /// Start time of the worker's current process. Connections opened earlier lead to its previous process.
   std::chrono::steady_clock::time_point processStartedAt = std::chrono::steady_clock::time_point::min();
 };
 
-/// Receives responses that are too long to be buffered whole. Called from the event loop.
+/// Receives responses that exceed the response buffer, piece by piece. Called on the event loop.
 struct UpstreamStreams {
-  /// A 200 response is streamed from here on; `length` is its Content-Length, if it has one.
+  /// A 200 response will be streamed. `length`: its Content-Length in bytes, `nullopt` if it has none.
   std::function<void(decision::RequestId, const std::string& contentType,
                      std::optional<std::uint64_t> length)>
       onResponseStart;
-  /// The next piece of the body. Nothing more is read until `UpstreamPool::resumeResponse`.
+  /// The next piece of the body. Reading pauses until `UpstreamPool::resumeResponse` is called.
   std::function<void(decision::RequestId, std::string&& piece)> onBodyPiece;
 };
 
-/// Counts since the last `UpstreamPool::takeStats`, for the service log.
+/// Statistics since the last `UpstreamPool::takeStats`, for the service log.
 struct UpstreamStats {
-  std::array<unsigned, 8> results{};  ///< attempts ended, by decision::AttemptResult
-  unsigned malformedResponses = 0;    ///< no HTTP response, or one past the limits
-  unsigned resetReused = 0;           ///< connections lost during an attempt that was not their first
-  unsigned resetInResponse = 0;       ///< connections lost within a response
-  std::size_t maxBufferedBytes = 0;   ///< of one response: read and not yet parsed
+  std::array<unsigned, 8> results{};  ///< number of ended attempts, indexed by decision::AttemptResult
+  unsigned malformedResponses = 0;    ///< responses that are not valid HTTP or exceed a limit
+  unsigned resetReused = 0;           ///< connections lost during an attempt on a reused connection
+  unsigned resetInResponse = 0;       ///< connections lost after a response had started
+  std::size_t maxBufferedBytes = 0;   ///< most bytes of one response that were read but not yet parsed
 
+  /// Counts one ended attempt.
   void count(decision::AttemptResult result) { ++results[static_cast<std::size_t>(result)]; }
 };
 
--- a/src/gatekeeper/upstream_connection.cpp
+++ b/src/gatekeeper/upstream_connection.cpp
@@ -1,3 +1,4 @@
+/// A connection to a worker: connects, sends the request of an attempt and reads its response.
 #include "gatekeeper/upstream_connection.hpp"
 
 #include <netinet/in.h>
@@ -19,15 +20,16 @@
 using decision::WorkerId;
 using Clock = UpstreamConnection::Clock;
 
-// Bytes of memory that a connection is charged with.
-constexpr std::size_t kConnectionBytes = 10752;     // with parser and a first read buffer
-constexpr std::size_t kBareConnectionBytes = 2048;  // without buffer
-// A larger request leaves the last part of the memory to others.
+// Memory that the budget is charged for a connection, in bytes.
+constexpr std::size_t kConnectionBytes = 10752;     // including the parser and the first read buffer
+constexpr std::size_t kBareConnectionBytes = 2048;  // without the read buffer
+// Requests above this size are admitted only below the high mark of the memory budget, which reserves the
+// remaining memory for smaller requests.
 constexpr std::size_t kSmallRequestBytes = 16 * 1024;
-constexpr std::size_t kBodyWindowBytes = 2 * kStreamPieceBytes + 64;  // a body piece with its chunk frame
+constexpr std::size_t kBodyWindowBytes = 2 * kStreamPieceBytes + 64;  // a body piece with its chunk framing
 
-// Workers may send a second response 1 to 4 ms after the first. Nothing is written before, so that it is not
-// taken for the response to the next request.
+// Workers may send a second response 1 to 4 ms after the first. The next request is written only after this
+// time, so that the second response is not taken for the response to it.
 constexpr auto kLateResponseQuarantine = std::chrono::milliseconds(6);
 
 using QuickAcknowledgement = asio::detail::socket_option::boolean<IPPROTO_TCP, TCP_QUICKACK>;
@@ -44,7 +46,7 @@
       socket_(context.io),
       timer_(context.io) {}
 
-// --- Life of the connection --------------------------------------------------------------------------------
+// --- Lifecycle and memory ----------------------------------------------------------------------------------
 
 bool UpstreamConnection::reserveMemory(const AttemptRequest& request) {
   if (memory_.bytes() < kConnectionBytes) {
@@ -59,8 +61,9 @@
   return memory_.resize(memoryBytes(0));
 }
 
-std::size_t UpstreamConnection::memoryBytes(std::size_t more) const {
-  return std::max(kConnectionBytes, kBareConnectionBytes + response_.memoryBytes(more)) + requestBytes_;
+std::size_t UpstreamConnection::memoryBytes(std::size_t nextReadBytes) const {
+  return std::max(kConnectionBytes, kBareConnectionBytes + response_.memoryBytes(nextReadBytes)) +
+         requestBytes_;
 }
 
 bool UpstreamConnection::quarantineOver() const {
@@ -71,8 +74,9 @@
 
 void UpstreamConnection::becomeIdle() {
   idleSince_ = Clock::now();
-  // Acknowledges the response now: the worker's kernel may hold a second response back until then (Nagle),
-  // and the next request would release it and take it for its own.
+  // Acknowledges the response immediately. With Nagle's algorithm the worker's kernel may delay a second
+  // response until the first is acknowledged; without this, the next request would carry the acknowledgement
+  // and the second response would be taken for the response to it.
   Error ignored;
   socket_.set_option(QuickAcknowledgement(true), ignored);
   waitRecord_.leave();
@@ -178,9 +182,10 @@
   serializeAndWrite();
 }
 
-// The bytes are made now and not earlier: the client may have disconnected, or less of its deadline may be
-// left. Where nothing may be sent the attempt ends from a handler of its own, since the decision module may
-// be in the middle of starting it.
+// Serializes the request only now, because the client may have disconnected or the remaining time of its
+// deadline may have decreased while the attempt was connecting or in quarantine. If the request must not be
+// sent, the attempt ends from a posted handler, because the decision module may still be executing the action
+// that started it.
 void UpstreamConnection::serializeAndWrite() {
   std::optional<std::string> bytes = std::exchange(serialize_, nullptr)();
   if (bytes) {
@@ -198,8 +203,9 @@
   writeRemaining();
 }
 
-// Written without asio's composed write: once the kernel has the last byte the worker may run the request. If
-// that were known only from a completion handler, an attempt cancelled in between would count as never sent.
+// Does not use Asio's composed write: the worker may execute the request as soon as the kernel has accepted
+// its last byte. If only a completion handler recorded this, an attempt cancelled before that handler ran
+// would count as not sent.
 void UpstreamConnection::writeRemaining() {
   Error error;
   outputSent_ += writeSome(socket_, asio::buffer(output_) + outputSent_, error);
@@ -219,7 +225,8 @@
   });
 }
 
-// No time-out runs while the client's next piece is awaited; the response's time-out starts at the last byte.
+// No time-out runs while waiting for the client's next piece. The time-out for the response starts when the
+// last piece has arrived.
 void UpstreamConnection::requestBodyPiece() {
   timer_.cancel();
   readBody_([weak = weak_from_this(), id = outcome_.id](std::string&& piece, bool last) {
@@ -258,7 +265,8 @@
                           }));
 }
 
-// The response stays in the kernel meanwhile, and the attempt's time-out goes on.
+// Until memory is available the response stays in the kernel's receive buffer. The attempt's time-out
+// continues running.
 void UpstreamConnection::waitForMemory() {
   const auto retry = [this] {
     if (ended() || reading_) return true;
@@ -284,11 +292,11 @@
                      }));
 }
 
-// If an attempt has started meanwhile, the bytes are its response and are read at once, so that a time-out
-// due in the same turn of the loop comes after it.
+// If an attempt has started since the wait began, the bytes are its response. They are read synchronously, so
+// that the response takes precedence over a time-out that expires in the same iteration of the event loop.
 void UpstreamConnection::onReadableWhileIdle() {
   if (!busy_) return owner_.closeConnection(*this);
-  // A late second response to the exchange before: the new attempt has not been sent.
+  // The bytes are a late second response to the previous exchange; the new request has not been sent.
   if (quarantined_) return endAttempt(AttemptResult::connectFailed);
   if (!memory_.resize(memoryBytes(kReadBytes))) return read();
   Error error;
@@ -305,14 +313,14 @@
     return endAttempt(AttemptResult::error);
   }
   if (!streaming_ && response_.exceedsBuffer()) {
-    if (!response_.isOk()) return onResponse(false);  // the rest of its body is not needed
+    if (!response_.isOk()) return onResponse(false);  // the body of an error response is not needed
     startStreaming();
   }
   if (state == UpstreamResponse::State::complete) return onResponse(true);
   if (!streaming_) return read();
   std::string piece = response_.takeBody();
   if (piece.empty()) return read();
-  timer_.cancel();  // no time-out runs while the client takes the piece
+  timer_.cancel();  // no time-out runs while the consumer handles the piece
   context_.streams.onBodyPiece(outcome_.id, std::move(piece));
 }
 
@@ -343,7 +351,7 @@
   context_.stats.count(outcome_.result);
   end.outcome = outcome_;
   end.contentType = response_.contentType();
-  // The memory of the body goes with it; what the connection itself is charged with stays.
+  // The charge for the body moves with the body; the connection retains its own base charge.
   const std::size_t variableBytes = memory_.bytes() - std::min(memory_.bytes(), kConnectionBytes);
   end.bodyMemory = memory_.split(std::min(response_.bodyCapacity(), variableBytes));
   const bool reusable = complete && requestWritten_ && response_.allowsReuse();
--- a/src/gatekeeper/upstream_connection.hpp
+++ b/src/gatekeeper/upstream_connection.hpp
@@ -1,4 +1,4 @@
-/// One connection to a worker: connects, writes an attempt and reads its response.
+/// A connection to a worker: connects, sends the request of an attempt and reads its response.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -22,39 +22,41 @@
 
 namespace wingslip {
 
-/// What all connections of one pool share. Outlives them as long as they are open.
+/// State shared by all connections of a pool. Must outlive every open connection.
 struct UpstreamContext {
   boost::asio::io_context& io;
   OverloadManager& overload;
   UpstreamLimits limits;
-  std::vector<std::string> reportFields;  ///< of load reports, in the settings' order
+  std::vector<std::string> reportFields;  ///< names of the load report fields, in the order of the settings
   UpstreamStreams streams;
   UpstreamStats stats;
-  std::uint64_t attemptsWritten = 0;  ///< requests of which the kernel has the last byte, since the start
+  std::uint64_t attemptsWritten = 0;  ///< requests whose last byte the kernel has accepted, since the start
 };
 
 class UpstreamConnection;
 
-/// Keeps connections in its lists, and is called by them from the event loop.
+/// The owner of the connections, which stores them in its lists. Connections call it on the event loop.
 class UpstreamConnectionOwner {
  public:
-  /// The exchange has ended well: the connection becomes idle, or is closed if it is not wanted.
+  /// The exchange is complete and the connection can be reused: the owner makes it idle, or closes it if it
+  /// does not need it.
   virtual void onReusable(const std::shared_ptr<UpstreamConnection>& connection) = 0;
-  /// Closes the connection and takes it out of all lists of idle connections.
+  /// Closes the connection and removes it from all lists of idle connections.
   virtual void closeConnection(UpstreamConnection& connection) = 0;
-  /// The attempt has ended by itself (not by `stopAttempt`).
+  /// The attempt has ended, other than by the owner's call of `stopAttempt`.
   virtual void onAttemptDone(UpstreamConnection& connection, AttemptEnd&& end) = 0;
 
  protected:
   ~UpstreamConnectionOwner() = default;
 };
 
-/// Carries one attempt at a time. Held by shared pointers: the owner's lists and pending handlers. Everything
-/// runs on the one event loop.
+/// A connection that carries one attempt at a time. Shared ownership: the owner's lists and the pending
+/// handlers refer to it. Runs on the event loop only.
 ///
-/// While an attempt is out a read is pending, which brings the response. While idle, only readability is
-/// waited for, and it ends the connection: the bytes stay in the kernel, where `isStale` sees them, so that
-/// bytes of an earlier exchange are never taken for a response.
+/// During an attempt a read is pending, which receives the response. An idle connection only waits for its
+/// socket to become readable, and is then closed. It does not read: the bytes stay in the kernel, where
+/// `isStale` detects them, so that bytes of an earlier exchange are never taken for the response to the next
+/// request.
 class UpstreamConnection : public GuardedConnection<UpstreamConnection> {
  public:
   using Clock = std::chrono::steady_clock;
@@ -67,37 +69,42 @@
   const boost::asio::ip::tcp::endpoint& endpoint() const { return endpoint_; }
   Clock::time_point openedAt() const { return openedAt_; }
 
-  /// Reserves memory for the attempt; false where the budget has none.
+  /// Reserves memory for the connection and the attempt. Returns false if the memory budget does not allow
+  /// it.
   [[nodiscard]] bool reserveMemory(const AttemptRequest& request);
-  /// Starts an attempt on an idle or new connection for which memory is reserved. `timeout`: from now to the
-  /// response's end; of a streamed body, from its last byte. The owner is not called from within this.
+  /// Starts an attempt on an idle or new connection for which `reserveMemory` has succeeded. `timeout`: from
+  /// now, or from the last byte of a streamed request body, to the end of the response. Never calls the owner
+  /// synchronously.
   void startAttempt(decision::RequestId id, unsigned attempt, AttemptRequest request,
                     std::optional<Clock::duration> timeout);
-  /// Ends the attempt with this result, or with connectFailed where its last byte was not written, so that
-  /// the worker cannot have run it (cancelled stays). The caller closes the connection.
+  /// Ends the attempt with this result; the caller closes the connection. The result becomes connectFailed if
+  /// the last byte of the request was not written, because the worker cannot have executed it then. Only the
+  /// result cancelled is never replaced.
   decision::AttemptOutcome stopAttempt(decision::AttemptResult result);
-  /// The consumer of a streamed response takes the next piece.
+  /// Resumes reading a streamed response when its consumer is ready for the next piece.
   void resumeResponse();
 
   decision::RequestId requestId() const { return outcome_.id; }
-  /// Nothing of the present attempt has been sent yet.
+  /// Whether no byte of the current attempt has been sent: it is still connecting or in quarantine.
   bool nothingSent() const { return !connected_ || quarantined_; }
-  /// Whether a late second response to the exchange before would have arrived by now.
+  /// Whether a late second response to the previous exchange would have arrived by now.
   bool quarantineOver() const;
-  /// Whether the worker has closed this idle connection, or sent something on it.
+  /// Whether the worker has closed this idle connection or sent unexpected bytes on it.
   bool isStale();
 
-  /// From now on idle, until the idle time-out or a new attempt.
+  /// Makes the connection idle until a new attempt starts or the idle time-out closes it.
   void becomeIdle();
+  /// Closes the socket, cancels all waits and releases the memory. Does not notify the owner.
   void close();
 
-  /// Position in the owner's list of idle connections; none while it is in no list.
+  /// Position in the owner's list of idle connections; `nullopt` while the connection is not in it. Set by
+  /// the owner.
   std::optional<IdleList::iterator> idlePosition;
 
  private:
   bool hasStreamedBody() const { return readBody_ != nullptr; }
   void recordWait(WaitQueue reason);
-  std::size_t memoryBytes(std::size_t more) const;
+  std::size_t memoryBytes(std::size_t nextReadBytes) const;
   void recordLatency();
   void armTimer(Clock::time_point at);
   void onTimer();
@@ -128,26 +135,26 @@
   MemoryBudget::Charge memory_;
   WaitQueues::QueueEntry waitRecord_;
   OverloadManager::PausedReader pausedRead_;
-  std::size_t requestBytes_ = 0;  // reserved for the attempt: the whole request, or one window of its body
+  std::size_t requestBytes_ = 0;  // reserved for the attempt: the complete request, or one window of its body
   boost::asio::ip::tcp::socket socket_;
   boost::asio::steady_timer timer_;
   UpstreamResponse response_;
   std::string output_;
   std::size_t outputSent_ = 0;
-  std::function<std::optional<std::string>()> serialize_;           // until the first byte is written
-  std::function<void(AttemptRequest::BodyPieceHandler)> readBody_;  // until the last piece has come
+  std::function<std::optional<std::string>()> serialize_;           // null once the first byte is written
+  std::function<void(AttemptRequest::BodyPieceHandler)> readBody_;  // null once the last piece has arrived
   std::optional<Clock::duration> timeout_;
   decision::AttemptOutcome outcome_;
   Clock::time_point startedAt_;
-  Clock::time_point expiresAt_;  // of the attempt, or of the idle connection
+  Clock::time_point expiresAt_;  // time-out of the attempt or of the idle connection
   Clock::time_point idleSince_;
   bool connected_ = false;
-  bool quarantined_ = false;  // an attempt waits for `quarantineOver`
+  bool quarantined_ = false;  // the attempt waits until `quarantineOver`
   bool busy_ = false;
-  bool reused_ = false;          // has carried an attempt before
-  bool requestWritten_ = false;  // the last byte: from here on the worker may have run it
+  bool reused_ = false;          // has carried an earlier attempt
+  bool requestWritten_ = false;  // including its last byte, so the worker may have executed it
   bool chunkedBody_ = false;
-  bool streaming_ = false;  // the response is passed on as it comes
+  bool streaming_ = false;  // the response is forwarded as it arrives
   bool reading_ = false;
 };
 
--- a/src/gatekeeper/upstream_pool.cpp
+++ b/src/gatekeeper/upstream_pool.cpp
@@ -1,3 +1,4 @@
+/// The pool of connections to all workers.
 #include "gatekeeper/upstream_pool.hpp"
 
 #include <boost/asio/post.hpp>
@@ -33,7 +34,7 @@
   const bool restarted = address.processStartedAt > worker.address.processStartedAt;
   const bool moved = address.endpoint != worker.address.endpoint;
   if (restarted || moved) closeIdle(worker);
-  // Another process may listen at the address that the worker has left.
+  // Another process may now listen on the worker's previous address.
   if (moved)
     endAttempts(worker, [&](const UpstreamConnection& connection) {
       return connection.nothingSent() && connection.endpoint() != address.endpoint;
@@ -41,7 +42,7 @@
   worker.address = address;
   worker.removed = false;
   if (!restarted) return;
-  // The process that had these attempts has ended, whether or not the kernel has reported it.
+  // The process that received these attempts has ended, even if the kernel has not yet reported the close.
   endAttempts(worker, [&](const UpstreamConnection& connection) {
     return connection.openedAt() < address.processStartedAt;
   });
@@ -58,18 +59,19 @@
   const auto found = workers_.find(id);
   if (found == workers_.end()) return;
   closeIdle(found->second);
-  // A connection that comes up later would be written to when nothing may be sent there any more.
+  // Otherwise a connection established later would still send its request to this worker.
   endAttempts(found->second, [](const UpstreamConnection& connection) { return connection.nothingSent(); });
 }
 
-// Each ends as a reset, or as connectFailed where its last byte was not written (`stopAttempt`).
+// Each matching attempt ends as a reset, or as connectFailed if its last byte was not written (see
+// `stopAttempt`).
 void UpstreamPool::endAttempts(const Worker& worker,
                                const std::function<bool(const UpstreamConnection&)>& matches) {
-  std::vector<ConnectionPtr> ending;
+  std::vector<ConnectionPtr> matching;
   for (const ConnectionPtr& connection : worker.busy)
-    if (matches(*connection)) ending.push_back(connection);
-  for (const ConnectionPtr& connection : ending) {
-    reportLater(connection->stopAttempt(AttemptResult::reset));
+    if (matches(*connection)) matching.push_back(connection);
+  for (const ConnectionPtr& connection : matching) {
+    postAttemptEnd(connection->stopAttempt(AttemptResult::reset));
     removeBusy(connection->requestId());
     closeConnection(*connection);
   }
@@ -80,7 +82,7 @@
 void UpstreamPool::startAttempt(RequestId id, unsigned attempt, WorkerId worker, AttemptRequest request,
                                 std::optional<Clock::duration> timeout) {
   const bool reachable = isReachable(worker);
-  const ConnectionPtr connection = reachable ? connectionTo(worker) : nullptr;
+  const ConnectionPtr connection = reachable ? acquireConnection(worker) : nullptr;
   if (connection && reserveMemory(*connection, request)) {
     addBusy(id, connection);
     return connection->startAttempt(id, attempt, std::move(request), timeout);
@@ -91,15 +93,15 @@
   outcome.attempt = attempt;
   outcome.worker = worker;
   outcome.result = AttemptResult::connectFailed;
-  // A shortage in this process is not the worker's fault, and no other worker would help: every idle
-  // connection has been closed for it before.
+  // A shortage in this process must not count against the worker. An attempt at another worker would fail as
+  // well, because all idle connections have already been closed to free resources.
   if (reachable) {
     outcome.result = AttemptResult::notSent;
     ++localShortages_;
     context_.overload.waitQueues().countRejection(WaitQueue::awaitingResponse);
   }
   context_.stats.count(outcome.result);
-  reportLater(std::move(outcome));
+  postAttemptEnd(std::move(outcome));
 }
 
 std::optional<AttemptEnd> UpstreamPool::cancelAttempt(RequestId id, AttemptResult result) {
@@ -126,8 +128,9 @@
   attemptDone_(std::move(end));
 }
 
-// From a handler of its own: the decision module is never called back from within one of its actions.
-void UpstreamPool::reportLater(AttemptOutcome outcome) {
+// Calls `AttemptDone` from a posted handler, because the decision module must not be re-entered while it
+// executes an action.
+void UpstreamPool::postAttemptEnd(AttemptOutcome outcome) {
   asio::post(context_.io, [this, alive = alive_, outcome = std::move(outcome)]() mutable {
     if (!*alive) return;
     AttemptEnd end;
@@ -156,8 +159,8 @@
   return found != workers_.end() && !found->second.removed;
 }
 
-// An idle connection or a new one; null at the limit of connections with none idle.
-UpstreamPool::ConnectionPtr UpstreamPool::connectionTo(WorkerId id) {
+// Returns an idle connection or a new one; null if the connection limit is reached and no connection is idle.
+UpstreamPool::ConnectionPtr UpstreamPool::acquireConnection(WorkerId id) {
   Worker& worker = workers_.at(id);
   if (ConnectionPtr idle = takeIdle(worker)) return idle;
   if (!evictIfFull()) return nullptr;
@@ -167,15 +170,17 @@
   return connection;
 }
 
-// Reserves memory for the attempt, and closes idle connections as long as there is none.
+// Reserves memory for the attempt, and closes idle connections, least recently used first, until the
+// reservation succeeds.
 bool UpstreamPool::reserveMemory(UpstreamConnection& connection, const AttemptRequest& request) {
   bool reserved = connection.reserveMemory(request);
   while (!reserved && closeOldestIdle()) reserved = connection.reserveMemory(request);
   return reserved;
 }
 
-// The most recently used one that is past its quarantine, so that surplus connections reach their idle
-// time-out; otherwise the one whose quarantine ends first.
+// Returns the most recently used idle connection past its quarantine, so that surplus connections stay unused
+// until their idle time-out; if there is none, the connection whose quarantine ends first; null if none is
+// idle.
 UpstreamPool::ConnectionPtr UpstreamPool::takeIdle(Worker& worker) {
   auto& idle = worker.idle;
   while (!idle.empty()) {
@@ -193,7 +198,8 @@
   return nullptr;
 }
 
-// At the limit the least recently used idle connection of any worker is closed.
+// At the connection limit, closes the least recently used idle connection of any worker. Returns whether a
+// new connection may be opened.
 bool UpstreamPool::evictIfFull() {
   return connectionCount_ < context_.limits.maxConnections || closeOldestIdle();
 }
@@ -207,18 +213,18 @@
 
 void UpstreamPool::onReusable(const ConnectionPtr& connection) {
   const auto found = workers_.find(connection->worker());
-  const bool wanted = found != workers_.end() && !found->second.removed &&
-                      found->second.address.endpoint == connection->endpoint() &&
-                      found->second.address.processStartedAt <= connection->openedAt() &&
-                      found->second.idle.size() < context_.limits.maxIdlePerWorker;
-  if (!wanted) return closeConnection(*connection);
+  const bool reusable = found != workers_.end() && !found->second.removed &&
+                        found->second.address.endpoint == connection->endpoint() &&
+                        found->second.address.processStartedAt <= connection->openedAt() &&
+                        found->second.idle.size() < context_.limits.maxIdlePerWorker;
+  if (!reusable) return closeConnection(*connection);
   found->second.idle.push_back(connection);
   connection->idlePosition = idle_.insert(idle_.end(), connection);
   connection->becomeIdle();
 }
 
 void UpstreamPool::closeConnection(UpstreamConnection& connection) {
-  const ConnectionPtr self = connection.shared_from_this();  // the lists may hold the last pointers to it
+  const ConnectionPtr self = connection.shared_from_this();  // the lists may have the last references
   connection.close();
   --connectionCount_;
   if (connection.idlePosition) idle_.erase(*std::exchange(connection.idlePosition, std::nullopt));
--- a/src/gatekeeper/upstream_pool.hpp
+++ b/src/gatekeeper/upstream_pool.hpp
@@ -1,5 +1,5 @@
-/// Connections to all workers: which are busy, which are idle, how many there may be, and what a worker's
-/// removal or restart does to them.
+/// The pool of connections to all workers: busy and idle connections, the connection limit, and the handling
+/// of removed or restarted workers.
 #pragma once
 
 #include <algorithm>
@@ -22,8 +22,8 @@
 
 namespace wingslip {
 
-/// Owns the connections. Everything is called on the one event loop. An attempt's end is reported exactly
-/// once by the `AttemptDone` callback, unless `cancelAttempt` has returned it.
+/// Owns the connections to the workers. All calls are made on the event loop. The end of each attempt is
+/// reported exactly once through the `AttemptDone` callback, unless `cancelAttempt` has returned it.
 class UpstreamPool : private UpstreamConnectionOwner {
  public:
   using Clock = std::chrono::steady_clock;
@@ -31,48 +31,52 @@
   using Stats = UpstreamStats;
   using AttemptDone = std::function<void(AttemptEnd&&)>;
 
-  /// `reportFields`: the fields of workers' load reports, in the settings' order. `overload` outlives the
-  /// pool.
+  /// `reportFields`: names of the fields of the workers' load reports, in the order of the settings.
+  /// `overload` must outlive the pool.
   UpstreamPool(boost::asio::io_context& io, const Limits& limits, std::vector<std::string> reportFields,
                OverloadManager& overload, AttemptDone attemptDone);
   ~UpstreamPool();
   UpstreamPool(const UpstreamPool&) = delete;
   UpstreamPool& operator=(const UpstreamPool&) = delete;
 
-  /// Who receives responses that are streamed. Set before the first attempt.
+  /// Sets the receivers of streamed responses. Must be called before the first attempt.
   void setStreamHandlers(UpstreamStreams streams) { context_.streams = std::move(streams); }
-  /// Changed settings, from the next connection or response on.
+  /// Applies changed settings, which take effect with the next connection or response.
   void updateSettings(const Limits& limits, std::vector<std::string> reportFields);
 
-  /// Adds a worker, or moves it. Idle connections to an earlier address or process are closed. Attempts end
-  /// as resets if they went to an earlier process, and as connectFailed if they were not sent to an earlier
-  /// address yet.
+  /// Adds a worker or updates its address. Closes idle connections to its previous address or process.
+  /// Attempts at the previous process end as resets, or as connectFailed if their last byte was not written;
+  /// attempts at the previous address of which nothing has been sent end as connectFailed.
   void setWorkerAddress(decision::WorkerId worker, const WorkerAddress& address);
-  /// No attempt is started there any more, and `stopSendingTo` takes effect. Attempts that are out go on.
+  /// Removes the worker: it receives no further attempts, and `stopSendingTo` is applied. Attempts already
+  /// sent continue.
   void retireWorker(decision::WorkerId worker);
-  /// Closes the worker's idle connections; attempts of which nothing has been sent end as connectFailed.
+  /// Closes the worker's idle connections. Attempts of which nothing has been sent end as connectFailed.
   void stopSendingTo(decision::WorkerId worker);
 
-  /// Starts one attempt. `AttemptDone` is called once for it, never from within this call. Without a free
-  /// connection, descriptor or memory in this process the result is notSent.
+  /// Starts an attempt. Calls `AttemptDone` once for it, never from within this call. The result is
+  /// connectFailed if the worker is unknown or removed, and notSent if this process has no connection,
+  /// descriptor or memory available. `timeout`: see `UpstreamConnection::startAttempt`.
   void startAttempt(decision::RequestId id, unsigned attempt, decision::WorkerId worker,
                     AttemptRequest request, std::optional<Clock::duration> timeout);
-  /// Ends the request's attempt and closes its connection. `nullopt`: there is none. `AttemptDone` is not
-  /// called for it.
+  /// Ends the request's attempt, closes its connection and returns the outcome, for which `AttemptDone` is
+  /// not called. Returns `nullopt` if the request has no attempt in flight.
   std::optional<AttemptEnd> cancelAttempt(decision::RequestId id, decision::AttemptResult result);
-  /// The consumer of the request's streamed response takes the next piece.
+  /// Resumes reading the request's streamed response when its consumer is ready for the next piece.
   void resumeResponse(decision::RequestId id);
 
-  /// Attempts that were not started for want of descriptors or memory in this process, since the start.
+  /// Attempts not started because this process lacked a connection, descriptor or memory, since the start.
   std::uint64_t localShortages() const { return localShortages_; }
-  /// Requests of which the kernel has the last byte, since the start.
+  /// Requests whose last byte the kernel has accepted, since the start.
   std::uint64_t attemptsWritten() const { return context_.attemptsWritten; }
+  /// Number of open connections, busy or idle.
   std::size_t connections() const { return connectionCount_; }
-  /// Busy connections as a share (0 to 1) of the most that there may be.
+  /// Busy connections as a fraction (0 to 1) of the connection limit.
   double busyShare() const {
     return static_cast<double>(busy_.size()) /
            static_cast<double>(std::max<std::size_t>(1, context_.limits.maxConnections));
   }
+  /// Returns the statistics since the previous call, and resets them.
   Stats takeStats() { return std::exchange(context_.stats, {}); }
 
  private:
@@ -80,7 +84,7 @@
   struct Worker {
     WorkerAddress address;
     bool removed = false;
-    std::vector<ConnectionPtr> idle;  // the most recently used last
+    std::vector<ConnectionPtr> idle;  // the most recently used at the back
     std::vector<ConnectionPtr> busy;
   };
 
@@ -92,12 +96,12 @@
   void addBusy(decision::RequestId id, const ConnectionPtr& connection);
   void removeBusy(decision::RequestId id);
   bool isReachable(decision::WorkerId worker) const;
-  ConnectionPtr connectionTo(decision::WorkerId worker);
+  ConnectionPtr acquireConnection(decision::WorkerId worker);
   ConnectionPtr takeIdle(Worker& worker);
   bool reserveMemory(UpstreamConnection& connection, const AttemptRequest& request);
   bool evictIfFull();
   bool closeOldestIdle();
-  void reportLater(decision::AttemptOutcome outcome);
+  void postAttemptEnd(decision::AttemptOutcome outcome);
   void closeIdle(Worker& worker);
   void endAttempts(const Worker& worker, const std::function<bool(const UpstreamConnection&)>& matches);
 
@@ -105,10 +109,11 @@
   const AttemptDone attemptDone_;
   std::unordered_map<decision::WorkerId, Worker> workers_;
   std::unordered_map<decision::RequestId, ConnectionPtr> busy_;
-  UpstreamConnection::IdleList idle_;  // of all workers, the least recently used first
+  UpstreamConnection::IdleList idle_;  // of all workers, the least recently used at the front
   std::size_t connectionCount_ = 0;
   std::uint64_t localShortages_ = 0;
-  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);  // for posted handlers
+  // False once the pool is destroyed; checked by posted handlers.
+  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
 }  // namespace wingslip
--- a/src/gatekeeper/upstream_response.cpp
+++ b/src/gatekeeper/upstream_response.cpp
@@ -1,3 +1,4 @@
+/// Parses and validates a worker's response.
 #include "gatekeeper/upstream_response.hpp"
 
 #include <algorithm>
@@ -11,14 +12,16 @@
 
 using decision::AttemptResult;
 
-// Whether all of `text` is a number. `value` takes what its beginning says, as std::from_chars does.
+// Whether all of `text` is a number. As with std::from_chars, a numeric prefix sets `value` even if this
+// returns false.
 template <class T>
 bool parseNumber(std::string_view text, T& value) {
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
   return error == std::errc() && end == text.data() + text.size();
 }
 
-// The values of `inflight=7,queue=2,util=0.61` in the order of `fields`; none unless all fields are there.
+// Returns the values of a load report such as `inflight=7,queue=2,util=0.61` in the order of `fields`. Empty
+// if a field is missing or malformed.
 std::vector<double> parseLoadReport(std::string_view text, const std::vector<std::string>& fields) {
   std::vector<double> values(fields.size());
   std::size_t found = 0;
@@ -58,16 +61,16 @@
     reset();
     complete = feed(*parser_, input_, error);
   }
-  // The parser's limits cover neither chunk extensions nor the trailer: without this they could grow for
-  // ever.
+  // The parser's limits cover neither chunk extensions nor the trailer, which could otherwise grow without
+  // bound.
   if (!error && !complete && input_.size() > kMaxHeaderBytes) error = http::error::header_limit;
-  if (error || isEarly(request)) return State::malformed;
+  if (error || isPremature(request)) return State::malformed;
   return complete ? State::complete : State::incomplete;
 }
 
-// A worker starts a request at its last byte, so that a 200 before it belongs to another request. Only a
-// streamed body may be cut short by its response.
-bool UpstreamResponse::isEarly(RequestProgress request) const {
+// Workers start a request when its last byte arrives, so a 200 before that belongs to another request. Only a
+// streamed request body may be followed by its response before it is complete.
+bool UpstreamResponse::isPremature(RequestProgress request) const {
   return !request.written && !request.bodyStreaming && parser_->is_header_done() && isOk();
 }
 
@@ -113,8 +116,8 @@
   outcome.loadReport = parseLoadReport(view(response["Srv-Load"]), reportFields);
 }
 
-std::size_t UpstreamResponse::memoryBytes(std::size_t more) const {
-  return std::max(input_.capacity(), input_.size() + more) + bodyCapacity() + more;
+std::size_t UpstreamResponse::memoryBytes(std::size_t nextReadBytes) const {
+  return std::max(input_.capacity(), input_.size() + nextReadBytes) + bodyCapacity() + nextReadBytes;
 }
 
 }  // namespace wingslip
--- a/src/gatekeeper/upstream_response.hpp
+++ b/src/gatekeeper/upstream_response.hpp
@@ -1,4 +1,4 @@
-/// Parses a worker's response and decides what counts as one. No sockets, no timers.
+/// Parses and validates a worker's response. Uses no sockets or timers.
 #pragma once
 
 #include <boost/beast/core/flat_buffer.hpp>
@@ -15,57 +15,63 @@
 
 namespace wingslip {
 
-/// What an attempt has written when response bytes are parsed.
+/// How much of the request has been written when response bytes are parsed.
 struct RequestProgress {
-  bool written = false;        ///< the last byte is with the kernel
-  bool bodyStreaming = false;  ///< body pieces are still to come from the client
+  bool written = false;        ///< the kernel has accepted the last byte
+  bool bodyStreaming = false;  ///< further body pieces are expected from the client
 };
 
-/// The response of one attempt at a time, with the bytes that were read and not yet parsed. Belongs to one
-/// connection.
+/// The response of one attempt at a time, and the bytes that were read but not yet parsed. Each connection
+/// owns one.
 class UpstreamResponse {
  public:
   enum class State {
     incomplete,
     complete,
-    malformed,  ///< not HTTP, past a limit, or a 200 before the request's last byte
+    malformed,  ///< not valid HTTP, beyond a limit, or a 200 before the request's last byte
   };
 
-  /// Starts a new response. Unparsed bytes stay.
+  /// Prepares for a new response. Retains unparsed bytes.
   void reset();
 
+  /// Returns a buffer into which the next bytes are read; `commit` then appends the bytes that were read.
   boost::asio::mutable_buffer prepare(std::size_t bytes) { return input_.prepare(bytes); }
   void commit(std::size_t bytes) { input_.commit(bytes); }
 
-  /// Parses what was committed; skips 1xx responses.
+  /// Parses the committed bytes and skips interim (1xx) responses.
   State parse(RequestProgress request);
-  /// The peer has closed the connection. True: the response is delimited by that and is complete.
+  /// Called when the worker has closed the connection. Returns true if the close delimits the response and
+  /// thereby completes it.
   [[nodiscard]] bool finishAtClose();
 
+  /// Whether any byte of the response has been parsed.
   bool hasStarted() const { return parser_->got_some(); }
   bool isOk() const { return parser_->get().result() == http::status::ok; }
-  /// Whether the header is complete and the body, stated or read so far, exceeds `kMaxBufferedBodyBytes`
-  /// bytes.
+  /// Whether the header is complete and the body, by its Content-Length or as read so far, exceeds
+  /// `kMaxBufferedBodyBytes` bytes.
   bool exceedsBuffer() const;
-  /// Whether the connection may carry another request: nothing is left over, and neither side closes.
+  /// Whether the connection may carry another request: no bytes remain unparsed, and the response
+  /// permits a persistent connection.
   bool allowsReuse() const;
 
   std::string contentType() const { return std::string(view(parser_->get()[http::field::content_type])); }
+  /// The Content-Length in bytes, `nullopt` if the header has none.
   std::optional<std::uint64_t> contentLength() const;
-  /// The result and what the header says of usage, cost and load.
+  /// Sets the outcome's result, and its quota use, actual units and load report from the header fields.
   void describe(decision::AttemptOutcome& outcome, const std::vector<std::string>& reportFields) const;
 
-  /// The body as far as it has come; the next piece starts empty.
+  /// Moves out the part of the body received so far.
   std::string takeBody() { return std::exchange(parser_->get().body(), {}); }
   std::size_t bodyCapacity() const { return parser_ ? parser_->get().body().capacity() : 0; }
   std::size_t bufferedBytes() const { return input_.size(); }
-  /// Bytes of memory in use if `more` bytes are read.
-  std::size_t memoryBytes(std::size_t more) const;
+  /// Memory in bytes that the response uses if the next read delivers `nextReadBytes` bytes.
+  std::size_t memoryBytes(std::size_t nextReadBytes) const;
+  /// Frees the unused capacity of the read buffer.
   void releaseSpareMemory() { input_.shrink_to_fit(); }
 
  private:
   bool isInterim() const;
-  bool isEarly(RequestProgress request) const;
+  bool isPremature(RequestProgress request) const;
 
   beast::flat_buffer input_;
   std::optional<http::response_parser<WindowBody>> parser_;
