--- a/tests/races_test.cpp
+++ b/tests/races_test.cpp
@@ -1,6 +1,6 @@
-// The rare orders of events, on real connections: each test makes the bad order happen every time. What a
-// peer does lies ready in the kernel before the loop takes its next turn, or is held back until the other
-// side has done its step.
+// Races between events on real connections. Each test forces the critical order deterministically: the peer's
+// action is already in the kernel before the next iteration of the event loop, or is delayed until the other
+// side has acted.
 #include "upstream_pool_fixture.hpp"
 
 namespace wingslip::test {
@@ -10,303 +10,314 @@
 using namespace std::chrono_literals;
 using Steady = std::chrono::steady_clock;
 
-class PoolRaces : public UpstreamPoolFixture {
+class UpstreamPoolRaces : public UpstreamPoolFixture {
  protected:
-  void SetUp() override { open({}); }
-  // One connection stands idle, and what could come late on it has come.
-  void rest() {
-    start(1);
-    until([&] { return seen() == 1; }, "the first request");
+  void SetUp() override { createPool({}); }
+  // Sets up one idle connection whose quarantine has ended.
+  void makeIdleConnection() {
+    startAttempt(1);
+    until([&] { return requestsReceived() == 1; }, "the first request");
     worker.peers[0]->send(reply("200 OK", "first"));
-    untilEnds(1);
-    const auto at = Steady::now() + 20ms;
-    until([&] { return Steady::now() >= at; }, "it has settled");
+    waitForEnds(1);
+    const auto deadline = Steady::now() + 20ms;
+    until([&] { return Steady::now() >= deadline; }, "the end of the quarantine");
   }
 
   Listener other{io};
 };
 
-// The kernel has the whole request, and the loop has not yet told: it may run all the same.
-TEST_F(PoolRaces, AnAttemptCancelledInTheTurnOfItsLastByteCountsAsSent) {
-  rest();
-  start(2);
+// The kernel has accepted the complete request, but no completion handler has run: the worker may still
+// execute it.
+TEST_F(UpstreamPoolRaces, AnAttemptCancelledInTheLoopIterationOfItsLastByteCountsAsSent) {
+  makeIdleConnection();
+  startAttempt(2);
   const auto end = pool->cancelAttempt(2, AttemptResult::timeout);
   ASSERT_TRUE(end);
   EXPECT_EQ(end->outcome.result, AttemptResult::timeout);
-  until([&] { return seen() == 2; }, "the request at the worker");
+  until([&] { return requestsReceived() == 2; }, "the request at the worker");
 }
 
-// Answer and time-out are both due when the loop takes its next turn, as after a pause of the process.
-TEST_F(PoolRaces, AResponseIsReadBeforeATimeoutOfTheSameTurn) {
-  rest();
-  start(2, 50ms);
-  until([&] { return seen() == 2; }, "the request at the worker");
+// The response is readable and the time-out has expired when the event loop starts its next iteration, as
+// after a pause of the process.
+TEST_F(UpstreamPoolRaces, AResponseTakesPrecedenceOverATimeoutOfTheSameLoopIteration) {
+  makeIdleConnection();
+  startAttempt(2, 50ms);
+  until([&] { return requestsReceived() == 2; }, "the request at the worker");
   worker.peers[0]->send(reply("200 OK", "second"));
-  for (const auto at = Steady::now() + 100ms; Steady::now() < at;) {
+  for (const auto deadline = Steady::now() + 100ms; Steady::now() < deadline;) {
   }
-  untilEnds(2);
-  EXPECT_EQ(ends[1].outcome.result, AttemptResult::ok);
+  waitForEnds(2);
+  EXPECT_EQ(attemptEnds[1].outcome.result, AttemptResult::ok);
 }
 
-// The first answer fills a read to the byte, so that the second is still to be read when the connection
-// rests.
-TEST_F(PoolRaces, ASecondAnswerInTheSameTurnIsNeverTheNextRequests) {
-  start(1);
-  until([&] { return seen() == 1; }, "the first request");
-  const std::string head = reply("200 OK", std::string(4000, 'x'));
-  const std::string whole = reply("200 OK", std::string(4000 + 4096 - head.size(), 'x'));
-  ASSERT_EQ(whole.size(), 4096u);
-  onEnd = [this] { start(2); };
-  worker.peers[0]->send(whole + reply("200 OK", "stray"));
-  until([&] { return seen() == 2; }, "the next request");
+// The first response fills a read exactly, so the second is still unread when the connection becomes idle.
+TEST_F(UpstreamPoolRaces, AnExtraResponseInTheSameLoopIterationIsNotDeliveredToTheNextRequest) {
+  startAttempt(1);
+  until([&] { return requestsReceived() == 1; }, "the first request");
+  const std::string shortResponse = reply("200 OK", std::string(4000, 'x'));
+  const std::string readSizedResponse = reply("200 OK", std::string(4000 + 4096 - shortResponse.size(), 'x'));
+  ASSERT_EQ(readSizedResponse.size(), 4096u);
+  onNextEnd = [this] { startAttempt(2); };
+  worker.peers[0]->send(readSizedResponse + reply("200 OK", "stray"));
+  until([&] { return requestsReceived() == 2; }, "the next request");
   worker.peers.back()->send(reply("200 OK", "second"));
-  untilEnds(2);
-  EXPECT_EQ(ends[1].body, "second");
+  waitForEnds(2);
+  EXPECT_EQ(attemptEnds[1].body, "second");
   EXPECT_EQ(worker.peers.size(), 2u);
 }
 
-// It comes when the next request has been given to the connection: that is not written before it would have
-// come.
-TEST_F(PoolRaces, ASecondAnswerSomeMillisecondsLateIsNeverTheNextRequests) {
-  start(1);
-  until([&] { return seen() == 1; }, "the first request");
-  onEnd = [this] { start(2); };
+// The extra response arrives after the next attempt has been assigned to the connection. The quarantine
+// delays that request, so it has not been written yet.
+TEST_F(UpstreamPoolRaces, AnExtraResponseSomeMillisecondsLateIsNotDeliveredToTheNextRequest) {
+  startAttempt(1);
+  until([&] { return requestsReceived() == 1; }, "the first request");
+  onNextEnd = [this] { startAttempt(2); };
   worker.peers[0]->send(reply("200 OK", "first"));
-  untilEnds(1);
+  waitForEnds(1);
   worker.peers[0]->send(reply("200 OK", "stray"));
-  untilEnds(2);
-  EXPECT_EQ(ends[1].outcome.result, AttemptResult::connectFailed);
-  EXPECT_EQ(seen(), 1u);
+  waitForEnds(2);
+  EXPECT_EQ(attemptEnds[1].outcome.result, AttemptResult::connectFailed);
+  EXPECT_EQ(requestsReceived(), 1u);
 }
 
-// The worker's machine holds a second small write back until the first is acknowledged (Nagle), and this
-// machine, once a connection has carried some exchanges, acknowledges only after 40 ms or with what it sends:
-// the next request would let the second answer go.
-TEST_F(PoolRaces, ASecondAnswerThatTheWorkersMachineHeldBackIsNeverTheNextRequests) {
+// With Nagle's algorithm the worker's kernel delays a second small write until the first is
+// acknowledged. After some exchanges on a connection, the local kernel delays its acknowledgement by 40 ms or
+// until it sends data, so the next request would release the extra response.
+TEST_F(UpstreamPoolRaces, AnExtraResponseDelayedByNagleIsNotDeliveredToTheNextRequest) {
   constexpr decision::RequestId kExchanges = 40;
   for (decision::RequestId id = 1; id <= kExchanges; ++id) {
-    start(id);
-    until([&] { return seen() == id; }, "a request");
-    if (id == kExchanges) onEnd = [this] { start(kExchanges + 1); };
+    startAttempt(id);
+    until([&] { return requestsReceived() == id; }, "a request");
+    if (id == kExchanges) onNextEnd = [this] { startAttempt(kExchanges + 1); };
     worker.peers[0]->send(reply("200 OK", "answer"));
-    untilEnds(id);
+    waitForEnds(id);
   }
   io.restart();
   io.run_for(2ms);
   worker.peers[0]->send(reply("200 OK", "stray"));
-  until([&] { return ends.size() > kExchanges || seen() > kExchanges; }, "the next attempt");
+  until([&] { return attemptEnds.size() > kExchanges || requestsReceived() > kExchanges; },
+        "the next attempt");
   io.restart();
   io.run_for(20ms);
-  for (const AttemptEnd& end : ends) EXPECT_NE(end.body, "stray");
+  for (const AttemptEnd& end : attemptEnds) EXPECT_NE(end.body, "stray");
 }
 
-TEST_F(PoolRaces, AnAttemptInQuarantineEndsWhenItsWorkerIsRemoved) {
-  start(1);
-  until([&] { return seen() == 1; }, "the first request");
-  onEnd = [this] {
-    start(2);
+TEST_F(UpstreamPoolRaces, AnAttemptInQuarantineEndsWhenItsWorkerIsRemoved) {
+  startAttempt(1);
+  until([&] { return requestsReceived() == 1; }, "the first request");
+  onNextEnd = [this] {
+    startAttempt(2);
     pool->retireWorker(1);
   };
   worker.peers[0]->send(reply("200 OK", "first"));
-  untilEnds(2);
-  EXPECT_EQ(ends[1].outcome.result, AttemptResult::connectFailed);
-  EXPECT_EQ(seen(), 1u);
+  waitForEnds(2);
+  EXPECT_EQ(attemptEnds[1].outcome.result, AttemptResult::connectFailed);
+  EXPECT_EQ(requestsReceived(), 1u);
 }
 
-TEST_F(PoolRaces, AnAttemptConnectingToAFormerAddressEnds) {
-  start(1);
+TEST_F(UpstreamPoolRaces, AnAttemptConnectingToAPreviousAddressEnds) {
+  startAttempt(1);
   pool->setWorkerAddress(1, {other.address()});
-  untilEnds(1);
-  EXPECT_EQ(ends[0].outcome.result, AttemptResult::connectFailed);
-  start(2);
-  until([&] { return other.count("\r\n\r\n") == 1; }, "the next at the new address");
-  EXPECT_EQ(seen(), 0u);
+  waitForEnds(1);
+  EXPECT_EQ(attemptEnds[0].outcome.result, AttemptResult::connectFailed);
+  startAttempt(2);
+  until([&] { return other.count("\r\n\r\n") == 1; }, "the next request at the new address");
+  EXPECT_EQ(requestsReceived(), 0u);
 }
 
-TEST_F(PoolRaces, AnAttemptWhoseClientDisconnectsDuringConnectIsNotWritten) {
-  start(1, {}, [] { return false; });
-  untilEnds(1);
-  EXPECT_EQ(ends[0].outcome.result, AttemptResult::connectFailed);
-  start(2);
-  until([&] { return seen() == 1; }, "another request");
+TEST_F(UpstreamPoolRaces, AnAttemptWhoseClientDisconnectsDuringConnectIsNotWritten) {
+  startAttempt(1, {}, [] { return false; });
+  waitForEnds(1);
+  EXPECT_EQ(attemptEnds[0].outcome.result, AttemptResult::connectFailed);
+  startAttempt(2);
+  until([&] { return requestsReceived() == 1; }, "another request");
   EXPECT_EQ(worker.count("Req-Id: 1\r\n"), 0u);
 }
 
-class ClientRaces : public Loopback {
+class ClientServerRaces : public Loopback {
  protected:
-  struct Kept : RequestHandler {
+  struct RecordingHandler : RequestHandler {
     bool ready() const override { return true; }
-    decision::RequestId nextRequestId() override { return ++last; }
+    decision::RequestId nextRequestId() override { return ++lastId; }
     void onRequest(decision::RequestId, const ParsedRequest&, ClientMessage&&,
-                   const std::shared_ptr<Responder>& a) override {
-      responders.push_back(a);
+                   const std::shared_ptr<Responder>& responder) override {
+      responders.push_back(responder);
     }
-    void onClientDisconnect(decision::RequestId) override { ++gone; }
+    void onClientDisconnect(decision::RequestId) override { ++disconnects; }
     void onRequestRejected(unsigned) override {}
     void onClosedUnanswered(CloseReason reason) override {
-      ADD_FAILURE() << "closed over a request: " << static_cast<int>(reason);
+      ADD_FAILURE() << "connection closed without a response: " << static_cast<int>(reason);
     }
-    decision::RequestId last = 0;
-    int gone = 0;
+    decision::RequestId lastId = 0;
+    int disconnects = 0;
     std::vector<std::shared_ptr<Responder>> responders;
   };
   void SetUp() override { server.start(); }
-  static std::string readiness() { return "GET /health/ready HTTP/1.1\r\nHost: b\r\n\r\n"; }
+  static std::string readinessRequest() { return "GET /health/ready HTTP/1.1\r\nHost: b\r\n\r\n"; }
 
   Config config = parseConfig(configJson("127.0.0.1:1").dump());
-  Kept handler;
-  OverloadManager pressure{io, sharesOf({std::size_t{64} << 20}), OverloadState::Limits{}};
-  ClientServer server{io, config, {}, handler, pressure};
+  RecordingHandler handler;
+  OverloadManager overloadManager{io, sharesOf({std::size_t{64} << 20}), OverloadState::Limits{}};
+  ClientServer server{io, config, {}, handler, overloadManager};
 };
 
-// Two stand in the machine's queue as accepting stops: one has been taken from it in that turn, one has not.
-TEST_F(ClientRaces, AConnectionThatArrivesAsAcceptingStopsIsServed) {
+// Two connections are pending when accepting stops: one was accepted in that loop iteration, the other is
+// still in the kernel's accept queue.
+TEST_F(ClientServerRaces, AConnectionThatArrivesAsAcceptingStopsIsServed) {
   const auto first = dial(server.address()), second = dial(server.address());
-  until([&] { return server.connections() == 1; }, "the first is taken");
+  until([&] { return server.connections() == 1; }, "the first connection is accepted");
   server.stopAccepting();
-  for (const auto& one : {first, second}) one->send(readiness());
-  until([&] { return first->has("HTTP/1.1 200") && second->has("HTTP/1.1 200"); }, "an answer for each");
+  for (const auto& client : {first, second}) client->send(readinessRequest());
+  until([&] { return first->has("HTTP/1.1 200") && second->has("HTTP/1.1 200"); }, "a response to each");
 }
 
-// Its request lies in the kernel as the drain ends what rests.
-TEST_F(ClientRaces, ARequestThatArrivesAsTheDrainClosesIdleConnectionsIsAnswered) {
+// The request is in the kernel's receive buffer when the drain closes idle connections.
+TEST_F(ClientServerRaces, ARequestThatArrivesAsTheDrainClosesIdleConnectionsIsAnswered) {
   const auto client = dial(server.address());
-  client->send(readiness());
+  client->send(readinessRequest());
   server.stopAccepting();
   server.closeIdle();
-  until([&] { return client->has("\r\n\r\n") || client->ended; }, "an answer or an end");
+  until([&] { return client->has("\r\n\r\n") || client->ended; }, "a response or a close");
   EXPECT_TRUE(client->has("HTTP/1.1 200")) << client->got;
 }
 
-// The next request crosses the end of a connection whose last answer the client is still reading: a close
-// would answer it with a reset, and what the system holds of the answer would go with it.
-TEST_F(ClientRaces, ACloseThatCrossesARequestLosesNothingOfTheLastResponse) {
+// The client sends its next request while the server closes the connection and the client is still reading
+// the last response. A full close would answer that request with a reset, which discards the part of the
+// response that is still buffered in the kernel.
+TEST_F(ClientServerRaces, ACloseConcurrentWithARequestDoesNotTruncateTheLastResponse) {
   const auto client = dial(server.address());
   client->stall();
   client->send(Ask().text());
   until([&] { return handler.responders.size() == 1; }, "the request");
-  ClientResponse answer;
-  answer.body = std::string(300000, 'z');
-  handler.responders[0]->respond(std::move(answer));
+  ClientResponse response;
+  response.body = std::string(300000, 'z');
+  handler.responders[0]->respond(std::move(response));
   server.stopAccepting();
-  const auto idle = [&] { return pressure.waitQueues().waiting(WaitQueue::responseWrite) == 0; };
-  until(idle, "the answer is the system's");
+  const auto responseWritten = [&] {
+    return overloadManager.waitQueues().waiting(WaitQueue::responseWrite) == 0;
+  };
+  until(responseWritten, "the kernel has accepted the response");
   server.closeIdle();
   client->send(Ask().text());
   client->goOn();
-  until([&] { return client->ended; }, "the end");
+  until([&] { return client->ended; }, "the close");
   EXPECT_EQ(client->count("z"), 300000u);
-  EXPECT_EQ(handler.responders.size(), 1u) << "read after the shutdown, and sent on";
+  EXPECT_EQ(handler.responders.size(), 1u) << "a request was read after the shutdown and forwarded";
 }
 
-// At the limit the one that has rested longest would make room, but its next request has come unread.
-TEST_F(ClientRaces, AConnectionWithAnUnreadRequestIsNotEvicted) {
+// At the connection limit the connection that has been idle longest would be evicted, but its next request
+// has already arrived and is unread.
+TEST_F(ClientServerRaces, AConnectionWithAnUnreadRequestIsNotEvicted) {
   ClientServer::Limits limits;
   limits.maxConnections = 1;
-  ClientServer small{io, config, limits, handler, pressure};
-  small.start();
-  const auto first = dial(small.address());
-  first->send(readiness());
-  until([&] { return first->has("HTTP/1.1 200"); }, "an answer");
-  const auto second = dial(small.address());
-  first->send(readiness());
-  until([&] { return first->count("HTTP/1.1 200") == 2 || first->ended; }, "its second answer");
+  ClientServer limitedServer{io, config, limits, handler, overloadManager};
+  limitedServer.start();
+  const auto first = dial(limitedServer.address());
+  first->send(readinessRequest());
+  until([&] { return first->has("HTTP/1.1 200"); }, "a response");
+  const auto second = dial(limitedServer.address());
+  first->send(readinessRequest());
+  until([&] { return first->count("HTTP/1.1 200") == 2 || first->ended; }, "its second response");
   EXPECT_EQ(first->count("HTTP/1.1 200"), 2u);
 }
 
-class GateRaces : public Loopback {
+class GatekeeperRaces : public Loopback {
  protected:
   void SetUp() override {
-    node.emplace(
+    gatekeeper.emplace(
         io, parseConfig(configJson(discovery.text(), json::array({entry("s-1", worker.text())})).dump()));
-    node->start();
+    gatekeeper->start();
   }
-  // One whose fate tells that everything before it has had its turn.
-  void serveAnother(const std::string& id = "00000000000000ff") {
-    Ask what;
-    what.id = id;
-    const auto client = dial(node->address());
-    client->send(what.text());
-    until([&] { return worker.count("Req-Id: " + what.id) == 1; }, "another request at the worker");
+  // Serves another request, as a barrier: its response shows that all earlier events have been processed.
+  void serveBarrierRequest(const std::string& id = "00000000000000ff") {
+    Ask request;
+    request.id = id;
+    const auto client = dial(gatekeeper->address());
+    client->send(request.text());
+    until([&] { return worker.count("Req-Id: " + request.id) == 1; }, "the barrier request at the worker");
     worker.peers.back()->send(reply("200 OK", "another"));
-    until([&] { return client->has("another"); }, "its answer");
+    until([&] { return client->has("another"); }, "the response to the barrier request");
   }
 
   Listener discovery{io}, worker{io}, other{io};
-  std::optional<Gatekeeper> node;
+  std::optional<Gatekeeper> gatekeeper;
 };
 
-// Request and close lie in the kernel together, and a connection to the worker stands ready.
-TEST_F(GateRaces, AClientThatHasGoneStartsNoFirstAttempt) {
-  serveAnother("00000000000000f0");
-  const auto at = Steady::now() + 20ms;
-  until([&] { return Steady::now() >= at; }, "the connection has settled");
-  const auto client = dial(node->address());
+// The request and the client's close are in the kernel together, while an idle connection to the worker is
+// available.
+TEST_F(GatekeeperRaces, ADisconnectedClientStartsNoFirstAttempt) {
+  serveBarrierRequest("00000000000000f0");
+  const auto deadline = Steady::now() + 20ms;
+  until([&] { return Steady::now() >= deadline; }, "the end of the quarantine");
+  const auto client = dial(gatekeeper->address());
   client->send(Ask().text());
   client->end();
-  serveAnother();
+  serveBarrierRequest();
   EXPECT_EQ(worker.count("Req-Id: 00000000000000a1"), 0u);
-  EXPECT_EQ(node->requestsInFlight(), 0u);
+  EXPECT_EQ(gatekeeper->requestsInFlight(), 0u);
 }
 
-// What it has sent ahead fills all that is read ahead, so that its close is behind bytes that nobody reads.
-TEST_F(GateRaces, AClientThatHasGoneBehindWhatItSentAheadStartsNoFurtherAttempt) {
-  const auto client = dial(node->address());
+// The client's pipelined requests fill the read-ahead buffer, so that its close is queued behind bytes
+// that are not read.
+TEST_F(GatekeeperRaces, AClientDisconnectedBehindPipelinedRequestsStartsNoFurtherAttempt) {
+  const auto client = dial(gatekeeper->address());
   client->send(Ask().text());
   until([&] { return worker.count("Req-Id: 00000000000000a1") == 1 && worker.count("\r\n\r\n") == 1; },
         "its request at the worker");
-  Ask ahead;
-  ahead.id = "00000000000000a2";
-  for (int i = 0; i < 200; ++i) client->send(ahead.text());
+  Ask pipelined;
+  pipelined.id = "00000000000000a2";
+  for (int i = 0; i < 200; ++i) client->send(pipelined.text());
   for (int i = 0; i < 20; ++i) io.restart(), io.poll();
   client->end();
   worker.peers[0]->reset();
-  until([&] { return node->requestsInFlight() == 0; }, "it is let go");
-  serveAnother();
+  until([&] { return gatekeeper->requestsInFlight() == 0; }, "no request in flight");
+  serveBarrierRequest();
   EXPECT_EQ(worker.count("Req-Id: 00000000000000a1"), 1u);
 }
 
-// Settings that name zones in another order mean the same by each name; so does what the lists had told
-// before.
-TEST_F(GateRaces, ZoneIndexesStayValidAcrossAReload) {
-  const auto config = [&](const char* first, const char* second, int own) {
-    json elsewhere = entry("s-2", other.text());
-    elsewhere["zone"] = "b";
-    json out = configJson(discovery.text(), json::array({entry("s-1", worker.text()), elsewhere}));
-    out["settings"]["localities"] = {first, second};
-    out["settings"]["locality"] = own;
-    out["settings"]["prices"]["crossZone"] = 100.0;
-    return parseConfig(out.dump());
+// Settings that list the zones in another order must not change the zone of any worker, including workers of
+// endpoint lists received before the reload.
+TEST_F(GatekeeperRaces, ZoneIndexesStayValidAcrossAReload) {
+  const auto config = [&](const char* first, const char* second, int ownZone) {
+    json otherZoneEntry = entry("s-2", other.text());
+    otherZoneEntry["zone"] = "b";
+    json configuration =
+        configJson(discovery.text(), json::array({entry("s-1", worker.text()), otherZoneEntry}));
+    configuration["settings"]["localities"] = {first, second};
+    configuration["settings"]["locality"] = ownZone;
+    configuration["settings"]["prices"]["crossZone"] = 100.0;
+    return parseConfig(configuration.dump());
   };
   Gatekeeper zoned(io, config("a", "b", 0));
   zoned.start();
-  zoned.reload(config("b", "a", 1));  // this gatekeeper is in zone a as before
+  zoned.reload(config("b", "a", 1));  // this gatekeeper is still in zone a
   for (int i = 0; i < 4; ++i) {
-    Ask what;
-    what.id = "00000000000000b" + std::to_string(i);
+    Ask request;
+    request.id = "00000000000000b" + std::to_string(i);
     const auto client = dial(zoned.address());
-    client->send(what.text());
-    until([&] { return worker.count("Req-Id: " + what.id) + other.count("Req-Id: " + what.id) == 1; },
+    client->send(request.text());
+    until([&] { return worker.count("Req-Id: " + request.id) + other.count("Req-Id: " + request.id) == 1; },
           "a request");
     ASSERT_EQ(other.count("Req-Id: "), 0u) << "sent to the other zone";
     worker.peers.back()->send(reply("200 OK", "done"));
-    until([&] { return client->has("done"); }, "an answer");
+    until([&] { return client->has("done"); }, "a response");
   }
 }
 
-// A request that waits for the first list while the settings change has the class and plan that it named.
-TEST_F(GateRaces, ARequestBeforeTheFirstListKeepsItsClassAndPlanAcrossAReload) {
-  json file = configJson(discovery.text(), json::array({entry("s-1", worker.text())}));
-  Gatekeeper early(io, parseConfig(file.dump()));
-  early.start();
-  const auto client = dial(early.address());
+// A request that waits for the first endpoint list must retain the class and plan it named when a reload
+// reorders them.
+TEST_F(GatekeeperRaces, ARequestBeforeTheFirstEndpointListRetainsItsClassAndPlanAcrossAReload) {
+  json configuration = configJson(discovery.text(), json::array({entry("s-1", worker.text())}));
+  Gatekeeper unlistedGatekeeper(io, parseConfig(configuration.dump()));
+  unlistedGatekeeper.start();
+  const auto client = dial(unlistedGatekeeper.address());
   client->send(Ask().text());
-  until([&] { return early.requestsInFlight() == 1; }, "it is held");
-  std::swap(file["settings"]["profiles"][0], file["settings"]["profiles"][2]);
-  std::swap(file["settings"]["plans"][0], file["settings"]["plans"][1]);
-  early.reload(parseConfig(file.dump()));
+  until([&] { return unlistedGatekeeper.requestsInFlight() == 1; }, "the request is in flight");
+  std::swap(configuration["settings"]["profiles"][0], configuration["settings"]["profiles"][2]);
+  std::swap(configuration["settings"]["plans"][0], configuration["settings"]["plans"][1]);
+  unlistedGatekeeper.reload(parseConfig(configuration.dump()));
   until([&] { return worker.count("Req-Id: 00000000000000a1") == 1; }, "the attempt");
-  worker.peers[0]->end();  // safe to repeat, as the class that it named
+  worker.peers[0]->end();  // a retry is allowed, because its class is safe to repeat
   until([&] { return worker.count("Req-Id: 00000000000000a1") == 2; }, "another attempt");
 }
 
--- a/tests/upstream_pool_test.cpp
+++ b/tests/upstream_pool_test.cpp
@@ -1,4 +1,4 @@
-/// The upstream pool alone: attempts, their results, idle connections and limits.
+/// Unit tests of the upstream pool: attempts and their results, idle connections and limits.
 #include "growth.hpp"
 #include "upstream_pool_fixture.hpp"
 
@@ -8,222 +8,226 @@
 using decision::AttemptResult;
 using namespace std::chrono_literals;
 
-class Pool : public UpstreamPoolFixture {};
+class UpstreamPoolTest : public UpstreamPoolFixture {};
 
-TEST_F(Pool, ReportsLoadAndQuotaUseOfAResponse) {
-  open({});
-  start(1);
-  untilSeen(1);
+TEST_F(UpstreamPoolTest, ReportsLoadAndQuotaUseOfAResponse) {
+  createPool({});
+  startAttempt(1);
+  waitForRequests(1);
   worker.peers[0]->send(
       reply("200 OK", "body", "Srv-Load: inflight=7,queue=2,util=0.61\r\nX-RateLimit-Used: 85\r\n"));
-  untilEnds(1);
-  EXPECT_EQ(ends[0].outcome.result, AttemptResult::ok);
-  EXPECT_EQ(ends[0].outcome.loadReport, (std::vector<double>{0.61, 2}));
-  EXPECT_EQ(ends[0].outcome.quotaUsePercent, 85);
-  EXPECT_EQ(ends[0].body, "body");
+  waitForEnds(1);
+  EXPECT_EQ(attemptEnds[0].outcome.result, AttemptResult::ok);
+  EXPECT_EQ(attemptEnds[0].outcome.loadReport, (std::vector<double>{0.61, 2}));
+  EXPECT_EQ(attemptEnds[0].outcome.quotaUsePercent, 85);
+  EXPECT_EQ(attemptEnds[0].body, "body");
 }
 
-TEST_F(Pool, ReportsTheActualUnitsOfAResponse) {
-  open({});
+TEST_F(UpstreamPoolTest, ReportsTheActualUnitsOfAResponse) {
+  createPool({});
   const std::pair<const char*, double> cases[] = {
       {"X-Cost-Units: 3\r\n", 3},  {"X-Cost-Units: 2.5\r\n", 2.5}, {"X-Cost-Units: many\r\n", 0},
       {"X-Cost-Units: -1\r\n", 0}, {"X-Cost-Units: inf\r\n", 0},   {"", 0}};
   for (const auto& [header, units] : cases) {
-    ends.clear();
-    start(1);
-    untilSeen(worker.count("\r\n\r\n") + 1);
+    attemptEnds.clear();
+    startAttempt(1);
+    waitForRequests(worker.count("\r\n\r\n") + 1);
     worker.peers[0]->send(reply("200 OK", "", header));
-    untilEnds(1);
-    EXPECT_EQ(ends[0].outcome.actualUnits, units) << header;
+    waitForEnds(1);
+    EXPECT_EQ(attemptEnds[0].outcome.actualUnits, units) << header;
   }
 }
 
-TEST_F(Pool, HasNoLoadReportWhereAFieldIsMissingOrMalformed) {
-  open({});
+TEST_F(UpstreamPoolTest, DiscardsALoadReportWithAMissingOrMalformedField) {
+  createPool({});
   for (const char* load : {"Srv-Load: queue=2\r\n", "Srv-Load: queue=2,util=high\r\n", ""}) {
-    ends.clear();
-    start(1);
-    untilSeen(worker.count("\r\n\r\n") + 1);
+    attemptEnds.clear();
+    startAttempt(1);
+    waitForRequests(worker.count("\r\n\r\n") + 1);
     worker.peers[0]->send(reply("200 OK", "", load));
-    untilEnds(1);
-    EXPECT_TRUE(ends[0].outcome.loadReport.empty()) << load;
-    EXPECT_EQ(ends[0].outcome.quotaUsePercent, -1);
+    waitForEnds(1);
+    EXPECT_TRUE(attemptEnds[0].outcome.loadReport.empty()) << load;
+    EXPECT_EQ(attemptEnds[0].outcome.quotaUsePercent, -1);
   }
 }
 
-TEST_F(Pool, AnAttemptTimeoutIsReportedOnceAndClosesTheConnection) {
-  open({});
-  start(1, 50ms);
-  untilEnds(1);
-  EXPECT_EQ(ends[0].outcome.result, AttemptResult::timeout);
-  until([&] { return worker.peers.size() == 1 && worker.peers[0]->ended; }, "the connection ends");
+TEST_F(UpstreamPoolTest, AnAttemptTimeoutIsReportedOnceAndClosesTheConnection) {
+  createPool({});
+  startAttempt(1, 50ms);
+  waitForEnds(1);
+  EXPECT_EQ(attemptEnds[0].outcome.result, AttemptResult::timeout);
+  until([&] { return worker.peers.size() == 1 && worker.peers[0]->ended; }, "the connection is closed");
   EXPECT_EQ(pool->connections(), 0u);
   EXPECT_FALSE(pool->cancelAttempt(1, AttemptResult::timeout));
 }
 
-TEST_F(Pool, AnIncompleteResponseIsAReset) {
-  open({});
-  start(1);
-  untilSeen(1);
+TEST_F(UpstreamPoolTest, AnIncompleteResponseEndsTheAttemptAsAReset) {
+  createPool({});
+  startAttempt(1);
+  waitForRequests(1);
   worker.peers[0]->send("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf");
   worker.peers[0]->end();
-  untilEnds(1);
-  EXPECT_EQ(ends[0].outcome.result, AttemptResult::reset);
+  waitForEnds(1);
+  EXPECT_EQ(attemptEnds[0].outcome.result, AttemptResult::reset);
 }
 
-// The size is refused with the header, also where the body's first bytes come in the same read.
-TEST_F(Pool, AResponseBeyondTheBodyLimitIsAnErrorAtItsHeader) {
-  open({});
-  start(1);
-  untilSeen(1);
+// The header alone must end the attempt, even if the first bytes of the body arrive in the same read.
+TEST_F(UpstreamPoolTest, AResponseBeyondTheBodyLimitIsRejectedAtItsHeader) {
+  createPool({});
+  startAttempt(1);
+  waitForRequests(1);
   worker.peers[0]->send("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n" + std::string(500, 'x'));
-  untilEnds(1);
-  EXPECT_EQ(ends[0].outcome.result, AttemptResult::error);
+  waitForEnds(1);
+  EXPECT_EQ(attemptEnds[0].outcome.result, AttemptResult::error);
   EXPECT_EQ(pool->connections(), 0u);
 }
 
-// What belongs to no body and no header is bounded too: a chunk's extension, and the trailer.
-TEST_F(Pool, AnEndlessChunkExtensionOrTrailerIsAnError) {
+// A chunk extension or a trailer, which the limits on body and header do not cover, must not grow without
+// bound.
+TEST_F(UpstreamPoolTest, AnUnboundedChunkExtensionOrTrailerIsAnError) {
   for (const char* prefix : {"5;", "0\r\nX: "}) {
-    ends.clear();
-    open({});
-    start(1);
-    const auto seen = worker.peers.size();
-    until([&] { return worker.peers.size() > seen && worker.peers.back()->has("\r\n\r\n"); }, "a request");
+    attemptEnds.clear();
+    createPool({});
+    startAttempt(1);
+    const auto connectionsBefore = worker.peers.size();
+    until([&] { return worker.peers.size() > connectionsBefore && worker.peers.back()->has("\r\n\r\n"); },
+          "a request");
     worker.peers.back()->send(std::string("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n") + prefix);
     for (int i = 0; i < 20; ++i) worker.peers.back()->send(std::string(1000, 'x'));
-    untilEnds(1);
-    EXPECT_EQ(ends[0].outcome.result, AttemptResult::error);
+    waitForEnds(1);
+    EXPECT_EQ(attemptEnds[0].outcome.result, AttemptResult::error);
     EXPECT_EQ(pool->connections(), 0u);
   }
 }
 
-// One that comes up late would otherwise be written to when nothing may go there any more.
-TEST_F(Pool, AnAttemptStillConnectingEndsWhenItsWorkerIsRemoved) {
-  open({});
-  start(1);
+// Otherwise a connection established after the removal would still send its request to the removed worker.
+TEST_F(UpstreamPoolTest, AnAttemptStillConnectingEndsWhenItsWorkerIsRemoved) {
+  createPool({});
+  startAttempt(1);
   pool->retireWorker(1);
-  untilEnds(1);
-  EXPECT_EQ(ends[0].outcome.result, AttemptResult::connectFailed);
+  waitForEnds(1);
+  EXPECT_EQ(attemptEnds[0].outcome.result, AttemptResult::connectFailed);
   EXPECT_EQ(pool->connections(), 0u);
   EXPECT_EQ(worker.count("Req-Id"), 0u);
   pool->setWorkerAddress(1, {worker.address()});
-  start(2);
-  untilSeen(1);
-  pool->retireWorker(1);  // out already: it goes on
+  startAttempt(2);
+  waitForRequests(1);
+  pool->retireWorker(1);  // the request has been sent: its attempt continues
   worker.peers.back()->send(reply("200 OK", "done"));
-  untilEnds(2);
-  EXPECT_EQ(ends[1].outcome.result, AttemptResult::ok);
+  waitForEnds(2);
+  EXPECT_EQ(attemptEnds[1].outcome.result, AttemptResult::ok);
 }
 
-TEST_F(Pool, AnAttemptAtARemovedWorkerFailsAndIsReportedLater) {
-  open({});
+TEST_F(UpstreamPoolTest, AnAttemptAtARemovedWorkerFailsAsynchronously) {
+  createPool({});
   pool->retireWorker(1);
-  start(1);
-  EXPECT_TRUE(ends.empty());
-  untilEnds(1);
-  EXPECT_EQ(ends[0].outcome.result, AttemptResult::connectFailed);
+  startAttempt(1);
+  EXPECT_TRUE(attemptEnds.empty());
+  waitForEnds(1);
+  EXPECT_EQ(attemptEnds[0].outcome.result, AttemptResult::connectFailed);
 }
 
-// Retired before the worker ends it: a request written to it from then on would be lost.
-TEST_F(Pool, AnIdleConnectionIsClosedAtItsIdleTimeout) {
+// The pool must close an idle connection before the worker does, because a request written after the worker's
+// close would be lost.
+TEST_F(UpstreamPoolTest, AnIdleConnectionIsClosedAtItsIdleTimeout) {
   UpstreamPool::Limits limits;
   limits.idleTimeout = 50ms;
-  open(limits);
-  start(1);
-  untilSeen(1);
+  createPool(limits);
+  startAttempt(1);
+  waitForRequests(1);
   worker.peers[0]->send(reply("200 OK", ""));
-  untilEnds(1);
+  waitForEnds(1);
   EXPECT_EQ(pool->connections(), 1u);
-  until([&] { return worker.peers[0]->ended; }, "the connection ends");
+  until([&] { return worker.peers[0]->ended; }, "the connection is closed");
   EXPECT_EQ(pool->connections(), 0u);
 }
 
-TEST_F(Pool, ARestartOfTheWorkerResetsItsAttempt) {
-  open({});
-  start(1);
-  untilSeen(1);
-  pool->setWorkerAddress(1, {worker.address(), std::chrono::steady_clock::now() +
-                                                   1h});  // started after this connection was opened
-  EXPECT_TRUE(ends.empty());
-  untilEnds(1);
-  EXPECT_EQ(ends[0].outcome.result, AttemptResult::reset);
+TEST_F(UpstreamPoolTest, AWorkerRestartResetsItsAttempt) {
+  createPool({});
+  startAttempt(1);
+  waitForRequests(1);
+  // The new process started after this connection was opened.
+  pool->setWorkerAddress(1, {worker.address(), std::chrono::steady_clock::now() + 1h});
+  EXPECT_TRUE(attemptEnds.empty());
+  waitForEnds(1);
+  EXPECT_EQ(attemptEnds[0].outcome.result, AttemptResult::reset);
   EXPECT_EQ(pool->connections(), 0u);
 }
 
-// Whichever worker's it is, and whatever order the table has them in.
-TEST_F(Pool, AtTheLimitTheLeastRecentlyUsedIdleConnectionIsClosed) {
+// Applies across workers, independently of their order in the worker table.
+TEST_F(UpstreamPoolTest, AtTheLimitTheLeastRecentlyUsedIdleConnectionIsClosed) {
   UpstreamPool::Limits limits;
   limits.maxConnections = 8;
-  open(limits);
+  createPool(limits);
   std::vector<std::unique_ptr<Listener>> others;
   for (decision::WorkerId id = 10; id < 18; ++id) {
     others.push_back(std::make_unique<Listener>(io));
     pool->setWorkerAddress(id, {others.back()->address()});
-    pool->startAttempt(static_cast<decision::RequestId>(id), 0, id, plain("GET / HTTP/1.1\r\n\r\n"), {});
+    pool->startAttempt(static_cast<decision::RequestId>(id), 0, id, bufferedRequest("GET / HTTP/1.1\r\n\r\n"),
+                       {});
     until([&] { return others.back()->count("\r\n\r\n") == 1; }, "a request");
     others.back()->peers[0]->send(reply("200 OK", ""));
-    untilEnds(others.size());
+    waitForEnds(others.size());
   }
   EXPECT_EQ(pool->connections(), 8u);
   for (std::size_t round = 0; round < 3; ++round) {
-    start(static_cast<decision::RequestId>(100 + round));
-    until([&] { return others[round]->peers[0]->ended; }, "the end of the oldest");
+    startAttempt(static_cast<decision::RequestId>(100 + round));
+    until([&] { return others[round]->peers[0]->ended; }, "the oldest connection is closed");
     for (std::size_t i = round + 1; i < others.size(); ++i) EXPECT_FALSE(others[i]->peers[0]->ended) << i;
   }
   EXPECT_EQ(pool->connections(), 8u);
   EXPECT_EQ(pool->localShortages(), 0u);
 }
 
-// Where none may stand idle there is nothing to look for, however many workers there are.
-TEST_F(Pool, AnAttemptAtTheLimitDoesNotScanAllWorkers) {
+// With no idle connection to evict, the cost of a rejected attempt must not depend on the number of workers.
+TEST_F(UpstreamPoolTest, AnAttemptAtTheLimitDoesNotScanAllWorkers) {
   UpstreamPool::Limits limits;
   limits.maxConnections = 0;
   const double factor = growth::between(500, [&](std::size_t n) {
-    open(limits);
+    createPool(limits);
     for (std::size_t i = 0; i < n; ++i) pool->setWorkerAddress(1000 + i, {worker.address()});
     const double before = growth::processorTime();
-    for (std::size_t i = 0; i < n; ++i) start(static_cast<decision::RequestId>(i + 1));
+    for (std::size_t i = 0; i < n; ++i) startAttempt(static_cast<decision::RequestId>(i + 1));
     return growth::processorTime() - before;
   });
   EXPECT_LT(factor, growth::kMost);
 }
 
-// A restart of one worker ends what is out there, and nothing at the others.
-TEST_F(Pool, ARestartEndsOnlyTheAttemptsAtItsWorker) {
+// A worker's restart must not affect the attempts in flight at other workers.
+TEST_F(UpstreamPoolTest, AWorkerRestartEndsOnlyTheAttemptsAtThatWorker) {
   Listener other{io};
-  open({});
+  createPool({});
   pool->setWorkerAddress(2, {other.address()});
-  start(1);
-  pool->startAttempt(2, 0, 2, plain("GET / HTTP/1.1\r\n\r\n"), {});
-  untilSeen(1);
-  until([&] { return other.count("\r\n\r\n") == 1; }, "a request at the other");
+  startAttempt(1);
+  pool->startAttempt(2, 0, 2, bufferedRequest("GET / HTTP/1.1\r\n\r\n"), {});
+  waitForRequests(1);
+  until([&] { return other.count("\r\n\r\n") == 1; }, "a request at the other worker");
   pool->setWorkerAddress(1, {worker.address(), std::chrono::steady_clock::now() + 1h});
-  untilEnds(1);
-  EXPECT_EQ(ends[0].outcome.id, 1u);
-  EXPECT_EQ(ends[0].outcome.result, AttemptResult::reset);
+  waitForEnds(1);
+  EXPECT_EQ(attemptEnds[0].outcome.id, 1u);
+  EXPECT_EQ(attemptEnds[0].outcome.result, AttemptResult::reset);
   other.peers[0]->send(reply("200 OK", ""));
-  untilEnds(2);
-  EXPECT_EQ(ends[1].outcome.result, AttemptResult::ok);
+  waitForEnds(2);
+  EXPECT_EQ(attemptEnds[1].outcome.result, AttemptResult::ok);
   EXPECT_EQ(pool->connections(), 1u);
 }
 
-TEST_F(Pool, OpensNoMoreConnectionsThanTheLimit) {
+TEST_F(UpstreamPoolTest, OpensNoMoreConnectionsThanTheLimit) {
   UpstreamPool::Limits limits;
   limits.maxConnections = 1;
-  open(limits);
-  start(1);
-  start(2);
-  untilEnds(1);
-  EXPECT_EQ(ends[0].outcome.id, 2u);
-  EXPECT_EQ(ends[0].outcome.result, AttemptResult::notSent);  // no fault of the worker's
+  createPool(limits);
+  startAttempt(1);
+  startAttempt(2);
+  waitForEnds(1);
+  EXPECT_EQ(attemptEnds[0].outcome.id, 2u);
+  EXPECT_EQ(attemptEnds[0].outcome.result, AttemptResult::notSent);  // must not count against the worker
   EXPECT_EQ(pool->localShortages(), 1u);
   Listener second(io);
   pool->setWorkerAddress(2, {second.address()});
-  untilSeen(1);
+  waitForRequests(1);
   worker.peers[0]->send(reply("200 OK", ""));
-  untilEnds(2);
-  pool->startAttempt(3, 0, 2, plain("GET / HTTP/1.1\r\n\r\n"), {});  // the idle one makes room
+  waitForEnds(2);
+  pool->startAttempt(3, 0, 2, bufferedRequest("GET / HTTP/1.1\r\n\r\n"), {});  // evicts the idle connection
   until([&] { return second.count("\r\n\r\n") == 1; }, "a request at the other worker");
   EXPECT_EQ(pool->connections(), 1u);
 }
