--- a/tests/fault_test.cpp
+++ b/tests/fault_test.cpp
@@ -1,4 +1,4 @@
-// The program while system calls fail in the ways that Linux documents (tools/lab/faults).
+// The program while its system calls fail in the ways that Linux documents (tools/lab/faults).
 #include "program_under_faults.hpp"
 
 namespace wingslip::test {
@@ -6,138 +6,141 @@
 
 using namespace std::chrono_literals;
 
-// A signal that the read of its pipe is interrupted for is still a signal.
-TEST_F(UnderFaults, SigtermEndsTheProgramAlthoughReadsAreInterrupted) {
+// The program reads signals from a pipe. A signal must not be lost when that read is interrupted (EINTR).
+TEST_F(GatekeeperUnderFaults, SigtermEndsTheProgramDespiteInterruptedReads) {
   SystemFaults faults;
   faults.shares[CallFault::interrupted] = 0.5;
   for (int run = 0; run < 6; ++run) {
-    ProgramUnderFaults program(folder + "/" + std::to_string(run), config(), faults);
-    untilReady();
-    program.signalNow(SIGTERM);
-    const auto limit = std::chrono::steady_clock::now() + 8s;
-    while (!program.ended() && std::chrono::steady_clock::now() < limit) {
+    GatekeeperProcess program(folder + "/" + std::to_string(run), config(), faults);
+    waitUntilReady();
+    program.sendSignal(SIGTERM);
+    const auto deadline = std::chrono::steady_clock::now() + 8s;
+    while (!program.hasEnded() && std::chrono::steady_clock::now() < deadline) {
       io.restart();
       io.run_for(20ms);
     }
-    ASSERT_TRUE(program.ended()) << "run " << run << ": still there 8 s after SIGTERM";
-    EXPECT_EQ(program.status, 0);
+    ASSERT_TRUE(program.hasEnded()) << "run " << run << ": still running 8 s after SIGTERM";
+    EXPECT_EQ(program.waitStatus, 0);
   }
 }
 
-// A client that aborts its connection before it is accepted keeps nobody else waiting.
-TEST_F(UnderFaults, AConnectionAbortedInTheQueueDoesNotHoldUpTheOthers) {
-  ProgramUnderFaults program(folder, config(), {});
-  untilReady();
-  const auto client = ask(Ask());
+// A client that aborts its connection before it is accepted must not delay other clients.
+TEST_F(GatekeeperUnderFaults, AConnectionAbortedInTheAcceptQueueDoesNotDelayOthers) {
+  GatekeeperProcess program(folder, config(), {});
+  waitUntilReady();
+  const auto client = sendRequest(Ask());
   until([&] { return worker.count("Req-Id: 00000000000000a1") == 1; }, "a request at the worker");
   program.faults->setShare(CallFault::aborted, 1);
-  const auto aborted = dial(clients);
+  const auto aborted = dial(clientsAddress);
   until([&] { return program.faults->injected()[CallFault::aborted] == 1; }, "an aborted connection");
   program.faults->setShare(CallFault::aborted, 0);
   worker.peers.at(0)->send(reply("200 OK", "made by a worker"));
-  const auto limit = std::chrono::steady_clock::now() + 5s;
-  while (!client->has("made by a worker") && std::chrono::steady_clock::now() < limit) {
+  const auto deadline = std::chrono::steady_clock::now() + 5s;
+  while (!client->has("made by a worker") && std::chrono::steady_clock::now() < deadline) {
     io.restart();
     io.run_for(20ms);
   }
   EXPECT_TRUE(client->has("made by a worker"));
 }
 
-// What an operator was told holds while the disk fails and after; what cannot be kept is told so.
-TEST_F(UnderFaults, AnExclusionHoldsWhileTheDiskIsFullAndOverAKillLater) {
-  ProgramUnderFaults program(folder, config(), {});
-  untilReady();
+// An exclusion applies even while it cannot be stored, and the operator's command is then answered with the
+// error. A stored exclusion or inclusion survives a kill of the process.
+TEST_F(GatekeeperUnderFaults, AnExclusionAppliesWhileTheDiskIsFullAndSurvivesALaterKill) {
+  GatekeeperProcess program(folder, config(), {});
+  waitUntilReady();
   program.faults->setDiskError(ENOSPC);
-  const std::string answer = call("exclude s-1");
+  const std::string answer = runOperatorCommand("exclude s-1");
   EXPECT_EQ(answer.rfind("400", 0), 0u) << answer;
   EXPECT_NE(answer.find("No space left on device"), std::string::npos) << answer;
-  for (int look = 0; look < 8; ++look) {
+  for (int poll = 0; poll < 8; ++poll) {
     io.restart();
     io.run_for(100ms);
-    ASSERT_NE(call("telemetry").find("svc.hosts_down:1|g"), std::string::npos) << "look " << look;
+    ASSERT_NE(runOperatorCommand("telemetry").find("svc.hosts_down:1|g"), std::string::npos)
+        << "poll " << poll;
   }
   program.faults->setDiskError(0);
-  until([&] { return call("exclude s-1").rfind("200", 0) == 0; }, "kept");
-  program.killNow();
+  until([&] { return runOperatorCommand("exclude s-1").rfind("200", 0) == 0; }, "kept");
+  program.killProcess();
   program.start();
-  untilReady();
-  EXPECT_NE(call("telemetry").find("svc.hosts_down:1|g"), std::string::npos);
+  waitUntilReady();
+  EXPECT_NE(runOperatorCommand("telemetry").find("svc.hosts_down:1|g"), std::string::npos);
   program.faults->setDiskError(EIO);
-  EXPECT_EQ(call("include s-1").rfind("400", 0), 0u);
+  EXPECT_EQ(runOperatorCommand("include s-1").rfind("400", 0), 0u);
   program.faults->setDiskError(0);
-  until([&] { return call("include s-1").rfind("200", 0) == 0; }, "kept");
-  program.killNow();
+  until([&] { return runOperatorCommand("include s-1").rfind("200", 0) == 0; }, "kept");
+  program.killProcess();
   program.start();
-  untilReady();
-  EXPECT_NE(call("telemetry").find("svc.hosts_down:0|g"), std::string::npos);
+  waitUntilReady();
+  EXPECT_NE(runOperatorCommand("telemetry").find("svc.hosts_down:0|g"), std::string::npos);
 }
 
-// Nobody is sent to before it is known who is excluded.
-TEST_F(UnderFaults, AStartWaitsForExclusionsThatCannotBeReadYet) {
-  ProgramUnderFaults program(folder, config(), {});
-  untilReady();
-  EXPECT_EQ(call("exclude s-1").rfind("200", 0), 0u);
-  program.killNow();
+// No request may be sent to a worker before the stored exclusions have been read.
+TEST_F(GatekeeperUnderFaults, StartupWaitsUntilTheExclusionsAreReadable) {
+  GatekeeperProcess program(folder, config(), {});
+  waitUntilReady();
+  EXPECT_EQ(runOperatorCommand("exclude s-1").rfind("200", 0), 0u);
+  program.killProcess();
   program.faults->setDiskError(EIO);
   program.start();
-  until([&] { return !call("telemetry").empty(); }, "the operators' port");
-  for (int look = 0; look < 20; ++look) {
+  until([&] { return !runOperatorCommand("telemetry").empty(); }, "an answer from the operators' port");
+  for (int poll = 0; poll < 20; ++poll) {
     io.restart();
     io.run_for(100ms);
-    ASSERT_EQ(call("readyz").rfind("400", 0), 0u) << "look " << look;
+    ASSERT_EQ(runOperatorCommand("readyz").rfind("400", 0), 0u) << "poll " << poll;
   }
   program.faults->setDiskError(0);
-  untilReady();
-  EXPECT_NE(call("telemetry").find("svc.hosts_down:1|g"), std::string::npos);
+  waitUntilReady();
+  EXPECT_NE(runOperatorCommand("telemetry").find("svc.hosts_down:1|g"), std::string::npos);
 }
 
-// The machine may have no descriptor for a socket in the moment of the start.
-TEST_F(UnderFaults, AStartWaitsForDescriptorsThatAreShortForAMoment) {
+// Creating a socket may fail for lack of descriptors while the program starts.
+TEST_F(GatekeeperUnderFaults, StartupWaitsOutATemporaryDescriptorShortage) {
   SystemFaults faults;
   faults.shares[CallFault::socket] = 1;
-  ProgramUnderFaults program(folder, config(), faults);
-  until([&] { return program.faults->injected()[CallFault::socket] > 0 || program.ended(); },
+  GatekeeperProcess program(folder, config(), faults);
+  until([&] { return program.faults->injected()[CallFault::socket] > 0 || program.hasEnded(); },
         "a failed call");
   io.restart();
   io.run_for(500ms);
-  ASSERT_FALSE(program.ended()) << "ended with status " << program.status;
+  ASSERT_FALSE(program.hasEnded()) << "ended with status " << program.waitStatus;
   program.faults->setShare(CallFault::socket, 0);
-  untilReady();
+  waitUntilReady();
 }
 
-// A request that stood in the machine's queue has less time left than its client said.
-TEST_F(UnderFaults, TheDeadlinePassedOnIsLessByWhatARequestWaitedToBeAccepted) {
-  ProgramUnderFaults program(folder, config(), {});
-  untilReady();
+// The time that a request waited in the kernel's accept queue reduces its remaining deadline.
+TEST_F(GatekeeperUnderFaults, TheForwardedDeadlineExcludesTheWaitInTheAcceptQueue) {
+  GatekeeperProcess program(folder, config(), {});
+  waitUntilReady();
   program.faults->setShare(CallFault::accept_full, 1);
-  Ask what;
-  what.deadline = "4000";
-  const auto asked = std::chrono::steady_clock::now();
-  const auto client = ask(what);
+  Ask request;
+  request.deadline = "4000";
+  const auto sentAt = std::chrono::steady_clock::now();
+  const auto client = sendRequest(request);
   io.restart();
   io.run_for(1s);
   program.faults->setShare(CallFault::accept_full, 0);
   until([&] { return worker.count("\r\n\r\n") == 1; }, "a request at the worker");
-  const std::chrono::duration<double, std::milli> passed = std::chrono::steady_clock::now() - asked;
-  const std::string name = "Req-Deadline-Ms: ";
-  const std::string& got = worker.peers.at(0)->got;
-  ASSERT_NE(got.find(name), std::string::npos) << got;
-  EXPECT_LE(std::stod(got.substr(got.find(name) + name.size())), 4000 - passed.count() + 150);
-  EXPECT_GE(std::stod(got.substr(got.find(name) + name.size())), 4000 - passed.count() - 150);
+  const std::chrono::duration<double, std::milli> elapsed = std::chrono::steady_clock::now() - sentAt;
+  const std::string field = "Req-Deadline-Ms: ";
+  const std::string& received = worker.peers.at(0)->got;
+  ASSERT_NE(received.find(field), std::string::npos) << received;
+  EXPECT_LE(std::stod(received.substr(received.find(field) + field.size())), 4000 - elapsed.count() + 150);
+  EXPECT_GE(std::stod(received.substr(received.find(field) + field.size())), 4000 - elapsed.count() - 150);
 }
 
 constexpr double kHourMs = 3600 * 1000;
 
-double unixNow() {
+double unixNowMs() {
   return std::chrono::duration<double, std::milli>(std::chrono::system_clock::now().time_since_epoch())
       .count();
 }
 
-// The wall clock is stepped, and workers' starts are told as times of the true one.
-class UnderWrongClock : public UnderFaults {
+// The program's wall clock is wrong, while the workers' start times are reported by the correct clock.
+class GatekeeperUnderWrongWallClock : public GatekeeperUnderFaults {
  protected:
-  void tell(int generation, double startedAtMs) {
-    until([&] { return !discovery.peers.empty() && discovery.peers.back()->has("\r\n\r\n"); }, "a watch");
+  void sendEndpointList(int generation, double startedAtMs) {
+    until([&] { return !discovery.peers.empty() && discovery.peers.back()->has("\r\n\r\n"); },
+          "a watch request");
     const std::string line =
         roster(generation, false, json::array({entry("s-1", worker.text(), "Ready", startedAtMs)})) + "\n";
     std::ostringstream size;
@@ -150,59 +153,66 @@
     io.restart();
     io.run_for(span);
   }
-  static Ask numbered(int number) {
-    Ask out;
-    out.id = "00000000000000" + std::to_string(10 + number);
-    return out;
+  static Ask requestWithNumber(int number) {
+    Ask request;
+    request.id = "00000000000000" + std::to_string(10 + number);
+    return request;
   }
-  // Whether a request is served; else it is refused.
-  bool served(int number) {
-    const auto client = ask(numbered(number));
-    const std::string id = "Req-Id: " + numbered(number).id;
-    until([&] { return client->has("HTTP/1.1") || worker.count(id) == 1; }, "the request's fate");
+  // Sends a request; returns true if it is served, false if it is rejected.
+  bool isServed(int number) {
+    const auto client = sendRequest(requestWithNumber(number));
+    const std::string id = "Req-Id: " + requestWithNumber(number).id;
+    until([&] { return client->has("HTTP/1.1") || worker.count(id) == 1; },
+          "a rejection or the request at the worker");
     if (client->has("HTTP/1.1")) return false;
     for (const auto& peer : worker.peers)
       if (peer->has(id)) peer->send(reply("200 OK", "made by a worker"));
-    until([&] { return client->has("made by a worker"); }, "the answer");
+    until([&] { return client->has("made by a worker"); }, "the response");
     return true;
   }
 };
 
-TEST_F(UnderWrongClock, ConnectionsToARestartedWorkerAreKeptAfterAStepBack) {
-  ProgramUnderFaults program(folder, config(), {});
-  tell(2, 0);
-  untilReady();
+// After the clock is stepped back, the worker's start time lies in the future of the program's clock.
+// Connections opened since the restart must not be taken for connections to its previous process and closed.
+TEST_F(GatekeeperUnderWrongWallClock, ConnectionsToARestartedWorkerAreReusedAfterABackwardClockStep) {
+  GatekeeperProcess program(folder, config(), {});
+  sendEndpointList(2, 0);
+  waitUntilReady();
   program.faults->stepWallClock(-kHourMs);
-  tell(3, unixNow());
-  runFor(1500ms);  // past the warm-up
+  sendEndpointList(3, unixNowMs());
+  runFor(1500ms);  // longer than slow start
   for (int i = 0; i < 5; ++i) {
-    ASSERT_TRUE(served(i)) << i;
-    runFor(20ms);  // past the time in which a second answer may come
+    ASSERT_TRUE(isServed(i)) << i;
+    runFor(20ms);  // longer than the quarantine for a late second response
   }
   EXPECT_EQ(worker.peers.size(), 1u);
 }
 
-TEST_F(UnderWrongClock, AWorkerIsWarmInTimeAlthoughTheClockWasBehindAtTheStart) {
+// With the clock one hour behind, a worker that has been running for 60 s must not stay in slow start until
+// the clock has passed its start time.
+TEST_F(GatekeeperUnderWrongWallClock, AWorkerCompletesSlowStartOnTimeWithTheClockBehindAtStartup) {
   SystemFaults faults;
   faults.wallOffsetMs = -kHourMs;
-  ProgramUnderFaults program(folder, config(), faults);
-  tell(2, unixNow() - 60000);
-  untilReady();
+  GatekeeperProcess program(folder, config(), faults);
+  sendEndpointList(2, unixNowMs() - 60000);
+  waitUntilReady();
   runFor(1500ms);
-  for (int i = 0; i < 5; ++i) EXPECT_TRUE(served(i)) << i;
+  for (int i = 0; i < 5; ++i) EXPECT_TRUE(isServed(i)) << i;
 }
 
-TEST_F(UnderWrongClock, AWorkerThatStartsIsColdAlthoughTheClockWasAheadAtTheStart) {
+// With the clock one hour ahead, a worker that has just started must not look as if it had started an hour
+// ago, which would skip its slow start.
+TEST_F(GatekeeperUnderWrongWallClock, AStartingWorkerIsInSlowStartWithTheClockAheadAtStartup) {
   SystemFaults faults;
   faults.wallOffsetMs = kHourMs;
-  ProgramUnderFaults program(folder, config(), faults);
-  tell(2, 0);
-  untilReady();
-  tell(3, unixNow());
+  GatekeeperProcess program(folder, config(), faults);
+  sendEndpointList(2, 0);
+  waitUntilReady();
+  sendEndpointList(3, unixNowMs());
   runFor(50ms);
-  std::vector<PeerPtr> asking;
-  asking.reserve(12);
-  for (int i = 0; i < 12; ++i) asking.push_back(ask(numbered(i)));
+  std::vector<PeerPtr> pendingClients;
+  pendingClients.reserve(12);
+  for (int i = 0; i < 12; ++i) pendingClients.push_back(sendRequest(requestWithNumber(i)));
   runFor(200ms);
   EXPECT_LE(worker.count("Req-Id"), 4u);
 }
--- a/tests/program_under_faults.hpp
+++ b/tests/program_under_faults.hpp
@@ -1,4 +1,5 @@
-// The program itself, started with the fault library, between peers of the test's own.
+// Runs the program with the fault library preloaded, between clients, workers and a discovery agent
+// that the test controls.
 #pragma once
 
 #include <signal.h>
@@ -21,20 +22,21 @@
 using wingslip::lab::FaultFile;
 using wingslip::lab::SystemFaults;
 
-// A process of the program; killed at the end of the test if it still runs.
-class ProgramUnderFaults {
+// A process of the program with fault injection. The destructor kills it if it is still running.
+class GatekeeperProcess {
  public:
-  // `folder` holds its configuration, its control file and its $TMPDIR.
-  ProgramUnderFaults(const std::string& folder, const json& config, const SystemFaults& first)
+  // `folder` contains its configuration, its fault control file and its $TMPDIR. `initialFaults`: the faults
+  // that apply at start.
+  GatekeeperProcess(const std::string& folder, const json& config, const SystemFaults& initialFaults)
       : folder_(folder) {
     std::filesystem::create_directories(folder + "/state");
-    faults.emplace(folder + "/faults", first);
+    faults.emplace(folder + "/faults", initialFaults);
     std::ofstream(folder + "/config.json") << config.dump();
     start();
   }
-  ~ProgramUnderFaults() { killNow(); }
-  ProgramUnderFaults(const ProgramUnderFaults&) = delete;
-  ProgramUnderFaults& operator=(const ProgramUnderFaults&) = delete;
+  ~GatekeeperProcess() { killProcess(); }
+  GatekeeperProcess(const GatekeeperProcess&) = delete;
+  GatekeeperProcess& operator=(const GatekeeperProcess&) = delete;
 
   void start() {
     pid_ = fork();
@@ -49,27 +51,28 @@
     execl(WINGSLIP_GATEKEEPER_PROGRAM, WINGSLIP_GATEKEEPER_PROGRAM, static_cast<char*>(nullptr));
     _exit(127);
   }
-  void signalNow(int number) const { kill(pid_, number); }
-  void killNow() {
+  void sendSignal(int signalNumber) const { kill(pid_, signalNumber); }
+  void killProcess() {
     if (pid_ > 0) kill(pid_, SIGKILL), waitpid(pid_, nullptr, 0);
     pid_ = 0;
   }
-  // Whether it has ended; how, is in `status`.
-  bool ended() {
-    if (pid_ > 0 && waitpid(pid_, &status, WNOHANG) == pid_) pid_ = 0;
+  // Whether the process has ended; `waitStatus` is then valid.
+  bool hasEnded() {
+    if (pid_ > 0 && waitpid(pid_, &waitStatus, WNOHANG) == pid_) pid_ = 0;
     return pid_ == 0;
   }
 
   std::optional<FaultFile> faults;
-  int status = 0;
+  int waitStatus = 0;
 
  private:
   const std::string folder_;
   pid_t pid_ = 0;
 };
 
-// Peers, and a program whose address is known before it starts.
-class UnderFaults : public Loopback {
+// A discovery agent and a worker, and the configuration of a program whose addresses are fixed before it
+// starts.
+class GatekeeperUnderFaults : public Loopback {
  protected:
   void SetUp() override {
     folder = ::testing::TempDir() + "wingslip-faults-" + std::to_string(getpid());
@@ -77,42 +80,42 @@
   }
   void TearDown() override { std::filesystem::remove_all(folder); }
 
-  // A port that is free now.
+  // A loopback address whose port is currently free.
   static tcp::endpoint freePort(asio::io_context& io) { return Listener(io).address(); }
 
   json config() {
-    json out = configJson(discovery.text(), json::array({entry("s-1", worker.text())}));
-    out["listen"] = "127.0.0.1:" + std::to_string(clients.port());
-    out["ops"] = "127.0.0.1:" + std::to_string(operators.port());
-    return out;
+    json configuration = configJson(discovery.text(), json::array({entry("s-1", worker.text())}));
+    configuration["listen"] = "127.0.0.1:" + std::to_string(clientsAddress.port());
+    configuration["ops"] = "127.0.0.1:" + std::to_string(operatorsAddress.port());
+    return configuration;
   }
 
-  // One call to the operators' port; empty where nobody answers.
-  std::string call(const std::string& line) {
+  // Sends a command to the operators' port and returns the answer; empty if the connection is refused.
+  std::string runOperatorCommand(const std::string& command) {
     tcp::socket socket(io);
     Error error;
-    socket.connect(operators, error);
+    socket.connect(operatorsAddress, error);
     if (error) return "";
     const auto caller = std::make_shared<Peer>(std::move(socket));
     caller->read();
-    caller->send(line + "\n");
-    until([&] { return caller->ended; }, "the end of the answer");
+    caller->send(command + "\n");
+    until([&] { return caller->ended; }, "the end of the operators' answer");
     return caller->got;
   }
 
-  void untilReady() {
-    until([&] { return call("readyz").rfind("200", 0) == 0; }, "ready");
+  void waitUntilReady() {
+    until([&] { return runOperatorCommand("readyz").rfind("200", 0) == 0; }, "ready");
   }
 
-  PeerPtr ask(const Ask& what) {
-    const auto client = dial(clients);
-    client->send(what.text());
+  PeerPtr sendRequest(const Ask& request) {
+    const auto client = dial(clientsAddress);
+    client->send(request.text());
     return client;
   }
 
   std::string folder;
   Listener discovery{io}, worker{io};
-  const tcp::endpoint clients = freePort(io), operators = freePort(io);
+  const tcp::endpoint clientsAddress = freePort(io), operatorsAddress = freePort(io);
 };
 
 }  // namespace wingslip::test
