--- a/src/gatekeeper/discovery_client.cpp
+++ b/src/gatekeeper/discovery_client.cpp
@@ -20,11 +20,11 @@
 using SteadyClock = std::chrono::steady_clock;
 using Action = EndpointWatch::Action;
 
-constexpr std::size_t kMaxMessageBytes = std::size_t{1} << 20;  // some 4,000 workers, indented
-constexpr std::size_t kParsedBytesPerByte = 8;  // memory that a message takes while it is parsed
+constexpr std::size_t kMaxMessageBytes = std::size_t{1} << 20;  // an indented list of some 4,000 workers
+constexpr std::size_t kParsedBytesPerByte = 8;  // memory that parsing takes per byte of the message
 constexpr auto kLogInterval = std::chrono::seconds(5);
 
-// Rounded up: a wait that ends a fraction early would begin again without end.
+// Rounds up: a timer that expires a fraction early would be armed again for the same time without end.
 SteadyClock::time_point timePointOf(EndpointWatch::Time timeMs) {
   using std::chrono::microseconds;
   const std::chrono::duration<double, std::milli> sinceEpoch(timeMs);
@@ -33,10 +33,10 @@
 
 }  // namespace
 
-/// Carries out the actions of `EndpointWatch` on one socket at a time: connects, requests what has changed
-/// since the last list, reads lists, closes.
+/// Carries out the actions of `EndpointWatch` on one socket at a time: connects, requests the changes since
+/// the last list, reads lists, and closes the connection.
 class DiscoveryClient::Connection : public std::enable_shared_from_this<Connection> {
-  // Guards against a handler of an earlier socket that runs after the next one was opened.
+  // Wraps a handler so that it does nothing if its socket has been closed or replaced since.
   template <class Handler>
   auto ifCurrent(Handler handler) {
     return [self = shared_from_this(), this, socketNumber = socketNumber_, handler](const Error& error,
@@ -46,7 +46,7 @@
   }
 
  public:
-  Connection(asio::io_context& io, const tcp::endpoint& agent, EndpointList known,
+  Connection(asio::io_context& io, const tcp::endpoint& agent, EndpointList initialList,
              const EndpointWatch::Limits& limits, std::uint64_t seed, OnEndpointList onEndpointList,
              OverloadManager& overloadManager)
       : overloadManager_(overloadManager),
@@ -56,7 +56,7 @@
         agent_(agent),
         watch_(limits, seed),
         onEndpointList_(std::move(onEndpointList)) {
-    if (known.generation >= 0) history_.accept(known);
+    if (initialList.generation >= 0) history_.accept(initialList);
   }
 
   void start() { perform(watch_.start(OverloadManager::now())); }
@@ -97,8 +97,8 @@
     }
   }
 
-  // At most one wait, for the watch's next check. That moves on with every message, so a wait that ends early
-  // only starts again.
+  // Waits for the watch's next check, with at most one wait pending. Every message postpones that check
+  // without rescheduling the wait: a wait that expires early finds nothing due and is armed again.
   void armTimer() {
     const EndpointWatch::Time checkAt = watch_.nextCheckAt();
     if (checkAt < 0 || (timerArmed_ && timerDueAt_ <= checkAt)) return;
@@ -121,7 +121,7 @@
     parser_->body_limit(boost::none);
     armTimer();
     socket_.async_connect(agent_, ifCurrent([this](const Error& error, std::size_t) {
-                            if (error) return lost("cannot connect");
+                            if (error) return connectionLost("cannot connect");
                             perform(watch_.onConnected(OverloadManager::now()));
                           }));
   }
@@ -139,12 +139,12 @@
           return socketNumber == socketNumber_;
         },
         [self = shared_from_this(), this](const Error& error) {
-          if (error) return lost("broken");
+          if (error) return connectionLost("broken");
           read();
         });
   }
 
-  // An incomplete message is dropped, and its memory given back.
+  // Closes the socket, discards an incomplete message and releases its memory.
   void close() {
     ++socketNumber_;
     Error ignored;
@@ -158,15 +158,16 @@
     memory_.release();
   }
 
-  // For what is buffered, what the next read adds, and parsing both.
+  // Reserves memory for the buffered bytes, for those that the next read adds, and for parsing both.
+  // Returns false if the memory budget does not allow it.
   bool reserveForRead() {
     return memory_.resize((messages_.size() + input_.size() + kReadBytes) * (1 + kParsedBytesPerByte));
   }
 
   void read() {
     if (reserveForRead()) return startRead();
-    // The bytes stay in the network, so that discovery sends no more. The watch's silence timeout goes on:
-    // when it ends, the watch is opened again.
+    // The bytes stay in the socket, so that flow control stops the sender. The watch's silence timeout still
+    // runs: when it expires, the watch is reopened.
     overloadManager_.pauseUntilMemory(
         pausedRead_, Account::discovery, weak_from_this(),
         [this] {
@@ -182,7 +183,7 @@
     socket_.async_read_some(input_.prepare(kReadBytes),
                             ifCurrent([this](const Error& error, std::size_t size) {
                               if (isTransient(error)) return read();
-                              if (error) return lost("ended");
+                              if (error) return connectionLost("ended");
                               input_.commit(size);
                               stats_.bytesRead += size;
                               onInput();
@@ -192,9 +193,10 @@
   void onInput() {
     Error error;
     const bool responseEnded = feed(*parser_, input_, error);
-    if (error || (!responseEnded && input_.size() > kMaxHeaderBytes)) return lost("odd answer");
+    if (error || (!responseEnded && input_.size() > kMaxHeaderBytes))
+      return connectionLost("malformed HTTP response");
     if (parser_->is_header_done() && parser_->get().result() != http::status::ok) {
-      logRetry("turned away");
+      logRetry("the request was rejected");
       return perform(watch_.onRejected(OverloadManager::now()));
     }
     messages_ += parser_->get().body();
@@ -207,14 +209,14 @@
       return rejectList(malformed.what());
     }
     if (stopped_) return;
-    noteIncompleteMessage();
-    if (responseEnded || messages_.size() > kMaxMessageBytes) return lost("ended");
+    trackIncompleteMessage();
+    if (responseEnded || messages_.size() > kMaxMessageBytes) return connectionLost("ended");
     armTimer();
     read();
   }
 
-  // What is left in the buffer is a message that is not complete.
-  void noteIncompleteMessage() {
+  // Counts the bytes that remain in the buffer, an incomplete message, as waiting for their end.
+  void trackIncompleteMessage() {
     if (messages_.empty())
       incompleteMessage_.leave();
     else if (!incompleteMessage_.isIn(WaitQueue::discoveryMessage))
@@ -224,8 +226,8 @@
       overloadManager_.waitQueues().countRejection(WaitQueue::discoveryMessage);
   }
 
-  // False: a list was rejected by the history. While this process is overloaded, lists that are received
-  // together are merged and passed on once.
+  // Passes on the complete lists in the buffer. While this process is overloaded, lists that are received
+  // together are merged and passed on once. Returns false if the history rejected a list.
   bool readMessages() {
     const bool overloaded = overloadManager_.state().level() != OverloadLevel::none;
     std::optional<EndpointList> pending;
@@ -247,18 +249,20 @@
     return accepted;
   }
 
-  // The snapshot that is requested next replaces what this list would have changed.
+  // Drops the connection. The snapshot that is requested next supersedes the rejected list.
   void rejectList(const char* reason) {
-    rejectedListLog_.say(std::string(reason) + "; asking for the whole one");
+    rejectedListLog_.say(std::string(reason) + "; requesting a snapshot");
     perform(watch_.onConnectionLost(OverloadManager::now()));
   }
 
-  void lost(const char* reason) {
+  void connectionLost(const char* reason) {
     logRetry(reason);
     perform(watch_.onConnectionLost(OverloadManager::now()));
   }
 
-  void logRetry(const char* reason) { connectionLog_.say(std::string(reason) + ", trying again"); }
+  void logRetry(const char* reason) {
+    connectionLog_.say(std::string(reason) + "; the watch is reopened after a backoff");
+  }
 
   OverloadManager& overloadManager_;
   MemoryBudget::Charge memory_;
@@ -273,8 +277,8 @@
   const OnEndpointList onEndpointList_;
   beast::flat_buffer input_;
   std::string requestText_;
-  std::string messages_;                                            // the body's bytes that are not consumed
-  std::optional<http::response_parser<http::string_body>> parser_;  // while there is a connection
+  std::string messages_;  // body bytes received, but not consumed yet
+  std::optional<http::response_parser<http::string_body>> parser_;  // set while there is a connection
   RateLimitedLog connectionLog_{"discovery", kLogInterval};
   RateLimitedLog rejectedListLog_{"discovery", kLogInterval};
   Stats stats_;
@@ -285,10 +289,10 @@
   bool stopped_ = false;
 };
 
-DiscoveryClient::DiscoveryClient(asio::io_context& io, const tcp::endpoint& agent, EndpointList known,
+DiscoveryClient::DiscoveryClient(asio::io_context& io, const tcp::endpoint& agent, EndpointList initialList,
                                  const EndpointWatch::Limits& limits, std::uint64_t seed,
                                  OnEndpointList onEndpointList, OverloadManager& overloadManager)
-    : connection_(std::make_shared<Connection>(io, agent, std::move(known), limits, seed,
+    : connection_(std::make_shared<Connection>(io, agent, std::move(initialList), limits, seed,
                                                std::move(onEndpointList), overloadManager)) {}
 DiscoveryClient::~DiscoveryClient() { stop(); }
 void DiscoveryClient::start() { connection_->start(); }
--- a/src/gatekeeper/discovery_client.hpp
+++ b/src/gatekeeper/discovery_client.hpp
@@ -1,4 +1,4 @@
-/// Client of service discovery: keeps a watch on the endpoint list open and passes on what it receives.
+/// Client of service discovery: maintains a watch on the endpoint list and passes on the lists it receives.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -14,34 +14,42 @@
 
 namespace wingslip {
 
-/// Used from the event loop's thread only.
+/// Watches the endpoint list at one discovery agent, and reconnects when the connection is lost. Used from
+/// the event loop's thread only.
 class DiscoveryClient {
  public:
+  /// Receives each accepted list; under overload, lists that arrive together are merged into one.
   using OnEndpointList = std::function<void(const EndpointList&)>;
 
-  /// Since the last `takeStats`, for the service log.
+  /// Figures for the service log, counted since the last `takeStats` unless noted otherwise.
   struct Stats {
-    std::size_t bytesRead = 0;
-    std::size_t longestMessageBytes = 0;  ///< complete or not
+    std::size_t bytesRead = 0;            ///< from the agent, HTTP headers included
+    std::size_t longestMessageBytes = 0;  ///< of complete and incomplete messages
     unsigned lists = 0;                   ///< endpoint lists received
-    std::uint64_t connects = 0;           ///< connections attempted since the process's start
+    std::uint64_t connects = 0;           ///< connection attempts since the process started
   };
 
-  /// @param known the list that is known already, or one of a generation below 0
-  /// @param seed of the random delays
+  /// @param agent address of the discovery agent
+  /// @param initialList the list to start from; a generation below 0: none, a snapshot is requested first
+  /// @param limits timeouts and backoff of the watch
+  /// @param seed seed of the random backoff delays
   /// @param onEndpointList called with each list that is accepted; may call `stop`
   /// @param overloadManager must outlive this
   DiscoveryClient(boost::asio::io_context& io, const boost::asio::ip::tcp::endpoint& agent,
-                  EndpointList known, const EndpointWatch::Limits& limits, std::uint64_t seed,
+                  EndpointList initialList, const EndpointWatch::Limits& limits, std::uint64_t seed,
                   OnEndpointList onEndpointList, OverloadManager& overloadManager);
   ~DiscoveryClient();
   DiscoveryClient(const DiscoveryClient&) = delete;
   DiscoveryClient& operator=(const DiscoveryClient&) = delete;
 
+  /// Starts the watch.
   void start();
+  /// Closes the connection and ends the watch; no list is passed on afterwards.
   void stop();
-  /// Uses another agent, unless it is the same, and requests the changes since the last list.
+  /// Applies new limits. If the agent's address differs, also reconnects to the new one and requests the
+  /// changes since the last list.
   void setAgent(const boost::asio::ip::tcp::endpoint& agent, const EndpointWatch::Limits& limits);
+  /// Returns the figures and resets them.
   Stats takeStats();
 
  private:
--- a/src/gatekeeper/exclusion_control.cpp
+++ b/src/gatekeeper/exclusion_control.cpp
@@ -9,43 +9,44 @@
 namespace wingslip {
 namespace {
 
-constexpr auto kFollowInterval = std::chrono::milliseconds(250);
-constexpr std::size_t kMaxNamed = 8192;
+constexpr auto kSyncInterval = std::chrono::milliseconds(250);
+constexpr std::size_t kMaxListedWorkers = 8192;
 
 }  // namespace
 
-ExclusionControl::ExclusionControl(boost::asio::io_context& io, const std::string& stateDir, Changed changed)
-    : exclusions_(stateDir), changed_(std::move(changed)), followTimer_(io) {}
+ExclusionControl::ExclusionControl(boost::asio::io_context& io, const std::string& stateDir,
+                                   OnChange onChange)
+    : exclusions_(stateDir), onChange_(std::move(onChange)), syncTimer_(io) {}
 
-void ExclusionControl::applyAll() { apply({}); }
+void ExclusionControl::applyAll() { reportChanges({}); }
 
-void ExclusionControl::follow(std::function<void()> known) {
-  onKnown_ = std::move(known);
-  scheduleFollow();
+void ExclusionControl::follow(std::function<void()> onLoaded) {
+  onLoaded_ = std::move(onLoaded);
+  scheduleSync();
 }
 
-void ExclusionControl::scheduleFollow() {
-  followTimer_.expires_after(kFollowInterval);
-  followTimer_.async_wait([this](const Error& error) {
+void ExclusionControl::scheduleSync() {
+  syncTimer_.expires_after(kSyncInterval);
+  syncTimer_.async_wait([this](const Error& error) {
     if (error) return;
-    const auto before = exclusions_.ids();
-    if (exclusions_.sync()) apply(before);
-    if (exclusions_.isLoaded()) onKnown_();
-    scheduleFollow();
+    const auto idsBefore = exclusions_.ids();
+    if (exclusions_.sync()) reportChanges(idsBefore);
+    if (exclusions_.isLoaded()) onLoaded_();
+    scheduleSync();
   });
 }
 
 void ExclusionControl::addNamed(const std::string& id) {
-  if (named_.size() < kMaxNamed || named_.contains(id)) named_.insert(id);
+  if (listedWorkers_.size() < kMaxListedWorkers || listedWorkers_.contains(id)) listedWorkers_.insert(id);
 }
 
 ExclusionResult ExclusionControl::set(const std::string& id, bool excluded) {
-  if (!named_.contains(id) && !exclusions_.ids().contains(id))
+  if (!listedWorkers_.contains(id) && !exclusions_.ids().contains(id))
     return {ExclusionResult::Status::unknownWorker};
   if (excluded && !exclusions_.canExclude(id)) return {ExclusionResult::Status::tooManyExcluded};
-  const auto before = exclusions_.ids();
+  const auto idsBefore = exclusions_.ids();
   const std::error_code error = exclusions_.set(id, excluded);
-  apply(before);
+  reportChanges(idsBefore);
   processLog().info("event={} worker={} kept={}", excluded ? "excluded" : "included", id, !error);
   if (!error) return {};
   return {ExclusionResult::Status::notPersisted, error};
@@ -53,18 +54,19 @@
 
 void ExclusionControl::onReplicated(const std::string& id, bool excluded) {
   if (exclusions_.ids().contains(id) == excluded || !exclusions_.canExclude(id)) return;
-  const auto before = exclusions_.ids();
-  exclusions_.setWithoutWriting(id, excluded);  // many come together: written once for all of them
-  apply(before);
+  const auto idsBefore = exclusions_.ids();
+  // Replicated changes arrive in batches: the next sync writes the file once for all of them.
+  exclusions_.setWithoutWriting(id, excluded);
+  reportChanges(idsBefore);
 }
 
-void ExclusionControl::apply(const std::set<std::string>& before) {
+void ExclusionControl::reportChanges(const std::set<std::string>& idsBefore) {
   ExclusionChange change;
   for (const std::string& id : exclusions_.ids())
-    if (!before.contains(id)) change.excluded.push_back(id);
-  for (const std::string& id : before)
+    if (!idsBefore.contains(id)) change.excluded.push_back(id);
+  for (const std::string& id : idsBefore)
     if (!exclusions_.ids().contains(id)) change.included.push_back(id);
-  changed_(change);
+  onChange_(change);
 }
 
 }  // namespace wingslip
--- a/src/gatekeeper/exclusion_control.hpp
+++ b/src/gatekeeper/exclusion_control.hpp
@@ -1,5 +1,5 @@
-/// Workers that operators exclude by hand: their calls, what the other process of an upgrade has excluded,
-/// and what other gatekeepers replicate.
+/// Workers excluded by an operator: merges the operators' calls, the exclusions of the other process of an
+/// upgrade and those replicated from other gatekeepers.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -15,44 +15,50 @@
 
 namespace wingslip {
 
-/// Which workers a change excludes and includes, by instance id in ascending order.
+/// The workers that a change excludes and includes, as instance ids in ascending order.
 struct ExclusionChange {
   std::vector<std::string> excluded;
   std::vector<std::string> included;
 };
 
-/// Owns the exclusions and their file. Everything runs on the one event loop.
+/// Owns the exclusions and their file. Used from the event loop's thread only.
 class ExclusionControl {
  public:
-  using Changed = std::function<void(const ExclusionChange&)>;
+  /// Applies a change to the worker table.
+  using OnChange = std::function<void(const ExclusionChange&)>;
 
-  /// Reads the file in `stateDir`; empty: nothing is kept. `changed` is called for each change, also from
-  /// within the functions here.
-  ExclusionControl(boost::asio::io_context& io, const std::string& stateDir, Changed changed);
+  /// Reads the file in `stateDir`.
+  /// @param stateDir the state directory; empty: nothing is persisted
+  /// @param onChange called for each change, also from within calls of this object
+  ExclusionControl(boost::asio::io_context& io, const std::string& stateDir, OnChange onChange);
 
-  /// Reports those in force as excluded.
+  /// Reports every excluded worker to the callback.
   void applyAll();
-  /// From now on, every 250 ms: takes over what the other process of an upgrade has written, and writes again
-  /// what could not be written. `known` is called after each look at which the exclusions are known.
-  void follow(std::function<void()> known);
+  /// Synchronizes with the file every 250 ms from now on: applies the changes that the other process of an
+  /// upgrade has written, and retries writes that failed.
+  /// @param onLoaded called after each synchronization, once the file has been read
+  void follow(std::function<void()> onLoaded);
 
-  /// False: the file could not be read so far, so that nobody knows who is excluded.
+  /// False if the file has not been readable so far, so that the excluded workers are not known.
   bool isLoaded() const { return exclusions_.isLoaded(); }
-  /// A list has named this worker: operators may exclude it.
+  /// Records that an endpoint list has named this worker: operators may exclude it. At most 8192 workers
+  /// are recorded.
   void addNamed(const std::string& id);
+  /// Excludes or includes a worker for an operator, and writes the file.
   ExclusionResult set(const std::string& id, bool excluded);
-  /// Another gatekeeper, or this one before its restart, has excluded or included a worker.
+  /// Applies an exclusion or inclusion by another gatekeeper, or by this one before its restart. The next
+  /// synchronization writes the file.
   void onReplicated(const std::string& id, bool excluded);
 
  private:
-  void scheduleFollow();
-  void apply(const std::set<std::string>& before);
+  void scheduleSync();
+  void reportChanges(const std::set<std::string>& idsBefore);
 
   Exclusions exclusions_;
-  std::unordered_set<std::string> named_;
-  const Changed changed_;
-  std::function<void()> onKnown_;
-  boost::asio::steady_timer followTimer_;
+  std::unordered_set<std::string> listedWorkers_;
+  const OnChange onChange_;
+  std::function<void()> onLoaded_;
+  boost::asio::steady_timer syncTimer_;
 };
 
 }  // namespace wingslip
--- a/src/gatekeeper/exclusions.cpp
+++ b/src/gatekeeper/exclusions.cpp
@@ -16,12 +16,12 @@
 constexpr std::size_t kMaxFileBytes = std::size_t{1} << 20;
 constexpr auto kLogInterval = std::chrono::seconds(5);
 
-RateLimitedLog& problemLog() {
+RateLimitedLog& errorLog() {
   static RateLimitedLog log("exclusions", kLogInterval);
   return log;
 }
 
-// Nothing: the text is damaged.
+// The excluded ids of a file's text, at most `kMaxExcluded`; nullopt if the text is malformed.
 std::optional<std::set<std::string>> parseIds(const std::string& text) {
   const json file = json::parse(text, nullptr, false);
   if (!file.is_object() || !file.contains("excluded") || !file["excluded"].is_array()) return std::nullopt;
@@ -33,7 +33,7 @@
   return ids;
 }
 
-std::string textOf(const std::set<std::string>& ids) {
+std::string serializeIds(const std::set<std::string>& ids) {
   return json{{"excluded", ids}}.dump(-1, ' ', true, json::error_handler_t::replace);
 }
 
@@ -70,9 +70,9 @@
   const std::set<std::string> idsBefore = ids_;
   if (!pendingChanges_.empty()) {
     if (const std::error_code error = writeFileLocked())
-      problemLog().say("not kept yet, tried again: " + error.message());
+      errorLog().say("changes not persisted, the write is retried: " + error.message());
   } else if (const std::error_code error = readFileIfChanged()) {
-    problemLog().say("cannot be read: " + error.message());
+    errorLog().say("cannot read the file, the read is retried: " + error.message());
   } else {
     loaded_ = true;
   }
@@ -80,7 +80,7 @@
   return ids_ != idsBefore;
 }
 
-// Locked, because the other process of a hot restart may be changing the file too.
+// Writes under a lock, because the other process of a hot restart may change the file at the same time.
 std::error_code Exclusions::writeFileLocked() {
   if (path_.empty()) {
     persistedIds_ = ids_;
@@ -101,7 +101,7 @@
   std::set<std::string> wantedIds = persistedIds_;
   applyChanges(pendingChanges_, wantedIds);
   if (wantedIds == persistedIds_ && !mayBeUnsynced_) return {};
-  std::string text = textOf(wantedIds);
+  std::string text = serializeIds(wantedIds);
   mayBeUnsynced_ = true;
   if (const std::error_code error = replaceFile(path_, text, Durability::onDisk)) return error;
   mayBeUnsynced_ = false;
@@ -110,7 +110,7 @@
   return {};
 }
 
-// A missing file is an empty one. A damaged file changes nothing.
+// A missing file is not an error. A missing or malformed file does not change the exclusions.
 std::error_code Exclusions::readFileIfChanged() {
   std::string text;
   const std::error_code error = readFile(path_, kMaxFileBytes, text);
@@ -123,7 +123,7 @@
   if (ids)
     persistedIds_ = std::move(*ids);
   else
-    problemLog().say("damaged, not taken over: " + path_);
+    errorLog().say("the file is malformed or too large and is ignored: " + path_);
   return {};
 }
 
--- a/src/gatekeeper/exclusions.hpp
+++ b/src/gatekeeper/exclusions.hpp
@@ -1,4 +1,4 @@
-/// The workers that operators have excluded, kept in a file of the state directory.
+/// The workers excluded by operators, persisted in a file of the state directory.
 #pragma once
 
 #include <cstddef>
@@ -9,28 +9,32 @@
 
 namespace wingslip {
 
-/// A change takes effect at once. It is persisted only when the file and its directory are on disk; until
-/// then it is written again by `sync`, and overrides what the file says. Both processes of a hot restart
-/// share the file. Blocks on the disk. Used from the event loop's thread only.
+/// A change takes effect immediately. It counts as persisted only when the file and its directory have been
+/// flushed to disk; until then `sync` retries the write, and the change overrides the contents of the file.
+/// Both processes of a hot restart share the file. Blocks on disk I/O. Used from the event loop's thread
+/// only.
 class Exclusions {
  public:
+  /// The most workers that can be excluded at the same time.
   static constexpr std::size_t kMaxExcluded = 4096;
 
-  /// @param directory where the file is; empty: nothing is persisted
+  /// Reads the file.
+  /// @param directory the directory of the file; empty: nothing is persisted
   explicit Exclusions(const std::string& directory);
 
-  /// The excluded workers, by id.
+  /// The ids of the excluded workers, pending changes included.
   const std::set<std::string>& ids() const { return ids_; }
-  /// False: there is a file that could not be read so far, so it is not known who is excluded.
+  /// False if the file has not been readable so far, so that the excluded workers are not known.
   bool isLoaded() const { return loaded_; }
+  /// Whether excluding the worker would stay within `kMaxExcluded`.
   bool canExclude(const std::string& id) const { return ids_.size() < kMaxExcluded || ids_.contains(id); }
 
-  /// Excludes or includes a worker and writes the file.
-  /// @return an error: the change has taken effect, but is not persisted yet.
+  /// Excludes or includes a worker, and writes the file.
+  /// @return an error if the change has taken effect, but is not persisted yet
   std::error_code set(const std::string& id, bool excluded);
-  /// The same without writing: the next `sync` does.
+  /// Excludes or includes a worker; the next `sync` writes the file.
   void setWithoutWriting(const std::string& id, bool excluded);
-  /// Reads what another process has written, and writes what is not persisted yet.
+  /// Writes the pending changes, or, if there are none, reads the changes that another process has written.
   /// @return whether the excluded workers have changed
   bool sync();
 
@@ -41,12 +45,12 @@
   void updateIds();
 
   const std::string path_;
-  std::set<std::string> ids_;                   // the file's with the pending changes
-  std::set<std::string> persistedIds_;          // the file's
-  std::map<std::string, bool> pendingChanges_;  // that the file lacks: whether excluded
-  std::string fileText_;                        // as last read or written
+  std::set<std::string> ids_;                   // those of the file, with the pending changes applied
+  std::set<std::string> persistedIds_;          // those of the file
+  std::map<std::string, bool> pendingChanges_;  // not in the file yet: id to whether it is excluded
+  std::string fileText_;                        // the file as last read or written
   bool loaded_ = true;
-  bool mayBeUnsynced_ = false;  // the file may have been replaced without being on disk
+  bool mayBeUnsynced_ = false;  // the file was replaced, but may not have been flushed to disk
 };
 
 }  // namespace wingslip
--- a/src/gatekeeper/ops_server.cpp
+++ b/src/gatekeeper/ops_server.cpp
@@ -18,12 +18,14 @@
 using Error = boost::system::error_code;
 using namespace std::chrono_literals;
 
-constexpr std::size_t kCallerBytes = 8 * 1024;            // a caller with its line and the telemetry
-constexpr std::size_t kIncludedResponseBytes = 7 * 1024;  // of these; a longer response is charged apart
-constexpr auto kAcceptPause = 50ms;  // after a failed accept, usually for want of descriptors
-
-// `change`: what was called, as a past participle with its worker.
-std::string answerTo(const ExclusionResult& result, const std::string& change) {
+constexpr std::size_t kConnectionBytes = 8 * 1024;  // per connection: its line and the telemetry response
+// The part of these for the response; the memory of a longer response is charged in addition.
+constexpr std::size_t kIncludedResponseBytes = 7 * 1024;
+// Delay after a failed accept, which usually means that no file descriptor is available.
+constexpr auto kAcceptPause = 50ms;
+
+// The response line. `change` is the call as a past participle with its worker, such as "excluded worker-1".
+std::string responseTo(const ExclusionResult& result, const std::string& change) {
   switch (result.status) {
     case ExclusionResult::Status::done:
       return "200 " + change + "\n";
@@ -39,10 +41,10 @@
 
 }  // namespace
 
-/// One connection: reads a line, writes the answer, closes.
-class OpsServer::Caller : public GuardedConnection<Caller> {
+/// A connection of an operator: reads a line, writes the response and closes.
+class OpsServer::OperatorConnection : public GuardedConnection<OperatorConnection> {
  public:
-  Caller(OpsServer& server, tcp::socket socket, MemoryBudget::Charge memory)
+  OperatorConnection(OpsServer& server, tcp::socket socket, MemoryBudget::Charge memory)
       : server_(server),
         memory_(std::move(memory)),
         socket_(std::move(socket)),
@@ -58,7 +60,7 @@
         guard([this](const Error& error, std::size_t lineLength) { onLine(error, lineLength); }));
   }
 
-  /// Closes it without telling the server.
+  /// Closes the connection without removing it from the server's list.
   void abandon() {
     markEnded();
     queueEntry_.leave();
@@ -76,12 +78,12 @@
     if (error) return finish();
     line_.resize(lineLength - 1);
     if (!line_.empty() && line_.back() == '\r') line_.pop_back();
-    respond(server_.answerTo(line_));
+    respond(server_.responseTo(line_));
   }
 
   void respond(std::string text) {
     response_ = std::move(text);
-    if (response_.size() > kIncludedResponseBytes && !memory_.resize(kCallerBytes + response_.size()))
+    if (response_.size() > kIncludedResponseBytes && !memory_.resize(kConnectionBytes + response_.size()))
       response_ = "400 no memory for the answer now\n";
     asyncWriteAll(
         socket_, asio::buffer(response_), [self = shared_from_this()] { return !self->ended(); },
@@ -108,7 +110,7 @@
     : limits_(limits), calls_(calls), overloadManager_(overloadManager), acceptor_(io), pauseTimer_(io) {}
 
 OpsServer::~OpsServer() {
-  for (const auto& caller : callers_) caller->abandon();
+  for (const auto& connection : connections_) connection->abandon();
 }
 
 void OpsServer::start(const tcp::endpoint& listenAddress) {
@@ -136,22 +138,26 @@
   });
 }
 
-// The operators' reserved memory is enough for as many callers as there may be.
+// Closes the oldest connections while there are too many or memory is short. The memory reserved for
+// operators is sufficient for the maximum number of connections.
 void OpsServer::onAccepted(tcp::socket socket) {
   auto memory = overloadManager_.memory().open(Account::operators);
-  while (!callers_.empty() && (callers_.size() >= limits_.connections || !memory.resize(kCallerBytes))) {
+  while (!connections_.empty() &&
+         (connections_.size() >= limits_.connections || !memory.resize(kConnectionBytes))) {
     overloadManager_.waitQueues().countRejection(WaitQueue::operatorCall);
-    callers_.front()->abandon();
-    callers_.pop_front();
+    connections_.front()->abandon();
+    connections_.pop_front();
   }
-  if (memory.bytes() == 0 && !memory.resize(kCallerBytes)) return;
-  callers_.push_back(std::make_shared<Caller>(*this, std::move(socket), std::move(memory)));
-  callers_.back()->start();
+  if (memory.bytes() == 0 && !memory.resize(kConnectionBytes)) return;
+  connections_.push_back(std::make_shared<OperatorConnection>(*this, std::move(socket), std::move(memory)));
+  connections_.back()->start();
 }
 
-void OpsServer::remove(const std::shared_ptr<Caller>& caller) { std::erase(callers_, caller); }
+void OpsServer::remove(const std::shared_ptr<OperatorConnection>& connection) {
+  std::erase(connections_, connection);
+}
 
-std::string OpsServer::answerTo(const std::string& line) {
+std::string OpsServer::responseTo(const std::string& line) {
   if (line == "readyz") return calls_.readyToServe() ? "200 ready\n" : "400 not ready\n";
   if (line == "telemetry") return calls_.telemetry();
   if (line == "duties") return calls_.leaderTasks();
@@ -165,7 +171,7 @@
   if (!isChange || workerId.empty() || workerId.find_first_of(" \t") != std::string::npos)
     return "400 no such call\n";
   const ExclusionResult result = verb == "exclude" ? calls_.exclude(workerId) : calls_.include(workerId);
-  return wingslip::answerTo(result, verb + "d " + workerId);
+  return wingslip::responseTo(result, verb + "d " + workerId);
 }
 
 }  // namespace wingslip
--- a/src/gatekeeper/ops_server.hpp
+++ b/src/gatekeeper/ops_server.hpp
@@ -1,5 +1,6 @@
-/// The operators' port: one call a line, one line a connection, apart from the clients' side, so that neither
-/// load nor silent callers delay an answer. The operators' words are mapped here and nowhere else.
+/// The operators' port: one call per connection, as a line of text. It is separate from the client-facing
+/// server, so that neither load nor idle connections delay a response. The names of the operators' calls are
+/// defined only here.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -16,43 +17,51 @@
 
 namespace wingslip {
 
-/// How a call that excludes or includes a worker has ended.
+/// The result of a call that excludes or includes a worker.
 struct ExclusionResult {
   enum class Status {
     done,             ///< in effect and persisted
-    unknownWorker,    ///< no list has ever named the id; nothing has changed
-    tooManyExcluded,  ///< nothing has changed
-    notPersisted,     ///< in effect, but not written yet; it is tried again
+    unknownWorker,    ///< no endpoint list has named the id; nothing has changed
+    tooManyExcluded,  ///< the limit on excluded workers is reached; nothing has changed
+    notPersisted,     ///< in effect, but not on disk yet; the write is retried
   };
   Status status = Status::done;
-  std::error_code error{};  ///< of `notPersisted`
+  std::error_code error{};  ///< of the write, if `notPersisted`
 
+  /// Whether the worker is now in the requested state.
   bool isInEffect() const { return status == Status::done || status == Status::notPersisted; }
 };
 
-/// What operators may call. Answers of many lines are complete texts.
+/// The calls that operators may make; implemented by the gatekeeper. A text that is returned is the
+/// complete response, its last line included.
 class OperatorCalls {
  public:
   virtual ~OperatorCalls() = default;
+  /// Whether the gatekeeper is ready to serve requests; the call `readyz`.
   virtual bool readyToServe() const = 0;
+  /// The metrics; the call `telemetry`.
   virtual std::string telemetry() const = 0;
-  /// Repeating either changes nothing.
+  /// Excludes a worker by its instance id. Idempotent.
   virtual ExclusionResult exclude(const std::string& workerId) = 0;
+  /// Includes a worker that was excluded. Idempotent.
   virtual ExclusionResult include(const std::string& workerId) = 0;
-  /// Of leader election; `400 ...` if no store is configured.
+  /// The tasks of leader election, for the call `duties`; `400 ...` if no store is configured.
   virtual std::string leaderTasks() const = 0;
+  /// The membership record of leader election, for the call `roster`; `400 ...` if no store is configured.
   virtual std::string membershipRecord() const = 0;
-  /// Of replication; `400 ...` if it is not configured.
+  /// The members that replicate state, for the call `members`; `400 ...` if replication is not configured.
   virtual std::string replicationMembers() const = 0;
+  /// The state of this replica, for the call `replica`; `400 ...` if replication is not configured.
   virtual std::string replicationState() const = 0;
 };
 
-/// Used from the event loop's thread only.
+/// Listens for operators and responds to their calls. Used from the event loop's thread only.
 class OpsServer {
  public:
   struct Limits {
-    std::size_t connections = 16;  ///< beyond it the oldest is closed
-    std::size_t lineBytes = 512;   ///< of a call
+    std::size_t connections = 16;  ///< the most at the same time; beyond it the oldest is closed
+    std::size_t lineBytes = 512;   ///< the longest line of a call
+    /// From accepting a connection to closing it.
     std::chrono::milliseconds callTimeout{5000};
   };
 
@@ -63,25 +72,27 @@
   OpsServer(const OpsServer&) = delete;
   OpsServer& operator=(const OpsServer&) = delete;
 
-  /// @throws std::runtime_error if it cannot listen.
+  /// Listens at `listenAddress` and accepts connections.
+  /// @throws std::runtime_error if it cannot listen
   void start(const boost::asio::ip::tcp::endpoint& listenAddress);
+  /// The local address, with the port that was assigned if 0 was requested.
   boost::asio::ip::tcp::endpoint address() const { return acceptor_.local_endpoint(); }
 
  private:
-  class Caller;
+  class OperatorConnection;
 
   void accept();
   void onAccepted(boost::asio::ip::tcp::socket socket);
   void acceptAfterPause();
-  void remove(const std::shared_ptr<Caller>& caller);
-  std::string answerTo(const std::string& line);
+  void remove(const std::shared_ptr<OperatorConnection>& connection);
+  std::string responseTo(const std::string& line);
 
   const Limits limits_;
   OperatorCalls& calls_;
   OverloadManager& overloadManager_;
   boost::asio::ip::tcp::acceptor acceptor_;
   boost::asio::steady_timer pauseTimer_;
-  std::deque<std::shared_ptr<Caller>> callers_;  // the oldest first
+  std::deque<std::shared_ptr<OperatorConnection>> connections_;  // the oldest first
 };
 
 }  // namespace wingslip
