--- a/src/endpoint_watch/endpoint_list.cpp
+++ b/src/endpoint_watch/endpoint_list.cpp
@@ -13,7 +13,7 @@
 
 using nlohmann::json;
 
-constexpr std::size_t kMaxExcerptLength = 40;  // characters of the input in an error message
+constexpr std::size_t kMaxExcerptLength = 40;  // bytes of the input that an error message quotes
 
 std::string excerpt(const std::string& text) { return text.substr(0, kMaxExcerptLength); }
 
@@ -45,7 +45,7 @@
   std::unordered_set<std::string> ids;
   for (const json& item : object.at("instances")) {
     EndpointEntry entry = parseEntry(item);
-    if (!ids.insert(entry.id).second) throw std::runtime_error("named twice: " + excerpt(entry.id));
+    if (!ids.insert(entry.id).second) throw std::runtime_error("duplicate instanceId " + excerpt(entry.id));
     list.entries.push_back(std::move(entry));
   }
   return list;
--- a/src/endpoint_watch/endpoint_list_history.cpp
+++ b/src/endpoint_watch/endpoint_list_history.cpp
@@ -6,7 +6,7 @@
 namespace wingslip {
 namespace {
 
-// Eight times the largest fleet of workers; about 170 bytes each.
+// Eight times the largest number of workers in a fleet; an entry takes about 170 bytes.
 constexpr std::size_t kMaxRetired = 8192;
 
 }  // namespace
@@ -22,7 +22,7 @@
     return false;
   }
   if (list.generation < newestGeneration_) {
-    keepRetiredDraining(list);
+    markRetiredAsDraining(list);
   } else if (list.isSnapshot) {
     idsByGeneration_.clear();
     retired_.clear();
@@ -33,8 +33,8 @@
   return true;
 }
 
-// Guards against sending to a worker that drains because an old list still names it as ready.
-void EndpointListHistory::keepRetiredDraining(EndpointList& list) const {
+// Prevents requests to a draining worker that an outdated list still names as ready.
+void EndpointListHistory::markRetiredAsDraining(EndpointList& list) const {
   for (EndpointEntry& entry : list.entries) {
     const auto worker = retired_.find(entry.id);
     if (worker == retired_.end()) continue;
@@ -46,14 +46,14 @@
 
 void EndpointListHistory::record(const EndpointEntry& entry, long long generation) {
   if (entry.phase == decision::WorkerPhase::ready) {
-    if (const auto worker = retired_.find(entry.id); worker != retired_.end()) forget(worker);
+    if (const auto worker = retired_.find(entry.id); worker != retired_.end()) removeRetired(worker);
     return;
   }
   const auto worker = retired_.try_emplace(entry.id).first;
   setGeneration(worker->first, worker->second, std::max(worker->second.generation, generation));
   worker->second.startedAtMs = std::max(worker->second.startedAtMs, entry.startedAtMs);
   if (retired_.size() <= kMaxRetired) return;
-  forget(retired_.find(std::string(idsByGeneration_.begin()->second)));
+  removeRetired(retired_.find(std::string(idsByGeneration_.begin()->second)));
 }
 
 void EndpointListHistory::setGeneration(const std::string& id, RetiredWorker& worker, long long generation) {
@@ -62,7 +62,7 @@
   idsByGeneration_.insert({generation, id});
 }
 
-void EndpointListHistory::forget(RetiredById::iterator worker) {
+void EndpointListHistory::removeRetired(RetiredById::iterator worker) {
   idsByGeneration_.erase({worker->second.generation, worker->first});
   retired_.erase(worker);
 }
--- a/src/endpoint_watch/endpoint_list_history.hpp
+++ b/src/endpoint_watch/endpoint_list_history.hpp
@@ -1,4 +1,4 @@
-/// Which endpoint lists can be used when they arrive out of order. No I/O.
+/// Decides whether a received endpoint list is usable when lists arrive out of order. No I/O.
 #pragma once
 
 #include <map>
@@ -11,10 +11,11 @@
 
 namespace wingslip {
 
-/// Guards against lists that are older than what is known (an agent that lags, or a discovery service
-/// restored from old state). The first such list is rejected, so that a snapshot is requested. If the
-/// snapshot is old as well there is nothing better and it is used, but workers that were draining or removed
-/// stay draining until a list newer than all before names them as ready, or they have restarted.
+/// Handles lists that are older than those received before: from an agent that lags, or from a discovery
+/// service that was restored from old state. The first outdated list is rejected, so that a snapshot is
+/// requested. If the snapshot is outdated as well, it is used because no newer list is available, but workers
+/// that were draining or removed stay draining until a list newer than all lists before it names them as
+/// ready, or until they restart.
 class EndpointListHistory {
  public:
   EndpointListHistory() = default;
@@ -23,30 +24,31 @@
 
   /// The generation from which changes are to be requested; below 0: a snapshot is to be requested.
   long long requestGeneration() const { return requestGeneration_; }
-  /// Requests a snapshot next, because what was received cannot be trusted.
+  /// The next request will be for a snapshot, because the list that was received is outdated or malformed.
   void requestSnapshot() { requestGeneration_ = -1; }
-  /// Marks workers of an old list as draining where they are known to be.
-  /// @return false: the list is rejected, and a snapshot is to be requested.
+  /// Records a list that was received. In an outdated snapshot that is accepted, sets the workers that are
+  /// known to be retired to draining.
+  /// @return false if the list is rejected and a snapshot is to be requested
   bool accept(EndpointList& list);
 
  private:
   /// A worker that was draining or removed when it was last listed.
   struct RetiredWorker {
-    long long generation = 0;  // the newest list that said so
-    double startedAtMs = 0;
+    long long generation = 0;  // of the newest list that named it as draining or removed
+    double startedAtMs = 0;    // latest start of its process, Unix time in ms; 0: long ago, or not given
   };
   using RetiredById = std::map<std::string, RetiredWorker>;
 
   bool isOutdated(const EndpointList& list) const;
-  void keepRetiredDraining(EndpointList& list) const;
+  void markRetiredAsDraining(EndpointList& list) const;
   void record(const EndpointEntry& entry, long long generation);
   void setGeneration(const std::string& id, RetiredWorker& worker, long long generation);
-  void forget(RetiredById::iterator worker);
+  void removeRetired(RetiredById::iterator worker);
 
   long long requestGeneration_ = -1;
   long long newestGeneration_ = -1;
   RetiredById retired_;
-  std::set<std::pair<long long, std::string_view>> idsByGeneration_;  // of retired_, the oldest first
+  std::set<std::pair<long long, std::string_view>> idsByGeneration_;  // index of retired_, oldest first
 };
 
 }  // namespace wingslip
--- a/src/endpoint_watch/endpoint_watch.cpp
+++ b/src/endpoint_watch/endpoint_watch.cpp
@@ -5,29 +5,29 @@
 
 using Time = EndpointWatch::Time;
 
-// Heartbeats come every 2 s: one may be 0.4 s late. What an agent has counts as known from the moment it
-// answers again, so a longer silence would use up the drain grace.
+// Heartbeats arrive every 2 s, so that one may be 0.4 s late. The drain grace starts when an agent responds
+// again after an outage, so that a longer silence timeout would use it up.
 constexpr Time kSilenceTimeoutMs = 2400;
 
-// Parts of the drain grace: half for an answer that does not come, 1.5 times an eighth for the longest delay,
-// the rest for the request itself.
+// Shares of the drain grace: one half for a connect that is not answered, 1.5 times one eighth for the
+// longest backoff delay, and the remainder for the request that then succeeds.
 constexpr double kAnswerTimeoutShare = 0.5;
 constexpr double kMaxBackoffShare = 0.125;
-constexpr Time kDefaultDrainGraceMs = 2000;  // also the most that is used
+constexpr Time kDefaultDrainGraceMs = 2000;  // if not set; also the maximum
 constexpr Time kMinDrainGraceMs = 400;
 constexpr Time kFirstBackoffMs = 50;
 
-// A discovery service that rejects requests serves some 20 a second, and drops a request after 2 s.
+// A discovery service at its capacity serves some 20 requests per second, and drops a request after 2 s.
 constexpr Time kRejectedAnswerTimeoutMs = 2500;
 constexpr Time kMinRejectedMaxBackoffMs = 1000;
 constexpr Time kRejectedFirstBackoffPerGatekeeperMs = 20;
 constexpr Time kRejectedMaxBackoffPerGatekeeperMs = 160;
 
-// A change counts as known 6 s after discovery can be reached, and the drain grace follows; a quarter of that
-// is left for the request itself.
-constexpr Time kKnownAfterReachableMs = 6000;
-constexpr double kGraceBeforeRequest = 0.75;
-// Share of the interval over which connects are spread, so that gatekeepers do not connect together.
+// The drain grace starts 6 s after discovery becomes reachable. Three quarters of it may pass before the next
+// connect; the remaining quarter is for the request.
+constexpr Time kGraceStartAfterReachableMs = 6000;
+constexpr double kGraceShareBeforeConnect = 0.75;
+// Share of the interval over which connects are spread, so that gatekeepers do not connect simultaneously.
 constexpr double kRejectedSpread = 1.0 / 6;
 
 }  // namespace
@@ -45,7 +45,7 @@
       std::max(kFirstBackoffMs, kRejectedFirstBackoffPerGatekeeperMs * gatekeepers);
   limits.rejected.maxBackoffMs =
       std::max(kMinRejectedMaxBackoffMs, kRejectedMaxBackoffPerGatekeeperMs * gatekeepers);
-  limits.maxRejectedIntervalMs = kKnownAfterReachableMs + kGraceBeforeRequest * graceMs;
+  limits.maxRejectedIntervalMs = kGraceStartAfterReachableMs + kGraceShareBeforeConnect * graceMs;
   return limits;
 }
 
@@ -89,11 +89,13 @@
   return Action::connect;
 }
 
-// The delay is random, so that gatekeepers that lost discovery together do not connect together.
+// The delay is random, so that gatekeepers that lost their connections at the same time do not reconnect
+// simultaneously.
 EndpointWatch::Action EndpointWatch::backOff(Time now) {
   if (state_ == State::stopped || state_ == State::backingOff) return Action::none;
   const RetryPolicy& policy = retryPolicy();
-  // A watch that lasted starts over with the shortest delay; one that is lost at once each time does not.
+  // After a watch that lasted, the backoff starts over with the shortest delay; after one that was lost
+  // immediately, the delay increases further.
   const bool lasted = state_ == State::watching && now - watchingSince_ > policy.maxBackoffMs;
   if (lasted) meanBackoffMs_ = 0;
   meanBackoffMs_ =
@@ -104,7 +106,8 @@
   return Action::close;
 }
 
-// Guards against a change that is known too late because the fleet's size has made the delay long.
+// Bounds the delay, which grows with the fleet's size, so that a change of the list is received
+// within the drain grace.
 void EndpointWatch::limitRejectedDelay(Time now) {
   const Time intervalMs = limits_.maxRejectedIntervalMs;
   const Time latest = connectStartedAt_ + intervalMs;
--- a/src/endpoint_watch/endpoint_watch.hpp
+++ b/src/endpoint_watch/endpoint_watch.hpp
@@ -1,9 +1,9 @@
-/// When the watch on the endpoint list is opened, waited for and opened again. No I/O: events and times in,
-/// the next action out; `DiscoveryClient` carries it out.
+/// Connection schedule of the watch on the endpoint list: connects, timeouts and retries. No I/O: takes
+/// events and times, returns the next action; `DiscoveryClient` carries it out.
 ///
-/// A change of the list has to be known here in time: a worker that drains may be sent to only for as long as
-/// the settings allow, counted from when the list's agent has the change. What a silent watch misses counts
-/// from 6 s after it fell silent (docs/design.md, "The watch").
+/// Changes of the list have a deadline: a draining worker may be sent requests only during the drain grace of
+/// the settings, which starts when the discovery agent has the change. For changes that a silent watch
+/// misses, it starts 6 s after the watch became silent (docs/design.md, "The watch").
 #pragma once
 
 #include <algorithm>
@@ -12,67 +12,74 @@
 
 namespace wingslip {
 
-/// State machine of one watch: connect, request, receive; when lost, back off and connect again.
+/// State machine of a watch: connects, sends the request, receives messages; when the connection is lost,
+/// backs off and reconnects.
 class EndpointWatch {
  public:
-  using Time = double;  ///< ms of any steady clock
+  using Time = double;  ///< ms of a monotonic clock with any epoch
 
-  /// What the caller has to do next.
+  /// The action that the caller has to carry out next.
   enum class Action {
     none,
     connect,      ///< close the connection, if any, and connect
     sendRequest,  ///< on the connection that is now established
-    close,        ///< close the connection, if any; `nextCheckAt` says when to go on
+    close,        ///< close the connection, if any, and wait until `nextCheckAt`
   };
 
-  /// How fast to try again.
+  /// Timeout and backoff of connection attempts.
   struct RetryPolicy {
-    Time answerTimeoutMs = 0;  ///< from connecting to the first message
+    Time answerTimeoutMs = 0;  ///< from the start of the connect to the first message
     Time firstBackoffMs = 0;   ///< mean delay before the first retry
     Time maxBackoffMs = 0;     ///< the mean doubles up to this; each delay is 0.5 to 1.5 times the mean
   };
 
   struct Limits {
-    Time silenceTimeoutMs = 2400;          ///< from one message to the next, heartbeats included
-    RetryPolicy normal{1000, 50, 250};     ///< the agent answers only this gatekeeper
-    RetryPolicy rejected{2500, 50, 1000};  ///< discovery has rejected a request: it serves many
-    Time maxRejectedIntervalMs = 6500;     ///< from one connect to the next after a rejection
+    Time silenceTimeoutMs = 2400;          ///< longest time between messages, heartbeats included
+    RetryPolicy normal{1000, 50, 250};     ///< used with an agent that serves only this gatekeeper
+    RetryPolicy rejected{2500, 50, 1000};  ///< after a rejection: discovery serves many gatekeepers
+    Time maxRejectedIntervalMs = 6500;     ///< longest time between connects after a rejection
   };
 
-  /// @param drainGraceMs for how long a draining worker may still be sent to, by the settings; 0: not set
-  /// @param gatekeepers how many may connect to the same discovery service at the same time
+  /// Limits with which changes of the list are received within the drain grace.
+  /// @param drainGraceMs how long a draining worker may still be sent requests by the settings; 0: not set
+  /// @param gatekeepers number of gatekeepers that may connect to the same discovery service simultaneously
   static Limits limitsFor(Time drainGraceMs, unsigned gatekeepers);
 
-  /// The longest, in ms, from when an agent that answers has a change until it is known here.
+  /// The longest time, in ms, from when a responsive agent has a change until it is received here.
   static Time maxUpdateDelayMs(const Limits& limits) {
     return limits.normal.answerTimeoutMs + 1.5 * limits.normal.maxBackoffMs;
   }
-  /// The same, from when a discovery service that rejected requests or left them unanswered answers again.
+  /// The longest time, in ms, from when a discovery service that rejected requests or did not answer them
+  /// becomes responsive again until its changes are received here.
   static Time maxUpdateDelayAfterRejectionMs(const Limits& limits) {
     return std::max(maxUpdateDelayMs(limits), limits.maxRejectedIntervalMs);
   }
 
+  /// @param seed seed of the random backoff delays
   EndpointWatch(const Limits& limits, std::uint64_t seed) : limits_(limits), random_(seed) {}
 
+  /// Applies from the next timeout or delay that is scheduled.
   void setLimits(const Limits& limits) { limits_ = limits; }
 
-  /// Starts, or starts again at another address about which nothing is known.
+  /// Starts the watch, or restarts it at another address, discarding earlier failures and rejections.
   [[nodiscard]] Action start(Time now);
+  /// Ends the watch: no action and no check follow.
   void stop() { state_ = State::stopped; }
 
+  /// The connection has been established.
   Action onConnected(Time now);
-  /// A complete message has arrived: a usable list, or a heartbeat.
+  /// A complete message has been received: an accepted list, or a heartbeat.
   void onMessage(Time now);
-  /// The connection could not be established, failed, ended or carried something unusable.
+  /// The connection could not be established, failed, was closed, or carried a malformed or rejected list.
   [[nodiscard]] Action onConnectionLost(Time now);
-  /// Discovery has answered, and rejected the request for lack of capacity.
+  /// Discovery has rejected the request for lack of capacity.
   [[nodiscard]] Action onRejected(Time now);
-  /// Due at `nextCheckAt`; does nothing before.
+  /// Handles timeouts and the end of backoff delays. To be called at `nextCheckAt`; does nothing before.
   [[nodiscard]] Action checkTime(Time now);
 
   /// When to call `checkTime`; below 0: never.
   Time nextCheckAt() const { return state_ == State::stopped ? -1 : nextCheckAt_; }
-  /// Connections attempted since the process's start.
+  /// Connection attempts since the process started.
   std::uint64_t connectCount() const { return connectCount_; }
 
  private:
@@ -87,9 +94,9 @@
   State state_ = State::stopped;
   Time nextCheckAt_ = 0;
   Time watchingSince_ = 0;
-  Time connectStartedAt_ = 0;  // when the last connect was started
-  Time meanBackoffMs_ = 0;     // of the last delay; 0: the next failure is the first
-  bool rejected_ = false;      // discovery has rejected a request and sent no message since
+  Time connectStartedAt_ = 0;  // start of the last connection attempt
+  Time meanBackoffMs_ = 0;     // mean of the last delay; 0: the next delay is the first
+  bool rejected_ = false;      // a request was rejected, and no message was received since
   std::uint64_t connectCount_ = 0;
 };
 
--- a/src/endpoint_watch/json_object_framer.cpp
+++ b/src/endpoint_watch/json_object_framer.cpp
@@ -28,7 +28,7 @@
   } else if (character == ' ' || character == '\t' || character == '\r' || character == '\n') {
     consumed_ = position_ + 1;
   } else {
-    throw EndpointListError("list: no object");
+    throw EndpointListError("list: a character other than white space or '{' between objects");
   }
 }
 
--- a/src/endpoint_watch/json_object_framer.hpp
+++ b/src/endpoint_watch/json_object_framer.hpp
@@ -7,34 +7,34 @@
 
 namespace wingslip {
 
-/// Finds objects by their braces, so that an object may stand on one line or, indented, on several. Between
-/// objects there is white space only; an empty line there is a heartbeat. The caller owns the buffer of
-/// bytes.
+/// Finds objects by their braces, so that an object may be on a single line or, indented, on several lines.
+/// Only white space is allowed between objects; an empty line there is a heartbeat. The caller owns the
+/// buffer.
 class JsonObjectFramer {
  public:
-  /// The next complete object of `buffer`, which holds the stream's bytes since the last `takeConsumed`;
-  /// nothing while it is not complete.
-  /// @throws EndpointListError where something else than an object begins.
+  /// Returns the next complete object of `buffer`, or nullopt if it is incomplete.
+  /// @param buffer all bytes of the stream but those that `takeConsumed` reported
+  /// @throws EndpointListError on a character other than white space or '{' between objects
   std::optional<std::string_view> next(std::string_view buffer);
-  /// Line ends between objects since the last call.
+  /// Number of line ends between objects since the last call.
   std::size_t takeHeartbeats();
-  /// How many bytes at the front of the buffer are read; the caller removes them.
+  /// Number of bytes at the front of the buffer that are consumed; the caller removes them.
   std::size_t takeConsumed();
-  /// Starts with a new stream.
+  /// Starts over with a new stream.
   void reset() { *this = {}; }
 
  private:
   void scanBetweenObjects(char character);
-  /// True: the object's closing brace.
+  /// Returns true if the character is the closing brace of the object.
   bool scanInObject(char character);
 
   std::size_t position_ = 0;
   std::size_t objectStart_ = 0;
   std::size_t consumed_ = 0;
   std::size_t heartbeats_ = 0;
-  unsigned depth_ = 0;  // open braces; 0: between objects
+  unsigned depth_ = 0;  // number of open braces; 0: between objects
   bool inString_ = false;
-  bool escaped_ = false;  // the next character of a string stands for itself
+  bool escaped_ = false;  // the next character of a string follows a backslash
 };
 
 }  // namespace wingslip
--- a/src/endpoint_watch/start_times.hpp
+++ b/src/endpoint_watch/start_times.hpp
@@ -1,8 +1,9 @@
-/// When workers started, on the gatekeeper's own monotonic clock. No I/O.
+/// Start times of workers, on the gatekeeper's monotonic clock. No I/O.
 ///
-/// Lists give a start as Unix time by the one clock that the fleet's machines read. This machine's wall clock
-/// may be wrong and may be stepped, so it is read once, at the process's start, and only as an estimate. From
-/// then on starts are placed by when they were received, on the monotonic clock.
+/// Endpoint lists give a start time as Unix time of a clock that the workers' machines share. The wall clock
+/// of this machine may be wrong and may be stepped, so it is read only once, when the process starts,
+/// and only as an estimate. Later start times are derived from when they were received, on the monotonic
+/// clock.
 #pragma once
 
 #include <cstddef>
@@ -13,55 +14,57 @@
 
 namespace wingslip {
 
-/// One start of a worker, in ms of the monotonic clock.
+/// A start of a worker, in ms of the monotonic clock.
 struct WorkerStart {
-  decision::Time slowStartFrom = 0;  ///< slow start counts from here; 0: it started long ago
-  /// Connections opened before this went to an earlier process; 0: there was none.
+  decision::Time slowStartFrom = 0;  ///< start of its slow start; 0: it started long ago
+  /// Connections opened before this time go to an earlier process of the worker; 0: there is none.
   decision::Time processStartedAt = 0;
 };
 
-/// Places starts on the monotonic clock:
-/// - A start lies in the past. One that the estimated offset places in the future shows that the offset is
-/// too
-///   large, and lowers it.
-/// - A start received after the process's first list (`isUpdate`) happened since the list before: slow start
-///   counts from when it was received. The estimate is used for the process's connections only, and only as
-///   far back as `kMaxNotificationDelayMs`.
-/// - A start on the first list has the estimated age: if the clock was ahead at the process's start, workers
-///   started just before are taken for older than they are.
-/// - The same start of a worker always gives the same answer, whatever the estimate has become.
+/// Converts start times to the monotonic clock:
+/// - A start is in the past. If the estimated offset places one in the future, the offset is too large and is
+///   lowered.
+/// - A start received after the first list of this process (`isUpdate`) happened since the previous list:
+///   slow start counts from when it was received. The estimate is used only to attribute connections to the
+///   worker's processes, and reaches back at most `kMaxNotificationDelayMs`.
+/// - A start on the first list has the estimated age. If the wall clock was ahead when this process started,
+///   workers that started shortly before are taken for older than they are.
+/// - The same start of a worker always gives the same result, also after the estimate has changed.
 class StartTimes {
  public:
   using Time = decision::Time;
-  /// The longest plausible time from a worker's start until its list reaches a gatekeeper.
+  /// The longest plausible time from a worker's start until a gatekeeper receives the list that names it.
   static constexpr Time kMaxNotificationDelayMs = 10000;
-  /// Workers remembered; beyond it those that are not listed are forgotten.
+  /// Number of workers above which `forgetUnlisted` removes those that are not listed.
   static constexpr std::size_t kMaxWorkers = 8192;
 
-  /// @param clockOffsetMs the monotonic clock less the wall clock, as read at the process's start
+  /// @param clockOffsetMs the monotonic clock minus the wall clock, read when the process started
   explicit StartTimes(Time clockOffsetMs) : clockOffsetMs_(clockOffsetMs) {}
 
-  /// Corrects the clock offset by one start of a list; called for all entries of a list before `startOf`.
-  /// @param startedAtMs Unix time; 0: long ago
+  /// Corrects the clock offset by an entry's start time; to be called for all entries of a list before
+  /// `startOf`.
+  /// @param startedAtMs Unix time in ms; 0: long ago
   /// @param receivedAt when the list was received, on the monotonic clock
   void observe(double startedAtMs, Time receivedAt);
-  /// @param isUpdate the list is not the process's first
+  /// The start of a worker on the monotonic clock.
+  /// @param isUpdate whether the list is not the first one that this process received
   WorkerStart startOf(decision::WorkerId worker, double startedAtMs, Time receivedAt, bool isUpdate);
-  /// If there are more than `kMaxWorkers`, forgets those for which `isListed` is false.
+  /// If there are more than `kMaxWorkers` workers, removes those for which `isListed` returns false.
   void forgetUnlisted(const std::function<bool(decision::WorkerId)>& isListed);
 
-  /// The offset as corrected so far: the monotonic clock less the true Unix time.
+  /// The estimate, as corrected so far, of the monotonic clock minus Unix time, in ms.
   Time clockOffsetMs() const { return clockOffsetMs_; }
+  /// Number of workers whose start is recorded.
   std::size_t size() const { return workers_.size(); }
 
  private:
-  struct KnownStart {
+  struct RecordedStart {
     double startedAtMs = 0;
     WorkerStart start;
   };
 
   Time clockOffsetMs_;
-  std::unordered_map<decision::WorkerId, KnownStart> workers_;
+  std::unordered_map<decision::WorkerId, RecordedStart> workers_;
 };
 
 }  // namespace wingslip
