--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -31,7 +31,7 @@
   int descriptor = -1;
   const auto [end, error] = std::from_chars(digits.data(), digits.data() + digits.size(), descriptor);
   if (error != std::errc() || end != digits.data() + digits.size() || descriptor < 0)
-    throw ConfigError("BALANCER_ACCEPT_FD is not a descriptor");
+    throw ConfigError("BALANCER_ACCEPT_FD is not a file descriptor");
   return descriptor;
 }
 
@@ -46,7 +46,7 @@
   overrideFromEnvironment("BALANCER_DISCOVERY", "discovery", file);
   overrideFromEnvironment("BALANCER_OPS", "ops", file);
   Config out = configFromJson(file);
-  if (const char* folder = std::getenv("TMPDIR")) out.stateDir = folder;
+  if (const char* directory = std::getenv("TMPDIR")) out.stateDir = directory;
   if (const char* inherited = std::getenv("BALANCER_ACCEPT_FD")) out.acceptFd = parseDescriptor(inherited);
   return out;
 }
--- a/src/config/config.hpp
+++ b/src/config/config.hpp
@@ -1,4 +1,4 @@
-/// What a gatekeeper is given at its start: its environment and its configuration file.
+/// The configuration of a gatekeeper: a JSON file, and environment variables that override it.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -14,74 +14,80 @@
 
 namespace wingslip {
 
-/// The store through which gatekeepers elect a leader; the file's `coordination`.
+/// The store through which gatekeepers elect leaders; the section `coordination` of the file.
 struct Coordination {
-  boost::asio::ip::tcp::endpoint store;
-  std::string prefix;    ///< of all keys
-  double ttlMs = 10000;  ///< of this process's session
-  double lockDelayMs = 1000;
+  boost::asio::ip::tcp::endpoint store;  ///< address of the store
+  std::string prefix;                    ///< of all keys in the store
+  double ttlMs = 10000;                  ///< time to live of this process's session, ms
+  double lockDelayMs = 1000;             ///< lock delay of this process's session, ms
   bool operator==(const Coordination&) const = default;
 };
 
-/// The state that gatekeepers replicate among themselves; the file's `replica`.
+/// Replication of state between gatekeepers; the section `replica` of the file.
 struct Replication {
   boost::asio::ip::tcp::endpoint listen;
-  std::string advertise;           ///< host:port where others reach `listen`
-  std::string fleet = "wingslip";  ///< messages of another fleet are ignored
-  std::map<std::string, std::string>
-      peers;  ///< some of the others, name to host:port, by which all are found
-  double probeEveryMs = 1000;
-  double gossipEveryMs = 200;
-  double repairEveryMs = 10000;
-  unsigned fanout = 3;
+  std::string advertise;           ///< host:port at which the other gatekeepers reach `listen`
+  std::string fleet = "wingslip";  ///< name of the fleet; messages of another fleet are ignored
+  /// Some of the other gatekeepers, name to host:port, through which all of them are discovered.
+  std::map<std::string, std::string> peers;
+  double probeEveryMs = 1000;    ///< interval of failure detection probes, ms
+  double gossipEveryMs = 200;    ///< interval of gossip messages, ms
+  double repairEveryMs = 10000;  ///< interval of anti-entropy repair, ms
+  unsigned fanout = 3;           ///< gatekeepers that a gossip message is sent to
   bool operator==(const Replication&) const = default;
 };
 
-/// All that a gatekeeper is configured with.
+/// The complete configuration of a gatekeeper.
 struct Config {
-  std::string name;
-  boost::asio::ip::tcp::endpoint listen;
-  boost::asio::ip::tcp::endpoint discovery;
-  std::optional<boost::asio::ip::tcp::endpoint> ops;  ///< where operators call; nothing: nowhere
-  /// The clients' listening socket where the platform holds it; negative: listen at `listen`.
+  std::string name;                                   ///< of this gatekeeper
+  boost::asio::ip::tcp::endpoint listen;              ///< address for clients
+  boost::asio::ip::tcp::endpoint discovery;           ///< address of the discovery agent
+  std::optional<boost::asio::ip::tcp::endpoint> ops;  ///< address for operators; nullopt: no operators' port
+  /// Listening socket for clients, inherited from the platform; negative: none, bind to `listen`.
   int acceptFd = -1;
-  std::string stateDir;  ///< what outlives the process in an upgrade lies here; empty: nothing does
-  std::uint64_t seed = 0;
-  unsigned sockets = 1024;  ///< file descriptors that the process may hold
-  double memoryMb = 32;     ///< what the process may hold, MiB
-  std::string known;        ///< the endpoint list as last had, in discovery's form; may be old
+  std::string stateDir;     ///< directory of the state that is retained across an upgrade; empty: none is
+  std::uint64_t seed = 0;   ///< seed of this process's random decisions
+  unsigned sockets = 1024;  ///< limit on the file descriptors of the process
+  double memoryMb = 32;     ///< limit on the memory of the process, MiB
+  std::string known;  ///< last endpoint list received, as discovery's JSON; may be outdated; empty: none
   decision::Settings settings;
   settings::HostSettings host;
-  std::optional<Coordination> coordination;  ///< nothing: no leader election
-  std::optional<Replication> replication;    ///< nothing: no replicated state
-  /// Paths of all keys but `coordination`, `replica` and those within `known`, sorted.
+  std::optional<Coordination> coordination;  ///< nullopt: no leader election
+  std::optional<Replication> replication;    ///< nullopt: no replication
+  /// JSON pointers of all keys but `coordination`, `replica` and those within `known`, sorted.
   std::vector<std::string> keys;
 };
 
-/// A configuration that cannot be used. `what()` is one plain line that names the key. A malformed address or
-/// setting is told by `parseEndpoint` and `settings::SettingsError` instead, without the key of the file.
+/// Thrown for an invalid configuration. `what()` is one line that names the key. Malformed addresses and
+/// settings are reported by the exceptions of `parseEndpoint` and by `settings::SettingsError` instead, which
+/// do not name the key.
 struct ConfigError : std::runtime_error {
   explicit ConfigError(const std::string& what) : std::runtime_error("configuration: " + what) {}
 };
 
-/// The file is no JSON: it may be half written, and reading it again may help.
+/// Thrown if the file is not JSON: it may be partially written, so that reading it again may succeed.
 struct IncompleteConfigError : ConfigError {
   using ConfigError::ConfigError;
 };
 
-/// Reads the file at BALANCER_CONFIG and the other variables, which take precedence over the file.
-/// @throws ConfigError, IncompleteConfigError.
+/// Reads the file at BALANCER_CONFIG and the other environment variables, which take precedence over the
+/// file.
+/// @throws ConfigError, IncompleteConfigError
 Config readConfig();
 
-/// Reads the file again; BALANCER_NAME, BALANCER_LISTEN and BALANCER_OPS take precedence, `discovery` is the
-/// file's. `stateDir` and `acceptFd` are not set: those of the start hold.
-/// @throws ConfigError, IncompleteConfigError; ConfigError also where a key of `before` is missing.
+/// Reads the file again for a reload. BALANCER_NAME, BALANCER_LISTEN and BALANCER_OPS take precedence;
+/// `discovery` is taken from the file. `stateDir` and `acceptFd` are not set: their values do not change
+/// after the process's start.
+/// @param before the configuration in force
+/// @throws ConfigError, IncompleteConfigError; ConfigError also if a key of `before` is missing
 Config rereadConfig(const Config& before);
 
-/// @throws ConfigError where `after` lacks a key that `before` had.
+/// Checks that no key has been removed.
+/// @throws ConfigError if `after` lacks a key of `before`
 void requireSameKeys(const Config& before, const Config& after);
 
-/// @throws ConfigError, IncompleteConfigError.
+/// Parses the text of a configuration file, without the environment variables.
+/// @throws ConfigError, IncompleteConfigError
 Config parseConfig(std::string_view json);
 
 }  // namespace wingslip
--- a/src/config/config_json.cpp
+++ b/src/config/config_json.cpp
@@ -14,17 +14,17 @@
 
 constexpr unsigned kMinSockets = 64;
 constexpr double kMaxSockets = 1e6;
-constexpr double kMaxMemoryMb = 1024 * 1024;  // a larger limit is taken for this one
+constexpr double kMaxMemoryMb = 1024 * 1024;  // 1 TiB; a larger limit is lowered to it
 
-/// A value as the right side of a `path=value` line: what separates lines and words is replaced.
+/// Formats a value as the right side of a `path=value` line: replaces separators of lines and words by '_'.
 std::string toWord(const json& value) {
-  const auto separates = [](char c) { return c == ' ' || c == ',' || c == '\n' || c == '\r'; };
+  const auto isSeparator = [](char c) { return c == ' ' || c == ',' || c == '\n' || c == '\r'; };
   std::string word = value.is_string() ? value.get<std::string>() : value.dump();
-  std::replace_if(word.begin(), word.end(), separates, '_');
+  std::replace_if(word.begin(), word.end(), isSeparator, '_');
   return word;
 }
 
-/// Appends nested JSON as the `path=value` lines that settings::parseSettings reads.
+/// Appends nested JSON as `path=value` lines, the input format of settings::parseSettings.
 void appendLines(const json& value, const std::string& path, std::string& lines) {
   const std::string prefix = path.empty() ? path : path + ".";
   if (value.is_object()) {
@@ -64,7 +64,7 @@
   return static_cast<unsigned>(std::min(value.get<double>(), kMaxSockets));
 }
 
-/// A limit that is too small for the process is found at its start, where it is known who shares it.
+/// Whether the limit is large enough is checked when the process starts, where the shares of it are known.
 double readMemoryMb(const json& file) {
   const json::json_pointer path("/limits/memory_mb");
   if (!file.contains(path)) return Config{}.memoryMb;
@@ -88,7 +88,7 @@
   return keys;
 }
 
-/// Objects in an array are alike: it has the keys that all of them have.
+/// The items of an array have the same structure: returns the keys that all of them have.
 std::set<std::string> keysOfArray(const json& array, const std::string& parent) {
   std::set<std::string> common;
   for (const json& item : array) {
@@ -101,7 +101,7 @@
   return common;
 }
 
-/// The paths of all keys.
+/// Returns the JSON pointers of all keys within a value.
 std::set<std::string> keysOf(const json& value, const std::string& path) {
   if (value.is_object()) return keysOfObject(value, path);
   if (value.is_array()) return keysOfArray(value, path);
@@ -121,7 +121,7 @@
     throw ConfigError("settings" + parent + " has no " + key);
 }
 
-/// A file without these settings is turned down whole: no request could be treated by its rules.
+/// Checks the settings that the handling of every request needs. A file without them is rejected.
 void checkSettings(const json& settings) {
   requireAboveZero(settings, "/permissions/attemptsCap");
   if (!settings.contains("profiles") || !settings["profiles"].is_array() || settings["profiles"].empty())
@@ -133,7 +133,7 @@
     requireText(settings, path, "name");
     requireText(settings, path, "repeat");
     if (!names.insert(settings["profiles"][i]["name"].get<std::string>()).second)
-      throw ConfigError("settings" + path + " has another's name");
+      throw ConfigError("settings" + path + " has the name of another profile");
   }
 }
 
--- a/src/config/config_json.hpp
+++ b/src/config/config_json.hpp
@@ -1,4 +1,4 @@
-/// Reads the configuration file's JSON.
+/// Converts the JSON of the configuration file to a `Config`.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -8,10 +8,13 @@
 
 namespace wingslip {
 
-/// @throws IncompleteConfigError on anything but JSON, ConfigError on JSON that is no object.
+/// Parses the text of the file.
+/// @throws IncompleteConfigError if the text is not JSON, ConfigError if it is not an object
 nlohmann::json parseConfigObject(std::string_view text);
 
-/// @throws ConfigError with the key at fault.
+/// Reads the configuration from the file's object.
+/// @throws ConfigError that names the invalid key; also the exceptions of addresses and settings (see
+/// `ConfigError`)
 Config configFromJson(const nlohmann::json& file);
 
 }  // namespace wingslip
--- a/src/config/config_sections.cpp
+++ b/src/config/config_sections.cpp
@@ -14,10 +14,10 @@
 
 constexpr std::size_t kMaxNameBytes = 128;
 
-/// The least and the most that a number may be.
+/// Inclusive range of a number.
 struct Bounds {
-  double least = 0;
-  double most = 0;
+  double min = 0;
+  double max = 0;
 };
 
 constexpr Bounds kSessionTtlMs{1000, 86400000};
@@ -27,7 +27,7 @@
 constexpr Bounds kRepairEveryMs{100, 3600000};
 constexpr Bounds kFanout{1, 16};
 
-/// One section of the file, with errors that name it.
+/// Reads a section of the file; exceptions name the section and the key.
 class Section {
  public:
   Section(const json& values, std::string name) : values_(values), name_(std::move(name)) {
@@ -45,11 +45,11 @@
     const auto found = values_.find(key);
     if (found == values_.end()) return fallback;
     const bool inBounds =
-        found->is_number() && found->get<double>() >= bounds.least && found->get<double>() <= bounds.most;
+        found->is_number() && found->get<double>() >= bounds.min && found->get<double>() <= bounds.max;
     if (!inBounds)
-      throw ConfigError(name_ + "." + key + " is not a number within " +
-                        std::to_string(std::lround(bounds.least)) + " to " +
-                        std::to_string(std::lround(bounds.most)));
+      throw ConfigError(name_ + "." + key + " is not a number in the range " +
+                        std::to_string(std::lround(bounds.min)) + " to " +
+                        std::to_string(std::lround(bounds.max)));
     return found->get<double>();
   }
 
@@ -58,7 +58,7 @@
     if (found == values_.end()) return fallback;
     const std::string value = found->is_string() ? found->get<std::string>() : std::string();
     if (value.empty() || value.size() > kMaxNameBytes)
-      throw ConfigError(name_ + "." + key + " is no name within 128 characters");
+      throw ConfigError(name_ + "." + key + " is not a string of 1 to 128 characters");
     return value;
   }
 
@@ -68,10 +68,10 @@
 };
 
 bool isKeyPrefix(const std::string& text) {
-  const bool plain = std::all_of(text.begin(), text.end(), [](unsigned char c) {
+  const bool allowedCharacters = std::all_of(text.begin(), text.end(), [](unsigned char c) {
     return std::isalnum(c) || c == '-' || c == '_' || c == '.' || c == '/';
   });
-  return plain && !text.empty() && text.size() <= kMaxNameBytes && text.front() != '/' &&
+  return allowedCharacters && !text.empty() && text.size() <= kMaxNameBytes && text.front() != '/' &&
          text.back() != '/' && text.find("//") == std::string::npos;
 }
 
@@ -85,11 +85,11 @@
 }
 
 void requirePort(const std::string& address) {
-  if (parseEndpoint(address).port() == 0) throw ConfigError("replica: no port in " + address);
+  if (parseEndpoint(address).port() == 0) throw ConfigError("replica: no port in address " + address);
 }
 
 std::map<std::string, std::string> readPeers(const json& section, const std::string& gatekeeperName) {
-  const ConfigError malformed("replica.peers is no object of names and addresses");
+  const ConfigError malformed("replica.peers is not an object of names and addresses");
   const auto found = section.find("peers");
   if (found == section.end() || !found->is_object()) throw malformed;
   std::map<std::string, std::string> peers;
--- a/src/config/config_sections.hpp
+++ b/src/config/config_sections.hpp
@@ -9,13 +9,13 @@
 
 namespace wingslip {
 
-/// The section `coordination`; nothing where the file has none.
-/// @throws ConfigError with the key at fault.
+/// Reads the section `coordination`; nullopt if the file has none.
+/// @throws ConfigError that names the invalid key
 std::optional<Coordination> readCoordination(const nlohmann::json& file);
 
-/// The section `replica`; nothing where the file has none.
-/// @param gatekeeperName may not be among the peers.
-/// @throws ConfigError with the key at fault.
+/// Reads the section `replica`; nullopt if the file has none.
+/// @param gatekeeperName name of this gatekeeper, which must not be among the peers
+/// @throws ConfigError that names the invalid key
 std::optional<Replication> readReplication(const nlohmann::json& file, const std::string& gatekeeperName);
 
 }  // namespace wingslip
