--- a/tests/configuration_test.cpp
+++ b/tests/configuration_test.cpp
@@ -1,4 +1,4 @@
-/// The configuration file: what is read, what is invalid, and the program's reload on SIGHUP.
+/// The configuration file: parsing, validation, and the reload of the gatekeeper program on SIGHUP.
 #include <signal.h>
 #include <sys/wait.h>
 #include <unistd.h>
@@ -14,7 +14,7 @@
 
 using namespace std::chrono_literals;
 
-TEST(Configuration, ReadsAllSettings) {
+TEST(Configuration, AllSettingsAreRead) {
   const Config config =
       parseConfig(configJson("127.0.0.1:8500", json::array({entry("s", "127.0.0.1:9")})).dump());
   EXPECT_EQ(config.discovery.port(), 8500);
@@ -28,7 +28,7 @@
   EXPECT_EQ(parseEndpointList(config.known).entries.at(0).id, "s");
 }
 
-TEST(Configuration, ThrowsOnAnInvalidFile) {
+TEST(Configuration, AnInvalidFileIsRejected) {
   for (const char* text : {"", "[]", "{}", R"({"name":"n","listen":"here","discovery":"127.0.0.1:1"})"})
     EXPECT_THROW(parseConfig(text), std::runtime_error) << text;
   json file = configJson("127.0.0.1:1");
@@ -36,82 +36,84 @@
   EXPECT_THROW(parseConfig(file.dump()), std::runtime_error);
 }
 
-// The program itself, on a configuration file of the test's.
-class Program : public Loopback {
+// Runs the gatekeeper program with a configuration file that the test writes.
+class GatekeeperProcess : public Loopback {
  protected:
   void SetUp() override {
     file = ::testing::TempDir() + "wingslip-config-" + std::to_string(getpid()) + ".json";
   }
   void TearDown() override {
-    if (child > 0) kill(child, SIGKILL), waitpid(child, nullptr, 0);
+    if (processId > 0) kill(processId, SIGKILL), waitpid(processId, nullptr, 0);
     std::filesystem::remove(file);
   }
-  void write(const std::string& text) { std::ofstream(file) << text; }
-  void run(const std::string& discoveryVariable) {
-    child = fork();
-    ASSERT_GE(child, 0);
-    if (child > 0) return;
+  void writeConfigFile(const std::string& text) { std::ofstream(file) << text; }
+  void startProcess(const std::string& discoveryVariable) {
+    processId = fork();
+    ASSERT_GE(processId, 0);
+    if (processId > 0) return;
     setenv("BALANCER_CONFIG", file.c_str(), 1);
     setenv("BALANCER_DISCOVERY", discoveryVariable.c_str(), 1);
     execl(WINGSLIP_GATEKEEPER_PROGRAM, WINGSLIP_GATEKEEPER_PROGRAM, static_cast<char*>(nullptr));
     _exit(127);
   }
-  bool ended(int& status) const { return waitpid(child, &status, WNOHANG) == child; }
+  bool hasExited(int& status) const { return waitpid(processId, &status, WNOHANG) == processId; }
 
   Listener first{io}, second{io};
   std::string file;
-  pid_t child = 0;
+  pid_t processId = 0;
 };
 
-// What was set at the start names the old address; the file that has changed since names the new one.
-TEST_F(Program, ReloadsOnSighupAndKeepsRunningOnAnInvalidFile) {
-  write(configJson(first.text()).dump());
-  run(first.text());
-  until([&] { return first.count("watch=1") == 1; }, "a watch");
-  write("{ half a");
-  kill(child, SIGHUP);
+// BALANCER_DISCOVERY names the first address; the file that is reloaded names the second one, which takes
+// precedence on a reload.
+TEST_F(GatekeeperProcess, ReloadsOnSighupAndKeepsRunningOnAnInvalidFile) {
+  writeConfigFile(configJson(first.text()).dump());
+  startProcess(first.text());
+  until([&] { return first.count("watch=1") == 1; }, "a watch at the first address");
+  writeConfigFile("{ half a");
+  kill(processId, SIGHUP);
   io.restart();
   io.run_for(200ms);
-  write(configJson(second.text()).dump());
-  kill(child, SIGHUP);
-  until([&] { return second.count("watch=1") == 1; }, "a watch at the new address");
+  writeConfigFile(configJson(second.text()).dump());
+  kill(processId, SIGHUP);
+  until([&] { return second.count("watch=1") == 1; }, "a watch at the second address");
   int status = 0;
-  EXPECT_FALSE(ended(status));
-  kill(child, SIGTERM);
-  until([&] { return ended(status); }, "the end");
-  child = 0;
+  EXPECT_FALSE(hasExited(status));
+  kill(processId, SIGTERM);
+  until([&] { return hasExited(status); }, "the exit of the process");
+  processId = 0;
   EXPECT_TRUE(WIFEXITED(status) && WEXITSTATUS(status) == 0) << status;
 }
 
-// A changed file is taken whole or not at all.
+// Guards against a reload that applies a part of an invalid file.
 TEST(Configuration, AReloadWithAMissingKeyOrInvalidLimitIsRejected) {
-  const json good = configJson("127.0.0.1:1");
-  const Config before = parseConfig(good.dump());
-  requireSameKeys(before, parseConfig(good.dump()));
-  const auto turnedDown = [&](const char* at, const json& value) {
-    json file = good;
+  const json valid = configJson("127.0.0.1:1");
+  const Config before = parseConfig(valid.dump());
+  requireSameKeys(before, parseConfig(valid.dump()));
+  const auto expectRejected = [&](const char* pointer, const json& value) {
+    json file = valid;
     if (value.is_discarded())
-      file.at(json::json_pointer(at).parent_pointer()).erase(json::json_pointer(at).back());
+      file.at(json::json_pointer(pointer).parent_pointer()).erase(json::json_pointer(pointer).back());
     else
-      file[json::json_pointer(at)] = value;
-    EXPECT_THROW(requireSameKeys(before, parseConfig(file.dump())), std::runtime_error) << at << " " << value;
+      file[json::json_pointer(pointer)] = value;
+    EXPECT_THROW(requireSameKeys(before, parseConfig(file.dump())), std::runtime_error)
+        << pointer << " " << value;
   };
-  const json gone(json::value_t::discarded);
+  const json absent(json::value_t::discarded);
   for (const char* key :
        {"/name", "/limits", "/seed", "/settings", "/settings/rules/warmUp", "/settings/profiles/1/aim",
         "/settings/profiles/2/repeat", "/settings/profiles/0/name", "/settings/permissions"})
-    turnedDown(key, gone);
+    expectRejected(key, absent);
   for (const char* key : {"/settings/profiles/1/deadline", "/settings/permissions/attemptsCap"})
     for (const json& value :
-         {json(0), json(-5), json("6000"), json(nullptr), json(true), json::object(), gone})
-      turnedDown(key, value);
-  turnedDown("/settings/profiles/0/repeat", "sometimes");
-  const std::string text = good.dump();
+         {json(0), json(-5), json("6000"), json(nullptr), json(true), json::object(), absent})
+      expectRejected(key, value);
+  expectRejected("/settings/profiles/0/repeat", "sometimes");
+  const std::string text = valid.dump();
   EXPECT_THROW(parseConfig(text.substr(0, text.size() / 2)), IncompleteConfigError);
   EXPECT_THROW(parseConfig(""), IncompleteConfigError);
 }
 
-TEST(Configuration, TheProgramExitsWithOneLogLineOnAnInvalidFile) {
+TEST(Configuration, TheProgramExitsWithOneLogLineOnAMissingFile) {
   const std::string out = ::testing::TempDir() + "wingslip-bad-" + std::to_string(getpid());
   const std::string command =
       "BALANCER_CONFIG=/nonexistent " WINGSLIP_GATEKEEPER_PROGRAM " 2>" + out + " >/dev/null </dev/null";
--- a/tests/discovery_backoff_test.cpp
+++ b/tests/discovery_backoff_test.cpp
@@ -1,4 +1,4 @@
-/// How soon gatekeepers that were turned away call discovery again.
+/// The backoff of gatekeepers whose requests a discovery service has rejected.
 #include "gatekeeper/discovery_client.hpp"
 #include "loopback.hpp"
 
@@ -7,31 +7,33 @@
 
 class DiscoveryBackoff : public Loopback {
  protected:
-  // The least time from the first calls of some gatekeepers, all turned away, to the first call of them that
-  // comes again.
-  std::chrono::milliseconds firstAgain(unsigned gatekeepers) {
+  // Rejects the first requests of ten gatekeepers, and returns the time until the first of them reconnects.
+  // `gatekeepers` is the size of the fleet that the limits of their watches are computed for.
+  std::chrono::milliseconds timeToFirstReconnect(unsigned gatekeepers) {
     Listener agent(io);
-    OverloadManager pressure(io, sharesOf({std::size_t{64} << 20}), OverloadState::Limits{});
-    std::vector<std::unique_ptr<DiscoveryClient>> all;
+    OverloadManager overloadManager(io, sharesOf({std::size_t{64} << 20}), OverloadState::Limits{});
+    std::vector<std::unique_ptr<DiscoveryClient>> clients;
     for (unsigned i = 0; i < 10; ++i) {
-      all.push_back(std::make_unique<DiscoveryClient>(
+      clients.push_back(std::make_unique<DiscoveryClient>(
           io, agent.address(), EndpointList{}, EndpointWatch::limitsFor(2000, gatekeepers), i,
-          [](const EndpointList&) {}, pressure));
-      all.back()->start();
+          [](const EndpointList&) {}, overloadManager));
+      clients.back()->start();
     }
-    until([&] { return agent.count("GET /registry/instances") == 10; }, "all call");
-    const auto refused = std::chrono::steady_clock::now();
+    until([&] { return agent.count("GET /registry/instances") == 10; }, "a request of each gatekeeper");
+    const auto rejectedAt = std::chrono::steady_clock::now();
     for (const auto& peer : std::vector<PeerPtr>(agent.peers)) peer->send(reply("503 Busy", ""));
-    until([&] { return agent.peers.size() > 10; }, "one calls again");
-    return std::chrono::duration_cast<std::chrono::milliseconds>(std::chrono::steady_clock::now() - refused);
+    until([&] { return agent.peers.size() > 10; }, "a reconnect");
+    return std::chrono::duration_cast<std::chrono::milliseconds>(std::chrono::steady_clock::now() -
+                                                                 rejectedAt);
   }
 };
 
-// A hundred that lose discovery together would come back within half a second, and then three times in two,
-// faster than it can answer them; each waits longer by how many may call with it.
-TEST_F(DiscoveryBackoff, GrowsWithTheNumberOfGatekeepers) {
-  EXPECT_GE(firstAgain(100).count(), 900);
-  EXPECT_GE(firstAgain(3).count(), 20);
+// Guards against overload of a shared discovery service: a hundred gatekeepers that lose it together would
+// all reconnect within half a second, and then three times in two seconds, faster than it can serve them. The
+// backoff grows with the number of gatekeepers.
+TEST_F(DiscoveryBackoff, BackoffAfterRejectionGrowsWithTheNumberOfGatekeepers) {
+  EXPECT_GE(timeToFirstReconnect(100).count(), 900);
+  EXPECT_GE(timeToFirstReconnect(3).count(), 20);
 }
 
 }  // namespace
--- a/tests/endpoint_list_test.cpp
+++ b/tests/endpoint_list_test.cpp
@@ -1,4 +1,4 @@
-// Endpoint lists: framing, parsing, and what is used of a list that is old, cut or malformed.
+// Endpoint lists: framing, parsing and merging, and the handling of malformed and outdated lists.
 #include "endpoint_watch/endpoint_list.hpp"
 
 #include <gtest/gtest.h>
@@ -25,7 +25,7 @@
                            (snapshot ? "true" : "false") + R"(,"instances":[)" + joined + "]}");
 }
 
-TEST(JsonObjectFramer, FindsObjectsHoweverTheStreamIsCut) {
+TEST(JsonObjectFramer, ObjectsAreFramedAtEveryPieceSize) {
   const std::string stream =
       "\r\n{\"a\":\"}{\\\"\",\r\n  \"b\": [ {\n } ]\n}\n\n \n{\"c\":1}{\"d\":2}\n{\"half\":";
   for (std::size_t piece = 1; piece <= stream.size(); ++piece) {
@@ -33,8 +33,8 @@
     std::string buffer;
     std::vector<std::string> found;
     std::size_t heartbeats = 0;
-    for (std::size_t at = 0; at < stream.size(); at += piece) {
-      buffer += stream.substr(at, piece);
+    for (std::size_t offset = 0; offset < stream.size(); offset += piece) {
+      buffer += stream.substr(offset, piece);
       while (const auto object = framer.next(buffer)) found.emplace_back(*object);
       heartbeats += framer.takeHeartbeats();
       buffer.erase(0, framer.takeConsumed());
@@ -59,9 +59,9 @@
   EXPECT_THROW(parseEndpointList(R"({"generation":1})"), std::runtime_error);
 }
 
-// A snapshot is requested once; a draining worker stays draining until a newer list or a restart says
-// otherwise.
-TEST(EndpointListHistory, AnOldListBringsNoDrainingWorkerBack) {
+// Guards against requests to a draining worker after discovery has returned to an older list. A snapshot is
+// requested once; the worker stays draining until a newer list names it as ready, or until it restarts.
+TEST(EndpointListHistory, AnOutdatedListDoesNotReactivateADrainingWorker) {
   EndpointListHistory history;
   const auto phaseOf = [](const EndpointList& of, std::size_t i) { return of.entries.at(i).phase; };
   const auto accept = [&](EndpointList received, bool expected) {
@@ -83,8 +83,8 @@
   EXPECT_EQ(phaseOf(accept(list(42, false, {entry("a", "Ready")}), true), 0), decision::WorkerPhase::ready);
 }
 
-// Of one list, the first by id is forgotten first.
-TEST(EndpointListHistory, ForgetsRetiredWorkersOfTheOldestListFirst) {
+// Among the workers of one list, those with the lowest ids are removed first.
+TEST(EndpointListHistory, RetiredWorkersOfTheOldestListAreRemovedFirst) {
   constexpr std::size_t kMaxRetired = 8192;
   EndpointListHistory history;
   EndpointList first = list(1, true, {entry("b", "Terminating"), entry("a", "Terminating")});
@@ -95,14 +95,14 @@
   EndpointList second = list(2, false, retired);
   ASSERT_TRUE(history.accept(second));
   EndpointList old = list(1, true, {entry("a", "Ready"), entry("b", "Ready"), entry("w-0", "Ready")});
-  ASSERT_FALSE(history.accept(old));  // a snapshot is requested, and is as old
+  ASSERT_FALSE(history.accept(old));  // a snapshot is requested; the next list, as old, is that snapshot
   ASSERT_TRUE(history.accept(old));
   EXPECT_EQ(old.entries[0].phase, decision::WorkerPhase::ready);
   EXPECT_EQ(old.entries[1].phase, decision::WorkerPhase::draining);
   EXPECT_EQ(old.entries[2].phase, decision::WorkerPhase::draining);
 }
 
-TEST(EndpointListHistory, TimeToAcceptGrowsInProportionToTheWorkers) {
+TEST(EndpointListHistory, AcceptTakesTimeLinearInTheNumberOfWorkers) {
   const double factor = growth::between(2000, [](std::size_t n) {
     std::vector<std::string> entries;
     for (std::size_t i = 0; i < n; ++i) entries.push_back(entry("w-" + std::to_string(i), "Terminating"));
@@ -115,20 +115,22 @@
   EXPECT_LT(factor, growth::kMost);
 }
 
-TEST(EndpointList, MergedListsHaveTheLatestOfEachWorker) {
-  EndpointList sum = list(2, false, {entry("a", "Ready"), entry("b", "Ready")});
-  const auto merge = [&](EndpointList later) { sum = mergeEndpointLists(std::move(sum), std::move(later)); };
+TEST(EndpointList, MergedListsHaveTheLatestEntryOfEachWorker) {
+  EndpointList merged = list(2, false, {entry("a", "Ready"), entry("b", "Ready")});
+  const auto merge = [&](EndpointList later) {
+    merged = mergeEndpointLists(std::move(merged), std::move(later));
+  };
   merge(list(3, false, {entry("a", "Terminating"), entry("c", "Ready")}));
-  ASSERT_EQ(sum.entries.size(), 3u);
-  EXPECT_EQ(sum.generation, 3);
-  EXPECT_EQ(sum.entries[0].phase, decision::WorkerPhase::draining);
-  EXPECT_EQ(sum.entries[2].id, "c");
+  ASSERT_EQ(merged.entries.size(), 3u);
+  EXPECT_EQ(merged.generation, 3);
+  EXPECT_EQ(merged.entries[0].phase, decision::WorkerPhase::draining);
+  EXPECT_EQ(merged.entries[2].id, "c");
   merge(list(4, true, {entry("d", "Ready")}));
-  EXPECT_TRUE(sum.isSnapshot);
-  ASSERT_EQ(sum.entries.size(), 1u);
+  EXPECT_TRUE(merged.isSnapshot);
+  ASSERT_EQ(merged.entries.size(), 1u);
   merge(list(5, false, {entry("d", "Gone")}));
-  EXPECT_TRUE(sum.isSnapshot);  // still a snapshot
-  EXPECT_EQ(sum.entries[0].phase, decision::WorkerPhase::removed);
+  EXPECT_TRUE(merged.isSnapshot);  // later changes are merged into the snapshot
+  EXPECT_EQ(merged.entries[0].phase, decision::WorkerPhase::removed);
 }
 
 }  // namespace
--- a/tests/endpoint_watch_test.cpp
+++ b/tests/endpoint_watch_test.cpp
@@ -1,5 +1,5 @@
-// The watch on the endpoint list in virtual time: an agent of each gatekeeper's own and one discovery service
-// for all, with silence, resets, downtime and rejections by seed.
+// The watch on the endpoint list in virtual time, with an agent for each gatekeeper and with a discovery
+// service shared by all. Silence, lost connections, downtime and rejections are random by seed.
 #include "endpoint_watch/endpoint_watch.hpp"
 
 #include <gtest/gtest.h>
@@ -15,13 +15,13 @@
 
 using Time = EndpointWatch::Time;
 using Action = EndpointWatch::Action;
-constexpr Time kStep = 5;
+constexpr Time kStep = 5;  // ms of virtual time; all times are in ms
 constexpr Time kDrainGrace = 2000;
 constexpr Time kHeartbeatInterval = 2000;
-constexpr Time kKnownAfterSilence = 6000;
+constexpr Time kGraceStartAfterSilence = 6000;
 
-// A gatekeeper and the agent on its machine. Whatever the agent was asked while it was down is never
-// answered.
+// A gatekeeper and the discovery agent on its machine. Requests that the agent received while it was down are
+// never answered.
 struct Machine {
   enum class Agent { up, silent, refusing, overloaded };
 
@@ -32,16 +32,16 @@
   std::mt19937_64 random;
   Agent agent = Agent::up;
   bool open = false;
-  bool stalled = false;  // the connection is open, and nothing arrives on it
+  bool stalled = false;  // the connection is open, but no message arrives on it
   Time now = 0;
   Time nextHeartbeatAt = 0;
-  Time countsFrom = 0;  // from when the agent's version counts as known here
+  Time graceStartsAt = 0;  // when the drain grace of the agent's version starts
   Time stalledSince = 0;
   long agentVersion = 0;
   long receivedVersion = 0;
   std::vector<Time> connectTimes;
 
-  double chance() { return std::uniform_real_distribution<>(0, 1)(random); }
+  double uniform() { return std::uniform_real_distribution<>(0, 1)(random); }
 
   bool upToDate() const { return receivedVersion == agentVersion; }
 
@@ -69,11 +69,11 @@
     watch.onMessage(now);
     nextHeartbeatAt = now + kHeartbeatInterval;
   }
-  // The agent has a new version, which counts from now on, or later where the open connection is stalled.
+  // The agent has a new version. Its drain grace starts now, or later if the open connection is stalled.
   void changeList() {
     if (agent != Agent::up) return;
     ++agentVersion;
-    countsFrom = open && stalled ? std::max(now, stalledSince + kKnownAfterSilence) : now;
+    graceStartsAt = open && stalled ? std::max(now, stalledSince + kGraceStartAfterSilence) : now;
   }
   void step() {
     now += kStep;
@@ -92,7 +92,7 @@
     if (closesConnections && open) loseConnection();
     if (state != Agent::up) return;
     ++agentVersion;
-    countsFrom = now;
+    graceStartsAt = now;
   }
   void stallConnection() {
     if (!open || stalled) return;
@@ -101,9 +101,10 @@
   }
 };
 
-// Whatever happens to the watch, a version that counts as known is received before a draining worker may no
-// longer be sent to, at every size of the fleet; and the agents are not called more often than necessary.
-TEST(OwnAgent, ChangesArriveWithinTheDrainGraceAtEveryFleetSize) {
+// Guards against requests to a draining worker after its drain grace: under random faults and at every fleet
+// size, the watch receives each version of the list before that version's drain grace ends, and the rate of
+// connects stays limited.
+TEST(EndpointWatchOfAPrivateAgent, ChangesAreReceivedWithinTheDrainGraceAtEveryFleetSize) {
   for (std::uint64_t seed = 1; seed <= 200; ++seed) {
     const unsigned gatekeepers = seed % 3 == 0 ? 1 : seed % 3 == 1 ? 300 : 350;
     Machine machine(gatekeepers, seed);
@@ -113,60 +114,60 @@
       if (repairAt >= 0 && machine.now >= repairAt) {
         machine.setAgent(Machine::Agent::up);
         repairAt = -1;
-        faultAt = machine.now + kDrainGrace + 9000 * machine.chance();
+        faultAt = machine.now + kDrainGrace + 9000 * machine.uniform();
       }
       if (repairAt < 0 && machine.now >= faultAt) {
-        const double fault = machine.chance();
+        const double fault = machine.uniform();
         if (fault < 0.25 && machine.open) {
           machine.loseConnection();
-          faultAt = machine.now + kDrainGrace + 4000 * machine.chance();
+          faultAt = machine.now + kDrainGrace + 4000 * machine.uniform();
         } else if (fault < 0.5) {
           machine.stallConnection();
           faultAt = machine.now + 12000;
         } else {
           machine.setAgent(fault < 0.75 ? Machine::Agent::silent : Machine::Agent::refusing);
-          repairAt = machine.now + 1200 + 8000 * machine.chance();
+          repairAt = machine.now + 1200 + 8000 * machine.uniform();
         }
       }
       if (machine.now >= changeAt) {
         machine.changeList();
-        changeAt = machine.now + 3000 * machine.chance();
+        changeAt = machine.now + 3000 * machine.uniform();
       }
       machine.step();
-      ASSERT_TRUE(machine.upToDate() || machine.now <= machine.countsFrom + kDrainGrace)
-          << "seed " << seed << " of " << gatekeepers << " at " << machine.now << ", counts from "
-          << machine.countsFrom;
+      ASSERT_TRUE(machine.upToDate() || machine.now <= machine.graceStartsAt + kDrainGrace)
+          << "seed " << seed << " of " << gatekeepers << " at " << machine.now << ", drain grace from "
+          << machine.graceStartsAt;
     }
-    // At most one connect in the shortest delay; while the agent is silent, fewer than two a second.
+    // At most one connect per shortest delay; while the agent is silent, fewer than two per second.
     EXPECT_LT(machine.connectTimes.size(), 60u * 5) << "seed " << seed;
   }
 }
 
-// An outage too short to be noticed while it lasts leaves the open connection stalled. What the agent has at
-// its return counts as known at once.
-TEST(OwnAgent, ChangesAfterAShortOutageArriveWithinTheDrainGrace) {
+// An outage too short to be detected while it lasts stalls the open connection. The drain grace of the
+// version that the agent has after the outage starts as soon as the outage ends.
+TEST(EndpointWatchOfAPrivateAgent, ChangesAfterAShortOutageAreReceivedWithinTheDrainGrace) {
   constexpr Time kShortest = 450, kLongest = 1200;
   for (std::uint64_t seed = 1; seed <= 200; ++seed) {
     Machine machine(seed % 2 == 0 ? 1 : 300, seed);
     machine.start();
     for (int outage = 0; outage < 10; ++outage) {
-      for (const Time until = machine.now + 3000 + 4000 * machine.chance(); machine.now < until;)
+      for (const Time until = machine.now + 3000 + 4000 * machine.uniform(); machine.now < until;)
         machine.step();
       machine.setAgent(Machine::Agent::silent);
-      for (const Time until = machine.now + kShortest + (kLongest - kShortest) * machine.chance();
+      for (const Time until = machine.now + kShortest + (kLongest - kShortest) * machine.uniform();
            machine.now < until;)
         machine.step();
       machine.setAgent(Machine::Agent::up);
       for (const Time until = machine.now + kDrainGrace + 100; machine.now < until;) {
         machine.step();
-        ASSERT_TRUE(machine.upToDate() || machine.now <= machine.countsFrom + kDrainGrace)
-            << "seed " << seed << " at " << machine.now << ", counts from " << machine.countsFrom;
+        ASSERT_TRUE(machine.upToDate() || machine.now <= machine.graceStartsAt + kDrainGrace)
+            << "seed " << seed << " at " << machine.now << ", drain grace from " << machine.graceStartsAt;
       }
     }
   }
 }
 
-TEST(OwnAgent, ConnectRateToASilentOrRefusingAgentIsLimited) {
+TEST(EndpointWatchOfAPrivateAgent, ConnectRateToASilentOrRefusingAgentIsLimited) {
   for (const auto agent : {Machine::Agent::silent, Machine::Agent::refusing}) {
     Machine machine(350, 7);
     machine.agent = agent;
@@ -177,8 +178,9 @@
   }
 }
 
-// Guards against an agent that answers and closes each time being called at the rate of the first backoff.
-TEST(OwnAgent, BackoffGrowsWhenTheWatchEndsAtOnceEachTime) {
+// Guards against connects at the rate of the first backoff to an agent that answers and then closes each
+// connection.
+TEST(EndpointWatchOfAPrivateAgent, BackoffGrowsWhenEveryWatchIsClosedImmediately) {
   Machine machine(3, 1);
   machine.start();
   while (machine.now < 10000) {
@@ -188,29 +190,30 @@
   EXPECT_LT(machine.connectTimes.size(), 60u);
 }
 
-// Whatever requests were rejected, refused or left unanswered, in whatever order: what discovery has arrives
-// within the drain grace, counted from 6 s after it could be reached, at every size of the fleet.
-TEST(SharedDiscovery, ChangesArriveWithinTheBoundWhateverHappenedToRequestsBefore) {
+// After any sequence of rejected, refused and unanswered requests, the current list is received within the
+// drain grace, which starts 6 s after discovery became reachable, at every fleet size.
+TEST(EndpointWatchOfASharedDiscovery, ChangesAreReceivedWithinTheBoundAfterAnySequenceOfFailures) {
   for (std::uint64_t seed = 1; seed <= 300; ++seed) {
     const unsigned gatekeepers = seed % 4 == 0 ? 1 : seed % 4 == 1 ? 300 : seed % 4 == 2 ? 350 : 1024;
     Machine machine(gatekeepers, seed);
     machine.start();
-    Time nextChangeAt = 2000, upSince = 0;
+    Time nextChangeAt = 2000, reachableSince = 0;
     while (machine.now < 200000) {
       if (machine.now >= nextChangeAt) {
-        const double choice = machine.chance();
+        const double choice = machine.uniform();
         const auto state = choice < 0.5   ? Machine::Agent::overloaded
                            : choice < 0.7 ? Machine::Agent::silent
                            : choice < 0.8 ? Machine::Agent::refusing
                                           : Machine::Agent::up;
-        if (state == Machine::Agent::up && machine.agent != state) upSince = machine.now;
+        if (state == Machine::Agent::up && machine.agent != state) reachableSince = machine.now;
         machine.setAgent(state);
-        nextChangeAt = machine.now + (state == Machine::Agent::up ? 15000 : 500 + 9000 * machine.chance());
+        nextChangeAt = machine.now + (state == Machine::Agent::up ? 15000 : 500 + 9000 * machine.uniform());
       }
       machine.step();
       ASSERT_TRUE(machine.agent != Machine::Agent::up || machine.upToDate() ||
-                  machine.now <= upSince + 6000 + kDrainGrace)
-          << "seed " << seed << " of " << gatekeepers << " at " << machine.now << ", up since " << upSince;
+                  machine.now <= reachableSince + 6000 + kDrainGrace)
+          << "seed " << seed << " of " << gatekeepers << " at " << machine.now << ", reachable since "
+          << reachableSince;
     }
     EXPECT_LE(
         EndpointWatch::maxUpdateDelayAfterRejectionMs(EndpointWatch::limitsFor(kDrainGrace, gatekeepers)),
@@ -218,8 +221,9 @@
   }
 }
 
-// One discovery service for all: it serves a request in 50 ms, rejects those that have waited for 2 s or find
-// forty waiting, and serves in turn also those whose client has given up.
+// A discovery service shared by all gatekeepers, with a first-in, first-out queue. It serves a request in
+// 50 ms, rejects requests that have been queued for 2 s or that arrive at a queue of forty, and also serves
+// the requests of clients that have closed their connection.
 struct SharedDiscoveryFleet {
   SharedDiscoveryFleet(unsigned gatekeepers, std::uint64_t seed) {
     for (unsigned i = 0; i < gatekeepers; ++i)
@@ -286,7 +290,7 @@
   }
 };
 
-TEST(SharedDiscovery, IsCalledNoFasterThanItServesWhenItRejects) {
+TEST(EndpointWatchOfASharedDiscovery, ConnectRateAfterRejectionsIsLimited) {
   for (const unsigned gatekeepers : {100u, 350u}) {
     SharedDiscoveryFleet fleet(gatekeepers, 1);
     fleet.start();
@@ -298,9 +302,9 @@
       doneAt = fleet.now;
     }
     EXPECT_EQ(fleet.served, gatekeepers);
-    EXPECT_LT(doneAt, 50.0 * gatekeepers * 4) << gatekeepers;  // at least a quarter of what it can serve
+    EXPECT_LT(doneAt, 50.0 * gatekeepers * 4) << gatekeepers;  // at least a quarter of its capacity
     const double connectsPerS = 1000.0 * (fleet.connects - connectsBefore) / (doneAt - 5000);
-    EXPECT_LT(connectsPerS, 60.0) << gatekeepers;  // of all together
+    EXPECT_LT(connectsPerS, 60.0) << gatekeepers;  // of all gatekeepers together
   }
 }
 
--- a/tests/ops_test.cpp
+++ b/tests/ops_test.cpp
@@ -1,4 +1,5 @@
-// Operators' calls and figures, exclusions, and a hot restart on a socket that the platform holds.
+// Operators' calls and telemetry, exclusions, and a hot restart on a listening socket inherited from the
+// platform.
 #include <unistd.h>
 
 #include <filesystem>
@@ -12,8 +13,8 @@
 namespace wingslip::test {
 namespace {
 
-// As many lines as the largest fleet has members.
-struct ManyLines : OperatorCalls {
+// Responds to `members` with a line for each member of the largest fleet.
+struct LargeFleetCalls : OperatorCalls {
   std::string replicationMembers() const override {
     OperatorResponse out("200 alive=1024");
     for (int i = 0; i < 1024; ++i) out.addLine(std::string(200, 'm'));
@@ -28,177 +29,181 @@
   std::string replicationState() const override { return ""; }
 };
 
-TEST_F(Loopback, OperatorsGetAllMembersOfALargeFleetIfThereIsMemory) {
-  OverloadManager pressure{io, sharesOf({std::size_t{32} << 20}), OverloadState::Limits{}};
-  ManyLines fleet;
-  OpsServer server(io, OpsServer::Limits{}, fleet, pressure);
+TEST_F(Loopback, MembersResponseOfALargeFleetIsCompleteIfMemoryIsAvailable) {
+  OverloadManager overloadManager{io, sharesOf({std::size_t{32} << 20}), OverloadState::Limits{}};
+  LargeFleetCalls calls;
+  OpsServer server(io, OpsServer::Limits{}, calls, overloadManager);
   server.start({asio::ip::address_v4::loopback(), 0});
   const auto members = [&] {
     const auto caller = dial(server.address());
     caller->send("members\n");
-    until([&] { return caller->ended; }, "the end of the answer");
+    until([&] { return caller->ended; }, "the end of the response");
     return caller->got;
   };
   const std::string complete = members();
   EXPECT_EQ(std::count(complete.begin(), complete.end(), '\n'), 1026);
   EXPECT_EQ(complete.substr(complete.size() - 4), "EOF\n");
-  auto otherCallers = pressure.memory().open(Account::operators);
-  std::size_t taken = 0;
-  while (otherCallers.resize(taken + 64 * 1024)) taken += 64 * 1024;
+  auto otherReservation = overloadManager.memory().open(Account::operators);
+  std::size_t reservedBytes = 0;
+  while (otherReservation.resize(reservedBytes + 64 * 1024)) reservedBytes += 64 * 1024;
   EXPECT_EQ(members(), "400 no memory for the answer now\n");
-  OperatorResponse endless("200");
-  for (int i = 0; i < 100000; ++i) endless.addLine("a line that is one of many");
-  EXPECT_LT(endless.text().size(), OperatorResponse::kMaxBytes + 100);
-  EXPECT_NE(endless.text().find(" more\nEOF\n"), std::string::npos);
+  OperatorResponse oversized("200");
+  for (int i = 0; i < 100000; ++i) oversized.addLine("a line that is one of many");
+  EXPECT_LT(oversized.text().size(), OperatorResponse::kMaxBytes + 100);
+  EXPECT_NE(oversized.text().find(" more\nEOF\n"), std::string::npos);
 }
 
 class Ops : public Loopback {
  protected:
   void SetUp() override {
-    folder = ::testing::TempDir() + "wingslip-state-" + std::to_string(getpid());
-    std::filesystem::create_directory(folder);
+    stateDirectory = ::testing::TempDir() + "wingslip-state-" + std::to_string(getpid());
+    std::filesystem::create_directory(stateDirectory);
   }
-  void TearDown() override { std::filesystem::remove_all(folder); }
+  void TearDown() override { std::filesystem::remove_all(stateDirectory); }
   Config config() {
     json file = configJson(discovery.text(), json::array({entry("s-1", worker.text())}));
     file["ops"] = "127.0.0.1:0";
     Config out = parseConfig(file.dump());
-    out.stateDir = folder;
+    out.stateDir = stateDirectory;
     return out;
   }
   void open() {
-    node.emplace(io, config());
-    node->start();
+    gatekeeper.emplace(io, config());
+    gatekeeper->start();
   }
   std::string call(Gatekeeper& to, const std::string& text) {
     const auto caller = dial(to.opsAddress());
     caller->send(text);
-    until([&] { return caller->ended; }, "the end of the answer");
+    until([&] { return caller->ended; }, "the end of the response");
     return caller->got;
   }
-  std::string call(const std::string& line) { return call(*node, line + "\n"); }
-  bool shows(const std::string& figure) { return call("telemetry").find(figure + "\n") != std::string::npos; }
-  PeerPtr ask(const std::string& id, const std::string& klass = "look") {
-    Ask what;
-    what.klass = klass, what.id = id;
-    const auto client = dial(node->address());
-    client->send(what.text());
+  std::string call(const std::string& line) { return call(*gatekeeper, line + "\n"); }
+  bool telemetryHas(const std::string& figure) {
+    return call("telemetry").find(figure + "\n") != std::string::npos;
+  }
+  PeerPtr sendRequest(const std::string& id, const std::string& requestClass = "look") {
+    Ask request;
+    request.klass = requestClass, request.id = id;
+    const auto client = dial(gatekeeper->address());
+    client->send(request.text());
     return client;
   }
-  void untilSeen(const std::string& id) {
-    until([&] { return worker.count("Req-Id: " + id) == 1; }, "a request at the worker");
+  void waitForRequest(const std::string& id) {
+    until([&] { return worker.count("Req-Id: " + id) == 1; }, "the request at the worker");
   }
-  void tell(const json& instances, int generation, bool reset = true) {
+  void sendEndpointList(const json& instances, int generation, bool reset = true) {
     until([&] { return !discovery.peers.empty() && discovery.peers.back()->has("\r\n\r\n"); }, "a watch");
     const std::string line = roster(generation, reset, instances) + "\n";
     discovery.peers.back()->send("HTTP/1.1 200 OK\r\n\r\n" + line);
   }
 
-  std::string folder;
+  std::string stateDirectory;
   Listener discovery{io}, worker{io};
-  std::optional<Gatekeeper> node;
+  std::optional<Gatekeeper> gatekeeper;
 };
 
-TEST_F(Ops, AnswersOneLineAConnectionAndRejectsTheRest) {
+TEST_F(Ops, RespondsToOneCallPerConnectionAndRejectsMalformedCalls) {
   open();
-  tell(json::array({entry("s-1", worker.text())}), 2);
+  sendEndpointList(json::array({entry("s-1", worker.text())}), 2);
   until([&] { return call("readyz").substr(0, 3) == "200"; }, "ready");
-  EXPECT_EQ(call(*node, "readyz\r\n").substr(0, 3), "200");
-  for (const char* wrong : {"", "reaDyz", "readyz now", "exclude", "exclude ", "exclude s-1 s-2",
-                            "include never", "exclude never", "GET / HTTP/1.1"})
-    EXPECT_EQ(call(wrong).substr(0, 3), "400") << wrong;
-  EXPECT_EQ(call(*node, std::string(600, 'x')).substr(0, 3), "400");
-  EXPECT_TRUE(shows("svc.hosts_down:0|g"));
+  EXPECT_EQ(call(*gatekeeper, "readyz\r\n").substr(0, 3), "200");
+  for (const char* malformed : {"", "reaDyz", "readyz now", "exclude", "exclude ", "exclude s-1 s-2",
+                                "include never", "exclude never", "GET / HTTP/1.1"})
+    EXPECT_EQ(call(malformed).substr(0, 3), "400") << malformed;
+  EXPECT_EQ(call(*gatekeeper, std::string(600, 'x')).substr(0, 3), "400");
+  EXPECT_TRUE(telemetryHas("svc.hosts_down:0|g"));
 }
 
-TEST_F(Ops, SilentCallersDelayNobody) {
+TEST_F(Ops, IdleConnectionsDoNotDelayOtherCalls) {
   open();
-  std::vector<PeerPtr> silent;
+  std::vector<PeerPtr> idle;
   for (int i = 0; i < 40; ++i) {
-    silent.push_back(dial(node->opsAddress()));
-    if (i % 2) silent.back()->send("teleme");
+    idle.push_back(dial(gatekeeper->opsAddress()));
+    if (i % 2) idle.back()->send("teleme");
   }
   EXPECT_NE(call("telemetry").find("\nEOF\n"), std::string::npos);
-  EXPECT_TRUE(silent.front()->ended);  // the oldest made room
+  EXPECT_TRUE(idle.front()->ended);  // the oldest connection was closed for a new one
 }
 
-TEST_F(Ops, IsNotReadyBeforeTheListIsKnown) {
+TEST_F(Ops, IsNotReadyBeforeTheFirstEndpointList) {
   json file = configJson(discovery.text());
   file["ops"] = "127.0.0.1:0";
-  node.emplace(io, parseConfig(file.dump()));
-  node->start();
+  gatekeeper.emplace(io, parseConfig(file.dump()));
+  gatekeeper->start();
   EXPECT_EQ(call("readyz").substr(0, 3), "400");
-  tell(json::array({entry("s-1", worker.text())}), 2);
+  sendEndpointList(json::array({entry("s-1", worker.text())}), 2);
   until([&] { return call("readyz").substr(0, 3) == "200"; }, "ready");
 }
 
-TEST_F(Ops, CountsFinalAnswersAndAttemptsByClass) {
+TEST_F(Ops, TelemetryCountsFinalResponsesAndAttemptsByClass) {
   open();
-  const auto served = ask("00000000000000a1");
-  untilSeen("00000000000000a1");
-  EXPECT_TRUE(shows("svc.inflight:1|g"));
+  const auto served = sendRequest("00000000000000a1");
+  waitForRequest("00000000000000a1");
+  EXPECT_TRUE(telemetryHas("svc.inflight:1|g"));
   worker.peers.back()->send(reply("200 OK", "done"));
-  until([&] { return served->has("done"); }, "the answer");
-  const auto failed = ask("00000000000000a2", "order");
-  untilSeen("00000000000000a2");
+  until([&] { return served->has("done"); }, "the response");
+  const auto failed = sendRequest("00000000000000a2", "order");
+  waitForRequest("00000000000000a2");
   worker.peers.back()->end();
-  until([&] { return failed->has("502"); }, "the failure");
-  Ask beyond;
-  beyond.plan = "small", beyond.query = "client=0000000000000007";
-  const auto refused = dial(node->address());
-  refused->send(beyond.text());
-  until([&] { return refused->has("429"); }, "the refusal");
+  until([&] { return failed->has("502"); }, "the response to a failed request");
+  Ask overQuota;
+  overQuota.plan = "small", overQuota.query = "client=0000000000000007";
+  const auto rejected = dial(gatekeeper->address());
+  rejected->send(overQuota.text());
+  until([&] { return rejected->has("429"); }, "the rejection");
   for (const char* figure :
        {"svc.success.look:1|c", "svc.busy.look:1|c", "svc.failure.look:0|c", "svc.failure.order:1|c",
         "svc.success.edit:0|c", "svc.backend_calls:2|c", "svc.inflight:0|g", "svc.hosts_listed:1|g"})
-    EXPECT_TRUE(shows(figure)) << figure << "\n" << call("telemetry");
+    EXPECT_TRUE(telemetryHas(figure)) << figure << "\n" << call("telemetry");
 }
 
-TEST_F(Ops, AnExcludedWorkerStaysExcludedWhateverDiscoverySays) {
+TEST_F(Ops, AnExclusionIsNotChangedByEndpointLists) {
   open();
   EXPECT_EQ(call("exclude s-1").substr(0, 3), "200");
   EXPECT_EQ(call("exclude s-1").substr(0, 3), "200");
-  EXPECT_TRUE(shows("svc.hosts_down:1|g"));
-  tell(json::array({entry("s-1", worker.text(), "Gone"), entry("s-1", worker.text(), "Ready", 4e12)}), 2);
-  until([&] { return call("readyz").substr(0, 3) == "200"; }, "the list");
-  const auto refused = ask("00000000000000a1");
-  until([&] { return refused->has("429"); }, "the refusal");
+  EXPECT_TRUE(telemetryHas("svc.hosts_down:1|g"));
+  sendEndpointList(
+      json::array({entry("s-1", worker.text(), "Gone"), entry("s-1", worker.text(), "Ready", 4e12)}), 2);
+  until([&] { return call("readyz").substr(0, 3) == "200"; }, "ready with the new list");
+  const auto rejected = sendRequest("00000000000000a1");
+  until([&] { return rejected->has("429"); }, "the rejection");
   EXPECT_EQ(worker.count("Req-Id"), 0u);
   EXPECT_EQ(call("include s-1").substr(0, 3), "200");
   EXPECT_EQ(call("include s-1").substr(0, 3), "200");
-  EXPECT_TRUE(shows("svc.hosts_down:0|g"));
+  EXPECT_TRUE(telemetryHas("svc.hosts_down:0|g"));
 }
 
-// The process that an upgrade starts has the exclusion before its first request, and each of the two follows
-// what the other is told.
-TEST_F(Ops, ExclusionsOutliveAHotRestartAndBothProcessesFollow) {
+// Guards against requests to an excluded worker during an upgrade: the new process applies the persisted
+// exclusions before its first request, and each of the two processes applies the changes that operators make
+// at the other one.
+TEST_F(Ops, ExclusionsPersistAcrossAHotRestartAndAreSharedByBothProcesses) {
   open();
   EXPECT_EQ(call("exclude s-1").substr(0, 3), "200");
   Gatekeeper next(io, config());
   next.start();
   EXPECT_NE(call(next, "telemetry\n").find("svc.hosts_down:1|g"), std::string::npos);
   EXPECT_EQ(call(next, "include s-1\n").substr(0, 3), "200");
-  until([&] { return shows("svc.hosts_down:0|g"); }, "the older process follows");
+  until([&] { return telemetryHas("svc.hosts_down:0|g"); }, "the inclusion in the old process");
 }
 
-TEST_F(Ops, ADamagedExclusionsFileChangesNothing) {
-  Exclusions mine(folder);
-  EXPECT_FALSE(mine.set("s-1", true));  // no error
-  const std::string file = folder + "/burlwind-excluded.json";
+TEST_F(Ops, AMalformedExclusionsFileIsIgnored) {
+  Exclusions exclusions(stateDirectory);
+  EXPECT_FALSE(exclusions.set("s-1", true));  // no error
+  const std::string file = stateDirectory + "/burlwind-excluded.json";
   for (const char* damage : {"", "{\"excluded\":[\"s-", "[]", "{\"excluded\":[1]}"}) {
     std::ofstream(file) << damage;
-    EXPECT_FALSE(mine.sync()) << damage;
-    EXPECT_EQ(mine.ids().count("s-1"), 1u) << damage;
-    EXPECT_TRUE(Exclusions(folder).ids().empty()) << damage;
+    EXPECT_FALSE(exclusions.sync()) << damage;
+    EXPECT_EQ(exclusions.ids().count("s-1"), 1u) << damage;
+    EXPECT_TRUE(Exclusions(stateDirectory).ids().empty()) << damage;
   }
-  EXPECT_FALSE(mine.set("s-2", true));  // writes it anew
-  EXPECT_EQ(Exclusions(folder).ids().size(), 2u);
+  EXPECT_FALSE(exclusions.set("s-2", true));  // replaces the malformed file
+  EXPECT_EQ(Exclusions(stateDirectory).ids().size(), 2u);
 }
 
 TEST_F(Ops, ChangedSettingsApplyToNewRequestsOnly) {
   open();
-  const auto old = ask("00000000000000a1", "order");  // unsafe: never sent again
-  untilSeen("00000000000000a1");
+  const auto oldRequest = sendRequest("00000000000000a1", "order");  // unsafe: never retried
+  waitForRequest("00000000000000a1");
   json file = configJson(discovery.text());
   file["ops"] = "127.0.0.1:0";
   json& classes = file["settings"]["profiles"];
@@ -206,101 +211,106 @@
   classes[3]["name"] = "order-v2", classes[3]["repeat"] = "safe";
   classes.erase(2);
   classes.erase(0);
-  node->reload(parseConfig(file.dump()));
-  EXPECT_TRUE(shows("svc.reconfig_ok:1|c"));
-  EXPECT_TRUE(shows("svc.success.order-v2:0|c"));
-  const auto dropped = ask("00000000000000a2", "order");
-  until([&] { return dropped->has("HTTP/1.1 400"); }, "the dropped class is unknown");
-  Ask what;
-  what.id = "00000000000000a3";
-  std::string text = what.text();
+  gatekeeper->reload(parseConfig(file.dump()));
+  EXPECT_TRUE(telemetryHas("svc.reconfig_ok:1|c"));
+  EXPECT_TRUE(telemetryHas("svc.success.order-v2:0|c"));
+  const auto removedClassRequest = sendRequest("00000000000000a2", "order");
+  until([&] { return removedClassRequest->has("HTTP/1.1 400"); }, "the rejection of the removed class");
+  Ask request;
+  request.id = "00000000000000a3";
+  std::string text = request.text();
   text.replace(0, 9, "GET /order-v2");
-  const auto added = dial(node->address());
-  added->send(text);
-  untilSeen("00000000000000a3");
-  worker.peers.back()->end();  // safe by now: sent again
-  until([&] { return worker.count("Req-Id: 00000000000000a3") == 2; }, "another attempt");
+  const auto newClassRequest = dial(gatekeeper->address());
+  newClassRequest->send(text);
+  waitForRequest("00000000000000a3");
+  worker.peers.back()->end();  // safe in the new settings: retried
+  until([&] { return worker.count("Req-Id: 00000000000000a3") == 2; }, "a retry");
   worker.peers.back()->send(reply("200 OK", "new"));
-  until([&] { return added->has("new"); }, "the answer");
+  until([&] { return newClassRequest->has("new"); }, "the response");
   worker.peers.front()->end();
-  until([&] { return old->has("HTTP/1.1 502"); }, "the old request fails by its old class");
+  until([&] { return oldRequest->has("HTTP/1.1 502"); },
+        "the failure of the old request by the rules of its class");
   EXPECT_EQ(worker.count("Req-Id: 00000000000000a1"), 1u);
-  EXPECT_TRUE(shows("svc.failure.order:1|c"));
-  node->reloadFailed();
-  EXPECT_TRUE(shows("svc.reconfig_failed:1|c"));
+  EXPECT_TRUE(telemetryHas("svc.failure.order:1|c"));
+  gatekeeper->reloadFailed();
+  EXPECT_TRUE(telemetryHas("svc.reconfig_failed:1|c"));
 }
 
-// SIGTERM, then SIGHUP with a file that names no store any more: the end still waits for what it had begun.
-TEST_F(Ops, RemovingTheStoreDuringADrainEndsNothingEarly) {
+// Guards against a drain that is cut short by a reload (SIGTERM, then SIGHUP) with a file that no longer
+// names a store: the drain still waits for the operations at the store that it has started.
+TEST_F(Ops, RemovingTheStoreInAReloadDoesNotCutADrainShort) {
   Listener store(io);
   json file = configJson(discovery.text(), json::array({entry("s-1", worker.text())}));
   file["coordination"] = {
       {"store", store.text()}, {"prefix", "wingslip"}, {"ttl_ms", 10000}, {"lock_delay_ms", 0}};
-  node.emplace(io, parseConfig(file.dump()));
-  node->start();
-  until([&] { return store.count("\r\n\r\n") > 0; }, "a call at the store");
+  gatekeeper.emplace(io, parseConfig(file.dump()));
+  gatekeeper->start();
+  until([&] { return store.count("\r\n\r\n") > 0; }, "a request at the store");
   bool done = false;
-  node->drain([&] { done = true; });
+  gatekeeper->drain([&] { done = true; });
   file.erase("coordination");
-  node->reload(parseConfig(file.dump()));
-  EXPECT_NE(node->config().coordination, std::nullopt);
+  gatekeeper->reload(parseConfig(file.dump()));
+  EXPECT_NE(gatekeeper->config().coordination, std::nullopt);
   until([&] { return done; }, "the end of the drain");
 }
 
-TEST_F(Ops, TheHandoverIsReadBackOrMissing) {
-  EXPECT_FALSE(readHandover(folder));
-  writeHandover(folder, {1e12, 0.01, -5e11});
-  ASSERT_TRUE(readHandover(folder));
-  EXPECT_EQ(readHandover(folder)->warmRate, 0.01);
-  EXPECT_EQ(readHandover(folder)->clockOffset, -5e11);
+TEST_F(Ops, AWrittenHandoverIsReadBackAndAMalformedOneIsIgnored) {
+  EXPECT_FALSE(readHandover(stateDirectory));
+  writeHandover(stateDirectory, {1e12, 0.01, -5e11});
+  ASSERT_TRUE(readHandover(stateDirectory));
+  EXPECT_EQ(readHandover(stateDirectory)->warmRate, 0.01);
+  EXPECT_EQ(readHandover(stateDirectory)->clockOffset, -5e11);
   for (const char* damage :
        {"", "{", "[]", "{\"at\":1}", "{\"at\":1,\"warmRate\":-1,\"clockOffset\":0}",
         "{\"at\":1,\"warmRate\":\"much\",\"clockOffset\":0}", "{\"at\":1,\"warmRate\":1}"}) {
-    std::ofstream(folder + "/burlwind-handover.json") << damage;
-    EXPECT_FALSE(readHandover(folder)) << damage;
+    std::ofstream(stateDirectory + "/burlwind-handover.json") << damage;
+    EXPECT_FALSE(readHandover(stateDirectory)) << damage;
   }
 }
 
-// Two processes on one listening socket. The old one leaves it listening and unanswered connections to the
-// new one, and still hears what comes on the connections that it has.
-TEST_F(Ops, AHotRestartRejectsNobody) {
-  tcp::acceptor held(io, tcp::endpoint(asio::ip::address_v4::loopback(), 0));
-  const auto inherit = [&] {
+// Guards against clients that are rejected during a hot restart. Two processes share a listening socket: the
+// draining one does not close it, no longer accepts connections, and still serves requests on its own
+// connections.
+TEST_F(Ops, AHotRestartRejectsNoClient) {
+  tcp::acceptor platformAcceptor(io, tcp::endpoint(asio::ip::address_v4::loopback(), 0));
+  const auto inheritedConfig = [&] {
     Config out = config();
-    out.acceptFd = dup(held.native_handle());
+    out.acceptFd = dup(platformAcceptor.native_handle());
     return out;
   };
-  node.emplace(io, inherit());
-  node->start();
-  const auto dialled = [&] { return dial(held.local_endpoint()); };
-  const std::string question = "GET /health/ready HTTP/1.1\r\nHost: b\r\n\r\n";
-  const auto kept = dialled();
-  tell(json::array({entry("s-1", worker.text())}), 2);  // accepts from here on
-  kept->send(question);
-  until([&] { return kept->has("HTTP/1.1 200"); }, "the old process has the connection");
+  gatekeeper.emplace(io, inheritedConfig());
+  gatekeeper->start();
+  const auto connectClient = [&] { return dial(platformAcceptor.local_endpoint()); };
+  const std::string readinessRequest = "GET /health/ready HTTP/1.1\r\nHost: b\r\n\r\n";
+  const auto oldClient = connectClient();
+  sendEndpointList(json::array({entry("s-1", worker.text())}), 2);  // from here on it accepts connections
+  oldClient->send(readinessRequest);
+  until([&] { return oldClient->has("HTTP/1.1 200"); }, "the response of the old process");
 
-  Gatekeeper next(io, inherit());
+  Gatekeeper next(io, inheritedConfig());
   next.start();
-  until([&] { return discovery.peers.size() == 2 && discovery.peers[1]->has("\r\n\r\n"); }, "its watch");
-  tell(json::array({entry("s-1", worker.text())}), 2);
-  until([&] { return call(next, "readyz\n").substr(0, 3) == "200"; }, "its yes");
+  until([&] { return discovery.peers.size() == 2 && discovery.peers[1]->has("\r\n\r\n"); },
+        "the watch of the new process");
+  sendEndpointList(json::array({entry("s-1", worker.text())}), 2);
+  until([&] { return call(next, "readyz\n").substr(0, 3) == "200"; }, "the new process is ready");
   bool done = false;
-  node->drain([&] { done = true; });
+  gatekeeper->drain([&] { done = true; });
   EXPECT_EQ(call("readyz").substr(0, 3), "400");
-  kept->send(Ask().text());
-  untilSeen("00000000000000a1");
-  const auto late = dialled();
-  late->send(question);
-  until([&] { return late->has("HTTP/1.1 200"); }, "the new process serves");
-  EXPECT_FALSE(late->has("Connection: close"));
+  oldClient->send(Ask().text());
+  waitForRequest("00000000000000a1");
+  const auto newClient = connectClient();
+  newClient->send(readinessRequest);
+  until([&] { return newClient->has("HTTP/1.1 200"); }, "the response of the new process");
+  EXPECT_FALSE(newClient->has("Connection: close"));
   worker.peers.back()->send(reply("200 OK", "done"));
-  until([&] { return kept->has("done") && kept->ended; }, "the old process answers and ends it");
-  EXPECT_TRUE(kept->has("Connection: close\r\n"));
-  until([&] { return done; }, "the old process's end");
-  node.reset();
-  const auto after = dialled();
-  after->send(question);
-  until([&] { return after->has("HTTP/1.1 200"); }, "the socket still listens");
+  until([&] { return oldClient->has("done") && oldClient->ended; },
+        "the old process responds and closes the connection");
+  EXPECT_TRUE(oldClient->has("Connection: close\r\n"));
+  until([&] { return done; }, "the end of the drain");
+  gatekeeper.reset();
+  const auto laterClient = connectClient();
+  laterClient->send(readinessRequest);
+  until([&] { return laterClient->has("HTTP/1.1 200"); }, "a response on the shared socket");
 }
 
 }  // namespace
