--- a/src/config/config.hpp
+++ b/src/config/config.hpp
@@ -19,7 +19,7 @@
   boost::asio::ip::tcp::endpoint store;  ///< address of the store
   std::string prefix;                    ///< of all keys in the store
   double ttlMs = 10000;                  ///< time to live of this process's session, ms
-  double lockDelayMs = 1000;             ///< lock delay of this process's session, ms
+  double lockDelayMs = 1000;  ///< how long a lock stays closed after its holder's session ended, ms
   bool operator==(const Coordination&) const = default;
 };
 
--- a/src/endpoint_watch/endpoint_watch.cpp
+++ b/src/endpoint_watch/endpoint_watch.cpp
@@ -5,7 +5,7 @@
 
 using Time = EndpointWatch::Time;
 
-// Heartbeats arrive every 2 s, so that one may be 0.4 s late. The drain grace starts when an agent responds
+// Heartbeats arrive every 2 s, so one may be 0.4 s late. The drain grace starts when an agent responds
 // again after an outage, so that a longer silence timeout would use it up.
 constexpr Time kSilenceTimeoutMs = 2400;
 
--- a/src/endpoint_watch/endpoint_watch.hpp
+++ b/src/endpoint_watch/endpoint_watch.hpp
@@ -22,7 +22,7 @@
   enum class Action {
     none,
     connect,      ///< close the connection, if any, and connect
-    sendRequest,  ///< on the connection that is now established
+    sendRequest,  ///< send the request on the established connection
     close,        ///< close the connection, if any, and wait until `nextCheckAt`
   };
 
@@ -33,6 +33,7 @@
     Time maxBackoffMs = 0;     ///< the mean doubles up to this; each delay is 0.5 to 1.5 times the mean
   };
 
+  /// Timeouts and backoff of the watch.
   struct Limits {
     Time silenceTimeoutMs = 2400;          ///< longest time between messages, heartbeats included
     RetryPolicy normal{1000, 50, 250};     ///< used with an agent that serves only this gatekeeper
@@ -40,7 +41,7 @@
     Time maxRejectedIntervalMs = 6500;     ///< longest time between connects after a rejection
   };
 
-  /// Limits with which changes of the list are received within the drain grace.
+  /// The limits that let changes of the list be received within the drain grace.
   /// @param drainGraceMs how long a draining worker may still be sent requests by the settings; 0: not set
   /// @param gatekeepers number of gatekeepers that may connect to the same discovery service simultaneously
   static Limits limitsFor(Time drainGraceMs, unsigned gatekeepers);
--- a/src/gatekeeper/discovery_client.cpp
+++ b/src/gatekeeper/discovery_client.cpp
@@ -24,7 +24,8 @@
 constexpr std::size_t kParsedBytesPerByte = 8;  // memory that parsing takes per byte of the message
 constexpr auto kLogInterval = std::chrono::seconds(5);
 
-// Rounds up: a timer that expires a fraction early would be armed again for the same time without end.
+// Rounds up: a timer that expires a fraction early would find nothing due and be armed again for the same
+// time, endlessly.
 SteadyClock::time_point timePointOf(EndpointWatch::Time timeMs) {
   using std::chrono::microseconds;
   const std::chrono::duration<double, std::milli> sinceEpoch(timeMs);
@@ -215,7 +216,8 @@
     read();
   }
 
-  // Counts the bytes that remain in the buffer, an incomplete message, as waiting for their end.
+  // Registers the incomplete message that remains in the buffer with the wait queues, and counts one that
+  // exceeds the limit as rejected.
   void trackIncompleteMessage() {
     if (messages_.empty())
       incompleteMessage_.leave();
--- a/src/gatekeeper/exclusion_control.hpp
+++ b/src/gatekeeper/exclusion_control.hpp
@@ -24,7 +24,7 @@
 /// Owns the exclusions and their file. Used from the event loop's thread only.
 class ExclusionControl {
  public:
-  /// Applies a change to the worker table.
+  /// Receives the workers that a change excludes and includes.
   using OnChange = std::function<void(const ExclusionChange&)>;
 
   /// Reads the file in `stateDir`.
@@ -44,7 +44,8 @@
   /// Records that an endpoint list has named this worker: operators may exclude it. At most 8192 workers
   /// are recorded.
   void addNamed(const std::string& id);
-  /// Excludes or includes a worker for an operator, and writes the file.
+  /// Excludes or includes a worker for an operator, and writes the file. Rejects an id that is neither
+  /// excluded nor named by any list, and an exclusion beyond `Exclusions::kMaxExcluded`.
   ExclusionResult set(const std::string& id, bool excluded);
   /// Applies an exclusion or inclusion by another gatekeeper, or by this one before its restart. The next
   /// synchronization writes the file.
--- a/src/gatekeeper/exclusions.hpp
+++ b/src/gatekeeper/exclusions.hpp
@@ -9,10 +9,10 @@
 
 namespace wingslip {
 
-/// A change takes effect immediately. It counts as persisted only when the file and its directory have been
-/// flushed to disk; until then `sync` retries the write, and the change overrides the contents of the file.
-/// Both processes of a hot restart share the file. Blocks on disk I/O. Used from the event loop's thread
-/// only.
+/// The set of excluded workers and its file. A change takes effect immediately. It counts as persisted only
+/// when the file and its directory have been flushed to disk; until then `sync` retries the write, and the
+/// change overrides the contents of the file. Both processes of a hot restart share the file. Blocks on disk
+/// I/O. Used from the event loop's thread only.
 class Exclusions {
  public:
   /// The most workers that can be excluded at the same time.
--- a/src/gatekeeper/ops_server.cpp
+++ b/src/gatekeeper/ops_server.cpp
@@ -19,7 +19,7 @@
 using namespace std::chrono_literals;
 
 constexpr std::size_t kConnectionBytes = 8 * 1024;  // per connection: its line and the telemetry response
-// The part of these for the response; the memory of a longer response is charged in addition.
+// The part of `kConnectionBytes` for the response; the memory of a longer response is charged in addition.
 constexpr std::size_t kIncludedResponseBytes = 7 * 1024;
 // Delay after a failed accept, which usually means that no file descriptor is available.
 constexpr auto kAcceptPause = 50ms;
--- a/src/gatekeeper/ops_server.hpp
+++ b/src/gatekeeper/ops_server.hpp
@@ -58,6 +58,7 @@
 /// Listens for operators and responds to their calls. Used from the event loop's thread only.
 class OpsServer {
  public:
+  /// Limits of the operators' connections.
   struct Limits {
     std::size_t connections = 16;  ///< the most at the same time; beyond it the oldest is closed
     std::size_t lineBytes = 512;   ///< the longest line of a call
@@ -65,7 +66,7 @@
     std::chrono::milliseconds callTimeout{5000};
   };
 
-  /// @param calls and `overloadManager` must outlive this
+  /// @param calls carries out the calls; it and `overloadManager` must outlive this
   OpsServer(boost::asio::io_context& io, const Limits& limits, OperatorCalls& calls,
             OverloadManager& overloadManager);
   ~OpsServer();
