--- a/src/leader_election/base64.hpp
+++ b/src/leader_election/base64.hpp
@@ -1,4 +1,4 @@
-/// Base64 (RFC 4648), the form in which the store returns values.
+/// Base64 (RFC 4648) encoding and decoding: the coordination store returns values in this form.
 #pragma once
 
 #include <boost/archive/iterators/base64_from_binary.hpp>
@@ -10,6 +10,7 @@
 
 namespace wingslip::leader_election {
 
+/// Encodes with padding.
 [[nodiscard]] inline std::string toBase64(std::string_view bytes) {
   using namespace boost::archive::iterators;
   using Encode = base64_from_binary<transform_width<const char*, 6, 8>>;
@@ -17,7 +18,7 @@
   return out.append((3 - bytes.size() % 3) % 3, '=');
 }
 
-/// Nothing: not Base64.
+/// Decodes padded Base64. Returns `std::nullopt` if `text` is not valid Base64.
 [[nodiscard]] inline std::optional<std::string> fromBase64(std::string_view text) {
   using namespace boost::archive::iterators;
   using Decode = transform_width<binary_from_base64<const char*>, 8, 6>;
--- a/src/leader_election/candidacy.cpp
+++ b/src/leader_election/candidacy.cpp
@@ -8,9 +8,12 @@
 namespace {
 
 constexpr Time kNever = std::numeric_limits<Time>::infinity();
+// Lower bound of the maximum backoff between attempts to acquire the lock.
 constexpr Time kMinAcquireBackoffCapMs = 1000;
+// Session TTLs for which a leader that stepped down does not compete.
 constexpr int kCoolDownTtls = 2;
-constexpr int kMaxTtlsWithoutEffect = 2;
+// Session TTLs without a confirmed write after which a leader steps down.
+constexpr int kMaxUnconfirmedTtls = 2;
 
 }  // namespace
 
@@ -33,14 +36,14 @@
           stateSince_};
 }
 
-// --- Calls to the store ----------------------------------------------------------------------------------
+// --- Store calls -----------------------------------------------------------------------------------------
 
 void Candidacy::sendStep(Time now, Step step, StoreCall call) {
   step_ = step;
   stepCallId_ = context_.calls.send(now, std::move(call), CallPurpose::step, taskIndex_);
 }
 
-StoreCall Candidacy::readOfTask() const {
+StoreCall Candidacy::taskReadCall() const {
   StoreCall read;
   read.key = taskKey(context_.self, taskName_, "");
   read.recurse = true;
@@ -58,7 +61,7 @@
       registrationWatch_.callId = 0;
       return onRegistrationsReply(now, reply);
     case CallPurpose::step:
-      if (stepCallId_ != callId) return;  // of a step that was given up
+      if (stepCallId_ != callId) return;  // the step was abandoned
       stepCallId_ = 0;
       return onStepReply(now, reply);
     case CallPurpose::session:
@@ -74,7 +77,7 @@
     stepBackoff_.reset();
   } else {
     stepBackoff_.next(kFirstBackoffMs, context_.timing.ttlMs / 3);
-    lastError_ = "the store does not answer";
+    lastError_ = "no usable response from the coordination store";
   }
   const Time maxDelayMs = std::max(2 * kFirstBackoffMs, stepBackoff_.delayMs());
   const Time retryAt = now + std::max(kFirstBackoffMs / 2, context_.random.upTo(maxDelayMs));
@@ -99,12 +102,12 @@
   }
 }
 
-// --- The lock as last read -------------------------------------------------------------------------------
+// --- Watching the lock -----------------------------------------------------------------------------------
 
 void Candidacy::watchLockIfDue(Time now) {
   if (lockWatch_.callId != 0 || now < lockWatch_.dueAt) return;
   if (context_.draining && state_ == State::coolingDown) return;
-  StoreCall read = readOfTask();
+  StoreCall read = taskReadCall();
   read.index = lockWatch_.index;
   lockWatch_.callId = context_.calls.send(now, std::move(read), CallPurpose::lockWatch, taskIndex_);
 }
@@ -112,70 +115,72 @@
 void Candidacy::onLockWatchReply(Time now, const StoreReply& reply, Time sentAt) {
   const Timing& timing = context_.timing;
   if (!reply.answered || reply.index == 0) {
-    const Time maxBackoffMs = std::max(timing.ttlMs, 2 * timing.spreadMs());
+    const Time maxBackoffMs = std::max(timing.ttlMs, 2 * timing.maxJitterMs());
     const Time backoffMs = lockWatch_.backoff.next(kFirstBackoffMs, maxBackoffMs);
     lockWatch_.dueAt = now + std::max(kFirstBackoffMs, context_.random.upTo(backoffMs));
     lockWatch_.index = 0;
-    lastError_ = "the store does not answer";
+    lastError_ = "no usable response from the coordination store";
     return;
   }
   lockWatch_.backoff.reset();
   lockWatch_.dueAt = now;
-  if (reply.index < lockWatch_.index) context_.onStoreRollback(now, taskName_ + ": its index fell");
+  if (reply.index < lockWatch_.index)
+    context_.onStoreRollback(now, taskName_ + ": the index of its keys decreased");
   lockWatch_.index = reply.index;
-  const StoreEntry* lock = lockIn(reply);
+  const StoreEntry* lock = findLock(reply);
   lockWatch_.lockSession = lock ? lock->session : "";
   lockHolder_ = lock && !lock->session.empty() ? lock->value : "";
-  acceptRecord(now, recordIn(reply));
-  followLock(now, sentAt);
+  acceptRecord(now, parseRecord(reply));
+  onLockRead(now, sentAt);
 }
 
-void Candidacy::followLock(Time now, Time readSentAt) {
-  const bool isOurs = context_.session.isLive() && lockWatch_.lockSession == context_.session.id();
+void Candidacy::onLockRead(Time now, Time readSentAt) {
+  const bool ownsLock = context_.session.isLive() && lockWatch_.lockSession == context_.session.id();
   const bool isFree = lockWatch_.lockSession.empty();
   switch (state_) {
     case State::standby:
     case State::coolingDown:
     case State::leaseUncertain:
-      return considerLock(now);
+      return enterStateForLock(now);
     case State::waiting:
-      if (isOurs || !isFree) considerLock(now);
+      if (ownsLock || !isFree) enterStateForLock(now);
       return;
-    case State::provingToken:
+    case State::claimingToken:
     case State::leading:
-      if (isOurs) return;
-      // A read from before the lock was ours says nothing about now.
-      if (isFree && readSentAt < lockOursSince_)
+      if (ownsLock) return;
+      // A read sent before the lock was acquired may report it as free: read again without blocking.
+      if (isFree && readSentAt < lockAcquiredAt_)
         lockWatch_.index = 0;
       else
-        loseLock(now, "the lock is another's");
+        loseLock(now, "lock lost: it is free or owned by another session");
       return;
-    case State::acquiring:  // the reply to the attempt says more
+    case State::acquiring:  // the reply to the acquire call decides
     case State::releasing:
       return;
   }
 }
 
-// From standby, waiting, leaseUncertain or coolingDown.
-void Candidacy::considerLock(Time now) {
+// Enters the state that follows from the lock as last read. Called in standby, waiting, leaseUncertain and
+// coolingDown.
+void Candidacy::enterStateForLock(Time now) {
   if (state_ == State::coolingDown && now < dueAt_) return;
   if (context_.draining || !context_.session.isLive() || lockWatch_.index == 0) {
     if (!context_.draining && state_ != State::standby) setState(now, State::standby);
     return;
   }
   if (lockWatch_.lockSession == context_.session.id()) {
-    setState(now, State::provingToken);
-    lockOursSince_ = now;
+    setState(now, State::claimingToken);
+    lockAcquiredAt_ = now;
     dueAt_ = now;
   } else if (lockWatch_.lockSession.empty()) {
     acquireBackoff_.reset();
-    waitBeforeAcquiring(now, context_.timing.spreadMs());
+    waitBeforeAcquiring(now, context_.timing.maxJitterMs());
   } else if (state_ != State::standby) {
     setState(now, State::standby);
   }
 }
 
-void Candidacy::readLockAnew(Time now) {
+void Candidacy::rereadLock(Time now) {
   context_.calls.cancel(std::exchange(lockWatch_.callId, 0));
   lockWatch_.index = 0;
   lockWatch_.dueAt = now;
@@ -190,7 +195,7 @@
 
 void Candidacy::acquireLock(Time now) {
   if (!context_.session.isLeaseValid(now)) {
-    dueAt_ = now + kFirstBackoffMs + context_.random.upTo(context_.timing.spreadMs());
+    dueAt_ = now + kFirstBackoffMs + context_.random.upTo(context_.timing.maxJitterMs());
     return;
   }
   setState(now, State::acquiring);
@@ -203,16 +208,16 @@
 }
 
 void Candidacy::onAcquireReply(Time now, const StoreReply& reply) {
-  if (state_ == State::releasing) return releaseLock(now);  // it may be ours
+  if (state_ == State::releasing) return releaseLock(now);  // the acquire may have succeeded
   if (state_ != State::acquiring) return;
   if (!reply.answered || !reply.succeeded) {
-    if (!reply.answered) readLockAnew(now);  // it may be ours
+    if (!reply.answered) rereadLock(now);  // the acquire may have succeeded
     const Timing& timing = context_.timing;
-    const Time maxBackoffMs = std::max({timing.spreadMs(), timing.lockDelayMs, kMinAcquireBackoffCapMs});
-    return waitBeforeAcquiring(now, acquireBackoff_.next(timing.spreadMs(), maxBackoffMs));
+    const Time maxBackoffMs = std::max({timing.maxJitterMs(), timing.lockDelayMs, kMinAcquireBackoffCapMs});
+    return waitBeforeAcquiring(now, acquireBackoff_.next(timing.maxJitterMs(), maxBackoffMs));
   }
-  setState(now, State::provingToken);
-  lockOursSince_ = now;
+  setState(now, State::claimingToken);
+  lockAcquiredAt_ = now;
   dueAt_ = now;
 }
 
@@ -227,65 +232,66 @@
 
 void Candidacy::coolDown(Time now) {
   setState(now, State::coolingDown);
-  readLockAnew(now);
-  dueAt_ = competesAgain_ ? now + kCoolDownTtls * context_.timing.ttlMs : kNever;
+  rereadLock(now);
+  dueAt_ = rejoinsAfterCoolDown_ ? now + kCoolDownTtls * context_.timing.ttlMs : kNever;
 }
 
 void Candidacy::stepDown(Time now, const std::string& reason) {
   if (state_ != State::leading) return;
   ++context_.counts.steppedDown;
   lastError_ = reason;
-  competesAgain_ = true;
-  stopActs(now, State::releasing);
+  rejoinsAfterCoolDown_ = true;
+  endLeadership(now, State::releasing);
   if (step_ != Step::write) releaseLock(now);
 }
 
 void Candidacy::drain(Time now) {
-  competesAgain_ = false;
+  rejoinsAfterCoolDown_ = false;
   if (state_ == State::releasing) return;
-  const bool mayHoldLock = state_ == State::acquiring || state_ == State::provingToken ||
+  const bool mayHoldLock = state_ == State::acquiring || state_ == State::claimingToken ||
                            state_ == State::leading || state_ == State::leaseUncertain;
   if (!mayHoldLock) {
     setState(now, State::coolingDown);
     dueAt_ = kNever;
     return;
   }
-  // The lock goes back once a call that may still take or use it has ended. A claim under way needs no wait:
-  // it is a compare-and-set, which fails once another leader has claimed.
-  const Step stepUnderWay = step_;
-  const std::uint64_t stepCallId = stepCallId_;
-  stopActs(now, State::releasing);
-  if (stepUnderWay == Step::acquireLock || stepUnderWay == Step::write) {
-    step_ = stepUnderWay;
-    stepCallId_ = stepCallId;
+  // An acquire or a write in flight must finish before the lock is released, since it may still acquire or
+  // rely on the lock. A claim in flight need not: it is a compare-and-set, which fails once another leader
+  // has claimed a token.
+  const Step inFlightStep = step_;
+  const std::uint64_t inFlightCallId = stepCallId_;
+  endLeadership(now, State::releasing);
+  if (inFlightStep == Step::acquireLock || inFlightStep == Step::write) {
+    step_ = inFlightStep;
+    stepCallId_ = inFlightCallId;
   } else {
     releaseLock(now);
   }
 }
 
-// --- The session -----------------------------------------------------------------------------------------
+// --- Session events --------------------------------------------------------------------------------------
 
 void Candidacy::onSessionCreatedOrRenewed(Time now) {
-  if (state_ == State::standby || state_ == State::leaseUncertain) considerLock(now);
+  if (state_ == State::standby || state_ == State::leaseUncertain) enterStateForLock(now);
 }
 
 void Candidacy::onSessionLost(Time now) {
   if (state_ == State::releasing)
     coolDown(now);
   else if (state_ != State::standby && state_ != State::coolingDown)
-    loseLock(now, "the session ended");
+    loseLock(now, "session ended at the coordination store");
 }
 
-// --- Time ------------------------------------------------------------------------------------------------
+// --- Timers ----------------------------------------------------------------------------------------------
 
 void Candidacy::runDue(Time now) {
   watchLockIfDue(now);
-  if ((state_ == State::leading || state_ == State::provingToken) && !context_.session.isLeaseValid(now))
+  if ((state_ == State::leading || state_ == State::claimingToken) && !context_.session.isLeaseValid(now))
     expireLease(now);
   if (state_ == State::leading && write_.isPending &&
-      now >= write_.withoutEffectSince + kMaxTtlsWithoutEffect * context_.timing.ttlMs)
-    stepDown(now, "nothing that it writes takes effect");
-  if (state_ == State::coolingDown && now >= dueAt_) considerLock(now);
+      now >= write_.unconfirmedSince + kMaxUnconfirmedTtls * context_.timing.ttlMs)
+    stepDown(now, "no write of the record was confirmed for two session TTLs");
+  if (state_ == State::coolingDown && now >= dueAt_) enterStateForLock(now);
   watchRegistrationsIfDue(now);
   startStepIfDue(now);
 }
@@ -294,10 +300,10 @@
   if (stepCallId_ != 0 || now < dueAt_) return;
   if (state_ == State::waiting)
     acquireLock(now);
-  else if (state_ == State::provingToken)
-    sendStep(now, Step::readRegistrations, readOfRegistrations());
+  else if (state_ == State::claimingToken)
+    sendStep(now, Step::readRegistrations, registrationsReadCall());
   else if (state_ == State::leading && write_.isPending)
-    sendStep(now, Step::readBeforeWrite, readOfTask());
+    sendStep(now, Step::readBeforeWrite, taskReadCall());
 }
 
 Time Candidacy::nextDueAt() const {
@@ -305,11 +311,11 @@
   const auto orAt = [&](Time other) { at = std::min(at, other); };
   const bool isLeading = state_ == State::leading;
   if (lockWatch_.callId == 0 && !(context_.draining && state_ == State::coolingDown)) orAt(lockWatch_.dueAt);
-  if (isLeading || state_ == State::provingToken) orAt(context_.session.leaseEndsAt());
+  if (isLeading || state_ == State::claimingToken) orAt(context_.session.leaseEndsAt());
   if (state_ == State::coolingDown) orAt(dueAt_);
   if (isLeading && registrationWatch_.callId == 0) orAt(registrationWatch_.dueAt);
   const bool hasNextStep =
-      state_ == State::waiting || state_ == State::provingToken || (isLeading && write_.isPending);
+      state_ == State::waiting || state_ == State::claimingToken || (isLeading && write_.isPending);
   if (stepCallId_ == 0 && hasNextStep) orAt(dueAt_);
   return at;
 }
--- a/src/leader_election/candidacy.hpp
+++ b/src/leader_election/candidacy.hpp
@@ -1,34 +1,36 @@
-/// This process's candidacy for one task: the state machine from standby to leader and back.
+/// This process's candidacy for one leader task: the state machine from standby to leader and back.
 ///
-/// | from           | event                                                     | to             |
-/// | -------------- | --------------------------------------------------------- | -------------- |
-/// | standby        | the lock is free                                          | waiting        |
-/// | standby        | the lock is held by our session                           | provingToken   |
-/// | waiting        | the random wait is over and the lease is valid            | acquiring      |
-/// | waiting        | the lock is held by another                               | standby        |
-/// | waiting        | the lock is held by our session                           | provingToken   |
-/// | acquiring      | acquired                                                  | provingToken   |
-/// | acquiring      | refused, or no answer                                     | waiting        |
-/// | provingToken   | our token is written to the record, or is found there     | leading        |
-/// | provingToken   | the lease ends                                            | leaseUncertain |
-/// | provingToken   | the claim is refused, or no answer                        | provingToken   |
-/// | provingToken   | the lock is held by another                               | standby        |
-/// | leading        | the lease ends                                            | leaseUncertain |
-/// | leading        | lock or record belongs to another                         | standby        |
-/// | leading        | a registration has seen a higher token                    | provingToken   |
-/// | leading        | `stepDown`, or no write took effect for two TTLs          | releasing      |
-/// | leaseUncertain | new session, or a reply on the lock                       | as standby     |
-/// | releasing      | the lock is given back, no answer, or the session ended   | coolingDown    |
-/// | coolingDown    | two TTLs after stepping down                              | as standby     |
+/// | from           | event                                                        | to             |
+/// | -------------- | ------------------------------------------------------------ | -------------- |
+/// | standby        | the lock is free                                             | waiting        |
+/// | standby        | this process's session owns the lock                         | claimingToken  |
+/// | waiting        | the random delay has elapsed and the lease is valid          | acquiring      |
+/// | waiting        | another session owns the lock                                | standby        |
+/// | waiting        | this process's session owns the lock                         | claimingToken  |
+/// | acquiring      | the lock was acquired                                        | claimingToken  |
+/// | acquiring      | the store refused the lock or did not answer                 | waiting        |
+/// | claimingToken  | the record was written, or is read, with the claimed token   | leading        |
+/// | claimingToken  | the lease expires                                            | leaseUncertain |
+/// | claimingToken  | the claim was refused or not answered                        | claimingToken  |
+/// | claimingToken  | another session owns the lock                                | standby        |
+/// | leading        | the lease expires                                            | leaseUncertain |
+/// | leading        | the lock or the record belongs to another process            | standby        |
+/// | leading        | a registration reports a higher token                        | claimingToken  |
+/// | leading        | `stepDown`, or no write was confirmed for two TTLs           | releasing      |
+/// | leaseUncertain | a new session, or a read of the lock                         | as standby     |
+/// | releasing      | the release was answered or timed out, or the session ended  | coolingDown    |
+/// | coolingDown    | two TTLs after stepping down                                 | as standby     |
 ///
 /// From every state:
-///  - The session ended: standby, but releasing goes to coolingDown, and coolingDown stays.
-///  - `drain`: releasing where the lock may be ours (acquiring, provingToken, leading, leaseUncertain), else
-///    coolingDown. While draining, coolingDown has no end, and a lost lock leads there, not to standby.
-/// "as standby": the transitions of standby follow at once.
+///  - If the session ends, the next state is standby; releasing goes to coolingDown, and coolingDown does not
+///    change.
+///  - `drain` leads to releasing from the states in which this process may own the lock (acquiring,
+///    claimingToken, leading, leaseUncertain), else to coolingDown. While draining, coolingDown never ends,
+///    and losing the lock leads to coolingDown instead of standby.
+/// "as standby": the transitions of standby apply immediately.
 ///
-/// Implemented in `candidacy.cpp`: the lock and the way to it. In `leadership.cpp`: what a process does once
-/// it holds the lock, which is to claim a token, write the record and look at the registrations.
+/// `candidacy.cpp` implements the lock: watching, acquiring and releasing it. `leadership.cpp` implements the
+/// part that needs the lock: claiming a token, writing the record and watching the registrations.
 #pragma once
 
 #include <cstddef>
@@ -41,26 +43,32 @@
 
 namespace wingslip::leader_election {
 
-/// Owned by `LeaderElection`; single-threaded as that is. `LeaderTask` may call back from within any event.
+/// Owned by `LeaderElection` and used on its thread. The context and the task must outlive it. The
+/// `LeaderTask` may call back into the election from within any event.
 class Candidacy {
  public:
   Candidacy(ElectionContext& context, std::size_t taskIndex, std::string taskName, LeaderTask& task);
 
-  /// `watchAt`: when the lock is read for the first time.
+  /// Schedules the first read of the lock at `watchAt`.
   void start(Time now, Time watchAt);
+  /// Handles the reply to a call of this candidacy; ignores replies to calls that it has abandoned.
   void onReply(Time now, std::uint64_t callId, const PendingCall& call, const StoreReply& reply);
   void onSessionCreatedOrRenewed(Time now);
   void onSessionLost(Time now);
+  /// Runs all actions that are due, including lease expiry.
   void runDue(Time now);
-  /// Infinity: never by time alone.
+  /// Returns when `runDue` must be called next; infinity if nothing is scheduled.
   [[nodiscard]] Time nextDueAt() const;
 
-  /// Whether an act of the task may be made at this moment.
+  /// Returns whether this process leads the task and its lease is valid at `now`.
   [[nodiscard]] bool mayAct(Time now) const;
-  /// The latest data wins where a write is under way. False: this process does not lead.
+  /// Schedules a write of the task's record; while one is in flight, only the latest data is written after
+  /// it. Returns false if this process does not lead the task.
   bool writeRecord(Time now, const std::string& data);
-  /// Gives the leadership up and does not compete for two TTLs.
+  /// Releases the leadership and does not compete for two TTLs. `reason` becomes the task's last error.
+  /// Has no effect unless this process leads.
   void stepDown(Time now, const std::string& reason);
+  /// Releases the lock if this process may own it, and does not compete again.
   void drain(Time now);
 
   [[nodiscard]] const std::string& taskName() const { return taskName_; }
@@ -69,7 +77,7 @@
   [[nodiscard]] TaskStatus status() const;
 
  private:
-  /// What the step under way at the store does. One step is under way at a time.
+  /// Kind of the store call in flight that advances the state machine. At most one is in flight.
   enum class Step {
     none,
     acquireLock,
@@ -81,19 +89,21 @@
     releaseLock
   };
 
-  /// The task's lock and record as last read; a blocking read keeps them current.
+  /// The blocking read that watches the task's lock and record, and the lock as last read.
   struct LockWatch {
     std::uint64_t callId = 0;
-    std::uint64_t index = 0;  // 0: the lock has to be read anew
+    std::uint64_t index = 0;  // of the last read; 0: the lock must be read again without blocking
     Time dueAt = 0;
     Backoff backoff;
-    std::string lockSession;  // empty: the lock is free
+    std::string lockSession;  // session that owns the lock; empty: the lock is free
   };
+  /// The task's write of the record that has not been sent yet.
   struct RecordWrite {
     bool isPending = false;
     std::string data;
-    Time withoutEffectSince = 0;  // the first of the writes that have not taken effect
+    Time unconfirmedSince = 0;  // time of the oldest write that the store has not confirmed
   };
+  /// The leader's blocking read of all registrations.
   struct RegistrationWatch {
     std::uint64_t callId = 0;
     std::uint64_t index = 0;
@@ -102,18 +112,18 @@
 
   void setState(Time now, State state);
   void sendStep(Time now, Step step, StoreCall call);
-  [[nodiscard]] StoreCall readOfTask() const;
-  [[nodiscard]] StoreCall readOfRegistrations() const;
-  [[nodiscard]] const StoreEntry* lockIn(const StoreReply& reply) const;
-  [[nodiscard]] LeaderRecord recordIn(const StoreReply& reply);
-  [[nodiscard]] std::vector<Registration> registrationsIn(const StoreReply& reply);
+  [[nodiscard]] StoreCall taskReadCall() const;
+  [[nodiscard]] StoreCall registrationsReadCall() const;
+  [[nodiscard]] const StoreEntry* findLock(const StoreReply& reply) const;
+  [[nodiscard]] LeaderRecord parseRecord(const StoreReply& reply);
+  [[nodiscard]] std::vector<Registration> parseRegistrations(const StoreReply& reply);
 
-  // candidacy.cpp: the lock.
+  // Implemented in candidacy.cpp: the lock.
   void watchLockIfDue(Time now);
   void onLockWatchReply(Time now, const StoreReply& reply, Time sentAt);
-  void followLock(Time now, Time readSentAt);
-  void considerLock(Time now);
-  void readLockAnew(Time now);
+  void onLockRead(Time now, Time readSentAt);
+  void enterStateForLock(Time now);
+  void rereadLock(Time now);
   void waitBeforeAcquiring(Time now, Time maxMs);
   void acquireLock(Time now);
   void onAcquireReply(Time now, const StoreReply& reply);
@@ -122,17 +132,17 @@
   void startStepIfDue(Time now);
   void onStepReply(Time now, const StoreReply& reply);
 
-  // leadership.cpp: the token, the record, the registrations.
+  // Implemented in leadership.cpp: the token, the record and the registrations.
   void onRegistrationsBeforeClaim(Time now, const StoreReply& reply, Time retryAt);
   void onRecordBeforeClaim(Time now, const StoreReply& reply, Time retryAt);
   void claimToken(Time now, const LeaderRecord& record);
   void onClaimReply(Time now, const StoreReply& reply, Time retryAt);
   void becomeLeader(Time now);
-  void stopActs(Time now, State next);
+  void endLeadership(Time now, State next);
   void loseLock(Time now, const std::string& reason);
   void expireLease(Time now);
   void acceptRecord(Time now, const LeaderRecord& record);
-  void refuseStaleRecord(Time now, const LeaderRecord& record);
+  void rejectStaleRecord(Time now, const LeaderRecord& record);
   void onRecordBeforeWrite(Time now, const StoreReply& reply, Time retryAt);
   void onWriteReply(Time now, const StoreReply& reply, Time retryAt);
   void watchRegistrationsIfDue(Time now);
@@ -145,14 +155,15 @@
 
   State state_ = State::standby;
   Time stateSince_ = 0;
-  Time dueAt_ = 0;  // of the next step, or of the end of coolingDown
+  Time dueAt_ = 0;  // time of the next step, or of the end of coolingDown
   std::string lockHolder_;
   std::string lastError_;
 
   LockWatch lockWatch_;
-  Time lockOursSince_ = 0;
+  Time lockAcquiredAt_ = 0;
   Backoff acquireBackoff_;
-  bool competesAgain_ = false;  // after coolingDown; else it is for good
+  bool rejoinsAfterCoolDown_ =
+      false;  // whether this process competes again after coolingDown; false while draining
 
   Step step_ = Step::none;
   std::uint64_t stepCallId_ = 0;
@@ -161,9 +172,9 @@
   FencingToken token_ = 0;
   FencingToken highestSeenToken_ = 0;
   FencingToken claimedToken_ = 0;
-  FencingToken highestRegisteredToken_ = 0;  // that any registration says its process has seen
-  std::string recordData_;                   // as last read, or as being written
-  std::string refusedRecord_;                // the one last refused as stale, so that it is reported once
+  FencingToken highestRegisteredToken_ = 0;  // highest token reported by any registration
+  std::string recordData_;                   // as last read or sent for writing
+  std::string lastRejectedRecord_;  // leader and token of the last stale record, so that it is logged once
   bool recordLossReported_ = false;
   RecordWrite write_;
   RegistrationWatch registrationWatch_;
--- a/src/leader_election/coordinator.cpp
+++ b/src/leader_election/coordinator.cpp
@@ -14,24 +14,27 @@
 
 namespace asio = boost::asio;
 
-constexpr const char* kMembershipTask = "roster";  // in the store's keys
+constexpr const char* kMembershipTask = "roster";  // part of the keys at the coordination store
+// `leave` completes this long after the call that ends the session was sent, without waiting for its reply.
 constexpr auto kEndSessionTimeout = std::chrono::milliseconds(100);
-// For the leader to read that this process drains before its registration goes.
+// The registration stays visible as draining for at least this long after `drain`, so that the leader reads
+// it before it is deleted with the session.
 constexpr Time kDrainingVisibleMs = 300;
-constexpr const char* kNothing = "-";
+constexpr const char* kEmptyFieldPlaceholder = "-";
 
 ProcessIdentity identityOf(const Coordination& settings, const std::string& name) {
   const auto unixNow =
       std::chrono::duration_cast<std::chrono::seconds>(std::chrono::system_clock::now().time_since_epoch());
   char instance[20];
-  std::random_device systemRandom;  // not from the seed, which both processes of an upgrade share
+  // Not derived from the configured seed, which both processes of an upgrade share.
+  std::random_device systemRandom;
   std::snprintf(instance, sizeof instance, "%08x%08x", systemRandom(), systemRandom());
   return {settings.prefix, name, instance, WINGSLIP_GATEKEEPER_BUILD, unixNow.count()};
 }
 
-const std::string& orNothing(const std::string& text) {
-  static const std::string nothing = kNothing;
-  return text.empty() ? nothing : text;
+const std::string& orPlaceholder(const std::string& text) {
+  static const std::string placeholder = kEmptyFieldPlaceholder;
+  return text.empty() ? placeholder : text;
 }
 
 }  // namespace
@@ -43,7 +46,8 @@
       membership_(election_, kMembershipTask, settings.ttlMs),
       storeClient_(io, settings.store, overloadManager,
                    [this](std::uint64_t callId, const StoreReply& reply, const std::string& error) {
-                     if (!error.empty() && error != lastStoreError_) logEvent("store: " + error);
+                     if (!error.empty() && error != lastStoreError_)
+                       logEvent("call to the coordination store failed: " + error);
                      lastStoreError_ = error;
                      election_.onReply(now(), callId, reply);
                      runDue();
@@ -70,15 +74,15 @@
 }
 
 void Coordinator::leave(Time maxWaitMs, std::function<void()> done) {
-  if (onLeft_) return;
-  onLeft_ = std::move(done);
-  leaveBy_ = now() + maxWaitMs;
+  if (onLeaveDone_) return;
+  onLeaveDone_ = std::move(done);
+  leaveDeadline_ = now() + maxWaitMs;
   runDue();
 }
 
 bool Coordinator::isReadyToLeave() const {
-  if (!onLeft_ || isEnding_) return false;
-  return now() >= leaveBy_ || (election_.isDrained() && now() >= drainedAt_ + kDrainingVisibleMs);
+  if (!onLeaveDone_ || isEndingSession_) return false;
+  return now() >= leaveDeadline_ || (election_.isDrained() && now() >= drainedAt_ + kDrainingVisibleMs);
 }
 
 void Coordinator::runDue() {
@@ -89,18 +93,19 @@
 }
 
 void Coordinator::endSession() {
-  isEnding_ = true;
+  isEndingSession_ = true;
   election_.endSession(now());
   leaveTimer_.expires_after(kEndSessionTimeout);
   leaveTimer_.async_wait([this](const boost::system::error_code& error) {
-    if (!error) onLeft_();
+    if (!error) onLeaveDone_();
   });
 }
 
 Time Coordinator::nextDueAt() const {
   const Time at = std::min(election_.nextDueAt(), membership_.nextDueAt());
-  if (!onLeft_ || isEnding_) return at;
-  const Time leaveAt = election_.isDrained() ? std::min(leaveBy_, drainedAt_ + kDrainingVisibleMs) : leaveBy_;
+  if (!onLeaveDone_ || isEndingSession_) return at;
+  const Time leaveAt =
+      election_.isDrained() ? std::min(leaveDeadline_, drainedAt_ + kDrainingVisibleMs) : leaveDeadline_;
   return std::min(at, leaveAt);
 }
 
@@ -117,7 +122,7 @@
   });
 }
 
-// --- Operators -------------------------------------------------------------------------------------------
+// --- Operators' calls and metrics ------------------------------------------------------------------------
 
 std::string Coordinator::telemetry() const {
   std::string out;
@@ -128,21 +133,22 @@
   const std::vector<TaskStatus> status = election_.status();
   const auto isLeading = [](const TaskStatus& task) { return task.state == State::leading; };
   add("held", static_cast<std::uint64_t>(std::count_if(status.begin(), status.end(), isLeading)), "g");
-  add("acquired", counts.acquired, "c");
-  add("lost", counts.lost, "c");
+  add("acquired", counts.leadershipsAcquired, "c");
+  add("lost", counts.locksLost, "c");
   add("lapsed", counts.leasesExpired, "c");
   add("given_up", counts.steppedDown, "c");
   add("acts", counts.recordsWritten, "c");
-  add("refused_by_fence", counts.refusedByFence, "c");
+  add("refused_by_fence", counts.fenceRejections, "c");
   add("renewals_failed", counts.renewalsFailed, "c");
   add("calls_failed", counts.callsFailed, "c");
   add("sessions_lost", counts.sessionsLost, "c");
   add("store_went_back", counts.storeRollbacks, "c");
   add("stale_records", counts.staleRecords, "c");
-  add("malformed", counts.malformed + membership_.unreadableRecords(), "c");
+  add("malformed", counts.malformedEntries + membership_.unreadableRecords(), "c");
   auto members = membership_.record().counts();
-  for (const auto state : {MemberState::here, MemberState::draining, MemberState::left, MemberState::missing})
-    add(std::string("roster_") + operatorsNameOf(state), members[state], "g");
+  for (const auto state :
+       {MemberState::present, MemberState::draining, MemberState::departed, MemberState::missing})
+    add(std::string("roster_") + stateName(state), members[state], "g");
   return out;
 }
 
@@ -150,10 +156,10 @@
   const std::vector<TaskStatus> all = election_.status();
   std::string out = "200 " + std::to_string(all.size()) + " duties\n";
   for (const TaskStatus& status : all) {
-    const auto sinceS = static_cast<long>((now() - status.sinceAt) / 1000);
-    out += status.task + " state=" + operatorsNameOf(status.state) +
-           " holder=" + orNothing(status.leaderName) + " token=" + std::to_string(status.token) +
-           " since_s=" + std::to_string(sinceS) + " last_error=" + orNothing(status.lastError) + "\n";
+    const auto sinceS = static_cast<long>((now() - status.stateSince) / 1000);
+    out += status.task + " state=" + stateName(status.state) + " holder=" + orPlaceholder(status.leaderName) +
+           " token=" + std::to_string(status.token) + " since_s=" + std::to_string(sinceS) +
+           " last_error=" + orPlaceholder(status.lastError) + "\n";
   }
   return out + "EOF\n";
 }
@@ -163,15 +169,15 @@
   auto counts = record.counts();
   std::string firstLine =
       "200 version=" + std::to_string(record.version()) + " token=" + std::to_string(membership_.token());
-  constexpr MemberState kOrder[] = {MemberState::missing, MemberState::draining, MemberState::left,
-                                    MemberState::here};
+  constexpr MemberState kOrder[] = {MemberState::missing, MemberState::draining, MemberState::departed,
+                                    MemberState::present};
   for (const MemberState state : kOrder)
-    firstLine += std::string(" ") + operatorsNameOf(state) + "=" + std::to_string(counts[state]);
+    firstLine += std::string(" ") + stateName(state) + "=" + std::to_string(counts[state]);
   OperatorResponse out(firstLine);
   for (const MemberState state : kOrder)
     for (const auto& [name, member] : record.members())
       if (member.state == state)
-        out.addLine(name + " " + operatorsNameOf(state) + " processes=" + std::to_string(member.processes) +
+        out.addLine(name + " " + stateName(state) + " processes=" + std::to_string(member.processes) +
                     " build=" + member.build + " started=" + std::to_string(member.startedUnixS) +
                     " since_version=" + std::to_string(member.sinceVersion));
   return out.text();
--- a/src/leader_election/coordinator.hpp
+++ b/src/leader_election/coordinator.hpp
@@ -1,5 +1,6 @@
-/// Runs the leader election in the program: the state machine, the store's client and one timer on the loop,
-/// and the answers to operators. Made only where the configuration names a store.
+/// Runs the leader election in the gatekeeper process: connects the state machine to the coordination store's
+/// client and to a timer of the event loop, and answers operators' calls. Created only if the configuration
+/// names a coordination store.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -17,26 +18,27 @@
 
 namespace wingslip::leader_election {
 
-/// Used on the loop's thread. The loop and the overload manager must outlive it.
+/// Used on the event loop's thread. The event loop and the overload manager must outlive it.
 class Coordinator : private ElectionHost {
  public:
-  /// `candidates`: how many gatekeepers there are, as the settings say.
+  /// `candidates`: number of gatekeepers in the fleet according to the settings.
   Coordinator(boost::asio::io_context& io, const Coordination& settings, const std::string& name,
               unsigned candidates, std::uint64_t seed, OverloadManager& overloadManager);
 
   void start();
-  /// SIGTERM, or another store from now on: acts stop, locks go back.
+  /// Stops acting as leader and releases the locks. Called on SIGTERM and when the configuration changes to
+  /// another store.
   void drain();
-  /// After `drain`: ends the session once locks are given back, or after `maxWaitMs`; `done` follows 100 ms
-  /// later.
+  /// Called after `drain`. Ends the session once the locks are released, or after `maxWaitMs` at the latest;
+  /// `done` is called 100 ms later. Further calls have no effect.
   void leave(Time maxWaitMs, std::function<void()> done);
 
-  /// Lines `svc.duty.NAME:VALUE|c` and `|g`.
+  /// Returns the metrics as lines `svc.duty.NAME:VALUE|c` (counters) and `|g` (gauges).
   [[nodiscard]] std::string telemetry() const;
-  /// The answer to the operators' call `duties`: a line `200 ...`, then one a task, then EOF.
+  /// Returns the response to the operators' call `duties`: a line `200 ...`, one line per task, and `EOF`.
   [[nodiscard]] std::string dutiesAnswer() const;
-  /// The answer to the operators' call `roster`: one line a member, those that are not there first, 6 KiB at
-  /// most.
+  /// Returns the response to the operators' call `roster`: one line per member, missing, draining and
+  /// departed members first; at most 6 KiB.
   [[nodiscard]] std::string rosterAnswer() const;
 
  private:
@@ -47,7 +49,7 @@
   [[nodiscard]] Time now() const;
   [[nodiscard]] bool isReadyToLeave() const;
   [[nodiscard]] Time nextDueAt() const;
-  /// After every event: does what is due and sets the timer for what is next.
+  /// Runs all actions that are due and arms the timer for the next one. Called after every event.
   void runDue();
   void endSession();
   void armTimer();
@@ -58,10 +60,10 @@
   boost::asio::steady_timer timer_;
   boost::asio::steady_timer leaveTimer_;
   std::string lastStoreError_;
-  std::function<void()> onLeft_;
-  Time leaveBy_ = 0;
+  std::function<void()> onLeaveDone_;
+  Time leaveDeadline_ = 0;
   Time drainedAt_ = 0;
-  bool isEnding_ = false;
+  bool isEndingSession_ = false;
   RateLimitedLog log_{"duty"};
 };
 
--- a/src/leader_election/election_context.cpp
+++ b/src/leader_election/election_context.cpp
@@ -2,12 +2,12 @@
 
 namespace wingslip::leader_election {
 
-void ElectionContext::onStoreRollback(Time now, const std::string& what) {
-  session.registerNow(now);
-  if (now < noClaimsUntil) return;
+void ElectionContext::onStoreRollback(Time now, const std::string& reason) {
+  session.scheduleRegistration(now);
+  if (now < claimsBlockedUntil) return;
   ++counts.storeRollbacks;
-  noClaimsUntil = now + timing.ttlMs;
-  host.logEvent("the store went back: " + what);
+  claimsBlockedUntil = now + timing.ttlMs;
+  host.logEvent("coordination store lost state, no token is claimed for one session TTL: " + reason);
 }
 
 }  // namespace wingslip::leader_election
--- a/src/leader_election/election_context.hpp
+++ b/src/leader_election/election_context.hpp
@@ -1,4 +1,5 @@
-/// What the candidacies of one process share: its session at the store, its calls, its counts.
+/// State shared by the candidacies of one process: its session at the coordination store, its calls in flight
+/// and its counters.
 #pragma once
 
 #include <string>
@@ -10,7 +11,7 @@
 
 namespace wingslip::leader_election {
 
-/// Owned by `LeaderElection`, and at one place in memory while that lives: members refer to each other.
+/// Owned by `LeaderElection`. Neither copied nor moved, since its members refer to each other.
 struct ElectionContext {
   ElectionContext(const Timing& electionTiming, const ProcessIdentity& identity, std::uint64_t seed,
                   ElectionHost& electionHost)
@@ -18,9 +19,10 @@
   ElectionContext(const ElectionContext&) = delete;
   ElectionContext& operator=(const ElectionContext&) = delete;
 
-  /// The store may have forgotten tokens: every process registers what it has seen, and no token is claimed
-  /// for a TTL. Guards against giving a token twice.
-  void onStoreRollback(Time now, const std::string& what);
+  /// Called when the store has lost state, for example after a restore from an old snapshot. Registers the
+  /// highest tokens that this process has seen and blocks claims for one TTL, in which the other processes
+  /// register theirs. Guards against assigning a token twice.
+  void onStoreRollback(Time now, const std::string& reason);
 
   const Timing timing;
   const ProcessIdentity self;
@@ -30,7 +32,7 @@
   StoreCalls calls{timing, host};
   StoreSession session{timing, self, calls, random, counts};
   bool draining = false;
-  Time noClaimsUntil = 0;
+  Time claimsBlockedUntil = 0;  ///< no fencing token is claimed before
 };
 
 }  // namespace wingslip::leader_election
--- a/src/leader_election/election_types.cpp
+++ b/src/leader_election/election_types.cpp
@@ -3,6 +3,7 @@
 namespace wingslip::leader_election {
 namespace {
 
+// Bounds of the durations that are derived from the session TTL.
 constexpr Time kMaxCallTimeoutMs = 1000;
 constexpr Time kMinBlockingReadMs = 2000;
 constexpr Time kMaxBlockingReadMs = 30000;
@@ -19,7 +20,7 @@
   return out;
 }
 
-const char* operatorsNameOf(State state) {
+const char* stateName(State state) {
   static constexpr const char* kNames[] = {"standby", "waiting",   "acquiring", "proving",
                                            "holding", "uncertain", "releasing", "resting"};
   return kNames[static_cast<std::size_t>(state)];
--- a/src/leader_election/election_types.hpp
+++ b/src/leader_election/election_types.hpp
@@ -1,5 +1,6 @@
 /// Types shared by the modules of the leader election: timing, calls to the coordination store and their
-/// replies, registrations, and the two interfaces that a user of the election implements. No I/O, no clock.
+/// replies, registrations, and the two interfaces that the election's user implements. Performs no I/O and
+/// reads no clock.
 #pragma once
 
 #include <algorithm>
@@ -12,28 +13,38 @@
 
 /// Milliseconds of a monotonic clock.
 using Time = double;
-/// Rises with every new leader of a task and is never given twice.
+/// Fencing token of a task: increases with every new leader, and no value is assigned twice.
 using FencingToken = std::uint64_t;
 
+/// Durations and assumptions of the election.
 struct Timing {
-  Time ttlMs = 10000;       ///< of the session at the store
-  Time lockDelayMs = 1000;  ///< a lock stays closed for this long after its leader's session ended
-  Time callTimeoutMs =
-      1000;  ///< a call is answered within this or given up; assumed to have no effect after it
-  Time blockingReadMs = 30000;  ///< how long a read waits for a change
-  double clockDrift = 0.01;     ///< at most, between the rates of two clocks
+  /// TTL of the session at the store.
+  Time ttlMs = 10000;
+  /// The store refuses to grant a lock for this long after the session of its owner ended.
+  Time lockDelayMs = 1000;
+  /// Time-out of a call that does not block. The election assumes that a call has no effect after it.
+  Time callTimeoutMs = 1000;
+  /// Time for which a blocking read waits for a change.
+  Time blockingReadMs = 30000;
+  /// Largest relative difference between the rates of two clocks.
+  double clockDrift = 0.01;
+  /// Number of processes that compete for each lock.
   unsigned candidates = 1;
 
-  /// How long the lease holds after the last successful renewal was sent. Less the call time-out: a write
-  /// that is sent in the lease's last moment may take effect that much later.
+  /// Duration of the lease from the moment the last successful renewal was sent. Shorter than the TTL by the
+  /// clock drift and the call time-out: a write sent just before the lease expires may take effect that much
+  /// later.
   [[nodiscard]] Time leaseMs() const { return ttlMs * (1 - clockDrift) - callTimeoutMs; }
-  /// Candidates spread their attempts on a free lock over this, so that they do not stampede.
-  [[nodiscard]] Time spreadMs() const { return std::max(100.0, 20.0 * candidates); }
+  /// Candidates spread their attempts to acquire a free lock over this interval, which avoids a thundering
+  /// herd at the store.
+  [[nodiscard]] Time maxJitterMs() const { return std::max(100.0, 20.0 * candidates); }
 };
 
-/// Derives what is not configured from what is.
+/// Returns the timing for the configured values, with the call time-out and the wait of blocking reads
+/// derived from the TTL.
 [[nodiscard]] Timing timingFor(Time ttlMs, Time lockDelayMs, unsigned candidates);
 
+/// Operations of the coordination store.
 enum class StoreOperation {
   createSession,
   renewSession,
@@ -44,125 +55,130 @@
   read
 };
 
-/// One call to the store. Every call gets exactly one reply: one that is not answered within `timeoutMs`
-/// failed.
+/// A call to the coordination store. Every call that is not cancelled gets exactly one reply; if the store
+/// does not respond within `timeoutMs`, that is a reply with `answered` false.
 struct StoreCall {
   std::uint64_t id = 0;
   StoreOperation operation = StoreOperation::read;
   std::string key;
   std::string value;
   std::string session;
-  std::uint64_t index =
-      0;                 ///< compareAndSet: the key's, 0 for none; read: above 0, wait for a change past it
-  bool recurse = false;  ///< read: all keys that begin with `key`
-  Time ttlMs = 0;        ///< createSession
-  Time lockDelayMs = 0;  ///< createSession
-  Time blockingReadMs = 0;  ///< read with an index
+  /// compareAndSet: expected modify index of the key, 0 if the key must not exist. read: if above 0, the read
+  /// blocks until the index exceeds it.
+  std::uint64_t index = 0;
+  bool recurse = false;     ///< read: return all keys with the prefix `key`
+  Time ttlMs = 0;           ///< createSession: TTL of the session
+  Time lockDelayMs = 0;     ///< createSession: lock delay of the session
+  Time blockingReadMs = 0;  ///< read with an index: maximum wait
   Time timeoutMs = 0;
 };
 
+/// A key of the store as read.
 struct StoreEntry {
   std::string key;
   std::string value;
-  std::string session;  ///< that holds the key's lock; empty: none
+  std::string session;  ///< session that owns the key's lock; empty: not locked
   std::uint64_t modifyIndex = 0;
 };
 
+/// The reply to a `StoreCall`.
 struct StoreReply {
-  bool answered = false;    ///< else there is no usable answer, and the call may have taken effect
-  bool succeeded = false;   ///< renewSession: the session lives; acquire, release, compareAndSet: done
-  std::string session;      ///< createSession
-  std::uint64_t index = 0;  ///< read: of the answer
-  std::vector<StoreEntry> entries;
+  bool answered = false;    ///< false: no usable response; the call may still have taken effect
+  bool succeeded = false;   ///< renewSession: the session exists; other writes: the store applied the call
+  std::string session;      ///< createSession: id of the new session
+  std::uint64_t index = 0;  ///< read: index of the response
+  std::vector<StoreEntry> entries;  ///< read
 };
 
-/// What one process of a gatekeeper says of itself at the store.
+/// A process's registration at the store. A gatekeeper has more than one process during an upgrade.
 struct Registration {
   std::string name;
   std::string instance;
   std::string build;
-  std::int64_t startedUnixS = 0;  ///< for people
+  std::int64_t startedUnixS = 0;  ///< start time, shown to operators
   bool draining = false;
-  std::map<std::string, FencingToken> highestSeenTokens;  ///< by task
+  std::map<std::string, FencingToken> highestSeenTokens;  ///< by task name
 };
 
-/// A job of which one process of the fleet is the leader. Calls may come from within any event of
-/// `LeaderElection`, on its thread.
+/// A job that one process of the fleet, the leader, does. Its functions are called on the thread of
+/// `LeaderElection`, from within any of its events.
 class LeaderTask {
  public:
   virtual ~LeaderTask() = default;
-  /// This process leads from now on, under a token above all before. `data`: as last recorded, or empty.
+  /// This process has become the leader, with a token above all earlier ones. `data` is that of the task's
+  /// record as last read, empty if there is none.
   virtual void onElected(Time now, FencingToken token, const std::string& data) = 0;
-  /// This process leads no more.
+  /// This process has stopped being the leader.
   virtual void onDeposed(Time now) = 0;
-  /// A record was read whose token is no lower than any seen.
+  /// The task's record was read or written. Called only if its token is not below the highest seen.
   virtual void onRecord(Time now, FencingToken token, const std::string& leaderInstance,
                         const std::string& data) = 0;
-  /// All registrations: at the start of the leadership, and after each change while it lasts.
+  /// Reports all registrations: when this process becomes the leader, and after each change while it leads.
   virtual void onRegistrations(Time now, const std::vector<Registration>& all) = 0;
 };
 
-/// What the election needs of the program around it. Must outlive the `LeaderElection`.
+/// The environment of a `LeaderElection`: sends its calls to the store and logs its events. Must outlive it.
 class ElectionHost {
  public:
   virtual ~ElectionHost() = default;
-  /// Must not reply from within.
+  /// Sends a call to the store. Must not deliver the reply before it returns.
   virtual void callStore(const StoreCall& call) = 0;
-  /// Nobody waits for the call's reply any more.
+  /// Cancels a call; its reply is not delivered, or ignored.
   virtual void cancelCall(std::uint64_t callId) = 0;
-  /// For operators; may come often.
+  /// Logs a line for operators. May be called often, so an implementation should limit the rate.
   virtual void logEvent(const std::string& line) = 0;
 };
 
-/// Where this process stands with one task. `candidacy.hpp` has the transitions.
+/// State of this process's candidacy for a task. `candidacy.hpp` has the transitions.
 enum class State {
   standby,         ///< another process leads, or the store has not answered yet
-  waiting,         ///< the lock is free; a random wait before the attempt
-  acquiring,       ///< the lock was asked for
-  provingToken,    ///< the lock is ours; our token is not yet in the record
-  leading,         ///< may act while the lease lasts
-  leaseUncertain,  ///< the lease ended without word from the store; no acts
-  releasing,       ///< acts have stopped; the lock is being given back
+  waiting,         ///< the lock is free; a random delay before the attempt to acquire it
+  acquiring,       ///< a call to acquire the lock is in flight
+  claimingToken,   ///< this process owns the lock; its token is not yet in the record
+  leading,         ///< may act while the lease is valid
+  leaseUncertain,  ///< the lease expired without a reply from the store; may not act
+  releasing,       ///< has stopped acting; the lock is being released
   coolingDown      ///< stepped down or draining; does not compete
 };
 
-/// The word in operators' answers and logs. They read and parse these words: they stay as they are, whatever
-/// the enumerators are called.
-[[nodiscard]] const char* operatorsNameOf(State state);
+/// Returns the state's name in operators' responses and logs. Operators' tools parse these names, so they
+/// must not change when an enumerator is renamed.
+[[nodiscard]] const char* stateName(State state);
 
-/// Who this process is to the fleet.
+/// Identity of this process in the fleet.
 struct ProcessIdentity {
-  std::string keyPrefix;  ///< of all keys at the store
-  std::string name;
-  std::string instance;  ///< unlike that of any other process
+  std::string keyPrefix;  ///< prefix of all keys at the store
+  std::string name;       ///< the gatekeeper's, shared by both processes of an upgrade
+  std::string instance;   ///< unique to this process
   std::string build;
   std::int64_t startedUnixS = 0;
 };
 
+/// Counters of the election since the start of the process.
 struct ElectionCounts {
-  std::uint64_t acquired = 0;
-  std::uint64_t lost = 0;
-  std::uint64_t leasesExpired = 0;
-  std::uint64_t steppedDown = 0;
-  std::uint64_t recordsWritten = 0;
-  std::uint64_t refusedByFence = 0;
+  std::uint64_t leadershipsAcquired = 0;  ///< times this process became the leader
+  std::uint64_t locksLost = 0;            ///< leaderships that ended with the loss of the lock or the session
+  std::uint64_t leasesExpired = 0;        ///< leaderships that ended with the expiry of the lease
+  std::uint64_t steppedDown = 0;          ///< leaderships that ended by `stepDown`
+  std::uint64_t recordsWritten = 0;       ///< writes of a record that the store confirmed
+  std::uint64_t fenceRejections = 0;      ///< leaderships ended by the fencing check
   std::uint64_t renewalsFailed = 0;
-  std::uint64_t callsFailed = 0;
+  std::uint64_t callsFailed = 0;  ///< calls without a usable response
   std::uint64_t sessionsLost = 0;
-  std::uint64_t storeRollbacks =
-      0;  ///< the store forgot what it had: an index fell, a record is gone or older
-  std::uint64_t staleRecords = 0;
-  std::uint64_t malformed = 0;
+  /// Losses of state at the store: an index decreased, or a record disappeared or has a lower token.
+  std::uint64_t storeRollbacks = 0;
+  std::uint64_t staleRecords = 0;      ///< records rejected because their token is below the highest seen
+  std::uint64_t malformedEntries = 0;  ///< records and registrations that could not be parsed
 };
 
-/// One task as operators see it.
+/// Status of a task for operators.
 struct TaskStatus {
   std::string task;
-  std::string leaderName;  ///< a gatekeeper's; empty: nobody's
+  std::string leaderName;  ///< name of the leading gatekeeper; empty: none known
   std::string lastError;
   State state = State::standby;
-  FencingToken token = 0;  ///< own while leading, else the highest seen
-  Time sinceAt = 0;
+  FencingToken token = 0;  ///< this process's while it leads, else the highest seen
+  Time stateSince = 0;     ///< when `state` was entered
 };
 
 }  // namespace wingslip::leader_election
--- a/src/leader_election/leader_election.cpp
+++ b/src/leader_election/leader_election.cpp
@@ -87,7 +87,7 @@
 
 void LeaderElection::drain(Time now) {
   if (!started_ || std::exchange(context_.draining, true)) return;
-  context_.session.registerNow(now);
+  context_.session.scheduleRegistration(now);
   for (Candidacy& candidacy : candidacies_) candidacy.drain(now);
   runDue(now);
 }
--- a/src/leader_election/leader_election.hpp
+++ b/src/leader_election/leader_election.hpp
@@ -1,22 +1,24 @@
 /// Leader election over a coordination store: one process of the fleet leads each task, under a lease and a
-/// fencing token. Events and monotonic time in, calls to the store out; no I/O, no clock.
+/// fencing token. The module takes events and monotonic time as input and issues calls to the store; it
+/// performs no I/O and reads no clock.
 ///
-/// Who may act as leader after a partition, and why can there never be two?
+/// Behaviour under a network partition, and why there is at most one leader:
 ///
-/// The old leader acts only while its lease is valid. Cut off from the store it cannot renew, and by its own
-/// clock it stops before the store can end its session. Nobody else gets the lock before that.
+/// The old leader acts only while its lease is valid. Without a connection to the store it cannot renew its
+/// session, and by its own clock it stops before the store can end the session. No other process can acquire
+/// the lock earlier.
 ///
-/// The new leader is whoever acquires the lock after the old session ended. It acts only once its higher
-/// token is in the task's record. Gatekeepers elect nobody among themselves: what counts is who reaches the
-/// store, not which side of the partition has more gatekeepers. A side that does not reach the store has no
-/// leader.
+/// The new leader is the process that acquires the lock after the old session ended. It acts only after its
+/// higher token was written to the task's record. Gatekeepers do not vote among themselves: the side of the
+/// partition that reaches the store has the leader, whichever side has more gatekeepers. A side that does not
+/// reach the store has none.
 ///
-/// This holds while a call takes effect within its time-out or never, and clocks run within `clockDrift` of
-/// each other. Where that fails (a pause between check and send, a restored store) two processes may believe
-/// that they lead. Then the token decides: the older one's writes fail at the compare-and-set, and readers
-/// refuse a record under a lower token.
+/// This requires that a call takes effect within its time-out or never, and that the rates of the processes'
+/// clocks differ by at most `clockDrift`. If that is violated (by a pause between check and send, or a
+/// restored store), two processes may believe that they lead. The fencing token then decides: the older
+/// leader's writes fail at the compare-and-set, and readers reject a record under a lower token.
 ///
-/// `docs/design.md` has the whole argument; `candidacy.hpp` the states and transitions.
+/// `docs/design.md` has the full argument, `candidacy.hpp` the states and transitions.
 #pragma once
 
 #include <cstdint>
@@ -30,35 +32,37 @@
 
 namespace wingslip::leader_election {
 
-/// Used on one thread. Refers to its host and tasks, which must outlive it.
+/// Candidate for all leader tasks of this process. Used on one thread. The host and the tasks must outlive
+/// it.
 class LeaderElection {
  public:
   LeaderElection(const Timing& timing, const ProcessIdentity& self, std::uint64_t seed, ElectionHost& host);
 
-  /// Before `start`.
+  /// Adds a task for whose leadership this process competes. Must be called before `start`.
   void addTask(const std::string& name, LeaderTask& task);
   void start(Time now);
-  /// Exactly once for each call of `ElectionHost::callStore` that was not cancelled.
+  /// Handles the reply to a call. The host calls it exactly once for each call of `ElectionHost::callStore`
+  /// that was not cancelled.
   void onReply(Time now, std::uint64_t callId, const StoreReply& reply);
-  /// Does what is due; the host calls it at `nextDueAt` at the latest.
+  /// Runs all actions that are due. The host calls it at `nextDueAt` at the latest.
   void runDue(Time now);
-  /// Infinity: never by time alone.
+  /// Returns when `runDue` must be called next; infinity if nothing is scheduled.
   [[nodiscard]] Time nextDueAt() const;
 
-  /// Whether an act of the task may be made at this moment. The one act so far is the write of the task's
-  /// record, and `writeRecord` checks this by itself; a task with other acts calls it before each.
+  /// Returns whether this process leads the task and its lease is valid at `now`. Writes of the task's record
+  /// are checked by the election itself; a task with any other effect must check this before each.
   [[nodiscard]] bool mayAct(Time now, const std::string& taskName) const;
-  /// Writes the task's record; the latest data wins where a write is under way. False: this process does not
-  /// lead.
+  /// Schedules a write of the task's record; while one is in flight, only the latest data is written after
+  /// it. Returns false if this process does not lead the task.
   bool writeRecord(Time now, const std::string& taskName, const std::string& data);
-  /// The leader cannot do the task: it gives the leadership up and does not compete for two TTLs. It does so
-  /// by itself where nothing that it writes takes effect for two TTLs.
+  /// Called by a leader that cannot do the task: releases the leadership and does not compete for two TTLs.
+  /// The election does the same by itself if no write is confirmed for two TTLs.
   void stepDown(Time now, const std::string& taskName, const std::string& reason);
-  /// Acts stop, then locks are given back; the registration says that this process drains.
+  /// Stops acting as leader, then releases the locks, and marks the registration as draining.
   void drain(Time now);
-  /// The last call: ends the session, and with it the registration.
+  /// Ends the session, and with it the registration. The election is inactive afterwards.
   void endSession(Time now);
-  /// After `drain`: no lock is held and nothing is under way.
+  /// Returns whether, after `drain`, all locks are released and the registration is up to date.
   [[nodiscard]] bool isDrained() const;
 
   [[nodiscard]] const ElectionCounts& counts() const { return context_.counts; }
--- a/src/leader_election/leadership.cpp
+++ b/src/leader_election/leadership.cpp
@@ -1,9 +1,9 @@
-/// What a candidacy does once it holds the lock: it claims a fencing token, writes the record under it, and
-/// looks at the registrations for a higher one.
+/// The part of a candidacy that needs the lock: it claims a fencing token, writes the record under that
+/// token, and checks the registrations for a higher one.
 ///
-/// Fencing: every write is a read of the record, a check that its token is still ours, and a compare-and-set
-/// at the index read. A new leader first writes its own token, which moves the index: whatever an older
-/// leader has under way fails from then on.
+/// Fencing: every write consists of a read of the record, a check that the record has the leader's token, and
+/// a compare-and-set at the index read. A new leader first writes its own token, which advances the index, so
+/// that every write of an older leader that is still in flight fails.
 #include <algorithm>
 #include <limits>
 #include <stdexcept>
@@ -13,9 +13,9 @@
 
 namespace wingslip::leader_election {
 
-// --- Reading what the store has --------------------------------------------------------------------------
+// --- Parsing replies -------------------------------------------------------------------------------------
 
-StoreCall Candidacy::readOfRegistrations() const {
+StoreCall Candidacy::registrationsReadCall() const {
   StoreCall read;
   read.key = registrationsKey(context_.self);
   read.recurse = true;
@@ -24,7 +24,7 @@
 
 namespace {
 
-const StoreEntry* entryWithKey(const StoreReply& reply, const std::string& key) {
+const StoreEntry* findEntry(const StoreReply& reply, const std::string& key) {
   const auto found = std::find_if(reply.entries.begin(), reply.entries.end(),
                                   [&](const StoreEntry& entry) { return entry.key == key; });
   return found == reply.entries.end() ? nullptr : &*found;
@@ -32,98 +32,99 @@
 
 }  // namespace
 
-const StoreEntry* Candidacy::lockIn(const StoreReply& reply) const {
-  return entryWithKey(reply, taskKey(context_.self, taskName_, "lock"));
+const StoreEntry* Candidacy::findLock(const StoreReply& reply) const {
+  return findEntry(reply, taskKey(context_.self, taskName_, "lock"));
 }
 
-LeaderRecord Candidacy::recordIn(const StoreReply& reply) {
-  const StoreEntry* entry = entryWithKey(reply, taskKey(context_.self, taskName_, "record"));
+LeaderRecord Candidacy::parseRecord(const StoreReply& reply) {
+  const StoreEntry* entry = findEntry(reply, taskKey(context_.self, taskName_, "record"));
   if (!entry) return {};
   LeaderRecord out = parseLeaderRecord(*entry);
-  if (!out.readable) ++context_.counts.malformed;
+  if (!out.readable) ++context_.counts.malformedEntries;
   return out;
 }
 
-std::vector<Registration> Candidacy::registrationsIn(const StoreReply& reply) {
+std::vector<Registration> Candidacy::parseRegistrations(const StoreReply& reply) {
   std::vector<Registration> out;
   for (const StoreEntry& entry : reply.entries) {
-    if (entry.session.empty()) continue;  // left over from a process that is gone
+    if (entry.session.empty()) continue;  // the session of its process has ended
     try {
       out.push_back(parseRegistration(entry.value));
     } catch (const std::runtime_error&) {
-      ++context_.counts.malformed;
+      ++context_.counts.malformedEntries;
     }
   }
   return out;
 }
 
-// Guards against a store that was reset or restored: readers refuse a record under a token below the highest
-// seen.
+// Takes over a record that was read. Guards against a store that was reset or restored: a record whose token
+// is below the highest seen is rejected.
 void Candidacy::acceptRecord(Time now, const LeaderRecord& record) {
   if (!record.exists && highestSeenToken_ > 0) {
     if (!std::exchange(recordLossReported_, true))
-      context_.onStoreRollback(now, taskName_ + ": its record is gone");
+      context_.onStoreRollback(now, taskName_ + ": its record does not exist any more");
     return;
   }
   if (!record.readable) return;
-  if (record.token < highestSeenToken_) return refuseStaleRecord(now, record);
+  if (record.token < highestSeenToken_) return rejectStaleRecord(now, record);
   if (record.token > highestSeenToken_) {
     highestSeenToken_ = record.token;
     context_.session.markRegistrationChanged();
   }
-  refusedRecord_.clear();
+  lastRejectedRecord_.clear();
   recordLossReported_ = false;
   recordData_ = record.data;
   task_.onRecord(now, record.token, record.leaderInstance, record.data);
 }
 
-void Candidacy::refuseStaleRecord(Time now, const LeaderRecord& record) {
-  const std::string refused = record.leaderInstance + "/" + std::to_string(record.token);
-  if (refused == refusedRecord_) return;
-  refusedRecord_ = refused;
+void Candidacy::rejectStaleRecord(Time now, const LeaderRecord& record) {
+  const std::string rejected = record.leaderInstance + "/" + std::to_string(record.token);
+  if (rejected == lastRejectedRecord_) return;
+  lastRejectedRecord_ = rejected;
   ++context_.counts.staleRecords;
-  context_.host.logEvent(taskName_ + ": a record under token " + std::to_string(record.token) + " of " +
-                         record.leaderInstance + " is refused: " + std::to_string(highestSeenToken_) +
-                         " was seen");
-  context_.onStoreRollback(now, taskName_ + ": its record is older than one seen");
+  context_.host.logEvent(taskName_ + ": stale record rejected: token " + std::to_string(record.token) +
+                         " written by " + record.leaderInstance + " is below token " +
+                         std::to_string(highestSeenToken_) + ", which was seen before");
+  context_.onStoreRollback(now, taskName_ + ": the token of its record is below the highest seen");
 }
 
 // --- Claiming a token ------------------------------------------------------------------------------------
 
 void Candidacy::onRegistrationsBeforeClaim(Time now, const StoreReply& reply, Time retryAt) {
-  if (state_ != State::provingToken) return;
+  if (state_ != State::claimingToken) return;
   dueAt_ = retryAt;
   if (!reply.answered) return;
   highestRegisteredToken_ = 0;
-  for (const Registration& registration : registrationsIn(reply)) {
+  for (const Registration& registration : parseRegistrations(reply)) {
     const auto seen = registration.highestSeenTokens.find(taskName_);
     if (seen != registration.highestSeenTokens.end())
       highestRegisteredToken_ = std::max(highestRegisteredToken_, seen->second);
   }
-  sendStep(now, Step::readRecord, readOfTask());
+  sendStep(now, Step::readRecord, taskReadCall());
 }
 
 void Candidacy::onRecordBeforeClaim(Time now, const StoreReply& reply, Time retryAt) {
-  if (state_ != State::provingToken) return;
+  if (state_ != State::claimingToken) return;
   dueAt_ = retryAt;
   if (!reply.answered) return;
   const StoreSession& session = context_.session;
-  const StoreEntry* lock = lockIn(reply);
-  if (!lock || lock->session != session.id()) return loseLock(now, "the lock is another's");
-  const LeaderRecord record = recordIn(reply);
+  const StoreEntry* lock = findLock(reply);
+  if (!lock || lock->session != session.id())
+    return loseLock(now, "lock lost: it is free or owned by another session");
+  const LeaderRecord record = parseRecord(reply);
   acceptRecord(now, record);
-  const bool isOurClaim = record.readable && record.token == claimedToken_ && claimedToken_ > 0 &&
+  const bool isOwnClaim = record.readable && record.token == claimedToken_ && claimedToken_ > 0 &&
                           record.leaderInstance == context_.self.instance;
-  if (isOurClaim) {
-    if (session.isLeaseValid(now)) becomeLeader(now);  // the answer to the claim was lost
+  if (isOwnClaim) {
+    if (session.isLeaseValid(now)) becomeLeader(now);  // the reply to the claim was lost
     return;
   }
-  // A store that may have forgotten tokens: those who know them get a TTL to register.
-  const Time claimFrom = record.exists
-                             ? context_.noClaimsUntil
-                             : std::max(context_.noClaimsUntil, session.createdAt() + context_.timing.ttlMs);
-  if (now < claimFrom) {
-    dueAt_ = claimFrom;
+  // If the store may have lost tokens, wait for one TTL in which processes that have seen them register.
+  const Time claimAllowedAt =
+      record.exists ? context_.claimsBlockedUntil
+                    : std::max(context_.claimsBlockedUntil, session.createdAt() + context_.timing.ttlMs);
+  if (now < claimAllowedAt) {
+    dueAt_ = claimAllowedAt;
     return;
   }
   claimToken(now, record);
@@ -142,12 +143,12 @@
 }
 
 void Candidacy::onClaimReply(Time now, const StoreReply& reply, Time retryAt) {
-  if (state_ != State::provingToken) return;
+  if (state_ != State::claimingToken) return;
   dueAt_ = retryAt;
   if (reply.answered && reply.succeeded && context_.session.isLeaseValid(now)) becomeLeader(now);
 }
 
-// --- Becoming leader and ceasing to be -------------------------------------------------------------------
+// --- Start and end of leadership -------------------------------------------------------------------------
 
 void Candidacy::becomeLeader(Time now) {
   token_ = claimedToken_;
@@ -155,45 +156,46 @@
     highestSeenToken_ = token_;
     context_.session.markRegistrationChanged();
   }
-  ++context_.counts.acquired;
+  ++context_.counts.leadershipsAcquired;
   setState(now, State::leading);
   write_.isPending = false;
   registrationWatch_.index = 0;
   registrationWatch_.dueAt = now;
   lockHolder_ = context_.self.name;
-  context_.host.logEvent(taskName_ + ": held from now on, token " + std::to_string(token_));
+  context_.host.logEvent(taskName_ + ": became leader with token " + std::to_string(token_));
   task_.onElected(now, token_, recordData_);
 }
 
-void Candidacy::stopActs(Time now, State next) {
+// Abandons the claim or the leadership, but not a write in flight, and enters `next`.
+void Candidacy::endLeadership(Time now, State next) {
   const bool wasLeading = state_ == State::leading;
   setState(now, next);
   write_.isPending = false;
-  claimedToken_ = 0;  // the next leadership is under a new token
+  claimedToken_ = 0;  // the next claim needs a new token
   if (step_ != Step::write) {
     stepCallId_ = 0;
     step_ = Step::none;
   }
   if (!wasLeading) return;
-  context_.host.logEvent(taskName_ + ": not held any more, now " + std::string(operatorsNameOf(next)));
+  context_.host.logEvent(taskName_ + ": leadership ended, new state " + std::string(stateName(next)));
   task_.onDeposed(now);
 }
 
 void Candidacy::loseLock(Time now, const std::string& reason) {
-  if (state_ == State::leading) ++context_.counts.lost;
+  if (state_ == State::leading) ++context_.counts.locksLost;
   lastError_ = reason;
   stepCallId_ = 0;
   step_ = Step::none;
-  stopActs(now, context_.draining ? State::coolingDown : State::standby);
+  endLeadership(now, context_.draining ? State::coolingDown : State::standby);
   if (context_.draining) dueAt_ = std::numeric_limits<Time>::infinity();
-  readLockAnew(now);
+  rereadLock(now);
 }
 
 void Candidacy::expireLease(Time now) {
   if (state_ == State::leading) ++context_.counts.leasesExpired;
-  lastError_ = "the lease ran out";
-  stopActs(now, State::leaseUncertain);
-  readLockAnew(now);
+  lastError_ = "lease expired before the session was renewed";
+  endLeadership(now, State::leaseUncertain);
+  rereadLock(now);
   if (context_.session.isLive()) context_.session.abandon(now);
 }
 
@@ -205,7 +207,7 @@
 
 bool Candidacy::writeRecord(Time now, const std::string& data) {
   if (state_ != State::leading) return false;
-  if (!write_.isPending && step_ != Step::write) write_.withoutEffectSince = now;
+  if (!write_.isPending && step_ != Step::write) write_.unconfirmedSince = now;
   write_.isPending = true;
   write_.data = data;
   return true;
@@ -215,16 +217,17 @@
   if (state_ != State::leading) return;
   dueAt_ = retryAt;
   if (!reply.answered) return;
-  const StoreEntry* lock = lockIn(reply);
-  const LeaderRecord record = recordIn(reply);
-  // The fence: a write is made only on a record that was read under our own token.
+  const StoreEntry* lock = findLock(reply);
+  const LeaderRecord record = parseRecord(reply);
+  // Fencing check: a write requires that this session owns the lock and the record has its token.
   if (!lock || lock->session != context_.session.id() || record.token != token_ ||
       record.leaderInstance != context_.self.instance) {
-    ++context_.counts.refusedByFence;
+    ++context_.counts.fenceRejections;
     acceptRecord(now, record);
-    return loseLock(now, "refused by the fence: the record is under token " + std::to_string(record.token));
+    return loseLock(
+        now, "fencing check failed before a write: the record has token " + std::to_string(record.token));
   }
-  // Guards against a process that was paused past its lease: checked just before the write is sent.
+  // Checked immediately before the write is sent: the process may have been paused until its lease expired.
   if (!mayAct(now)) return;
   StoreCall call;
   call.operation = StoreOperation::compareAndSet;
@@ -242,21 +245,22 @@
   dueAt_ = now;
   if (reply.answered && reply.succeeded) {
     ++context_.counts.recordsWritten;
-    write_.withoutEffectSince = now;
+    write_.unconfirmedSince = now;
     task_.onRecord(now, token_, context_.self.instance, recordData_);
   } else if (!write_.isPending) {
-    // Read again: whether it took effect, and whose the record is.
+    // The write may have taken effect, or another leader may have written the record: read it again and
+    // retry.
     write_.isPending = true;
     write_.data = recordData_;
     dueAt_ = retryAt;
   }
 }
 
-// --- The registrations, while leading --------------------------------------------------------------------
+// --- Watching the registrations --------------------------------------------------------------------------
 
 void Candidacy::watchRegistrationsIfDue(Time now) {
   if (state_ != State::leading || registrationWatch_.callId != 0 || now < registrationWatch_.dueAt) return;
-  StoreCall read = readOfRegistrations();
+  StoreCall read = registrationsReadCall();
   read.index = registrationWatch_.index;
   registrationWatch_.callId =
       context_.calls.send(now, std::move(read), CallPurpose::registrations, taskIndex_);
@@ -272,15 +276,16 @@
   }
   registrationWatch_.index = reply.index < registrationWatch_.index ? 0 : reply.index;
   registrationWatch_.dueAt = now;
-  const std::vector<Registration> all = registrationsIn(reply);
+  const std::vector<Registration> all = parseRegistrations(reply);
   for (const Registration& registration : all) {
     const auto seen = registration.highestSeenTokens.find(taskName_);
     if (seen == registration.highestSeenTokens.end() || seen->second <= token_) continue;
-    // Another process knows a higher token than ours: the store had forgotten it when we claimed ours.
-    ++context_.counts.refusedByFence;
+    // Another process has seen a higher token, which the store had lost when this one was claimed: claim
+    // again.
+    ++context_.counts.fenceRejections;
     highestSeenToken_ = seen->second;
-    lastError_ = registration.name + " has seen a higher token";
-    stopActs(now, State::provingToken);
+    lastError_ = registration.name + " reports a fencing token above this leader's";
+    endLeadership(now, State::claimingToken);
     dueAt_ = now;
     return;
   }
--- a/src/leader_election/membership_record.cpp
+++ b/src/leader_election/membership_record.cpp
@@ -12,50 +12,54 @@
 using nlohmann::json;
 
 constexpr std::array<const char*, 4> kStateNames{"here", "draining", "left", "missing"};
-constexpr std::size_t kMaxBytesBesidesNameAndBuild = 96;  // of a member's text
+// Upper bound of a member's text without its name and build.
+constexpr std::size_t kMaxEntryOverheadBytes = 96;
 
 MemberState parseState(const std::string& name) {
   const auto found = std::find(kStateNames.begin(), kStateNames.end(), name);
-  if (found == kStateNames.end()) throw std::runtime_error("roster: no state " + name.substr(0, 40));
+  if (found == kStateNames.end())
+    throw std::runtime_error("invalid membership record: unknown state " + name.substr(0, 40));
   return static_cast<MemberState>(found - kStateNames.begin());
 }
 
-std::size_t bytesOf(const std::string& name, const Member& member) {
-  return name.size() + member.build.size() + kMaxBytesBesidesNameAndBuild;
+// Upper bound of the size of a member in the record's text.
+std::size_t maxTextBytesOf(const std::string& name, const Member& member) {
+  return name.size() + member.build.size() + kMaxEntryOverheadBytes;
 }
 
 }  // namespace
 
-const char* operatorsNameOf(MemberState state) { return kStateNames[static_cast<std::size_t>(state)]; }
+const char* stateName(MemberState state) { return kStateNames[static_cast<std::size_t>(state)]; }
 
-std::map<std::string, Member> MembershipRecord::membersOf(const std::vector<Registration>& registrations) {
+std::map<std::string, Member> MembershipRecord::groupByMember(
+    const std::vector<Registration>& registrations) {
   std::map<std::string, Member> out;
   for (const Registration& registration : registrations) {
     Member& member = out[registration.name];
     ++member.processes;
     const bool isFirst = member.processes == 1;
-    // Of two processes in an upgrade the one that stays counts.
+    // During an upgrade, the newer process determines the build and the start time.
     if (isFirst || registration.startedUnixS > member.startedUnixS) {
       member.build = registration.build;
       member.startedUnixS = registration.startedUnixS;
     }
     if (isFirst)
-      member.state = registration.draining ? MemberState::draining : MemberState::here;
+      member.state = registration.draining ? MemberState::draining : MemberState::present;
     else if (!registration.draining)
-      member.state = MemberState::here;
+      member.state = MemberState::present;
   }
   return out;
 }
 
 bool MembershipRecord::update(const std::vector<Registration>& registrations,
                               const InGracePeriod& inGracePeriod) {
-  std::map<std::string, Member> next = membersOf(registrations);
-  for (const auto& [name, before] : members_) {
+  std::map<std::string, Member> next = groupByMember(registrations);
+  for (const auto& [name, previous] : members_) {
     const auto now = next.find(name);
     if (now == next.end())
-      next[name] = withoutRegistration(name, before, inGracePeriod);
-    else if (now->second.state == before.state)
-      now->second.sinceVersion = before.sinceVersion;
+      next[name] = unregisteredMember(name, previous, inGracePeriod);
+    else if (now->second.state == previous.state)
+      now->second.sinceVersion = previous.sinceVersion;
   }
   for (auto& [name, member] : next)
     if (member.sinceVersion == 0) member.sinceVersion = version_ + 1;
@@ -66,35 +70,36 @@
   return true;
 }
 
-Member MembershipRecord::withoutRegistration(const std::string& name, Member member,
-                                             const InGracePeriod& inGracePeriod) const {
-  const bool wasThere = member.processes > 0;
-  if (!wasThere) return member;
+Member MembershipRecord::unregisteredMember(const std::string& name, Member member,
+                                            const InGracePeriod& inGracePeriod) const {
+  const bool hadProcesses = member.processes > 0;
+  if (!hadProcesses) return member;
   const bool wasDraining = member.state == MemberState::draining;
   if (!wasDraining && inGracePeriod(name)) return member;
-  member.state = wasDraining ? MemberState::left : MemberState::missing;
+  member.state = wasDraining ? MemberState::departed : MemberState::missing;
   member.processes = 0;
   member.sinceVersion = version_ + 1;
   return member;
 }
 
-// What left or is missing for longest falls out first; those that are there last.
+// Enforces the limits. Evicts departed and missing members first, in the order in which they entered that
+// state, and present and draining members only after all of those.
 void MembershipRecord::trim() {
   std::size_t bytes = 0;
-  for (const auto& [name, member] : members_) bytes += bytesOf(name, member);
+  for (const auto& [name, member] : members_) bytes += maxTextBytesOf(name, member);
   if (members_.size() <= kMaxMembers && bytes <= kMaxBytes) return;
   using Position = std::map<std::string, Member>::iterator;
   std::vector<Position> order;
   for (Position at = members_.begin(); at != members_.end(); ++at) order.push_back(at);
   std::stable_sort(order.begin(), order.end(), [](const Position& left, const Position& right) {
-    const bool leftIsThere = left->second.processes > 0;
-    const bool rightIsThere = right->second.processes > 0;
-    return leftIsThere != rightIsThere ? rightIsThere
-                                       : left->second.sinceVersion < right->second.sinceVersion;
+    const bool leftHasProcesses = left->second.processes > 0;
+    const bool rightHasProcesses = right->second.processes > 0;
+    return leftHasProcesses != rightHasProcesses ? rightHasProcesses
+                                                 : left->second.sinceVersion < right->second.sinceVersion;
   });
   for (const Position& first : order) {
     if (members_.size() <= kMaxMembers && bytes <= kMaxBytes) return;
-    bytes -= bytesOf(first->first, first->second);
+    bytes -= maxTextBytesOf(first->first, first->second);
     members_.erase(first);
   }
 }
@@ -108,7 +113,7 @@
 std::string MembershipRecord::text() const {
   json rows = json::object();
   for (const auto& [name, member] : members_)
-    rows[name] = {operatorsNameOf(member.state), member.processes, member.build, member.startedUnixS,
+    rows[name] = {stateName(member.state), member.processes, member.build, member.startedUnixS,
                   member.sinceVersion};
   return json{{"version", version_}, {"rows", rows}}.dump(-1, ' ', false, json::error_handler_t::replace);
 }
@@ -129,7 +134,7 @@
     out.trim();
     return out;
   } catch (const json::exception& error) {
-    throw std::runtime_error(std::string("roster: ") + error.what());
+    throw std::runtime_error(std::string("invalid membership record: ") + error.what());
   }
 }
 
--- a/src/leader_election/membership_task.hpp
+++ b/src/leader_election/membership_task.hpp
@@ -1,5 +1,5 @@
-/// The leader task that keeps the membership record: it gathers changes of the registrations and writes the
-/// record. No I/O, no clock.
+/// The leader task that maintains the membership record: it collects changes of the registrations and writes
+/// the record. Performs no I/O and reads no clock.
 #pragma once
 
 #include <cstdint>
@@ -13,13 +13,13 @@
 
 namespace wingslip::leader_election {
 
-/// On the thread of its `LeaderElection`, which must outlive it.
+/// Used on the thread of its `LeaderElection`, which must outlive it.
 class MembershipTask : public LeaderTask {
  public:
-  static constexpr Time kWritePeriodMs = 500;  ///< at most one write in this
+  static constexpr Time kWritePeriodMs = 500;  ///< minimum interval between two writes of the record
 
-  /// `gracePeriodMs`: a member without a registration is missing only after this, since sessions that the
-  /// store lost come back within it.
+  /// `gracePeriodMs`: time for which a member without a registration does not count as missing, because a
+  /// process whose session the store lost registers again within it.
   MembershipTask(LeaderElection& election, std::string taskName, Time gracePeriodMs)
       : election_(election), taskName_(std::move(taskName)), gracePeriodMs_(gracePeriodMs) {}
 
@@ -27,13 +27,16 @@
   void onDeposed(Time now) override;
   void onRecord(Time now, FencingToken token, const std::string& leader, const std::string& data) override;
   void onRegistrations(Time now, const std::vector<Registration>& all) override;
+  /// Writes the record if a write is due and it has changed.
   void runDue(Time now);
-  /// Infinity: never by time alone.
+  /// Returns when `runDue` must be called next; infinity if no write is scheduled.
   [[nodiscard]] Time nextDueAt() const;
 
-  /// As last recorded by whoever leads.
-  [[nodiscard]] const MembershipRecord& record() const { return recorded_; }
+  /// The record as last read from the store, or written to it by this process.
+  [[nodiscard]] const MembershipRecord& record() const { return latestRecord_; }
+  /// The fencing token of that record, or of this process's leadership if that began later.
   [[nodiscard]] FencingToken token() const { return token_; }
+  /// Number of records that could not be parsed.
   [[nodiscard]] std::uint64_t unreadableRecords() const { return unreadableRecords_; }
 
  private:
@@ -45,17 +48,19 @@
   const std::string taskName_;
   const Time gracePeriodMs_;
 
-  MembershipRecord recorded_;
-  MembershipRecord draft_;  // the leader's, ahead of what is recorded
+  MembershipRecord latestRecord_;
+  MembershipRecord draft_;  // the leader's next version, ahead of the stored record
   FencingToken token_ = 0;
   std::uint64_t unreadableRecords_ = 0;
 
   bool isLeading_ = false;
-  bool hasRegistrations_ = false;  // since this leadership began
+  bool registrationsReceived_ = false;  // since this process became the leader
   bool draftChanged_ = false;
   std::vector<Registration> registrations_;
-  std::map<std::string, Time> goneAt_;  // members of draft_ that are there and have no registration
-  bool isWriteDue_ = false;
+  // When the registration disappeared, by name of a member of draft_ that still counts as present or
+  // draining.
+  std::map<std::string, Time> unregisteredSince_;
+  bool isWriteScheduled_ = false;
   Time writeAt_ = 0;
 };
 
--- a/src/leader_election/registration.cpp
+++ b/src/leader_election/registration.cpp
@@ -10,7 +10,7 @@
 
 constexpr std::size_t kMaxNameBytes = 128;
 
-// Bytes that are no UTF-8 are replaced: a name must not make the text unwritable.
+// Replaces invalid UTF-8, for which `dump` would throw: a name must not prevent the text from being written.
 std::string textOf(const json& value) { return value.dump(-1, ' ', false, json::error_handler_t::replace); }
 
 }  // namespace
@@ -36,10 +36,11 @@
     out.highestSeenTokens = fields.value("seen", std::map<std::string, FencingToken>{});
     if (out.name.empty() || out.name.size() > kMaxNameBytes || out.instance.size() > kMaxNameBytes ||
         out.build.size() > kMaxNameBytes)
-      throw std::runtime_error("a name that is empty or too long");
+      throw std::runtime_error(
+          "invalid registration: the name is empty, or the name, instance or build is too long");
     return out;
   } catch (const json::exception& error) {
-    throw std::runtime_error(std::string("registration: ") + error.what());
+    throw std::runtime_error(std::string("invalid registration: ") + error.what());
   }
 }
 
--- a/src/leader_election/registration.hpp
+++ b/src/leader_election/registration.hpp
@@ -1,5 +1,5 @@
-/// The text of registrations and leader records: JSON at the coordination store, read by other versions too.
-/// Reading registrations throws std::runtime_error with one line on anything else.
+/// Encoding and parsing of registrations and leader records: JSON at the coordination store, which other
+/// versions of the program read too. Also the store's keys.
 #pragma once
 
 #include <string>
@@ -8,27 +8,34 @@
 
 namespace wingslip::leader_election {
 
-/// The record of a task, which only its leader writes.
+/// The record of a task, which only the task's leader writes.
 struct LeaderRecord {
-  bool exists = false;
-  bool readable = false;
+  bool exists = false;    ///< the store has the key
+  bool readable = false;  ///< the value could be parsed
   FencingToken token = 0;
-  std::uint64_t modifyIndex = 0;  ///< at the store, for compare-and-set
+  std::uint64_t modifyIndex = 0;  ///< index of the key at the store, for compare-and-set
   std::string leaderInstance;
   std::string data;
 };
 
+/// Returns the registration as JSON.
 [[nodiscard]] std::string registrationText(const Registration& registration);
+/// Parses a registration. Throws std::runtime_error with a one-line message if the text is not valid JSON, a
+/// field is missing or has a wrong type, or a name is empty or too long.
 [[nodiscard]] Registration parseRegistration(const std::string& text);
 
+/// Returns a leader record as JSON.
 [[nodiscard]] std::string leaderRecordText(FencingToken token, const std::string& leaderInstance,
                                            const std::string& data);
-/// A text that is none gives a record that exists and is not readable.
+/// Parses a leader record. An invalid text yields a record with `exists` true and `readable` false.
 [[nodiscard]] LeaderRecord parseLeaderRecord(const StoreEntry& entry);
 
-/// Keys under the prefix. A registration goes with the session of its process.
+/// Returns the prefix of the keys of all registrations. The store deletes a registration when the session of
+/// its process ends.
 [[nodiscard]] std::string registrationsKey(const ProcessIdentity& self);
+/// Returns the key of this process's registration.
 [[nodiscard]] std::string registrationKey(const ProcessIdentity& self);
+/// Returns the key of a part of a task: `lock` or `record`; for an empty part, the prefix of both.
 [[nodiscard]] std::string taskKey(const ProcessIdentity& self, const std::string& task, const char* part);
 
 }  // namespace wingslip::leader_election
--- a/src/leader_election/store_calls.cpp
+++ b/src/leader_election/store_calls.cpp
@@ -5,8 +5,8 @@
 namespace wingslip::leader_election {
 namespace {
 
-// The store adds up to a sixteenth to the time that a read may wait.
-constexpr double kBlockingReadAllowance = 1.1;
+// The store extends the wait of a blocking read by up to a sixteenth; the time-out allows for more than that.
+constexpr double kBlockingReadTimeoutFactor = 1.1;
 
 }  // namespace
 
@@ -15,7 +15,7 @@
   call.timeoutMs = timing_.callTimeoutMs;
   if (call.operation == StoreOperation::read && call.index > 0) {
     call.blockingReadMs = timing_.blockingReadMs;
-    call.timeoutMs += timing_.blockingReadMs * kBlockingReadAllowance;
+    call.timeoutMs += timing_.blockingReadMs * kBlockingReadTimeoutFactor;
   }
   pending_[call.id] = {purpose, taskIndex, now};
   host_.callStore(call);
--- a/src/leader_election/store_calls.hpp
+++ b/src/leader_election/store_calls.hpp
@@ -1,4 +1,4 @@
-/// The calls to the store that are under way, and what each is for.
+/// Calls to the coordination store that are in flight, with the purpose of each.
 #pragma once
 
 #include <cstddef>
@@ -10,30 +10,34 @@
 
 namespace wingslip::leader_election {
 
+/// Determines which part of the election handles the reply to a call.
 enum class CallPurpose {
   session,        ///< creates or renews this process's session
   registration,   ///< writes this process's registration
   lockWatch,      ///< blocking read of a task's lock and record
-  step,           ///< the step that a candidacy takes
+  step,           ///< advances the state machine of a candidacy
   registrations,  ///< a leader's blocking read of all registrations
-  endSession      ///< nothing waits for its reply
+  endSession      ///< ends the session; its reply is ignored
 };
 
+/// A call in flight.
 struct PendingCall {
   CallPurpose purpose;
-  std::size_t taskIndex = 0;
+  std::size_t taskIndex = 0;  ///< of the candidacy that sent it, if its purpose belongs to a task
   Time sentAt = 0;
 };
 
+/// Assigns ids and time-outs to calls and matches replies to them. Owned by `ElectionContext`; the timing and
+/// the host must outlive it.
 class StoreCalls {
  public:
   StoreCalls(const Timing& timing, ElectionHost& host) : timing_(timing), host_(host) {}
 
-  /// Gives the call its id and time-out. Returns the id, which is never 0.
+  /// Assigns the call its id and time-out and sends it. Returns the id, which is never 0.
   std::uint64_t send(Time now, StoreCall call, CallPurpose purpose, std::size_t taskIndex = 0);
-  /// Its reply will not come any more. 0: nothing is done.
+  /// Cancels a call; a reply to it is ignored. Has no effect for id 0.
   void cancel(std::uint64_t callId);
-  /// Of a call whose reply has come. Nothing: it was cancelled.
+  /// Removes and returns the call whose reply has arrived; `std::nullopt` if it was cancelled.
   [[nodiscard]] std::optional<PendingCall> take(std::uint64_t callId);
 
  private:
--- a/src/leader_election/store_client.cpp
+++ b/src/leader_election/store_client.cpp
@@ -13,7 +13,7 @@
 
 using asio::ip::tcp;
 
-constexpr unsigned kHttp11 = 11;
+constexpr unsigned kHttp11 = 11;  // HTTP/1.1 as Boost.Beast encodes it
 
 std::chrono::steady_clock::duration durationOf(Time ms) {
   return std::chrono::duration_cast<std::chrono::steady_clock::duration>(
@@ -36,27 +36,27 @@
   request.set(http::field::host, "store");
   request.body() = httpCall.body;
   if (httpCall.isPut) request.prepare_payload();
-  operations_[call.id] = call.operation;
+  operationsInFlight_[call.id] = call.operation;
   httpClient_.call(call.id, store_, std::move(request), durationOf(call.timeoutMs));
 }
 
 void StoreClient::cancel(std::uint64_t callId) {
-  operations_.erase(callId);
+  operationsInFlight_.erase(callId);
   httpClient_.drop(callId);
 }
 
 void StoreClient::onResponse(std::uint64_t callId, const HttpClient::Response* response,
                              const std::string& error) {
-  const StoreOperation operation = operations_.at(callId);
-  operations_.erase(callId);
+  const StoreOperation operation = operationsInFlight_.at(callId);
+  operationsInFlight_.erase(callId);
   if (!response) return onReply_(callId, {}, error);
   StoreReply reply;
   std::string parseError;
   try {
     reply =
         parseReply(operation, response->result_int(), view((*response)["X-Consul-Index"]), response->body());
-  } catch (const std::runtime_error& caught) {
-    parseError = caught.what();
+  } catch (const std::runtime_error& exception) {
+    parseError = exception.what();
   }
   onReply_(callId, reply, parseError);
 }
--- a/src/leader_election/store_client.hpp
+++ b/src/leader_election/store_client.hpp
@@ -1,4 +1,4 @@
-/// Calls to the coordination store over HTTP, on the program's loop.
+/// HTTP client of the coordination store, on the program's event loop.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -14,22 +14,23 @@
 
 namespace wingslip::leader_election {
 
-/// Used on the loop's thread. The loop and the overload manager must outlive it.
+/// Used on the event loop's thread. The event loop and the overload manager must outlive it.
 class StoreClient {
  public:
-  static constexpr std::size_t kMaxConcurrentCalls = 8;  ///< further ones fail
-  static constexpr std::size_t kMaxBodyBytes = std::size_t{2} << 20;
+  static constexpr std::size_t kMaxConcurrentCalls = 8;               ///< calls beyond this limit fail
+  static constexpr std::size_t kMaxBodyBytes = std::size_t{2} << 20;  ///< a longer response fails the call
 
-  /// `error`: one line, empty where the store gave a usable answer.
+  /// `error` is a one-line message, empty if the store returned a usable response.
   using OnReply =
       std::function<void(std::uint64_t callId, const StoreReply& reply, const std::string& error)>;
 
   StoreClient(boost::asio::io_context& io, const boost::asio::ip::tcp::endpoint& store,
               OverloadManager& overloadManager, OnReply onReply);
 
-  /// Replied once, from a handler of its own, never from within.
+  /// Sends a call. `onReply` is called once for it, from a later event of the loop and never from within
+  /// `call`.
   void call(const StoreCall& call);
-  /// Ends the call; there is no reply.
+  /// Cancels the call; `onReply` is not called for it.
   void cancel(std::uint64_t callId);
 
  private:
@@ -37,7 +38,7 @@
 
   const boost::asio::ip::tcp::endpoint store_;
   const OnReply onReply_;
-  std::unordered_map<std::uint64_t, StoreOperation> operations_;  // under way, by call
+  std::unordered_map<std::uint64_t, StoreOperation> operationsInFlight_;  // by call id
   HttpClient httpClient_;
 };
 
--- a/src/leader_election/store_protocol.cpp
+++ b/src/leader_election/store_protocol.cpp
@@ -46,7 +46,7 @@
 }
 
 std::string readTarget(const StoreCall& call, const std::string& keyTarget) {
-  // Consistent: what any server of the store answered before is seen.
+  // Consistent mode: the read reflects every write that any server of the store has confirmed before.
   std::string target = keyTarget + "?consistent";
   if (call.recurse) target += "&recurse";
   if (call.index > 0)
@@ -63,7 +63,7 @@
   const json& value = fields.at("Value");
   if (value.is_null()) return out;
   auto bytes = fromBase64(value.get<std::string>());
-  if (!bytes) throw std::runtime_error("store: a value that is not Base64");
+  if (!bytes) throw std::runtime_error("invalid response of the store: a value is not Base64");
   out.value = std::move(*bytes);
   return out;
 }
@@ -72,20 +72,21 @@
   std::uint64_t out = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), out);
   if (error != std::errc() || end != text.data() + text.size() || out == 0)
-    throw std::runtime_error("store: no X-Consul-Index");
+    throw std::runtime_error(
+        "invalid response of the store: header X-Consul-Index is missing or not a positive number");
   return out;
 }
 
 std::string parseSessionId(const std::string& body) {
   std::string out = json::parse(body).at("ID").get<std::string>();
   if (out.empty() || out.size() > kMaxSessionIdBytes)
-    throw std::runtime_error("store: a session's id that is empty or too long");
+    throw std::runtime_error("invalid response of the store: the session id is empty or too long");
   return out;
 }
 
 bool isExpectedStatus(StoreOperation operation, unsigned status) {
   if (status == kOk) return true;
-  // A session that is gone, a key that does not exist.
+  // Status 404 reports a session that has ended or a key that does not exist.
   const bool mayBeMissing = operation == StoreOperation::renewSession || operation == StoreOperation::read;
   return status == kNotFound && mayBeMissing;
 }
@@ -117,7 +118,7 @@
 StoreReply parseReply(StoreOperation operation, unsigned status, std::string_view index,
                       const std::string& body) {
   if (!isExpectedStatus(operation, status))
-    throw std::runtime_error("store: status " + std::to_string(status));
+    throw std::runtime_error("unexpected response of the store: HTTP status " + std::to_string(status));
   StoreReply out;
   out.answered = true;
   if (operation == StoreOperation::renewSession && status == kNotFound) return out;
@@ -128,7 +129,8 @@
         break;
       case StoreOperation::renewSession:
         out.succeeded = json::parse(body).is_array();
-        if (!out.succeeded) throw std::runtime_error("store: a renewal that is no list");
+        if (!out.succeeded)
+          throw std::runtime_error("invalid response of the store: the renewal is not a JSON array");
         break;
       case StoreOperation::destroySession:
       case StoreOperation::acquire:
@@ -143,7 +145,7 @@
         break;
     }
   } catch (const json::exception& error) {
-    throw std::runtime_error(std::string("store: ") + error.what());
+    throw std::runtime_error(std::string("invalid response of the store: ") + error.what());
   }
   return out;
 }
--- a/src/leader_election/store_session.cpp
+++ b/src/leader_election/store_session.cpp
@@ -13,11 +13,11 @@
     : timing_(timing), self_(self), calls_(calls), random_(random), counts_(counts) {}
 
 Time StoreSession::start(Time now) {
-  dueAt_ = now + random_.upTo(timing_.spreadMs());
+  dueAt_ = now + random_.upTo(timing_.maxJitterMs());
   return dueAt_;
 }
 
-// --- The session -----------------------------------------------------------------------------------------
+// --- Session ---------------------------------------------------------------------------------------------
 
 void StoreSession::runDue(Time now, bool draining) {
   if (sessionCallId_ != 0 || now < dueAt_ || (draining && !live_)) return;
@@ -32,7 +32,7 @@
 
 StoreSession::Change StoreSession::onSessionReply(Time now, const StoreReply& reply, Time sentAt) {
   sessionCallId_ = 0;
-  const Time maxBackoffMs = live_ ? timing_.ttlMs / 6 : std::max(timing_.ttlMs, 2 * timing_.spreadMs());
+  const Time maxBackoffMs = live_ ? timing_.ttlMs / 6 : std::max(timing_.ttlMs, 2 * timing_.maxJitterMs());
   const Time retryMs = random_.upTo(backoff_.next(kFirstBackoffMs, maxBackoffMs));
   if (!live_) {
     dueAt_ = now + std::max(kFirstBackoffMs, retryMs);
@@ -40,27 +40,27 @@
     id_ = reply.session;
     live_ = true;
     createdAt_ = sentAt;
-    registerNow(now);
+    scheduleRegistration(now);
   } else if (!reply.answered) {
     ++counts_.renewalsFailed;
     dueAt_ = now + std::max(kFirstBackoffMs / 2, retryMs);
     return Change::none;
   } else if (!reply.succeeded) {
     ++counts_.sessionsLost;
-    forgetSession(now);
+    clearSession(now);
     return Change::lost;
   }
   renewedAt_ = sentAt;
   backoff_.reset();
-  // Three renewals a TTL, a little apart from those of the other processes.
+  // About three renewals per TTL, with jitter so that processes do not renew at the same time.
   dueAt_ = sentAt + timing_.ttlMs / 3 * (0.9 + random_.upTo(0.1));
   return Change::createdOrRenewed;
 }
 
-void StoreSession::forgetSession(Time now) {
+void StoreSession::clearSession(Time now) {
   live_ = false;
   id_.clear();
-  dueAt_ = now + random_.upTo(timing_.spreadMs());
+  dueAt_ = now + random_.upTo(timing_.maxJitterMs());
 }
 
 void StoreSession::abandon(Time now) {
@@ -68,7 +68,7 @@
   calls_.cancel(std::exchange(sessionCallId_, 0));
   calls_.cancel(std::exchange(registrationCallId_, 0));
   registrationChanged_ = true;
-  forgetSession(now);
+  clearSession(now);
 }
 
 void StoreSession::end(Time now) {
@@ -78,9 +78,9 @@
   calls_.send(now, std::move(call), CallPurpose::endSession);
 }
 
-// --- The registration ------------------------------------------------------------------------------------
+// --- Registration ----------------------------------------------------------------------------------------
 
-void StoreSession::registerNow(Time now) {
+void StoreSession::scheduleRegistration(Time now) {
   registrationChanged_ = true;
   registrationDueAt_ = now;
 }
--- a/src/leader_election/store_session.hpp
+++ b/src/leader_election/store_session.hpp
@@ -1,8 +1,8 @@
-/// This process's session at the store: creating and renewing it, the lease that follows from the renewals,
-/// and the registration that lives as long as the session.
+/// This process's session at the coordination store: its creation and renewal, the lease that follows from
+/// the renewals, and the registration, which exists as long as the session.
 ///
-/// The lease counts from the moment the last successful renewal was *sent*, which is before the store counts
-/// its TTL. So the lease ends before the store can end the session and give the lock to another.
+/// The lease starts when the last successful renewal was *sent*, which is before the store restarts its TTL.
+/// So the lease expires before the store can end the session and grant the lock to another process.
 #pragma once
 
 #include <cstdint>
@@ -14,46 +14,52 @@
 
 namespace wingslip::leader_election {
 
-/// Owned by `LeaderElection`; single-threaded as that is.
+/// Owned by `ElectionContext` and used on the election's thread.
 class StoreSession {
  public:
+  /// Effect of a reply on the session.
   enum class Change { none, createdOrRenewed, lost };
 
   StoreSession(const Timing& timing, const ProcessIdentity& self, StoreCalls& calls, RandomDelay& random,
                ElectionCounts& counts);
 
-  /// Returns when the first call is due.
+  /// Schedules the creation of the session after a random delay and returns when it is due.
   Time start(Time now);
+  /// Handles the reply to a creation or renewal that was sent at `sentAt`.
   [[nodiscard]] Change onSessionReply(Time now, const StoreReply& reply, Time sentAt);
   void onRegistrationReply(Time now, const StoreReply& reply);
 
-  /// Creates or renews the session where that is due. While draining none is created.
+  /// Creates or renews the session if that is due. While draining, no session is created.
   void runDue(Time now, bool draining);
+  /// Returns whether the registration has changed and can be written at `now`.
   [[nodiscard]] bool isRegistrationDue(Time now) const;
   void sendRegistration(Time now, const Registration& registration);
-  /// Infinity: never by time alone.
+  /// Returns when `runDue` must be called next; infinity if nothing is scheduled.
   [[nodiscard]] Time nextDueAt(bool draining) const;
 
-  /// The registration is written anew when the pause after a failed attempt is over.
+  /// Schedules a write of the registration, not before the retry delay after a failed attempt has elapsed.
   void markRegistrationChanged() { registrationChanged_ = true; }
-  /// The registration is written anew at once.
-  void registerNow(Time now);
+  /// Schedules an immediate write of the registration, without the retry delay.
+  void scheduleRegistration(Time now);
+  /// Returns whether no write of the registration is in flight or, with a session, pending.
   [[nodiscard]] bool isRegistrationSettled() const;
 
-  /// Asks the store to end a session whose lease ran out, and renews it no more. Guards against renewals that
-  /// arrive while their answers are lost: the lock would be held for ever by a process that may not act.
+  /// Ends a session whose lease has expired and stops renewing it. Guards against renewals that reach the
+  /// store while their replies are lost: a process that may not act would own the lock indefinitely.
   void abandon(Time now);
-  /// Asks the store to end the session.
+  /// Sends the call that ends the session.
   void end(Time now);
 
+  /// Whether a session exists, as far as this process knows.
   [[nodiscard]] bool isLive() const { return live_; }
   [[nodiscard]] const std::string& id() const { return id_; }
+  /// When the call that created the session was sent.
   [[nodiscard]] Time createdAt() const { return createdAt_; }
   [[nodiscard]] Time leaseEndsAt() const { return renewedAt_ + timing_.leaseMs(); }
   [[nodiscard]] bool isLeaseValid(Time now) const { return live_ && now < leaseEndsAt(); }
 
  private:
-  void forgetSession(Time now);
+  void clearSession(Time now);
 
   const Timing& timing_;
   const ProcessIdentity& self_;
--- a/tests/leader_election_test.cpp
+++ b/tests/leader_election_test.cpp
@@ -130,12 +130,12 @@
   oldA.draining = true;
   EXPECT_TRUE(
       record.update({oldA, newA, b}, neverInGracePeriod));  // an upgrade: two processes, the new one counts
-  EXPECT_EQ(record.members().at("a"), (Member{MemberState::here, 2, "b2", 20, 1}));
+  EXPECT_EQ(record.members().at("a"), (Member{MemberState::present, 2, "b2", 20, 1}));
   newA.draining = true;
   EXPECT_TRUE(record.update({newA, b}, neverInGracePeriod));
   EXPECT_TRUE(record.update({}, [](const std::string& name) { return name == "b"; }));
-  EXPECT_EQ(record.members().at("a").state, MemberState::left);
-  EXPECT_EQ(record.members().at("b").state, MemberState::here) << "spared for now";
+  EXPECT_EQ(record.members().at("a").state, MemberState::departed);
+  EXPECT_EQ(record.members().at("b").state, MemberState::present) << "spared for now";
   EXPECT_TRUE(record.update({}, neverInGracePeriod));
   EXPECT_EQ(record.members().at("b").state, MemberState::missing);
   const MembershipRecord parsed = MembershipRecord::parse(record.text());
