--- a/tests/leader_election_simulation.hpp
+++ b/tests/leader_election_simulation.hpp
@@ -1,5 +1,6 @@
-// A fleet of candidates in virtual time: the real state machine on the state of the stand-in store, under
-// seeded schedules of drifting clocks, pauses, delays, losses and a store that fails.
+// A fleet of candidates in virtual time: the real state machine against the state of the simulated
+// coordination store, under seeded schedules of clock drift, pauses, message delays and losses, and failures
+// of the store.
 #pragma once
 
 #include <algorithm>
@@ -21,66 +22,68 @@
 
 namespace wingslip::leader_election {
 
+// The faults of a schedule.
 struct Faults {
-  bool withinAssumptions = true;  // else calls may take effect long after they were given up
-  double lossShare = 0;           // of messages, each way, while faults last
-  Time until = 40000;             // then no more faults
-  bool pauses = false;
-  bool storeFails = false;
-  bool writes = true;
+  bool withinAssumptions = true;  // else calls may take effect long after their time-out
+  double messageLossRate = 0;     // probability of loss, in each direction, while faults are active
+  Time activeUntil = 40000;       // no faults from then on
+  bool pauses = false;            // of processes
+  bool storeFails = false;        // the store stops, and restarts with its state, an old state or none
+  bool writes = true;             // leaders write the record periodically
 };
 
 class ElectionSimulation {
  public:
-  // What went wrong, and what happened at all; by true time.
+  // Counters of violations and of events, by simulation time, which no process sees.
   struct Observed {
     long calls = 0;
     long recordsWritten = 0;
-    long twoLeadersAtOnce = 0;
-    long lowerTokens = 0;
-    long sharedTokens = 0;
-    long writesFenced = 0;
-    long leadersWithoutLock = 0;
-    long staleRecordsAccepted = 0;
+    long simultaneousLeaders = 0;
+    long tokenRegressions = 0;      // records written under a token below the highest so far
+    long duplicateTokens = 0;       // records written under a token of another leader
+    long writesRejected = 0;        // compare-and-set calls that the store rejected
+    long leadersWithoutLock = 0;    // leaders whose lock may expire before a call would time out
+    long staleRecordsAccepted = 0;  // records under a lower token that a candidate accepted
   };
 
   ElectionSimulation(std::uint64_t seed, int candidates, const Faults& faults, Time ttlMs = 2000)
       : faults_(faults), timing_(timingFor(ttlMs, 300, static_cast<unsigned>(candidates))), random_(seed) {
-    storeClockRate_ = 1 + between(-timing_.clockDrift / 2, timing_.clockDrift / 2);
-    store_.onChange = [this](const std::string& key) { wakeReads(key); };
+    storeClockRate_ = 1 + uniform(-timing_.clockDrift / 2, timing_.clockDrift / 2);
+    store_.onChange = [this](const std::string& key) { completeBlockingReads(key); };
     store_.onSet = [this](const std::string&, const std::string& value) { onRecordWritten(value); };
     for (int i = 0; i < candidates; ++i) processes_.push_back(std::make_unique<Process>(*this, i));
-    for (auto& process : processes_) at(between(0, 500), [started = process.get()] { started->start(); });
-    if (faults.storeFails) at(between(5000, 15000), [this] { failStore(); });
+    for (auto& process : processes_) at(uniform(0, 500), [started = process.get()] { started->start(); });
+    if (faults.storeFails) at(uniform(5000, 15000), [this] { failStore(); });
   }
 
   void run(Time until) {
     while (const auto action = events_.next(until)) {
       store_.expire(storeNow());
       (*action)();
-      check();
+      checkInvariants();
     }
   }
 
-  int leaders() const {
+  int leaderCount() const {
     return static_cast<int>(std::count_if(processes_.begin(), processes_.end(),
                                           [](const auto& process) { return process->isLeading(); }));
   }
-  // -1: none leads.
-  int leader() const {
+  // Returns -1 if there is no leader.
+  int leaderIndex() const {
     for (const auto& process : processes_)
       if (process->isLeading()) return process->index;
     return -1;
   }
-  // From now on nothing that the leader writes takes effect, whatever else it asks does. -1: none leads.
-  int stopWritesOfLeader() {
-    const int index = leader();
-    if (index >= 0) withoutWrites_ = index;
+  // Drops all further compare-and-set calls that the present leader sends while it leads; its other calls
+  // take effect. Returns its index, or -1 if there is no leader.
+  int dropWritesOfLeader() {
+    const int index = leaderIndex();
+    if (index >= 0) droppedWriter_ = index;
     return index;
   }
-  // The leader's process is gone at once. -1: none leads.
+  // Crashes the leader's process. Returns its index, or -1 if there is no leader.
   int crashLeader() {
-    const int index = leader();
+    const int index = leaderIndex();
     if (index >= 0) processes_[static_cast<std::size_t>(index)]->crashed = true;
     return index;
   }
@@ -97,8 +100,8 @@
   struct Process : ElectionHost, LeaderTask {
     Process(ElectionSimulation& owner, int number) : simulation(owner), index(number) {
       const Time halfDrift = owner.timing_.clockDrift / 2;
-      clockRate = 1 + owner.between(-halfDrift, halfDrift);
-      clockOffset = owner.between(0, 1e6);
+      clockRate = 1 + owner.uniform(-halfDrift, halfDrift);
+      clockOffset = owner.uniform(0, 1e6);
       const ProcessIdentity identity{"p", "g" + std::to_string(number), "i" + std::to_string(number), "1", 0};
       election = std::make_unique<LeaderElection>(owner.timing_, identity, owner.random_(), *this);
       election->addTask("roster", *this);
@@ -108,44 +111,45 @@
     void start() {
       election->start(localNow());
       armTimer();
-      if (simulation.faults_.writes) writeLater();
-      if (simulation.faults_.pauses) pauseLater();
+      if (simulation.faults_.writes) scheduleWrite();
+      if (simulation.faults_.pauses) schedulePause();
     }
-    // What happens to a paused process waits until it resumes.
-    void later(Time when, std::function<void()> action) {
+    // Runs the action at that time; while the process is paused, actions are deferred until it resumes.
+    void scheduleWhileRunning(Time when, std::function<void()> action) {
       simulation.at(when, [this, action = std::move(action)] {
         if (crashed) return;
-        if (paused) return void(waiting.push_back(action));
+        if (paused) return void(deferredActions.push_back(action));
         action();
       });
     }
-    void pauseLater() {
-      simulation.at(simulation.now() + simulation.between(3000, 20000), [this] { pause(); });
+    void schedulePause() {
+      simulation.at(simulation.now() + simulation.uniform(3000, 20000), [this] { pause(); });
     }
     void pause() {
-      if (simulation.now() > simulation.faults_.until) return;
+      if (simulation.now() > simulation.faults_.activeUntil) return;
       paused = true;
-      simulation.at(simulation.now() + simulation.between(100, 8000), [this] {
+      simulation.at(simulation.now() + simulation.uniform(100, 8000), [this] {
         paused = false;
-        for (auto& action : std::exchange(waiting, {})) action();
-        pauseLater();
+        for (auto& action : std::exchange(deferredActions, {})) action();
+        schedulePause();
       });
     }
     void armTimer() {
       const Time dueAt = election->nextDueAt();
       if (dueAt == std::numeric_limits<Time>::infinity()) return;
       const std::uint64_t timer = ++lastTimer;
-      later(std::max(simulation.now(), (dueAt - clockOffset) / clockRate) + 0.01, [this, timer] {
-        if (timer != lastTimer) return;
-        election->runDue(localNow());
-        armTimer();
-      });
+      scheduleWhileRunning(std::max(simulation.now(), (dueAt - clockOffset) / clockRate) + 0.01,
+                           [this, timer] {
+                             if (timer != lastTimer) return;
+                             election->runDue(localNow());
+                             armTimer();
+                           });
     }
-    void writeLater() {
-      later(simulation.now() + 200, [this] {
+    void scheduleWrite() {
+      scheduleWhileRunning(simulation.now() + 200, [this] {
         election->writeRecord(localNow(), "roster", "at " + std::to_string(simulation.now()));
         armTimer();
-        writeLater();
+        scheduleWrite();
       });
     }
 
@@ -169,7 +173,7 @@
     FencingToken highestToken = 0;
     std::uint64_t lastTimer = 0;
     std::unique_ptr<LeaderElection> election;
-    std::vector<std::function<void()>> waiting;
+    std::vector<std::function<void()>> deferredActions;
     std::set<std::uint64_t> cancelled;
     std::set<std::uint64_t> replied;
   };
@@ -181,31 +185,31 @@
 
   Time now() const { return events_.now(); }
   void at(Time when, std::function<void()> action) { events_.at(when, std::move(action)); }
-  double between(double low, double high) {
+  double uniform(double low, double high) {
     return std::uniform_real_distribution<double>(low, high)(random_);
   }
   Time storeNow() const { return storeClockRate_ * now(); }
-  bool faultsLast() const { return now() < faults_.until; }
-  bool isLost() { return faultsLast() && between(0, 1) < faults_.lossShare; }
+  bool faultsActive() const { return now() < faults_.activeUntil; }
+  bool isMessageLost() { return faultsActive() && uniform(0, 1) < faults_.messageLossRate; }
   Time delay() {
-    if (!faultsLast()) return between(1, 5);
+    if (!faultsActive()) return uniform(1, 5);
     const double maxMs = faults_.withinAssumptions ? timing_.callTimeoutMs * 0.99 : 8000;
-    const double slowShare = faults_.withinAssumptions ? 0.1 : 0.2;
-    return between(0, 1) < slowShare ? between(1, maxMs) : between(1, 20);
+    const double slowRate = faults_.withinAssumptions ? 0.1 : 0.2;
+    return uniform(0, 1) < slowRate ? uniform(1, maxMs) : uniform(1, 20);
   }
 
   void call(Process& process, const StoreCall& call) {
     ++observed_.calls;
     const bool isWrite = call.operation == StoreOperation::compareAndSet &&
                          process.election->status()[0].state == State::leading;
-    if (isWrite) observed_.leadersWithoutLock += faults_.withinAssumptions && !keepsLock(process);
-    // Exactly one reply: the answer, or a failure at its time.
-    process.later(now() + call.timeoutMs / process.clockRate,
-                  [&process, id = call.id] { replyTo(process, id, {}); });
-    if (isLost()) return;
+    if (isWrite) observed_.leadersWithoutLock += faults_.withinAssumptions && !isLockGuaranteed(process);
+    // Exactly one reply: the store's response, or a failure when the call times out.
+    process.scheduleWhileRunning(now() + call.timeoutMs / process.clockRate,
+                                 [&process, id = call.id] { replyTo(process, id, {}); });
+    if (isMessageLost()) return;
     const Time transitMs = delay();
     if (faults_.withinAssumptions && transitMs > timing_.callTimeoutMs) return;
-    at(now() + transitMs, [this, &process, call] { arrive(process, call); });
+    at(now() + transitMs, [this, &process, call] { onCallArrival(process, call); });
   }
   static void replyTo(Process& process, std::uint64_t callId, const StoreReply& reply) {
     if (process.cancelled.contains(callId) || !process.replied.insert(callId).second) return;
@@ -214,38 +218,39 @@
   }
   void answer(Process& process, std::uint64_t callId, StoreReply reply) {
     reply.answered = true;
-    if (isLost()) return;
-    process.later(now() + delay(), [&process, callId, reply] { replyTo(process, callId, reply); });
+    if (isMessageLost()) return;
+    process.scheduleWhileRunning(now() + delay(),
+                                 [&process, callId, reply] { replyTo(process, callId, reply); });
   }
 
-  void arrive(Process& process, const StoreCall& call) {
+  void onCallArrival(Process& process, const StoreCall& call) {
     if (storeIsDown_) return;
     StoreReply reply;
-    const Time atStore = storeNow();
+    const Time storeTime = storeNow();
     writer_ = &process;
     switch (call.operation) {
       case StoreOperation::createSession:
-        reply.session = store_.createSession(atStore, call.value, call.ttlMs, call.lockDelayMs);
+        reply.session = store_.createSession(storeTime, call.value, call.ttlMs, call.lockDelayMs);
         break;
       case StoreOperation::renewSession:
-        reply.succeeded = store_.renew(atStore, call.session);
+        reply.succeeded = store_.renew(storeTime, call.session);
         break;
       case StoreOperation::destroySession:
-        store_.destroy(atStore, call.session);
+        store_.destroy(storeTime, call.session);
         break;
       case StoreOperation::acquire: {
-        const auto acquired = store_.acquire(atStore, call.key, call.session, call.value);
-        if (!acquired) return;  // an error at the store
+        const auto acquired = store_.acquire(storeTime, call.key, call.session, call.value);
+        if (!acquired) return;  // the store rejects the call with an error and the call times out
         reply.succeeded = *acquired;
         break;
       }
       case StoreOperation::release:
-        reply.succeeded = store_.release(atStore, call.key, call.session).value_or(false);
+        reply.succeeded = store_.release(storeTime, call.key, call.session).value_or(false);
         break;
       case StoreOperation::compareAndSet:
-        if (process.index == withoutWrites_ && process.election->status()[0].state == State::leading) return;
-        reply.succeeded = store_.compareAndSet(atStore, call.key, call.index, call.value);
-        observed_.writesFenced += !reply.succeeded;
+        if (process.index == droppedWriter_ && process.election->status()[0].state == State::leading) return;
+        reply.succeeded = store_.compareAndSet(storeTime, call.key, call.index, call.value);
+        observed_.writesRejected += !reply.succeeded;
         break;
       case StoreOperation::read:
         if (call.index > 0 && call.index == store_.changedAt(call.key, call.recurse))
@@ -259,8 +264,8 @@
     blockingReads_.push_back({&process, call});
     at(now() + call.blockingReadMs, [this, &process, call] {
       const auto found =
-          std::find_if(blockingReads_.begin(), blockingReads_.end(), [&](const BlockingRead& waiting) {
-            return waiting.process == &process && waiting.call.id == call.id;
+          std::find_if(blockingReads_.begin(), blockingReads_.end(), [&](const BlockingRead& blocked) {
+            return blocked.process == &process && blocked.call.id == call.id;
           });
       if (found == blockingReads_.end()) return;
       blockingReads_.erase(found);
@@ -274,64 +279,65 @@
       out.entries.push_back({key, stored.value, stored.session, stored.modifyIndex});
     return out;
   }
-  void wakeReads(const std::string& key) {
+  void completeBlockingReads(const std::string& key) {
     std::vector<BlockingRead> woken;
-    std::erase_if(blockingReads_, [&](const BlockingRead& waiting) {
-      const bool isMatch = key.rfind(waiting.call.key, 0) == 0;
-      if (isMatch) woken.push_back(waiting);
+    std::erase_if(blockingReads_, [&](const BlockingRead& blocked) {
+      const bool isMatch = key.rfind(blocked.call.key, 0) == 0;
+      if (isMatch) woken.push_back(blocked);
       return isMatch;
     });
-    for (const BlockingRead& waiting : woken)
-      at(now(), [this, waiting] { answer(*waiting.process, waiting.call.id, read(waiting.call)); });
+    for (const BlockingRead& blocked : woken)
+      at(now(), [this, blocked] { answer(*blocked.process, blocked.call.id, read(blocked.call)); });
   }
 
-  // The store is down for a while, and comes back as it was, empty, or as it was before.
+  // Stops the store for a while. It restarts with its state, without any, or with a state saved earlier.
   void failStore() {
-    if (!faultsLast()) return;
-    if (between(0, 1) < 0.3) savedStore_ = store_;
+    if (!faultsActive()) return;
+    if (uniform(0, 1) < 0.3) savedStore_ = store_;
     storeIsDown_ = true;
     blockingReads_.clear();
-    at(now() + between(200, 6000), [this] {
+    at(now() + uniform(200, 6000), [this] {
       storeIsDown_ = false;
-      const double kind = between(0, 1);
+      const double kind = uniform(0, 1);
       if (kind < 0.5) {
         const auto onChange = store_.onChange;
         const auto onSet = store_.onSet;
-        // Empty or old, so that all sessions that are known are gone or are of that time.
+        // Without state, all sessions have ended; with the saved state, the sessions are those of that time.
         store_ = kind < 0.25 ? wingslip::lab::StoreState() : savedStore_;
         store_.onChange = onChange;
         store_.onSet = onSet;
       }
-      at(now() + between(6000, 12000), [this] { failStore(); });
+      at(now() + uniform(6000, 12000), [this] { failStore(); });
     });
   }
 
-  // A compare-and-set of the record took effect.
+  // Called when a compare-and-set of the record took effect.
   void onRecordWritten(const std::string& value) {
     const auto record = nlohmann::json::parse(value);
     const FencingToken token = record["token"].get<FencingToken>();
     const std::string leaderInstance = record["holder"].get<std::string>();
     ++observed_.recordsWritten;
-    observed_.lowerTokens += token < highestToken_;
+    observed_.tokenRegressions += token < highestToken_;
     const auto [found, isNew] = leaderOfToken_.try_emplace(token, leaderInstance);
-    observed_.sharedTokens += !isNew && found->second != leaderInstance;
+    observed_.duplicateTokens += !isNew && found->second != leaderInstance;
     highestToken_ = std::max(highestToken_, token);
     for (const auto& process : processes_)
-      observed_.twoLeadersAtOnce +=
+      observed_.simultaneousLeaders +=
           process.get() != writer_ && process->isLeading() && faults_.withinAssumptions;
   }
-  // The argument's first half: the lock is the leader's for as long as an act that is sent now may take.
-  bool keepsLock(const Process& process) const {
+  // Returns whether the process owns the lock and the store cannot grant it to another before a call that is
+  // sent now would time out.
+  bool isLockGuaranteed(const Process& process) const {
     const auto lock = store_.read("p/duties/roster/lock", false);
     return !lock.empty() && lock[0].second.value == "g" + std::to_string(process.index) &&
            store_.heldUntil("p/duties/roster/lock") >=
                storeNow() + timing_.callTimeoutMs * (1 - timing_.clockDrift);
   }
-  void check() {
-    observed_.twoLeadersAtOnce += leaders() > 1;
+  void checkInvariants() {
+    observed_.simultaneousLeaders += leaderCount() > 1;
     if (!faults_.withinAssumptions) return;
     for (const auto& process : processes_)
-      observed_.leadersWithoutLock += process->isLeading() && !keepsLock(*process);
+      observed_.leadersWithoutLock += process->isLeading() && !isLockGuaranteed(*process);
   }
 
   Faults faults_;
@@ -348,7 +354,7 @@
   std::map<FencingToken, std::string> leaderOfToken_;
   FencingToken highestToken_ = 0;
   Process* writer_ = nullptr;
-  int withoutWrites_ = -1;
+  int droppedWriter_ = -1;
 };
 
 }  // namespace wingslip::leader_election
--- a/tests/leader_election_test.cpp
+++ b/tests/leader_election_test.cpp
@@ -1,5 +1,5 @@
-// Leader election without processes: the state machine in virtual time under seeded schedules, the membership
-// record, and wrong input from the store or the configuration.
+// Leader election without processes: the state machine in virtual time under seeded fault schedules, the
+// membership record, and invalid input from the store or the configuration.
 #include <gtest/gtest.h>
 
 #include <boost/asio/read_until.hpp>
@@ -20,86 +20,90 @@
 namespace {
 
 #ifdef __SANITIZE_ADDRESS__
-constexpr std::uint64_t kSchedules = 100;  // each is some fifty times slower there
+constexpr std::uint64_t kSchedules = 100;  // a schedule takes about fifty times as long with AddressSanitizer
 #else
 constexpr std::uint64_t kSchedules = 1500;
 #endif
 
-// Within the assumptions: never two by true time, and one again within six TTLs of the last fault.
-TEST(LeaderElectionSchedules, NeverTwoLeadersAndOneAgainAfterTheFaults) {
+// Guards against two simultaneous leaders, by simulation time, while the timing assumptions hold, and against
+// a fleet without a leader: there is one within six TTLs of the last fault.
+TEST(LeaderElectionFaultSchedules, AtMostOneLeaderAndReelectionAfterFaults) {
   long recordsWritten = 0;
   std::uint64_t leasesExpired = 0;
   for (std::uint64_t seed = 1; seed <= kSchedules; ++seed) {
     Faults faults;
-    faults.lossShare = seed % 3 == 0 ? 0.15 : 0.03;
+    faults.messageLossRate = seed % 3 == 0 ? 0.15 : 0.03;
     faults.pauses = seed % 2 == 0;
     ElectionSimulation simulation(seed, 3 + static_cast<int>(seed % 3), faults);
     simulation.run(40000 + 8000 + 6 * 2000);
     const ElectionSimulation::Observed& observed = simulation.observed();
-    ASSERT_EQ(observed.twoLeadersAtOnce, 0) << "seed " << seed;
+    ASSERT_EQ(observed.simultaneousLeaders, 0) << "seed " << seed;
     ASSERT_EQ(observed.leadersWithoutLock, 0) << "seed " << seed;
-    ASSERT_EQ(observed.lowerTokens, 0) << "seed " << seed;
-    ASSERT_EQ(observed.sharedTokens, 0) << "seed " << seed;
-    ASSERT_EQ(simulation.leaders(), 1) << "seed " << seed;
+    ASSERT_EQ(observed.tokenRegressions, 0) << "seed " << seed;
+    ASSERT_EQ(observed.duplicateTokens, 0) << "seed " << seed;
+    ASSERT_EQ(simulation.leaderCount(), 1) << "seed " << seed;
     recordsWritten += observed.recordsWritten;
     leasesExpired += simulation.leasesExpired();
   }
   EXPECT_GT(recordsWritten, 60 * static_cast<long>(kSchedules));
-  EXPECT_GT(leasesExpired, kSchedules / 2) << "the schedules make leases run out";
+  EXPECT_GT(leasesExpired, kSchedules / 2) << "the schedules must make leases expire";
 }
 
-// With the assumptions broken (calls that take effect seconds after they were given up, a store that comes
-// back empty or old), two may believe that they lead; no write under a lower token takes effect, and no token
-// has two leaders. A store that went back cannot refuse what was under way for its old state: then readers
-// refuse it.
-TEST(LeaderElectionSchedules, FencingHoldsWithTheAssumptionsBroken) {
-  long writesFenced = 0;
+// Guards against stale writes if the timing assumptions are violated: calls take effect seconds after their
+// time-out, or the store restarts empty or with an old state, so that two processes may believe that they
+// lead. No write under a lower token takes effect, and no token has two leaders. A restored store cannot
+// reject calls in flight that match its old state; in that case, readers reject the record.
+TEST(LeaderElectionFaultSchedules, StaleWritesAreFencedWhenAssumptionsAreViolated) {
+  long writesRejected = 0;
   for (std::uint64_t seed = 1; seed <= kSchedules; ++seed) {
     Faults faults;
     faults.withinAssumptions = false;
-    faults.lossShare = 0.05;
+    faults.messageLossRate = 0.05;
     faults.pauses = true;
     faults.storeFails = seed % 2 == 0;
     ElectionSimulation simulation(seed, 4, faults);
     simulation.run(40000 + 8000 + 8 * 2000);
     const ElectionSimulation::Observed& observed = simulation.observed();
     ASSERT_EQ(observed.staleRecordsAccepted, 0) << "seed " << seed;
-    ASSERT_TRUE(observed.lowerTokens == 0 || faults.storeFails) << "seed " << seed;
-    ASSERT_TRUE(observed.sharedTokens == 0 || faults.storeFails) << "seed " << seed;
-    ASSERT_EQ(simulation.leaders(), 1) << "seed " << seed;
-    writesFenced += observed.writesFenced;
+    ASSERT_TRUE(observed.tokenRegressions == 0 || faults.storeFails) << "seed " << seed;
+    ASSERT_TRUE(observed.duplicateTokens == 0 || faults.storeFails) << "seed " << seed;
+    ASSERT_EQ(simulation.leaderCount(), 1) << "seed " << seed;
+    writesRejected += observed.writesRejected;
   }
-  EXPECT_GT(writesFenced, static_cast<long>(kSchedules / 10));
+  EXPECT_GT(writesRejected, static_cast<long>(kSchedules / 10));
 }
 
-// A leader whose writes do not take effect steps down and does not compete; another leads.
-TEST(LeaderElectionSchedules, LeaderWhoseWritesHaveNoEffectStepsDown) {
-  Faults none;
-  none.until = 0;
-  ElectionSimulation simulation(5, 4, none);
+// Guards against a leader that retains the lock although its writes do not take effect: it steps down and
+// does not compete, and another process becomes the leader.
+TEST(LeaderElectionFaultSchedules, LeaderStepsDownWhenItsWritesHaveNoEffect) {
+  Faults noFaults;
+  noFaults.activeUntil = 0;
+  ElectionSimulation simulation(5, 4, noFaults);
   simulation.run(10000);
-  const int first = simulation.stopWritesOfLeader();
-  ASSERT_GE(first, 0);
+  const int firstLeader = simulation.dropWritesOfLeader();
+  ASSERT_GE(firstLeader, 0);
   simulation.run(10000 + 2 * 2000 + 1000);
-  EXPECT_EQ(simulation.leaders(), 1);
-  EXPECT_NE(simulation.leader(), first);
-  EXPECT_EQ(simulation.observed().lowerTokens, 0);
+  EXPECT_EQ(simulation.leaderCount(), 1);
+  EXPECT_NE(simulation.leaderIndex(), firstLeader);
+  EXPECT_EQ(simulation.observed().tokenRegressions, 0);
 }
 
-// Calls at the store, all well and after the leader's crash: the bounds of the design page.
-TEST(LeaderElectionLoad, CallsAtTheStoreAreBounded) {
+// Guards against overload of the store: the calls without faults and after the leader's crash stay within the
+// bounds in docs/design.md.
+TEST(LeaderElectionLoad, StoreCallsAreBoundedWhenIdleAndAfterLeaderCrash) {
   for (const int candidates : {1, 30, 300}) {
-    Faults none;
-    none.until = 0;
-    none.writes = false;
-    ElectionSimulation simulation(7, candidates, none, 10000);
+    Faults noFaults;
+    noFaults.activeUntil = 0;
+    noFaults.writes = false;
+    ElectionSimulation simulation(7, candidates, noFaults, 10000);
     const auto calls = [&] { return simulation.observed().calls; };
     simulation.run(60000);
-    ASSERT_EQ(simulation.leaders(), 1);
+    ASSERT_EQ(simulation.leaderCount(), 1);
     const long before = calls();
     simulation.run(120000);
     const long idle = calls() - before;
-    // A minute: 3 to 3.4 renewals a TTL of 10 s, a blocking read every 20 s, the leader's second one.
+    // Per minute and candidate: 3 to 3.4 renewals per TTL of 10 s and a blocking read every 20 s. The leader
+    // has a second blocking read.
     EXPECT_LE(idle, candidates * (3.4 * 6 + 3) + 4) << candidates;
     EXPECT_GE(idle, candidates * 18) << candidates;
     if (candidates == 1) continue;
@@ -107,10 +111,10 @@
     ASSERT_GE(simulation.crashLeader(), 0);
     const double boundMs = 2 * 10000 + 300 + 2 * 20.0 * candidates + 1000;
     simulation.run(120000 + boundMs);
-    EXPECT_EQ(simulation.leaders(), 1) << candidates;
+    EXPECT_EQ(simulation.leaderCount(), 1) << candidates;
     const long failover = calls() - beforeCrash - idle * static_cast<long>(boundMs) / 60000;
     EXPECT_LE(failover, 5L * candidates) << candidates;
-    std::printf("candidates %d: idle %.1f calls/s; a crash and the next holder cost %ld calls more\n",
+    std::printf("candidates %d: idle %.1f calls/s; a leader crash and the failover cost %ld more calls\n",
                 candidates, static_cast<double>(idle) / 60, failover);
   }
 }
@@ -119,23 +123,23 @@
 
 bool neverInGracePeriod(const std::string&) { return false; }
 
-TEST(MembershipRecord, TellsMembersThatLeftFromMissingOnes) {
+TEST(MembershipRecord, DistinguishesDepartedFromMissingMembers) {
   MembershipRecord record;
   const Registration a{"a", "1", "b1", 10, false, {}};
   const Registration b{"b", "2", "b1", 10, false, {}};
   Registration newA{"a", "3", "b2", 20, false, {}};
   Registration oldA = a;
   EXPECT_TRUE(record.update({a, b}, neverInGracePeriod));
-  EXPECT_FALSE(record.update({b, a}, neverInGracePeriod)) << "the order is nothing";
+  EXPECT_FALSE(record.update({b, a}, neverInGracePeriod)) << "the order of the registrations must not matter";
   oldA.draining = true;
-  EXPECT_TRUE(
-      record.update({oldA, newA, b}, neverInGracePeriod));  // an upgrade: two processes, the new one counts
+  // An upgrade: the newer of two processes determines the build, the one that is not draining the state.
+  EXPECT_TRUE(record.update({oldA, newA, b}, neverInGracePeriod));
   EXPECT_EQ(record.members().at("a"), (Member{MemberState::present, 2, "b2", 20, 1}));
   newA.draining = true;
   EXPECT_TRUE(record.update({newA, b}, neverInGracePeriod));
   EXPECT_TRUE(record.update({}, [](const std::string& name) { return name == "b"; }));
   EXPECT_EQ(record.members().at("a").state, MemberState::departed);
-  EXPECT_EQ(record.members().at("b").state, MemberState::present) << "spared for now";
+  EXPECT_EQ(record.members().at("b").state, MemberState::present) << "in its grace period";
   EXPECT_TRUE(record.update({}, neverInGracePeriod));
   EXPECT_EQ(record.members().at("b").state, MemberState::missing);
   const MembershipRecord parsed = MembershipRecord::parse(record.text());
@@ -143,20 +147,20 @@
   EXPECT_EQ(parsed.version(), record.version());
 }
 
-TEST(MembershipRecord, IsBoundedAndDropsMembersGoneForLongest) {
+TEST(MembershipRecord, IsBoundedAndEvictsLongestUnregisteredMembers) {
   MembershipRecord record;
   std::vector<Registration> all;
   for (std::size_t i = 0; i < MembershipRecord::kMaxMembers; ++i)
     all.push_back({"n" + std::to_string(i), "i", std::string(100, 'b'), 1, false, {}});
-  const Registration gone{"gone", "i", "b", 1, false, {}};
-  record.update({gone}, neverInGracePeriod);
+  const Registration unregistered{"gone", "i", "b", 1, false, {}};
+  record.update({unregistered}, neverInGracePeriod);
   record.update(all, neverInGracePeriod);
   EXPECT_FALSE(record.members().contains("gone"));
   EXPECT_LE(record.text().size(), MembershipRecord::kMaxBytes);
   EXPECT_GT(record.members().size(), 1900u);
 }
 
-// Guards against a walk over all members for each one that is dropped.
+// Guards against quadratic time: a pass over all members for each evicted member.
 TEST(MembershipRecord, TrimmingTimeGrowsLinearly) {
   const double factor = growth::between(2000, [](std::size_t members) {
     std::vector<Registration> all;
@@ -170,9 +174,10 @@
   EXPECT_LT(factor, growth::kMost);
 }
 
-// --- Wrong input -----------------------------------------------------------------------------------------
+// --- Invalid input ---------------------------------------------------------------------------------------
 
-TEST(LeaderElectionBadInput, UnusableAnswersAreErrorsAndNeverSuccess) {
+// Guards against malformed responses of the store that are taken for a success.
+TEST(LeaderElectionInvalidInput, MalformedStoreResponsesAreRejected) {
   const auto expectError = [](StoreOperation operation, unsigned status, const char* index,
                               const std::string& body) {
     EXPECT_THROW((void)parseReply(operation, status, index, body), std::runtime_error)
@@ -204,8 +209,10 @@
                std::runtime_error);
 }
 
-// Over a socket: silence, an end in the middle, an endless header, a body past the cap, a call past the most.
-TEST(LeaderElectionBadInput, MisbehavingStoreCostsATimeOutAndNoMore) {
+// Guards against a misbehaving store that affects more than the call: no response, a connection closed within
+// the response, an oversized header, a body above the limit, and a malformed status line, over a socket. Each
+// call fails, the next valid response is accepted, and no memory stays charged.
+TEST(LeaderElectionInvalidInput, MisbehavingStoreFailsOnlyTheCall) {
   boost::asio::io_context io;
   MemoryBudget::Shares shares;
   shares.total = 64 << 20;
@@ -213,12 +220,12 @@
   using boost::asio::ip::tcp;
   tcp::acceptor acceptor(io, {boost::asio::ip::address_v4::loopback(), 0});
   const std::string ok = "HTTP/1.1 200 OK\r\nX-Consul-Index: 5\r\n";
-  const std::vector<std::string> answers{"",
-                                         ok + "Content-Length: 10\r\n\r\n[",
-                                         "HTTP/1.1 200 " + std::string(64 << 10, 'x'),
-                                         ok + "Content-Length: 9000000\r\n\r\n" + std::string(1 << 20, ' '),
-                                         "nonsense\r\n\r\n",
-                                         ok + "Content-Length: 2\r\n\r\n[]"};
+  const std::vector<std::string> responses{"",
+                                           ok + "Content-Length: 10\r\n\r\n[",
+                                           "HTTP/1.1 200 " + std::string(64 << 10, 'x'),
+                                           ok + "Content-Length: 9000000\r\n\r\n" + std::string(1 << 20, ' '),
+                                           "nonsense\r\n\r\n",
+                                           ok + "Content-Length: 2\r\n\r\n[]"};
   std::vector<std::string> errors(16, "none");
   std::size_t replies = 0;
   StoreClient client(io, acceptor.local_endpoint(), overloadManager,
@@ -226,7 +233,7 @@
                        ++replies;
                        errors[callId] = reply.answered ? "ok" : error;
                      });
-  for (std::size_t i = 0; i < answers.size(); ++i) {
+  for (std::size_t i = 0; i < responses.size(); ++i) {
     StoreCall call;
     call.id = i;
     call.key = "k";
@@ -236,10 +243,10 @@
     acceptor.accept(peer);
     boost::system::error_code ignored;
     std::thread writer;
-    if (!answers[i].empty()) {
+    if (!responses[i].empty()) {
       writer = std::thread([&] {
         boost::system::error_code writeError;
-        boost::asio::write(peer, boost::asio::buffer(answers[i]), writeError);
+        boost::asio::write(peer, boost::asio::buffer(responses[i]), writeError);
       });
     }
     while (replies == i && io.run_one_for(std::chrono::seconds(5)) > 0) {
@@ -257,19 +264,19 @@
   EXPECT_EQ(overloadManager.memory().used(Account::discovery), 0u);
 }
 
-TEST(LeaderElectionBadInput, ConfigurationWithAWrongStoreIsRejectedWhole) {
+TEST(LeaderElectionInvalidInput, InvalidCoordinationConfigurationIsRejected) {
   const std::string store = R"({"store": "127.0.0.1:8500")";
-  for (const std::string& wrong :
+  for (const std::string& invalid :
        {std::string("7"), std::string("{}"), std::string(R"({"store": "nowhere"})"),
         std::string(R"({"store": "127.0.0.1:0"})"), store + R"(, "ttl_ms": 10})",
         store + R"(, "ttl_ms": "10s"})", store + R"(, "lock_delay_ms": -1})", store + R"(, "prefix": "/a"})",
         store + R"(, "prefix": "a b"})", store + R"(, "prefix": 5})", store + R"(, "prefix": ""})",
         store + R"(, "ttl": 5})"}) {
-    EXPECT_NE(saidOf("coordination", wrong), "") << wrong;
+    EXPECT_NE(saidOf("coordination", invalid), "") << invalid;
   }
-  for (const std::string& right :
+  for (const std::string& valid :
        {std::string("null"), store + "}", store + R"(, "prefix": "a/b-c_1.d", "ttl_ms": 1000})"}) {
-    EXPECT_EQ(saidOf("coordination", right), "") << right;
+    EXPECT_EQ(saidOf("coordination", valid), "") << valid;
   }
 }
 
