--- a/src/codec/cbor.hpp
+++ b/src/codec/cbor.hpp
@@ -1,4 +1,4 @@
-/// Reading CBOR that another process wrote.
+/// Parsing of untrusted CBOR received from another process or read from a file.
 #pragma once
 
 #include <cstddef>
@@ -8,19 +8,19 @@
 
 namespace wingslip {
 
-/// Bytes that are no CBOR, or nested deeper than `kMaxCborDepth`.
+/// Thrown for bytes that are not valid CBOR or are nested deeper than `kMaxCborDepth`.
 class CborError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
-/// How deep arrays and maps may be nested in a message. The parser that builds a tree recurses at each level,
-/// so that a few hundred kilobytes of nested arrays would exhaust the stack.
+/// Maximum nesting depth of arrays and maps in a document. The parser that builds the tree recurses once per
+/// level, so a few hundred kilobytes of nested arrays would exhaust the stack.
 constexpr std::size_t kMaxCborDepth = 8;
 
 namespace detail {
 
-/// Accepts any document whose nesting stays within `kMaxCborDepth`, and builds nothing.
+/// SAX handler that rejects documents nested deeper than `kMaxCborDepth`. Builds no document.
 class DepthCheck : public nlohmann::json::json_sax_t {
  public:
   bool null() override { return true; }
@@ -32,15 +32,15 @@
   bool binary(binary_t&) override { return true; }
   bool start_object(std::size_t) override { return ++depth_ <= kMaxCborDepth; }
   bool key(string_t&) override { return true; }
-  bool end_object() override { return leave(); }
+  bool end_object() override { return closeContainer(); }
   bool start_array(std::size_t) override { return ++depth_ <= kMaxCborDepth; }
-  bool end_array() override { return leave(); }
+  bool end_array() override { return closeContainer(); }
   bool parse_error(std::size_t, const std::string&, const nlohmann::json::exception&) override {
     return false;
   }
 
  private:
-  bool leave() {
+  bool closeContainer() {
     --depth_;
     return true;
   }
@@ -49,7 +49,8 @@
 
 }  // namespace detail
 
-/// The document in `size` bytes. Throws CborError.
+/// Parses one CBOR document of `size` bytes.
+/// @throws CborError if the bytes are not valid CBOR or are nested deeper than `kMaxCborDepth`.
 inline nlohmann::json parseCbor(const std::uint8_t* bytes, std::size_t size) {
   using nlohmann::json;
   detail::DepthCheck check;
--- a/src/codec/socket_address.hpp
+++ b/src/codec/socket_address.hpp
@@ -1,4 +1,4 @@
-/// Text form of a TCP socket address. Depends on no other part of the project.
+/// Parsing of TCP socket addresses in text form. Has no dependencies on other parts of the project.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -6,8 +6,9 @@
 
 namespace wingslip {
 
-/// Reads `host:port`, where the host is an IPv4 address, or an IPv6 address with or without brackets.
-/// @throws std::runtime_error, one line, if it is neither, or the port is not a number up to 65535.
+/// Parses `host:port`, where the host is an IPv4 address, or an IPv6 address with or without brackets.
+/// @throws std::runtime_error with a one-line message if the host is not an IP address or the port is not a
+/// number from 0 to 65535.
 boost::asio::ip::tcp::endpoint parseEndpoint(std::string_view hostPort);
 
 }  // namespace wingslip
