--- a/src/replication/anti_entropy.hpp
+++ b/src/replication/anti_entropy.hpp
@@ -1,5 +1,5 @@
-/// Repair of copies that differ: a digest of hashes by range, and the contents of ranges. Pure but for the
-/// random choice of the rows that a message has space for.
+/// Anti-entropy between copies: digests with a hash per range of rows, and the contents of differing ranges.
+/// The functions are pure, except that the rows of truncated contents are chosen at random.
 #pragma once
 
 #include <cstddef>
@@ -13,25 +13,29 @@
 
 namespace wingslip::replication {
 
-/// Ranges of rows, by the hash of table and key; one more range has the live members.
+/// Number of ranges into which rows are divided by the hash of table and key. One further range, at this
+/// index, covers the members.
 constexpr std::size_t kRowRanges = 16;
 
-/// One hash a range: equal for equal contents, whatever their order.
+/// Hashes of the ranges, by range index. Equal contents have equal hashes, regardless of their order.
 using Digest = std::vector<std::uint64_t>;
 
+/// Returns the digest of a copy's rows and live members.
 [[nodiscard]] Digest digestOf(const ReplicatedTable& table, const Membership& membership);
 
-/// Empty where the digests are equal, and also where `remote` has another number of ranges, as an empty
-/// digest has.
+/// Returns the indices of the ranges whose hashes differ. Empty if the digests are equal, and also if
+/// `remote` has a different number of ranges, for example none.
 [[nodiscard]] std::vector<unsigned> differingRanges(const Digest& local, const Digest& remote);
 
+/// Members and rows of some ranges, as much as one message may carry.
 struct RangeContents {
-  std::optional<std::vector<MemberRecord>> members;  ///< present where the range of members was asked for
+  std::optional<std::vector<MemberRecord>> members;  ///< present if the range of members was requested
   std::vector<Row> rows;
-  bool truncated = false;  ///< there are more rows than a message takes
+  bool truncated = false;  ///< rows were omitted because the message is full
 };
 
-/// Starts at a random row, so that rounds with truncated contents reach all rows in the end.
+/// Returns the contents of `ranges`, starting at a random row, so that repeated exchanges of truncated
+/// contents eventually cover all rows.
 [[nodiscard]] RangeContents contentsOf(const std::vector<unsigned>& ranges, const ReplicatedTable& table,
                                        const Membership& membership, std::mt19937_64& random);
 
--- a/src/replication/decode_error.hpp
+++ b/src/replication/decode_error.hpp
@@ -1,11 +1,12 @@
-/// The error of reading replication messages and snapshots.
+/// The exception for replication messages and snapshots that cannot be decoded.
 #pragma once
 
 #include <stdexcept>
 
 namespace wingslip::replication {
 
-/// The bytes are no message or snapshot of this version. `what()` is one line for the log.
+/// Thrown for bytes that are not a valid message or snapshot of the supported format version. `what()` is one
+/// line for the log.
 class DecodeError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
--- a/src/replication/failure_detector.cpp
+++ b/src/replication/failure_detector.cpp
@@ -8,16 +8,16 @@
                                                        std::mt19937_64& random) {
   if (!target_.empty() && !acknowledged_) membership.suspect(now, target_);
   target_.clear();
-  while (!round_.empty()) {
-    const std::string name = std::move(round_.back());
-    round_.pop_back();
+  while (!remainingTargets_.empty()) {
+    const std::string name = std::move(remainingTargets_.back());
+    remainingTargets_.pop_back();
     const Membership::Member* member = membership.find(name);
     if (!member || !isLive(member->record.state)) continue;
     target_ = name;
     acknowledged_ = false;
     return name;
   }
-  round_ = membership.randomLive(membership.members().size(), random);
+  remainingTargets_ = membership.randomLive(membership.members().size(), random);
   return std::nullopt;
 }
 
--- a/src/replication/failure_detector.hpp
+++ b/src/replication/failure_detector.hpp
@@ -1,4 +1,5 @@
-/// SWIM's probes: whom to probe next, whether the running probe was acknowledged, and probes made for others.
+/// SWIM failure detection: selection of probe targets, acknowledgement of the current probe, and probes
+/// requested by other members.
 #pragma once
 
 #include <map>
@@ -11,26 +12,28 @@
 
 namespace wingslip::replication {
 
-/// Sends nothing itself; owned by `Replica`.
+/// Sends no messages itself. Not thread-safe; owned by `Replica`.
 class FailureDetector {
  public:
-  /// Ends the running probe, suspecting its target unless it was acknowledged, and picks the next target in a
-  /// shuffled round over the live members. Nothing: the round has ended, the next call starts another.
+  /// Ends the current probe, marks its target as suspect unless it was acknowledged, and returns the next
+  /// target of a shuffled round over the live members. Returns nullopt at the end of a round; the next call
+  /// starts a new one.
   [[nodiscard]] std::optional<std::string> nextTarget(Time now, Membership& membership,
                                                       std::mt19937_64& random);
-  /// `name` has answered a probe, of this member or of another on its behalf.
+  /// Records that the member `name` acknowledged a probe, sent by this member or by another on its behalf.
   void acknowledge(const std::string& name);
-  /// Whether `name` is being probed and has not been acknowledged.
+  /// Whether `name` is the target of the current probe and has not acknowledged it.
   [[nodiscard]] bool isAwaiting(const std::string& name) const { return name == target_ && !acknowledged_; }
 
-  /// `requester` waits for an acknowledgement of `target` through this member.
+  /// Records that `requester` waits for an acknowledgement by `target` of a probe that this member sends.
   void addProbeRequest(const std::string& target, const std::string& requester);
-  /// Who waits for one of `target`; the last requester alone, and once.
+  /// Returns the member that waits for an acknowledgement by `target`, and forgets it. If several members
+  /// requested the probe, only the most recent one is known.
   [[nodiscard]] std::optional<std::string> takeProbeRequester(const std::string& target);
 
  private:
-  std::vector<std::string> round_;  // targets left of this round, the next one last
-  std::string target_;
+  std::vector<std::string> remainingTargets_;  // of the current round; the last element is probed next
+  std::string target_;                         // of the current probe; empty: none
   bool acknowledged_ = true;
   std::map<std::string, std::string> requesterByTarget_;
 };
--- a/src/replication/hybrid_clock.hpp
+++ b/src/replication/hybrid_clock.hpp
@@ -1,4 +1,4 @@
-/// A hybrid logical clock: timestamps that follow physical time as far as it is known and never go back.
+/// A hybrid logical clock: its timestamps follow physical time where possible and never go back.
 #pragma once
 
 #include <compare>
@@ -7,21 +7,23 @@
 
 namespace wingslip::replication {
 
-/// One reading of a hybrid logical clock; ordered by time, then counter, then the name of who read it.
+/// A reading of a hybrid logical clock. Ordered by time, then by counter, then by the gatekeeper's name.
 struct Timestamp {
-  std::int64_t physicalMs = 0;  ///< Unix time, or the largest that was observed
+  std::int64_t physicalMs = 0;  ///< Unix time, or the largest physical time observed
   std::uint32_t counter = 0;    ///< orders readings within one millisecond
-  std::string origin;           ///< name of the gatekeeper that read the clock
-  // NOLINTNEXTLINE(modernize-use-nullptr): clang-tidy 14 takes the 0 of a comparison's result for a pointer
+  std::string origin;           ///< name of the gatekeeper whose clock was read
+  // NOLINTNEXTLINE(modernize-use-nullptr): clang-tidy 14 takes the 0 in the comparison for a pointer
   auto operator<=>(const Timestamp&) const = default;
 };
 
-/// Monotonic whatever the physical clock does.
+/// Issues monotonic timestamps, even when the physical clock steps back.
 class HybridClock {
  public:
-  /// A timestamp after all earlier and all observed ones. `unixMs`: the physical clock, which may step.
+  /// Returns a timestamp later than all timestamps issued or observed before.
+  /// @param unixMs reading of the physical clock, which may step.
+  /// @param origin name of the gatekeeper that reads the clock.
   [[nodiscard]] Timestamp next(std::int64_t unixMs, const std::string& origin);
-  /// Later timestamps will be after `timestamp`.
+  /// Advances the clock: timestamps issued from now on are later than `timestamp`.
   void observe(const Timestamp& timestamp);
 
  private:
--- a/src/replication/membership.cpp
+++ b/src/replication/membership.cpp
@@ -9,8 +9,8 @@
 namespace {
 
 constexpr std::size_t kMaxUpdatesPerMessage = 16;
-constexpr double kTransmissionFactor = 3;  // transmissions of a change, times log2 of the fleet's size
-constexpr double kSuspicionFactor = 3;     // probe periods of a suspicion, times log2 of the fleet's size
+constexpr double kTransmissionFactor = 3;  // gossip transmissions of a change per log2 of the fleet size
+constexpr double kSuspicionFactor = 3;     // suspicion timeout in probe periods per log2 of the fleet size
 
 }  // namespace
 
@@ -30,7 +30,7 @@
   if (record.name == self_.name) return mergeSelf(record);
   const Member* known = find(record.name);
   if (known && !supersedes(record, known->record)) return;
-  if (!known && members_.size() >= kMaxMembers && !evictDeparted()) return;
+  if (!known && members_.size() >= kMaxMembers && !evictLongestDeparted()) return;
   const bool wasLive = known && isLive(known->record.state);
   const bool stateChanges = !known || known->record.state != record.state;
   Member& member = members_[record.name];
@@ -44,13 +44,14 @@
 void Membership::mergeSelf(const MemberRecord& record) {
   if (record.generation > self_.generation) {
     if (!std::exchange(superseded_, true))
-      environment_.log("another process of " + self_.name + " has taken over the name");
+      environment_.log("superseded: another process of " + self_.name +
+                       " has a higher generation; sending no requests");
     return;
   }
-  const bool accusesThisProcess = record.generation == self_.generation &&
-                                  record.state != MemberState::alive &&
-                                  record.incarnation >= self_.incarnation;
-  if (accusesThisProcess && self_.state != MemberState::left) refute(record.incarnation);
+  const bool reportsThisProcessNotAlive = record.generation == self_.generation &&
+                                          record.state != MemberState::alive &&
+                                          record.incarnation >= self_.incarnation;
+  if (reportsThisProcessNotAlive && self_.state != MemberState::left) refute(record.incarnation);
 }
 
 void Membership::refute(std::uint64_t suspectedIncarnation) {
@@ -59,16 +60,17 @@
   ++counts_.refutations;
 }
 
-// Removes the member that has been dead or gone for longest. False: all are live, and a newcomer is not
-// taken.
-bool Membership::evictDeparted() {
-  auto longest = members_.end();
+// Removes the member that has been dead or departed for the longestDeparted time. Returns false if all
+// members are live; the new member is then not added.
+bool Membership::evictLongestDeparted() {
+  auto longestDeparted = members_.end();
   for (auto member = members_.begin(); member != members_.end(); ++member) {
     if (isLive(member->second.record.state)) continue;
-    if (longest == members_.end() || member->second.stateSince < longest->second.stateSince) longest = member;
+    if (longestDeparted == members_.end() || member->second.stateSince < longestDeparted->second.stateSince)
+      longestDeparted = member;
   }
-  if (longest == members_.end()) return false;
-  members_.erase(longest);
+  if (longestDeparted == members_.end()) return false;
+  members_.erase(longestDeparted);
   return true;
 }
 
@@ -117,9 +119,10 @@
   if (selfTransmissionsLeft_ > 0) --selfTransmissionsLeft_;
   std::vector<Member*> updates;
   for (auto& [name, member] : members_) {
-    // A member always hears what it is thought to be, so that it can refute.
-    const bool accusesRecipient = name == recipient && member.record.state != MemberState::alive;
-    if (member.transmissionsLeft > 0 || accusesRecipient) updates.push_back(&member);
+    // A record that reports the recipient as not alive is always included, so that the recipient can refute
+    // it.
+    const bool reportsRecipientNotAlive = name == recipient && member.record.state != MemberState::alive;
+    if (member.transmissionsLeft > 0 || reportsRecipientNotAlive) updates.push_back(&member);
   }
   std::sort(updates.begin(), updates.end(), [&](const Member* left, const Member* right) {
     return std::tuple(left->record.name != recipient, right->transmissionsLeft) <
--- a/src/replication/membership.hpp
+++ b/src/replication/membership.hpp
@@ -1,4 +1,4 @@
-/// Which gatekeepers of the fleet are there: the member list of SWIM, with suspicion and refutation.
+/// The SWIM member list of the fleet: merging of gossiped records, suspicion and refutation.
 #pragma once
 
 #include <cstddef>
@@ -13,69 +13,80 @@
 
 namespace wingslip::replication {
 
-/// Not thread-safe; owned by `Replica`. Random choices draw from the caller's generator.
+/// The member list of one replica. Not thread-safe; owned by `Replica`. Random choices use the caller's
+/// generator.
 class Membership {
  public:
-  static constexpr std::size_t kMaxMembers = 1024;  ///< others; the longest departed makes room
+  static constexpr std::size_t kMaxMembers = 1024;  ///< other members; the longest departed is evicted first
 
+  /// Another member, as known to this one.
   struct Member {
     MemberRecord record;
-    Time stateSince = 0;
-    unsigned transmissionsLeft = 0;  ///< of its last change, by gossip
+    Time stateSince = 0;             ///< when this copy recorded the current state
+    unsigned transmissionsLeft = 0;  ///< remaining gossip transmissions of its last change
   };
+  /// Events since the start of the process.
   struct Counts {
-    std::uint64_t suspicions = 0;
-    std::uint64_t refutations = 0;
-    std::uint64_t deaths = 0;
+    std::uint64_t suspicions = 0;   ///< members suspected after a failed probe by this member
+    std::uint64_t refutations = 0;  ///< records about this process that it refuted
+    std::uint64_t deaths = 0;       ///< live members recorded as dead
   };
 
-  /// `seeds`: names and addresses of configured members; these addresses go before gossiped ones.
+  /// @param seeds names and addresses of configured members; these addresses take precedence over gossiped
+  /// ones.
+  /// @param environment outlives this object.
   Membership(MemberRecord self, std::map<std::string, std::string> seeds, Environment& environment);
 
-  /// Members of a snapshot.
+  /// Adds the members of a snapshot, up to `kMaxMembers`.
   void restore(const std::vector<MemberRecord>& records);
-  /// Takes a record that is newer than the known one. One about this process is refuted, or marks it
-  /// superseded.
+  /// Stores the record if it supersedes the known one, and schedules it for gossip. A record about this
+  /// member is refuted if it reports this process as not alive, and marks this process as superseded if its
+  /// generation is higher.
   void merge(Time now, const MemberRecord& record);
-  /// A member that did not answer a probe: it has `suspicionTimeoutMs` to refute.
+  /// Marks an alive member as suspect after a failed probe. It is marked dead unless it refutes the suspicion
+  /// within `suspicionTimeoutMs`.
   void suspect(Time now, const std::string& name);
-  /// Suspects that did not refute in time are dead.
+  /// Marks suspects as dead whose suspicion timeout has expired.
   void expireSuspects(Time now, Time probePeriodMs);
 
-  /// Gossips this process' own record anew.
+  /// Schedules the record of this process for gossip.
   void announceSelf() { selfTransmissionsLeft_ = transmissionLimit(); }
-  /// This process leaves: its last record, gossiped once.
+  /// Sets the state of this member to `MemberState::left`; this final record is gossiped once.
   void leave();
 
-  /// The updates for a message to `recipient`, those transmitted least often first; each counts as
-  /// transmitted.
+  /// Returns the updates for a message to `recipient`, starting with those transmitted least often, and
+  /// counts each as transmitted once.
   [[nodiscard]] std::vector<MemberRecord> takeUpdates(const std::string& recipient);
+  /// Whether any update remains to be gossiped.
   [[nodiscard]] bool hasUpdates() const;
 
-  [[nodiscard]] const std::map<std::string, Member>& members() const { return members_; }  ///< without self
+  /// Known members by name, without this one.
+  [[nodiscard]] const std::map<std::string, Member>& members() const { return members_; }
   [[nodiscard]] const MemberRecord& self() const { return self_; }
+  /// Returns another member, or null if it is unknown.
   [[nodiscard]] const Member* find(const std::string& name) const;
-  /// Whether a process of the same name and a later generation is known.
+  /// Whether a process of the same member with a higher generation is known.
   [[nodiscard]] bool isStale(const MemberRecord& record) const;
-  /// Other members that are alive or suspect.
+  /// Number of other members that are alive or suspect.
   [[nodiscard]] std::size_t liveCount() const;
-  /// How often each change is gossiped: grows with the logarithm of the fleet.
+  /// Number of gossip transmissions of each change; grows with the logarithm of the fleet's size.
   [[nodiscard]] unsigned transmissionLimit() const;
-  /// host:port, or empty.
+  /// Returns the member's address as host:port, or an empty string if it is unknown.
   [[nodiscard]] std::string addressOf(const std::string& name) const;
-  /// At most `count` live members in random order, without `except`.
+  /// Returns the names of at most `count` live members in random order, excluding `except`.
   [[nodiscard]] std::vector<std::string> randomLive(std::size_t count, std::mt19937_64& random,
                                                     const std::string& except = "") const;
-  /// Configured members that are unknown, then the dead: both sides of a healed partition look for them.
+  /// Returns the configured members without a record, then the dead members. Both sides of a partition
+  /// contact them, so that the fleet reunites once the partition has healed.
   [[nodiscard]] std::vector<std::string> lostMembers() const;
-  /// Another process has this name and a higher generation.
+  /// Whether another process has this member's name and a higher generation.
   [[nodiscard]] bool isSuperseded() const { return superseded_; }
   [[nodiscard]] const Counts& counts() const { return counts_; }
 
  private:
   void mergeSelf(const MemberRecord& record);
   void refute(std::uint64_t suspectedIncarnation);
-  bool evictDeparted();
+  bool evictLongestDeparted();
   Time suspicionTimeoutMs(Time probePeriodMs) const;
   double logOfFleetSize() const;
 
--- a/src/replication/message.cpp
+++ b/src/replication/message.cpp
@@ -11,7 +11,7 @@
 
 MessageKind kindFromJson(const json& value) {
   const auto kind = value.get<unsigned>();
-  if (kind > static_cast<unsigned>(MessageKind::push)) throw DecodeError("replica: no such kind");
+  if (kind > static_cast<unsigned>(MessageKind::push)) throw DecodeError("replica: unknown message kind");
   return static_cast<MessageKind>(kind);
 }
 
@@ -23,12 +23,13 @@
 }
 
 Message messageFromJson(const json& value) {
-  if (value.at("v").get<int>() != kFormatVersion) throw DecodeError("replica: another version");
+  if (value.at("v").get<int>() != kFormatVersion)
+    throw DecodeError("replica: unsupported message format version");
   Message out;
-  out.fleet = nameFromJson(value.at("fleet"), "a fleet");
+  out.fleet = boundedStringFromJson(value.at("fleet"), "fleet name");
   out.kind = kindFromJson(value.at("kind"));
   out.sender = memberFromJson(value.at("self"));
-  out.target = nameFromJson(value.at("target"), "a target");
+  out.target = boundedStringFromJson(value.at("target"), "target");
   out.members = membersFromJson(value, "members");
   out.rows = rowsFromJson(value, "rows");
   out.digest = numbersFromJson<std::uint64_t>(value, "digest");
--- a/src/replication/record_codec.cpp
+++ b/src/replication/record_codec.cpp
@@ -19,44 +19,46 @@
                       row.timestamp.physicalMs, row.timestamp.counter, row.timestamp.origin, row.tombstone});
 }
 
-std::string nameFromJson(const json& value, const char* what) {
+std::string boundedStringFromJson(const json& value, const char* field) {
   auto out = value.get<std::string>();
-  if (out.size() > kMaxNameBytes) throw DecodeError(std::string("replica: ") + what + " is too long");
+  if (out.size() > kMaxNameBytes)
+    throw DecodeError(std::string("replica: ") + field + " exceeds the maximum length");
   return out;
 }
 
 MemberRecord memberFromJson(const json& value) {
   MemberRecord out;
-  out.name = nameFromJson(value.at(0), "a name");
-  out.address = nameFromJson(value.at(1), "an address");
+  out.name = boundedStringFromJson(value.at(0), "member name");
+  out.address = boundedStringFromJson(value.at(1), "member address");
   out.generation = value.at(2).get<std::uint64_t>();
   out.incarnation = value.at(3).get<std::uint64_t>();
   const auto state = value.at(4).get<unsigned>();
   if (state > static_cast<unsigned>(MemberState::left)) throw DecodeError("replica: unknown member state");
-  if (out.name.empty()) throw DecodeError("replica: a member without a name");
+  if (out.name.empty()) throw DecodeError("replica: member record has an empty name");
   out.state = static_cast<MemberState>(state);
   return out;
 }
 
 Row rowFromJson(const json& value) {
   Row out;
-  out.table = nameFromJson(value.at(0), "a table");
-  out.key = nameFromJson(value.at(1), "a key");
+  out.table = boundedStringFromJson(value.at(0), "table name");
+  out.key = boundedStringFromJson(value.at(1), "row key");
   const auto& bytes = value.at(2).get_binary();
-  if (bytes.size() > kMaxValueBytes) throw DecodeError("replica: a value is too long");
+  if (bytes.size() > kMaxValueBytes) throw DecodeError("replica: row value exceeds the maximum length");
   out.value.assign(bytes.begin(), bytes.end());
   out.timestamp.physicalMs = value.at(3).get<std::int64_t>();
   out.timestamp.counter = value.at(4).get<std::uint32_t>();
-  out.timestamp.origin = nameFromJson(value.at(5), "an origin");
+  out.timestamp.origin = boundedStringFromJson(value.at(5), "timestamp origin");
   out.tombstone = value.at(6).get<bool>();
-  if (out.table.empty() || out.timestamp.physicalMs < 0) throw DecodeError("replica: an invalid row");
+  if (out.table.empty() || out.timestamp.physicalMs < 0)
+    throw DecodeError("replica: row has an empty table name or a negative timestamp");
   return out;
 }
 
 const json& arrayAt(const json& object, const char* key) {
   const json& out = object.at(key);
   if (!out.is_array() || out.size() > kMaxArrayItems)
-    throw DecodeError(std::string("replica: ") + key + " is no list");
+    throw DecodeError(std::string("replica: ") + key + " is not an array or has too many items");
   return out;
 }
 
--- a/src/replication/record_codec.hpp
+++ b/src/replication/record_codec.hpp
@@ -1,4 +1,5 @@
-/// Members and rows as the JSON values that messages and snapshots carry in CBOR.
+/// Conversion of member records and rows to and from JSON values, which messages and snapshots encode as
+/// CBOR.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -11,6 +12,7 @@
 
 namespace wingslip::replication {
 
+/// Each record is an array of its fields in a fixed order.
 nlohmann::json toJson(const MemberRecord& member);
 nlohmann::json toJson(const Row& row);
 
@@ -21,19 +23,24 @@
   return out;
 }
 
-/// The readers throw DecodeError, or nlohmann's exceptions, on anything else than such a value.
+/// Parses and validates a record, as the other functions below do.
+/// @throws DecodeError or an nlohmann::json exception if the value is not a valid record.
 MemberRecord memberFromJson(const nlohmann::json& value);
 Row rowFromJson(const nlohmann::json& value);
 std::vector<MemberRecord> membersFromJson(const nlohmann::json& object, const char* key);
 std::vector<Row> rowsFromJson(const nlohmann::json& object, const char* key);
 
-/// A string of at most kMaxNameBytes. `what`: the field, with its article, for the error.
-std::string nameFromJson(const nlohmann::json& value, const char* what);
+/// Returns a string of at most `kMaxNameBytes`.
+/// @param field name of the field for the error message.
+/// @throws DecodeError if the string is longer.
+std::string boundedStringFromJson(const nlohmann::json& value, const char* field);
 
-/// The array at `key`, of a bounded number of items.
+/// Returns the array at `key`.
+/// @throws DecodeError if the value is not an array or exceeds the limit of items.
 const nlohmann::json& arrayAt(const nlohmann::json& object, const char* key);
 
-/// Runs `parse`; errors of CBOR and JSON become DecodeError whose text starts with `prefix`.
+/// Returns the result of `parse`; converts CBOR and JSON exceptions to DecodeError, with `prefix` before the
+/// text.
 template <class Parse>
 auto withDecodeErrors(const std::string& prefix, Parse parse) {
   try {
--- a/src/replication/records.cpp
+++ b/src/replication/records.cpp
@@ -6,7 +6,7 @@
 namespace wingslip::replication {
 namespace {
 
-constexpr std::size_t kRowOverheadBytes = 32;  // numbers, flags and lengths
+constexpr std::size_t kRowOverheadBytes = 32;  // encoded timestamp numbers, tombstone flag and string lengths
 
 }  // namespace
 
@@ -20,7 +20,7 @@
          std::tie(right.generation, right.incarnation, right.state, right.address);
 }
 
-std::size_t messageBytes(const Row& row) {
+std::size_t estimateEncodedBytes(const Row& row) {
   return row.table.size() + row.key.size() + row.value.size() + row.timestamp.origin.size() +
          kRowOverheadBytes;
 }
--- a/src/replication/records.hpp
+++ b/src/replication/records.hpp
@@ -1,4 +1,4 @@
-/// What gatekeepers replicate: members of the fleet and rows of tables, with the order by which copies merge.
+/// The replicated records, fleet members and table rows, and the order by which copies of them are merged.
 #pragma once
 
 #include <cstddef>
@@ -12,43 +12,46 @@
 /// Milliseconds of a monotonic clock.
 using Time = double;
 
-/// The SWIM state of a member. The order and the values are part of the wire format.
+/// The SWIM state of a member. The values are part of the wire format; their order decides between records of
+/// one incarnation.
 enum class MemberState : unsigned { alive, suspect, dead, left };
 
-/// The state's word in logs, figures and operators' answers.
+/// Returns the name of the state in logs, metrics and operator responses.
 const char* nameOf(MemberState state);
 
-/// Whether a member in this state is taken for running.
+/// Whether a member in this state is treated as running.
 [[nodiscard]] inline bool isLive(MemberState state) { return state <= MemberState::suspect; }
 
-/// One gatekeeper as the membership protocol describes it.
+/// The membership record of one gatekeeper.
 struct MemberRecord {
   std::string name;
-  std::string address;            ///< host:port where the other members reach it
-  std::uint64_t generation = 0;   ///< rises with each start of its process
-  std::uint64_t incarnation = 0;  ///< rises each time the member refutes a suspicion
+  std::string address;            ///< host:port at which other members connect to it
+  std::uint64_t generation = 0;   ///< increases with each start of the member's process
+  std::uint64_t incarnation = 0;  ///< increased by the member to refute a suspicion
   MemberState state = MemberState::alive;
   bool operator==(const MemberRecord&) const = default;
 };
 
-/// Whether `left` replaces `right` of the same name. A total order, so that merging is commutative.
+/// Whether the record `left` replaces the record `right` of the same member. This is a total order, which
+/// makes merging commutative.
 [[nodiscard]] bool supersedes(const MemberRecord& left, const MemberRecord& right);
 
-/// A row of a replicated table. The last writer wins: the row with the larger timestamp replaces the other.
+/// A row of a replicated table. Conflicts are resolved by last-writer-wins: the row with the larger timestamp
+/// replaces the other.
 struct Row {
   std::string table;
   std::string key;
   std::string value;
   Timestamp timestamp;
-  bool tombstone = false;  ///< the key was removed
+  bool tombstone = false;  ///< the key was removed; the value is empty
   bool operator==(const Row&) const = default;
 };
 
-constexpr std::size_t kMaxNameBytes = 128;  ///< names, addresses, tables, keys
+constexpr std::size_t kMaxNameBytes = 128;  ///< limit of names, addresses, table names and keys
 constexpr std::size_t kMaxValueBytes = 4096;
 constexpr std::size_t kMaxRowBytesPerMessage = 48 * 1024;
 
-/// What the row takes in a message, approximately.
-[[nodiscard]] std::size_t messageBytes(const Row& row);
+/// Returns the approximate encoded size of the row in a message, in bytes.
+[[nodiscard]] std::size_t estimateEncodedBytes(const Row& row);
 
 }  // namespace wingslip::replication
--- a/src/replication/replica.cpp
+++ b/src/replication/replica.cpp
@@ -7,9 +7,9 @@
 namespace wingslip::replication {
 namespace {
 
-constexpr unsigned kMaxSyncsInSequence = 8;  // with one member, while its rows do not fit one message
+constexpr unsigned kMaxConsecutiveSyncs = 8;  // with one member, while the rows exceed one message
 constexpr double kSyncTimeoutInProbePeriods = 2;
-constexpr double kLostMemberPeriods = 3;  // probe periods between two calls to lost members
+constexpr double kLostMemberContactInProbePeriods = 3;  // mean interval between contacts with lost members
 
 }  // namespace
 
@@ -31,10 +31,10 @@
 void Replica::start(Time now) {
   started_ = true;
   membership_.announceSelf();
-  lostMemberAt_ = now + randomBetween(0, timing_.gossipPeriodMs);
-  probeAt_ = now + randomBetween(0, timing_.probePeriodMs);
-  antiEntropyAt_ = now + randomBetween(0, timing_.probePeriodMs);
-  gossipAt_ = now;
+  nextLostMemberContactAt_ = now + randomBetween(0, timing_.gossipPeriodMs);
+  nextProbeAt_ = now + randomBetween(0, timing_.probePeriodMs);
+  nextAntiEntropyAt_ = now + randomBetween(0, timing_.probePeriodMs);
+  nextGossipAt_ = now;
   tick(now);
 }
 
@@ -65,7 +65,7 @@
   request.address = membership_.addressOf(recipient);
   if (request.address.empty()) return;
   request.timeoutMs = timeoutMs(message.kind);
-  pending_[request.id] = {recipient, message.kind, message.target};
+  pendingRequests_[request.id] = {recipient, message.kind, message.target};
   request.message = std::move(message);
   ++counts_.sent;
   environment_.send(request);
@@ -96,16 +96,16 @@
   Message response = composeMessage(request.kind, request.sender.name);
   if (request.kind == MessageKind::sync) {
     response.differingRanges = differingRanges(digest(), request.digest);
-    addContents(response.differingRanges, response);
+    addRangeContents(response.differingRanges, response);
   }
   return response;
 }
 
 void Replica::onResponse(Time now, std::uint64_t id, const std::optional<Message>& response) {
-  const auto found = pending_.find(id);
-  if (found == pending_.end()) return;
+  const auto found = pendingRequests_.find(id);
+  if (found == pendingRequests_.end()) return;
   const PendingRequest request = std::move(found->second);
-  pending_.erase(found);
+  pendingRequests_.erase(found);
   if (!isRunning()) return;
   if (response && accepts(request, *response)) {
     merge(now, *response);
@@ -117,7 +117,7 @@
   tick(now);
 }
 
-// Whether the response is of the present process of the member that was asked.
+// Whether the response is from this fleet and from the current process of the request's recipient.
 bool Replica::accepts(const PendingRequest& request, const Message& response) {
   if (response.fleet != fleet_) {
     ++counts_.rejectedForeign;
@@ -132,9 +132,9 @@
 
 void Replica::onRequestFailed(const PendingRequest& request) {
   ++counts_.failed;
-  const bool ownProbe = request.kind == MessageKind::probe && request.target.empty();
-  if (!ownProbe || !failureDetector_.isAwaiting(request.recipient)) return;
-  // The path to the member may be broken and not the member: others try before it is suspected.
+  const bool isDirectProbe = request.kind == MessageKind::probe && request.target.empty();
+  if (!isDirectProbe || !failureDetector_.isAwaiting(request.recipient)) return;
+  // Only the path to the member may have failed, so other members probe it before it is suspected.
   for (const std::string& helper : membership_.randomLive(timing_.indirectProbes, random_, request.recipient))
     send(helper, MessageKind::probeRequest, request.recipient);
 }
@@ -149,23 +149,24 @@
   lastSyncAt_ = now;
   if (response.differingRanges.empty()) {
     caughtUp_ = true;
-    syncsInSequence_ = 0;
+    consecutiveSyncs_ = 0;
     return;
   }
   ++counts_.repaired;
   Message push = composeMessage(MessageKind::push, member);
-  addContents(response.differingRanges, push);
+  addRangeContents(response.differingRanges, push);
   const bool incomplete = response.truncated || push.truncated;
   sendMessage(member, std::move(push));
   if (!response.truncated) caughtUp_ = true;
-  if (incomplete && ++syncsInSequence_ < kMaxSyncsInSequence)
+  if (incomplete && ++consecutiveSyncs_ < kMaxConsecutiveSyncs)
     send(member, MessageKind::sync);
   else
-    syncsInSequence_ = 0;
+    consecutiveSyncs_ = 0;
 }
 
-// All members replace the updates about members that the message has; rows come after its row updates.
-void Replica::addContents(const std::vector<unsigned>& ranges, Message& message) {
+// Replaces the member updates in the message by the full member list if the ranges include the members;
+// appends the rows of the ranges to its row updates.
+void Replica::addRangeContents(const std::vector<unsigned>& ranges, Message& message) {
   RangeContents contents = contentsOf(ranges, table_, membership_, random_);
   if (contents.members) message.members = std::move(*contents.members);
   message.rows.insert(message.rows.end(), contents.rows.begin(), contents.rows.end());
@@ -223,39 +224,39 @@
 void Replica::tick(Time now) {
   if (!isRunning() || isSuperseded()) return;
   membership_.expireSuspects(now, timing_.probePeriodMs);
-  if (now >= lostMemberAt_) {
-    const double periods =
-        liveCount() == 0 ? 1 : kLostMemberPeriods;  // alone: the fleet is to be found first
-    lostMemberAt_ = now + timing_.probePeriodMs * periods * randomBetween(0.5, 1.5);
+  if (now >= nextLostMemberContactAt_) {
+    // Without live members, the replica must find the fleet first and contacts lost members more often.
+    const double periods = liveCount() == 0 ? 1 : kLostMemberContactInProbePeriods;
+    nextLostMemberContactAt_ = now + timing_.probePeriodMs * periods * randomBetween(0.5, 1.5);
     contactLostMember();
   }
-  if (now >= probeAt_) {
-    probeAt_ = now + timing_.probePeriodMs;
+  if (now >= nextProbeAt_) {
+    nextProbeAt_ = now + timing_.probePeriodMs;
     probeNext(now);
   }
-  if (now >= antiEntropyAt_) {
+  if (now >= nextAntiEntropyAt_) {
     const Time periodMs = caughtUp_ ? timing_.antiEntropyPeriodMs : timing_.probePeriodMs;
-    antiEntropyAt_ = now + periodMs * randomBetween(0.8, 1.2);
-    syncsInSequence_ = 0;
+    nextAntiEntropyAt_ = now + periodMs * randomBetween(0.8, 1.2);
+    consecutiveSyncs_ = 0;
     for (const std::string& name : membership_.randomLive(1, random_)) send(name, MessageKind::sync);
   }
-  if (now >= gossipAt_ && hasUpdates()) {
-    gossipAt_ = now + timing_.gossipPeriodMs;
+  if (now >= nextGossipAt_ && hasUpdates()) {
+    nextGossipAt_ = now + timing_.gossipPeriodMs;
     gossip();
   }
 }
 
 Time Replica::nextTickAt() const {
   if (!isRunning() || isSuperseded()) return std::numeric_limits<Time>::infinity();
-  const Time at = std::min({probeAt_, antiEntropyAt_, lostMemberAt_});
-  return hasUpdates() && liveCount() > 0 ? std::min(at, gossipAt_) : at;
+  const Time nextAt = std::min({nextProbeAt_, nextAntiEntropyAt_, nextLostMemberContactAt_});
+  return hasUpdates() && liveCount() > 0 ? std::min(nextAt, nextGossipAt_) : nextAt;
 }
 
 void Replica::leave() {
   if (!isRunning()) return;
   membership_.leave();
   gossip();
-  left_ = true;
+  hasLeft_ = true;
 }
 
 }  // namespace wingslip::replication
--- a/src/replication/replica.hpp
+++ b/src/replication/replica.hpp
@@ -1,7 +1,7 @@
-/// One gatekeeper's copy of the state that the fleet replicates: SWIM membership and last-writer-wins tables,
-/// spread by gossip and repaired by anti-entropy. The state machine without I/O: events and monotonic time
-/// in, requests and merged rows out. It carries rows; whoever reads them decides. `docs/design.md` has the
-/// bounds.
+/// A gatekeeper's copy of the replicated state of the fleet: SWIM membership and last-writer-wins tables,
+/// disseminated by gossip and repaired by anti-entropy. A state machine without I/O: its inputs are events
+/// and monotonic time, its outputs are requests and merged rows. It does not interpret rows; their readers
+/// do. `docs/design.md` lists its limits.
 #pragma once
 
 #include <cstdint>
@@ -21,83 +21,93 @@
 
 namespace wingslip::replication {
 
+/// Periods and numbers of messages of the protocol.
 struct Timing {
-  Time probePeriodMs = 1000;         ///< one member is probed in each
-  Time gossipPeriodMs = 200;         ///< while there are updates
-  Time antiEntropyPeriodMs = 10000;  ///< one member's copy is compared with this one in each
-  unsigned fanout = 3;               ///< members that an update is gossiped to in a period
-  unsigned indirectProbes = 3;       ///< members asked to probe one that does not answer
+  Time probePeriodMs = 1000;         ///< one member is probed per period
+  Time gossipPeriodMs = 200;         ///< between rounds of gossip while updates remain
+  Time antiEntropyPeriodMs = 10000;  ///< this copy is compared with one member's per period
+  unsigned fanout = 3;               ///< members to which updates are gossiped per period
+  unsigned indirectProbes = 3;       ///< members requested to probe a member that did not answer
+  /// Timeout of all requests except sync and push.
   [[nodiscard]] Time probeTimeoutMs() const { return probePeriodMs / 3; }
 };
 
-/// Not thread-safe: all calls come from one thread, and `Environment` is called on it.
+/// Not thread-safe: all calls must come from one thread, on which `Environment` is called too.
 class Replica {
  public:
+  /// Events since the start of the process.
   struct Counts {
-    std::uint64_t sent = 0;
-    std::uint64_t received = 0;
+    std::uint64_t sent = 0;           ///< requests
+    std::uint64_t received = 0;       ///< accepted requests and responses
     std::uint64_t failed = 0;         ///< requests without a valid response
-    std::uint64_t rejectedStale = 0;  ///< messages of an earlier process, or of another than was asked
-    std::uint64_t rejectedForeign =
-        0;                           ///< messages of another fleet or under this name, or while not running
-    std::uint64_t rejectedRows = 0;  ///< rows whose timestamp is too far ahead
-    std::uint64_t merged = 0;        ///< rows taken from others
-    std::uint64_t repaired = 0;      ///< comparisons that found a difference
+    std::uint64_t rejectedStale = 0;  ///< messages from a superseded process; responses from a wrong member
+    /// Messages from another fleet, requests under this member's own name, and requests while not running.
+    std::uint64_t rejectedForeign = 0;
+    std::uint64_t rejectedRows = 0;  ///< rows with a timestamp too far ahead
+    std::uint64_t merged = 0;        ///< rows received from other members and stored
+    std::uint64_t repaired = 0;      ///< sync exchanges that found differing ranges
   };
 
-  /// @param seeds names and addresses of some members, by which the fleet is found.
+  /// @param fleet name of the fleet; messages from other fleets are rejected.
+  /// @param self record of this process; its generation must exceed that of its predecessors.
+  /// @param seeds names and addresses of some members, through which the fleet is discovered.
+  /// @param seed of the random number generator.
   /// @param environment outlives the replica.
   Replica(const Timing& timing, const std::string& fleet, const MemberRecord& self,
           const std::map<std::string, std::string>& seeds, std::uint64_t seed, Environment& environment);
 
-  /// What a snapshot had; before `start`.
+  /// Adds the members and rows of a snapshot. Call it before `start`.
   void restore(const std::vector<MemberRecord>& members, const std::vector<Row>& rows);
+  /// Joins the fleet: starts sending and accepting requests.
   void start(Time now);
-  /// Does what is due. Call it at `nextTickAt`.
+  /// Performs all actions that are due. Call it at `nextTickAt`.
   void tick(Time now);
-  /// Infinity: nothing is due any more.
+  /// Returns when `tick` is next due; infinity if the replica is not running or superseded.
   [[nodiscard]] Time nextTickAt() const;
 
-  /// Another member's request. Returns the response; nothing where the request is rejected.
+  /// Handles a request from another member. Returns the response, or nullopt if the request is rejected.
   std::optional<Message> onRequest(Time now, const Message& request);
-  /// The end of request `id`: its response, or nothing where it failed or timed out.
+  /// Completes request `id` with its response, or with nullopt if the request failed or timed out.
   void onResponse(Time now, std::uint64_t id, const std::optional<Message>& response);
 
+  /// Writes a row; its change is gossiped.
   void set(Time now, const std::string& table, const std::string& key, const std::string& value);
-  /// Leaves a tombstone.
+  /// Replaces the row by a tombstone; this change is gossiped too.
   void remove(Time now, const std::string& table, const std::string& key);
-  /// Null: no such row. A removed one is found as a tombstone.
+  /// Returns the row, which is a tombstone if it was removed, or null if there is none.
   [[nodiscard]] const Row* find(const std::string& table, const std::string& key) const {
     return table_.find(table, key);
   }
 
-  /// Announces to some members that this one leaves; the replica sends nothing after it.
+  /// Announces to `Timing::fanout` random members that this member leaves the fleet. The replica sends no
+  /// further messages.
   void leave();
 
-  /// Members of the fleet but this one.
+  /// Known members of the fleet by name, without this one.
   [[nodiscard]] const std::map<std::string, Membership::Member>& members() const {
     return membership_.members();
   }
   [[nodiscard]] const MemberRecord& self() const { return membership_.self(); }
   [[nodiscard]] const Membership::Counts& membershipCounts() const { return membership_.counts(); }
-  /// Other members that are alive or suspect.
+  /// Number of other members that are alive or suspect.
   [[nodiscard]] std::size_t liveCount() const { return membership_.liveCount(); }
+  /// Returns a copy of all rows, including tombstones.
   [[nodiscard]] std::vector<Row> rows() const { return table_.rows(); }
   [[nodiscard]] Digest digest() const { return digestOf(table_, membership_); }
-  /// Whether this copy has had every row of another one since the start.
+  /// Whether, since the start, this copy has received every row of some other member's copy.
   [[nodiscard]] bool caughtUp() const { return caughtUp_; }
-  /// Whether another process has this name and a higher generation; this one sends no
-  /// requests of its own then, and still answers.
+  /// Whether another process has this member's name and a higher generation. A superseded replica sends no
+  /// requests, but still responds to requests.
   [[nodiscard]] bool isSuperseded() const { return membership_.isSuperseded(); }
   [[nodiscard]] const Counts& counts() const { return counts_; }
-  /// When this copy was last compared with another; negative: never.
+  /// Time of the last comparison with another copy; negative if there was none.
   [[nodiscard]] Time lastSyncAt() const { return lastSyncAt_; }
 
  private:
   struct PendingRequest {
     std::string recipient;
     MessageKind kind = MessageKind::probe;
-    std::string target;
+    std::string target;  // see Message::target
   };
   enum class RowSource { local, remote };
 
@@ -105,14 +115,14 @@
   void send(const std::string& recipient, MessageKind kind, const std::string& target = "");
   void sendMessage(const std::string& recipient, Message&& message);
   Time timeoutMs(MessageKind kind) const;
-  bool isRunning() const { return started_ && !left_; }
+  bool isRunning() const { return started_ && !hasLeft_; }
   bool accepts(const PendingRequest& request, const Message& response);
   void merge(Time now, const Message& message);
   void mergeRow(const Row& row, RowSource source);
   void onRequestFailed(const PendingRequest& request);
   void onAcknowledgement(const std::string& member);
   void onSyncResponse(Time now, const std::string& member, const Message& response);
-  void addContents(const std::vector<unsigned>& ranges, Message& message);
+  void addRangeContents(const std::vector<unsigned>& ranges, Message& message);
   void probeNext(Time now);
   void gossip();
   void contactLostMember();
@@ -126,17 +136,17 @@
   Membership membership_;
   FailureDetector failureDetector_;
   ReplicatedTable table_;
-  std::unordered_map<std::uint64_t, PendingRequest> pending_;  // by id
+  std::unordered_map<std::uint64_t, PendingRequest> pendingRequests_;  // by request id
   std::uint64_t lastRequestId_ = 0;
-  Time probeAt_ = 0;
-  Time gossipAt_ = 0;
-  Time antiEntropyAt_ = 0;
-  Time lostMemberAt_ = 0;
+  Time nextProbeAt_ = 0;
+  Time nextGossipAt_ = 0;
+  Time nextAntiEntropyAt_ = 0;
+  Time nextLostMemberContactAt_ = 0;
   Time lastSyncAt_ = -1;
-  unsigned syncsInSequence_ = 0;
+  unsigned consecutiveSyncs_ = 0;
   bool started_ = false;
   bool caughtUp_ = false;
-  bool left_ = false;
+  bool hasLeft_ = false;
   Counts counts_;
 };
 
--- a/src/replication/replicated_table.cpp
+++ b/src/replication/replicated_table.cpp
@@ -9,7 +9,7 @@
     clock_.observe(row.timestamp);
     entries_[{row.table, row.key}] = {row, 0};
   }
-  evictBeyondLimit();
+  evictRowsBeyondLimit();
 }
 
 ReplicatedTable::MergeResult ReplicatedTable::merge(const Row& row, std::int64_t unixMs) {
@@ -19,18 +19,19 @@
   if (found != entries_.end() && found->second.row.timestamp >= row.timestamp) return MergeResult::notNewer;
   clock_.observe(row.timestamp);
   entries_[key] = {row, 0};
-  if (entries_.size() > kMaxRows) evictOldest();
+  if (entries_.size() > kMaxRows) evictOldestRow();
   return entries_.contains(key) ? MergeResult::changed : MergeResult::evicted;
 }
 
-void ReplicatedTable::evictOldest() {
+void ReplicatedTable::evictOldestRow() {
   entries_.erase(std::min_element(entries_.begin(), entries_.end(), [](const auto& left, const auto& right) {
     return left.second.row.timestamp < right.second.row.timestamp;
   }));
 }
 
-// One sort for all rows beyond the limit instead of a walk over the table for each.
-void ReplicatedTable::evictBeyondLimit() {
+// Sorts the rows once instead of searching the table for the oldest row per evicted row, which would be
+// quadratic.
+void ReplicatedTable::evictRowsBeyondLimit() {
   if (entries_.size() <= kMaxRows) return;
   using Position = std::map<Key, Entry>::iterator;
   std::vector<Position> oldest;
@@ -57,7 +58,7 @@
   std::vector<Row> out;
   std::size_t bytes = 0;
   for (Entry* entry : updates) {
-    bytes += messageBytes(entry->row);
+    bytes += estimateEncodedBytes(entry->row);
     if (bytes > kMaxRowBytesPerMessage) break;
     out.push_back(entry->row);
     --entry->transmissionsLeft;
--- a/src/replication/replicated_table.hpp
+++ b/src/replication/replicated_table.hpp
@@ -1,4 +1,5 @@
-/// The rows of all replicated tables in one copy: the merge rule, the bound on rows, what is left to gossip.
+/// A copy of the rows of all replicated tables: last-writer-wins merging, the limit on rows and the rows to
+/// gossip.
 #pragma once
 
 #include <cstddef>
@@ -13,45 +14,53 @@
 
 namespace wingslip::replication {
 
-/// Merging is commutative, associative and idempotent, also at the bound: the newest `kMaxRows` rows stay.
+/// Merging is commutative, associative and idempotent, even at the limit, where only the newest `kMaxRows`
+/// rows stay. Not thread-safe; owned by `Replica`.
 class ReplicatedTable {
  public:
-  static constexpr std::size_t kMaxRows = 4096;  ///< of all tables
-  /// A timestamp further in the future is rejected: it would win over every later write.
+  static constexpr std::size_t kMaxRows = 4096;  ///< limit over all tables, including tombstones
+  /// Rows whose timestamp is further ahead of the physical clock are rejected, because they would win over
+  /// every later write of the key.
   static constexpr std::int64_t kMaxClockSkewMs = 24 * 3600 * 1000;
 
-  /// `changed` alone means that the row is in this copy now and was not before.
+  /// Only `changed` means that the merge added the row to this copy. `evicted`: the row was older than the
+  /// `kMaxRows` newest rows.
   enum class MergeResult { changed, notNewer, timestampTooFarAhead, evicted };
 
   struct Entry {
     Row row;
-    unsigned transmissionsLeft = 0;  ///< by gossip
+    unsigned transmissionsLeft = 0;  ///< remaining gossip transmissions
   };
-  using Key = std::pair<std::string, std::string>;  ///< table, key
+  using Key = std::pair<std::string, std::string>;  ///< table name, row key
 
-  /// A timestamp for a row written here.
+  /// Returns a timestamp for a row that this gatekeeper writes.
   [[nodiscard]] Timestamp nextTimestamp(std::int64_t unixMs, const std::string& origin) {
     return clock_.next(unixMs, origin);
   }
-  /// Rows of a snapshot.
+  /// Adds the rows of a snapshot and evicts the oldest rows beyond the limit.
   void restore(const std::vector<Row>& rows);
-  /// @param unixMs the physical clock, against which the row's timestamp is checked.
+  /// Merges a row that was written here or received from another member.
+  /// @param unixMs reading of the physical clock, against which the row's timestamp is checked.
   [[nodiscard]] MergeResult merge(const Row& row, std::int64_t unixMs);
 
-  /// Gossips a row of this copy that many times.
+  /// Schedules the row for `transmissions` gossip transmissions, if this copy has it.
   void scheduleGossip(const Row& row, unsigned transmissions);
-  /// Rows for a message, those transmitted least often first; each counts as transmitted.
+  /// Returns the rows for a message, starting with those transmitted least often, and counts each as
+  /// transmitted once.
   [[nodiscard]] std::vector<Row> takeUpdates();
+  /// Whether any row remains to be gossiped.
   [[nodiscard]] bool hasUpdates() const;
 
-  /// Tombstones are found too. Null: no such row.
+  /// Returns the row, which may be a tombstone, or null if there is none.
   [[nodiscard]] const Row* find(const std::string& table, const std::string& key) const;
+  /// All rows, including tombstones, by key.
   [[nodiscard]] const std::map<Key, Entry>& entries() const { return entries_; }
+  /// Returns a copy of all rows, including tombstones, ordered by key.
   [[nodiscard]] std::vector<Row> rows() const;
 
  private:
-  void evictOldest();
-  void evictBeyondLimit();
+  void evictOldestRow();
+  void evictRowsBeyondLimit();
 
   HybridClock clock_;
   std::map<Key, Entry> entries_;
