--- a/src/replication/replica_connection.cpp
+++ b/src/replication/replica_connection.cpp
@@ -11,9 +11,9 @@
 using asio::ip::tcp;
 using namespace std::chrono_literals;
 
-constexpr std::size_t kConnectionBytes = 24 * 1024;  // of memory, without the message
+constexpr std::size_t kConnectionBytes = 24 * 1024;  // memory charged per connection, without the message
 constexpr unsigned kMaxHeaderBytes = 4096;
-constexpr std::chrono::milliseconds kTimeout = 2s;
+constexpr std::chrono::milliseconds kConnectionTimeout = 2s;
 
 }  // namespace
 
@@ -23,14 +23,14 @@
       counts_(counts),
       memory_(memory.open(Account::discovery)),
       socket_(std::move(socket)),
-      timeout_(socket_.get_executor(), kTimeout) {
+      timeoutTimer_(socket_.get_executor(), kConnectionTimeout) {
   parser_.body_limit(Message::kMaxBytes);
   parser_.header_limit(kMaxHeaderBytes);
 }
 
 bool ReplicaConnection::start() {
   if (!memory_.resize(kConnectionBytes)) return false;
-  timeout_.async_wait(guard([this](const Error& error, std::size_t) {
+  timeoutTimer_.async_wait(guard([this](const Error& error, std::size_t) {
     if (!error) end();
   }));
   read();
@@ -39,14 +39,14 @@
 
 void ReplicaConnection::close() {
   markEnded();
-  timeout_.cancel();
+  timeoutTimer_.cancel();
   Error ignored;
   socket_.close(ignored);
   memory_.release();
 }
 
 void ReplicaConnection::read() {
-  http::async_read_some(socket_, in_, parser_,
+  http::async_read_some(socket_, readBuffer_, parser_,
                         guard([this](const Error& error, std::size_t) { onRead(error); }));
 }
 
@@ -89,10 +89,10 @@
   response.body() = std::move(body);
   response.prepare_payload();
   counts_.bytesOut += response.body().size();
-  out_.clear();
-  append(out_, response);
+  writeBuffer_.clear();
+  append(writeBuffer_, response);
   asyncWriteAll(
-      socket_, asio::buffer(out_), [self = shared_from_this()] { return !self->ended(); },
+      socket_, asio::buffer(writeBuffer_), [self = shared_from_this()] { return !self->ended(); },
       [self = shared_from_this(), this](const Error&) {
         Error ignored;
         socket_.shutdown(tcp::socket::shutdown_send, ignored);
--- a/src/replication/replica_connection.hpp
+++ b/src/replication/replica_connection.hpp
@@ -1,4 +1,4 @@
-/// An inbound connection of another gatekeeper: one HTTP request with a message, and its response.
+/// An inbound connection from another gatekeeper, which serves one HTTP request that carries a message.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -16,29 +16,35 @@
 
 namespace wingslip::replication {
 
+/// Path of the HTTP POST requests that carry messages.
 constexpr const char* kRequestPath = "/replica";
-constexpr std::size_t kMemoryPerMessageByte = 8;  // charged while a message is parsed
+/// Bytes of memory charged per byte of a message, for its parsed form.
+constexpr std::size_t kMemoryPerMessageByte = 8;
 
-/// Held by shared_ptr; on the loop's thread. Ends by itself, after `kTimeout` at the latest.
+/// Managed by shared_ptr and used on the event loop's thread. Closes itself after the response, on an error,
+/// or when `kConnectionTimeout` expires.
 class ReplicaConnection : public GuardedConnection<ReplicaConnection> {
  public:
-  /// Outlives the connection unless it calls `close` before.
+  /// Receives the events of the connection. Must outlive it, or call `close` before it is destroyed.
   class Owner {
    public:
     virtual ~Owner() = default;
-    /// Returns the encoded response; nothing where the message is rejected.
-    /// @throws std::runtime_error where the body is no message.
+    /// Handles a request. Returns the encoded response, or nullopt if the message is rejected (status 409).
+    /// @throws std::runtime_error if the body is not a valid message (status 400).
     virtual std::optional<std::string> onRequestBody(const std::string& body) = 0;
+    /// Called if `onRequestBody` threw. `reason` is one line for the log.
     virtual void onMalformedRequest(const std::string& reason) = 0;
+    /// Called once the connection has closed itself; not after `close`.
     virtual void onConnectionEnded(const std::shared_ptr<ReplicaConnection>& connection) = 0;
   };
 
   ReplicaConnection(Owner& owner, asio::ip::tcp::socket socket, MemoryBudget& memory,
                     TransportCounts& counts);
 
-  /// False: no memory is left for it, and it is to be dropped.
+  /// Starts reading. Returns false if the memory budget has no room; the caller must then drop the
+  /// connection.
   [[nodiscard]] bool start();
-  /// Ends it without telling the owner.
+  /// Closes the connection without notifying the owner.
   void close();
 
  private:
@@ -53,10 +59,10 @@
   TransportCounts& counts_;
   MemoryBudget::Charge memory_;
   asio::ip::tcp::socket socket_;
-  asio::steady_timer timeout_;
-  beast::flat_buffer in_;
+  asio::steady_timer timeoutTimer_;
+  beast::flat_buffer readBuffer_;
   http::request_parser<http::string_body> parser_;
-  std::string out_;
+  std::string writeBuffer_;
 };
 
 }  // namespace wingslip::replication
--- a/src/replication/replica_node.cpp
+++ b/src/replication/replica_node.cpp
@@ -15,12 +15,12 @@
 using asio::ip::tcp;
 using namespace std::chrono_literals;
 
-constexpr std::size_t kMaxConnections = 32;  // inbound
-constexpr std::size_t kMaxRequests = 16;     // outbound, at a time
+constexpr std::size_t kMaxInboundConnections = 32;
+constexpr std::size_t kMaxConcurrentRequests = 16;  // outbound
 constexpr int kListenBacklog = 128;
 constexpr std::chrono::milliseconds kListenRetryPeriod = 250ms;
 constexpr std::chrono::milliseconds kSnapshotPeriod = 5s;
-constexpr std::int64_t kMaxSnapshotAgeMs = 3600 * 1000;  // an older copy is more wrong than right
+constexpr std::int64_t kMaxSnapshotAgeMs = 3600 * 1000;  // most of an older copy is outdated
 
 std::chrono::steady_clock::duration toDuration(Time ms) {
   return std::chrono::duration_cast<std::chrono::steady_clock::duration>(
@@ -50,7 +50,7 @@
       overload_(overload),
       rowCallback_(std::move(onRowChanged)),
       snapshotFile_(stateDir),
-      client_(io, {kMaxRequests, Message::kMaxBytes, kMemoryPerMessageByte}, overload,
+      client_(io, {kMaxConcurrentRequests, Message::kMaxBytes, kMemoryPerMessageByte}, overload,
               [this](std::uint64_t id, const HttpClient::Response* response, const std::string&) {
                 onResponse(id, response);
               }),
@@ -60,7 +60,7 @@
       snapshotTimer_(io) {
   const std::optional<Snapshot> snapshot = readSnapshot();
   MemberRecord self{name, config.advertise, static_cast<std::uint64_t>(unixMs()), 0, MemberState::alive};
-  // Above the last process' also where the physical clock went back.
+  // The generation must exceed that of the previous process even if the physical clock stepped back.
   if (snapshot) self.generation = std::max(self.generation, snapshot->generation + 1);
   replica_ = std::make_unique<Replica>(timingOf(config), config.fleet, self, config.peers,
                                        seed ^ self.generation, static_cast<Environment&>(*this));
@@ -88,12 +88,12 @@
 
 void ReplicaNode::listen() {
   if (const Error error = openAcceptor()) {
-    log_.say("cannot listen yet: " + error.message());
+    log_.say("cannot listen; retrying: " + error.message());
     Error ignored;
     acceptor_.close(ignored);
     listenTimer_.expires_after(kListenRetryPeriod);
-    return listenTimer_.async_wait([this](const Error& stopped) {
-      if (!stopped && !draining_) listen();
+    return listenTimer_.async_wait([this](const Error& timerError) {
+      if (!timerError && !draining_) listen();
     });
   }
   reportAbortedConnections(acceptor_);
@@ -101,7 +101,7 @@
   startedAt_ = now();
   replica_->start(startedAt_);
   tick();
-  if (snapshotFile_.isEnabled()) scheduleSnapshot();
+  if (snapshotFile_.isEnabled()) scheduleSnapshotWrite();
 }
 
 Error ReplicaNode::openAcceptor() {
@@ -118,8 +118,8 @@
     if (error == asio::error::operation_aborted || !acceptor_.is_open()) return;
     if (error) {
       listenTimer_.expires_after(kListenRetryPeriod);
-      return listenTimer_.async_wait([this](const Error& stopped) {
-        if (!stopped) accept();
+      return listenTimer_.async_wait([this](const Error& timerError) {
+        if (!timerError) accept();
       });
     }
     serve(std::move(socket));
@@ -127,18 +127,18 @@
   });
 }
 
-// A connection that is rejected is closed: the member tries another time, or another member.
+// A rejected connection is closed; the other member retries later or contacts a different member.
 void ReplicaNode::serve(tcp::socket socket) {
-  if (connections_.size() >= kMaxConnections) {
-    ++transport_.connectionsRejected;
+  if (connections_.size() >= kMaxInboundConnections) {
+    ++transportCounts_.connectionsRejected;
     return;
   }
   const auto connection = std::make_shared<ReplicaConnection>(
-      static_cast<ReplicaConnection::Owner&>(*this), std::move(socket), overload_.memory(), transport_);
+      static_cast<ReplicaConnection::Owner&>(*this), std::move(socket), overload_.memory(), transportCounts_);
   if (connection->start())
     connections_.insert(connection);
   else
-    ++transport_.connectionsRejected;
+    ++transportCounts_.connectionsRejected;
 }
 
 void ReplicaNode::onConnectionEnded(const std::shared_ptr<ReplicaConnection>& connection) {
@@ -162,13 +162,13 @@
   httpRequest.set(http::field::content_type, "application/cbor");
   httpRequest.body().assign(bytes.begin(), bytes.end());
   httpRequest.prepare_payload();
-  transport_.bytesOut += bytes.size();
+  transportCounts_.bytesOut += bytes.size();
   tcp::endpoint endpoint;
   try {
     endpoint = parseEndpoint(request.address);
   } catch (const std::runtime_error&) {
     endpoint = {asio::ip::address_v4::loopback(),
-                0};  // cannot be connected to: the request fails like others
+                0};  // cannot be connected to, so the request fails like any other
   }
   client_.call(request.id, endpoint, std::move(httpRequest), toDuration(request.timeoutMs));
 }
@@ -176,11 +176,11 @@
 void ReplicaNode::onResponse(std::uint64_t id, const HttpClient::Response* response) {
   std::optional<Message> message;
   if (response && response->result() == http::status::ok) {
-    transport_.bytesIn += response->body().size();
+    transportCounts_.bytesIn += response->body().size();
     try {
       message = decodeBody(response->body());
     } catch (const DecodeError& error) {
-      ++transport_.malformed;
+      ++transportCounts_.malformed;
       log(error.what());
     }
   }
@@ -194,15 +194,16 @@
   replica_->tick(now());
   if (replica_->caughtUp() && caughtUpAt_ < 0) {
     caughtUpAt_ = now();
-    log_.say("caught up after " + std::to_string(static_cast<long>(caughtUpAt_ - startedAt_)) + " ms");
+    log_.say("copy caught up with another member after " +
+             std::to_string(static_cast<long>(caughtUpAt_ - startedAt_)) + " ms");
   }
   scheduleTick();
 }
 
 void ReplicaNode::scheduleTick() {
-  const Time at = replica_->nextTickAt();
-  if (!std::isfinite(at)) return void(tickTimer_.cancel());
-  tickTimer_.expires_after(toDuration(std::max(0.0, at - now())) + 1us);
+  const Time nextAt = replica_->nextTickAt();
+  if (!std::isfinite(nextAt)) return void(tickTimer_.cancel());
+  tickTimer_.expires_after(toDuration(std::max(0.0, nextAt - now())) + 1us);
   tickTimer_.async_wait([this](const Error& error) {
     if (!error) tick();
   });
@@ -234,7 +235,7 @@
   try {
     return snapshotFile_.read();
   } catch (const DecodeError& error) {
-    log(std::string(error.what()) + "; started without one");
+    log(std::string(error.what()) + "; starting without a snapshot");
     return std::nullopt;
   }
 }
@@ -244,12 +245,12 @@
          snapshot.writtenAtUnixMs <= unixMs() + ReplicatedTable::kMaxClockSkewMs;
 }
 
-void ReplicaNode::scheduleSnapshot() {
+void ReplicaNode::scheduleSnapshotWrite() {
   snapshotTimer_.expires_after(kSnapshotPeriod);
   snapshotTimer_.async_wait([this](const Error& error) {
     if (error || draining_) return;
     writeSnapshot();
-    scheduleSnapshot();
+    scheduleSnapshotWrite();
   });
 }
 
@@ -265,11 +266,11 @@
 // --- Operators -------------------------------------------------------------------------------------------
 
 std::string ReplicaNode::telemetry() const {
-  return telemetryText({*replica_, transport_, now(), startedAt_, caughtUpAt_});
+  return telemetryText({*replica_, transportCounts_, now(), startedAt_, caughtUpAt_});
 }
 
 std::string ReplicaNode::members() const {
-  return membersText({*replica_, transport_, now(), startedAt_, caughtUpAt_});
+  return membersText({*replica_, transportCounts_, now(), startedAt_, caughtUpAt_});
 }
 
 std::string ReplicaNode::state() const { return stateText(*replica_); }
--- a/src/replication/replica_node.hpp
+++ b/src/replication/replica_node.hpp
@@ -1,5 +1,5 @@
-/// The replica's driver on sockets: a listener for the other gatekeepers, requests to them, one timer on the
-/// program's loop and the snapshot. Made only where the configuration has `replica`.
+/// Drives a replica on the event loop: listens for other gatekeepers, sends requests to them, runs the
+/// replica's timer and writes snapshots. Created only if the configuration contains `replica`.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -22,32 +22,38 @@
 
 namespace wingslip::replication {
 
-/// All calls and callbacks are on the loop's thread.
+/// All calls and callbacks are made on the event loop's thread.
 class ReplicaNode : private Environment, private ReplicaConnection::Owner {
  public:
-  /// Called with rows that other gatekeepers wrote, and with those of the snapshot, the latter while
-  /// constructed.
+  /// Called with each new row that another gatekeeper wrote, and with the rows of the snapshot. The latter
+  /// calls are made by the constructor.
   using RowCallback = std::function<void(const Row& row)>;
 
-  /// @param stateDir the snapshot's folder; empty: there is none.
+  /// @param name of this gatekeeper, unique in the fleet.
+  /// @param stateDir directory of the snapshot; if empty, no snapshot is read or written.
+  /// @param seed of the random number generator.
+  /// @param overload outlives the node.
   ReplicaNode(boost::asio::io_context& io, const Replication& config, const std::string& name,
               const std::string& stateDir, std::uint64_t seed, OverloadManager& overload,
               RowCallback onRowChanged);
   ~ReplicaNode() override;
 
-  /// Listens, at once or as soon as the other process of an upgrade lets go of the address.
+  /// Starts listening and joins the fleet. While the address is in use, as by the other process during an
+  /// upgrade, listening is retried.
   void start();
-  /// Announces that this member leaves, and closes the listener.
+  /// Announces the departure of this member, closes the listener and writes a last snapshot if one is due.
   void drain();
 
+  /// Writes a row.
   void set(const std::string& table, const std::string& key, const std::string& value);
+  /// Replaces a row by a tombstone.
   void remove(const std::string& table, const std::string& key);
-  /// Null: no such row. A removed one is found as a tombstone.
+  /// Returns the row, which is a tombstone if it was removed, or null if there is none.
   const Row* find(const std::string& table, const std::string& key) const {
     return replica_->find(table, key);
   }
 
-  /// The texts of replica_report.hpp.
+  /// Metrics and operator responses; replica_report.hpp describes their texts.
   std::string telemetry() const;
   std::string members() const;
   std::string state() const;
@@ -71,7 +77,7 @@
   void onResponse(std::uint64_t id, const HttpClient::Response* response);
   void tick();
   void scheduleTick();
-  void scheduleSnapshot();
+  void scheduleSnapshotWrite();
   void writeSnapshot();
 
   boost::asio::io_context& io_;
@@ -86,9 +92,9 @@
   boost::asio::steady_timer listenTimer_;
   boost::asio::steady_timer snapshotTimer_;
   std::unordered_set<std::shared_ptr<ReplicaConnection>> connections_;
-  TransportCounts transport_;
+  TransportCounts transportCounts_;
   Time startedAt_ = 0;
-  Time caughtUpAt_ = -1;  // negative: not yet
+  Time caughtUpAt_ = -1;  // negative: not caught up yet
   bool draining_ = false;
   RateLimitedLog log_{"replica"};
 };
--- a/src/replication/replica_report.hpp
+++ b/src/replication/replica_report.hpp
@@ -1,4 +1,5 @@
-/// The replica's figures and operators' answers as text. The words are the operators'.
+/// Text of the replica's metrics and operator responses. The wording is an interface for
+/// operators.
 #pragma once
 
 #include <cstdint>
@@ -9,23 +10,25 @@
 
 namespace wingslip::replication {
 
-/// What the driver knows beyond the replica itself.
+/// Input of the reports: the replica and values that only its driver has.
 struct ReportInput {
   const Replica& replica;
   const TransportCounts& transport;
   Time now = 0;
-  Time startedAt = 0;
-  Time caughtUpAt = -1;  ///< negative: not yet
+  Time startedAt = 0;    ///< when the node started listening
+  Time caughtUpAt = -1;  ///< negative: not caught up yet
 };
 
-/// Hash of all rows of this copy: equal copies have equal hashes.
+/// Returns a hash of all rows of a copy. Copies with equal rows have equal hashes.
 [[nodiscard]] std::uint64_t rowsHash(const Digest& digest);
 
-/// Lines `svc.replica.NAME:VALUE|c` and `|g`.
+/// Returns the metrics, as lines `svc.replica.NAME:VALUE|c` for counters and `|g` for gauges.
 [[nodiscard]] std::string telemetryText(const ReportInput& input);
-/// A line `200 ...`, then one a member, lost members first; EOF.
+/// Returns a status line `200 ...`, a line per member in the order suspect, dead, left, alive, and a line
+/// `EOF`.
 [[nodiscard]] std::string membersText(const ReportInput& input);
-/// A line on the rows: their hash and number, whether the copy has caught up; EOF.
+/// Returns a line with the hash and number of the rows, whether the copy has caught up and the number of live
+/// members, and a line `EOF`.
 [[nodiscard]] std::string stateText(const Replica& replica);
 
 }  // namespace wingslip::replication
--- a/src/replication/snapshot.cpp
+++ b/src/replication/snapshot.cpp
@@ -11,7 +11,7 @@
 
 using nlohmann::json;
 
-constexpr const char* kMagic = "burlwind-replica 1 ";
+constexpr const char* kFormatPrefix = "burlwind-replica 1 ";
 constexpr std::size_t kMaxHeaderBytes = 63;
 
 Snapshot snapshotFromJson(const json& value) {
@@ -32,22 +32,23 @@
                                                                {"rows", toJson(snapshot.rows)}});
   const std::string body(encoded.begin(), encoded.end());
   char header[kMaxHeaderBytes + 1];
-  std::snprintf(header, sizeof header, "%s%016llx %zu\n", kMagic,
+  std::snprintf(header, sizeof header, "%s%016llx %zu\n", kFormatPrefix,
                 static_cast<unsigned long long>(hash64(body)), body.size());
   return header + body;
 }
 
 Snapshot decodeSnapshot(const std::string& bytes) {
   const auto headerEnd = bytes.find('\n');
-  if (bytes.rfind(kMagic, 0) != 0 || headerEnd == std::string::npos || headerEnd > kMaxHeaderBytes)
-    throw DecodeError("snapshot: not of this version");
+  if (bytes.rfind(kFormatPrefix, 0) != 0 || headerEnd == std::string::npos || headerEnd > kMaxHeaderBytes)
+    throw DecodeError("snapshot: unsupported format version or no header line");
   unsigned long long hash = 0;
   std::size_t size = 0;
-  if (std::sscanf(bytes.c_str() + std::strlen(kMagic), "%16llx %zu", &hash, &size) != 2)
-    throw DecodeError("snapshot: invalid header line");
+  if (std::sscanf(bytes.c_str() + std::strlen(kFormatPrefix), "%16llx %zu", &hash, &size) != 2)
+    throw DecodeError("snapshot: header line lacks a valid checksum and body length");
   const std::string body = bytes.substr(headerEnd + 1);
-  if (body.size() != size) throw DecodeError("snapshot: cut short or too long");
-  if (hash64(body) != hash) throw DecodeError("snapshot: damaged");
+  if (body.size() != size)
+    throw DecodeError("snapshot: body length differs from the header; file truncated or extended");
+  if (hash64(body) != hash) throw DecodeError("snapshot: checksum mismatch; body corrupted");
   return withDecodeErrors("snapshot: ", [&] {
     return snapshotFromJson(parseCbor(reinterpret_cast<const std::uint8_t*>(body.data()), body.size()));
   });
--- a/src/replication/snapshot.hpp
+++ b/src/replication/snapshot.hpp
@@ -1,5 +1,5 @@
-/// The copy that a gatekeeper leaves on disk for its next process: format only, the file is
-/// snapshot_file.hpp's.
+/// The format of the snapshot of a copy that a gatekeeper writes to disk for its next process.
+/// snapshot_file.hpp reads and writes the file.
 #pragma once
 
 #include <cstdint>
@@ -11,17 +11,20 @@
 
 namespace wingslip::replication {
 
+/// Contents of a snapshot.
 struct Snapshot {
-  std::int64_t writtenAtUnixMs = 0;
-  std::uint64_t generation = 0;  ///< of the process that wrote it
-  std::vector<MemberRecord> members;
+  std::int64_t writtenAtUnixMs = 0;   ///< Unix time of the write
+  std::uint64_t generation = 0;       ///< of the process that wrote the snapshot
+  std::vector<MemberRecord> members;  ///< without the writing member
   std::vector<Row> rows;
 };
 
-/// A header line with the format's version, the XXH64 and the length of the body; then the body in CBOR.
+/// Returns a header line with the format version and the XXH64 checksum and length of the body, followed by
+/// the body in CBOR.
 [[nodiscard]] std::string encodeSnapshot(const Snapshot& snapshot);
 
-/// @throws DecodeError on another version, a wrong length or checksum, or a body that is no snapshot.
+/// Decodes and validates a snapshot.
+/// @throws DecodeError on an unsupported version, a mismatch of length or checksum, or an invalid body.
 Snapshot decodeSnapshot(const std::string& bytes);
 
 }  // namespace wingslip::replication
--- a/src/replication/snapshot_file.cpp
+++ b/src/replication/snapshot_file.cpp
@@ -12,7 +12,8 @@
 
 }  // namespace
 
-SnapshotFile::SnapshotFile(const std::string& folder) : path_(folder.empty() ? "" : folder + kFileName) {}
+SnapshotFile::SnapshotFile(const std::string& directory)
+    : path_(directory.empty() ? "" : directory + kFileName) {}
 
 SnapshotFile::~SnapshotFile() {
   if (writer_.joinable()) writer_.join();
@@ -26,12 +27,12 @@
 }
 
 bool SnapshotFile::isWriteDue(std::uint64_t contentHash) const {
-  return !writing_.load() && (contentHash != writtenHash_ || lastWriteFailed_.load());
+  return !writing_.load() && (contentHash != lastWriteHash_ || lastWriteFailed_.load());
 }
 
 void SnapshotFile::write(const Snapshot& snapshot, std::uint64_t contentHash) {
-  writtenHash_ = contentHash;
-  if (writer_.joinable()) writer_.join();  // it has ended
+  lastWriteHash_ = contentHash;
+  if (writer_.joinable()) writer_.join();  // does not block: the previous write has ended
   writing_.store(true);
   writer_ = std::thread([this, bytes = encodeSnapshot(snapshot)] {
     lastWriteFailed_.store(static_cast<bool>(replaceFile(path_, bytes, Durability::onDisk)));
--- a/src/replication/snapshot_file.hpp
+++ b/src/replication/snapshot_file.hpp
@@ -1,4 +1,4 @@
-/// The snapshot's file: read once at the start, replaced by a thread of its own, since fsync blocks.
+/// The snapshot file: read once at start-up and replaced on a separate thread, because fsync blocks.
 #pragma once
 
 #include <atomic>
@@ -11,27 +11,29 @@
 
 namespace wingslip::replication {
 
-/// All calls come from one thread. The destructor waits for the running write.
+/// All calls must come from one thread. The destructor waits for a write in progress.
 class SnapshotFile {
  public:
-  /// `folder` empty: there is no file, nothing is read or written.
-  explicit SnapshotFile(const std::string& folder);
+  /// @param directory of the file; if empty, no snapshot is read or written.
+  explicit SnapshotFile(const std::string& directory);
   ~SnapshotFile();
   SnapshotFile(const SnapshotFile&) = delete;
   SnapshotFile& operator=(const SnapshotFile&) = delete;
 
+  /// Whether a directory is configured.
   [[nodiscard]] bool isEnabled() const { return !path_.empty(); }
-  /// Nothing: there is no file. @throws DecodeError where it cannot be used.
+  /// Returns the snapshot, or nullopt if the file cannot be opened or snapshots are disabled.
+  /// @throws DecodeError if the file is not a valid snapshot.
   [[nodiscard]] std::optional<Snapshot> read() const;
-  /// Whether contents of this hash are still to be written, and no write is running.
+  /// Whether no write is in progress and contents with this hash are not yet written, or their write failed.
   [[nodiscard]] bool isWriteDue(std::uint64_t contentHash) const;
-  /// Starts a write; only where one is due.
+  /// Starts a write in the background. Call it only if `isWriteDue`.
   void write(const Snapshot& snapshot, std::uint64_t contentHash);
 
  private:
   const std::string path_;
-  std::uint64_t writtenHash_ = 0;
-  std::thread writer_;  // of one write
+  std::uint64_t lastWriteHash_ = 0;  // of the contents of the last write started
+  std::thread writer_;               // runs a single write
   std::atomic<bool> writing_ = false;
   std::atomic<bool> lastWriteFailed_ = false;
 };
