--- a/src/replication/membership.cpp
+++ b/src/replication/membership.cpp
@@ -60,7 +60,7 @@
   ++counts_.refutations;
 }
 
-// Removes the member that has been dead or departed for the longestDeparted time. Returns false if all
+// Removes the member that has been dead or departed for the longest time. Returns false if all
 // members are live; the new member is then not added.
 bool Membership::evictLongestDeparted() {
   auto longestDeparted = members_.end();
--- a/src/replication/replica_node.cpp
+++ b/src/replication/replica_node.cpp
@@ -167,8 +167,8 @@
   try {
     endpoint = parseEndpoint(request.address);
   } catch (const std::runtime_error&) {
-    endpoint = {asio::ip::address_v4::loopback(),
-                0};  // cannot be connected to, so the request fails like any other
+    // Port 0 cannot be connected to, so the request fails like any other.
+    endpoint = {asio::ip::address_v4::loopback(), 0};
   }
   client_.call(request.id, endpoint, std::move(httpRequest), toDuration(request.timeoutMs));
 }
