--- a/tests/replication_fleet.hpp
+++ b/tests/replication_fleet.hpp
@@ -1,5 +1,5 @@
-/// A fleet of replicas in virtual time, for tests: a seeded network that loses, delays and doubles messages,
-/// with partitions, restarts of processes and steps of their physical clocks.
+/// Test fixture: a fleet of replicas in virtual time on a seeded network that loses, delays and duplicates
+/// messages, with partitions, process restarts and steps of the physical clocks.
 #pragma once
 
 #include <algorithm>
@@ -18,13 +18,15 @@
 
 namespace wingslip::replication {
 
+/// Owns the replicas, their drivers and the event queue. Members are named g0, g1 and so on.
 class Fleet {
  public:
   static constexpr Time kProbePeriodMs = 300;
   static constexpr Time kGossipPeriodMs = 100;
   static constexpr Time kAntiEntropyPeriodMs = 1500;
 
-  /// @param loss share of messages that are lost until `faultsUntil`.
+  /// @param loss probability that a message is lost, until `faultsUntil`.
+  /// @param faultsUntil end of message loss, long delays and partitions, in ms of virtual time.
   Fleet(std::uint64_t seed, int size, double loss, Time faultsUntil)
       : random_(seed), loss_(loss), faultsUntil_(faultsUntil) {
     timing_.probePeriodMs = kProbePeriodMs;
@@ -36,6 +38,7 @@
     }
   }
 
+  /// Advances virtual time to `until`.
   void run(Time until) {
     while (const auto action = events_.next(until)) (*action)();
   }
@@ -44,28 +47,31 @@
     return std::uniform_real_distribution<double>(low, high)(random_);
   }
   int randomMember() { return static_cast<int>(random_() % nodes_.size()); }
-  /// Sets or removes a random key.
+  /// Sets or removes a random key at a member.
   void write(int index) {
     Node& node = *nodes_[index];
     const std::string key = "k" + std::to_string(random_() % 20);
     if (random_() % 4 == 0)
       node.replica->remove(now(), "t", key);
     else
-      node.replica->set(now(), "t", key, "v" + std::to_string(++written_));
+      node.replica->set(now(), "t", key, "v" + std::to_string(++writtenValues_));
     node.scheduleTick();
   }
+  /// Replaces the member's process by a new one with a higher generation and an empty copy.
   void restart(int index) { nodes_[index]->startProcess(); }
-  /// Members below `firstOfOtherSide` are cut off from the others; 0: nobody is.
-  void partition(int firstOfOtherSide) { firstOfOtherSide_ = firstOfOtherSide; }
+  /// Separates the members with an index below `boundary` from the others; 0 heals the partition.
+  void partition(int boundary) { partitionBoundary_ = boundary; }
+  /// Steps the physical clock of a member by `ms`.
   void stepClock(int index, double ms) { nodes_[index]->physicalClockMs += ms; }
-  bool allEqual() const {
+  /// Whether all copies have equal rows and digests.
+  bool allCopiesEqual() const {
     return std::all_of(nodes_.begin(), nodes_.end(), [&](const auto& node) {
       return node->replica->rows() == nodes_[0]->replica->rows() &&
              node->replica->digest() == nodes_[0]->replica->digest();
     });
   }
-  /// Of the member that knows the fewest.
-  std::size_t leastLiveCount() const {
+  /// Returns the smallest number of live peers that any member knows.
+  std::size_t minLiveCount() const {
     std::size_t out = nodes_.size();
     for (const auto& node : nodes_) out = std::min(out, node->replica->liveCount());
     return out;
@@ -75,20 +81,21 @@
                        [](const auto& node) { return node->replica->caughtUp(); });
   }
   const Replica& replica(int index) const { return *nodes_[index]->replica; }
+  /// Number of messages rejected as stale by the current processes of all members.
   std::uint64_t rejectedStale() const {
     std::uint64_t out = 0;
     for (const auto& node : nodes_) out += node->replica->counts().rejectedStale;
     return out;
   }
 
-  long messages = 0;
-  std::size_t bytes = 0;
+  long messages = 0;      ///< requests sent
+  std::size_t bytes = 0;  ///< encoded requests and responses
 
  private:
   struct Node : Environment {
     Node(Fleet& owner, int position)
         : fleet(owner), index(position), physicalClockMs(1e12 + owner.randomBetween(-5000, 5000)) {}
-    // A process of this name, with nothing but a higher generation.
+    // Starts a new process of this member, with an empty copy and a higher generation.
     void startProcess() {
       ++process;
       std::map<std::string, std::string> seeds;
@@ -102,9 +109,9 @@
     void scheduleTick() {
       const Time next = replica->nextTickAt();
       if (!std::isfinite(next)) return;
-      const std::uint64_t schedule = ++schedules;
-      fleet.at(next, [this, schedule] {
-        if (schedule != schedules) return;
+      const std::uint64_t scheduledTick = ++lastScheduledTick;
+      fleet.at(next, [this, scheduledTick] {
+        if (scheduledTick != lastScheduledTick) return;  // rescheduled
         replica->tick(fleet.now());
         scheduleTick();
       });
@@ -116,9 +123,9 @@
 
     Fleet& fleet;
     int index;
-    double physicalClockMs;  // at the fleet's start
+    double physicalClockMs;  // Unix time in ms at the start of the fleet
     std::uint64_t generation = 0;
-    std::uint64_t schedules = 0;
+    std::uint64_t lastScheduledTick = 0;
     int process = 0;
     std::unique_ptr<Replica> replica;
   };
@@ -126,7 +133,8 @@
   void at(Time time, std::function<void()> action) { events_.at(time, std::move(action)); }
   bool isLost(int from, int to) {
     if (now() >= faultsUntil_) return false;
-    const bool partitioned = firstOfOtherSide_ > 0 && (from < firstOfOtherSide_) != (to < firstOfOtherSide_);
+    const bool partitioned =
+        partitionBoundary_ > 0 && (from < partitionBoundary_) != (to < partitionBoundary_);
     return randomBetween(0, 1) < loss_ || partitioned;
   }
   Time randomDelay() {
@@ -140,8 +148,9 @@
     const int to = std::stoi(request.recipient.substr(1));
     const int process = from.process;
     const std::uint64_t id = request.id;
-    at(now() + request.timeoutMs, [this, &from, id, process] { respond(from, process, id, std::nullopt); });
-    for (int copy = randomBetween(0, 1) < 0.05 ? 2 : 1; copy > 0; --copy) {  // some are doubled
+    at(now() + request.timeoutMs,
+       [this, &from, id, process] { completeRequest(from, process, id, std::nullopt); });
+    for (int copy = randomBetween(0, 1) < 0.05 ? 2 : 1; copy > 0; --copy) {  // some requests are duplicated
       if (isLost(from.index, to)) continue;
       at(now() + randomDelay(), [this, &from, to, id, process, encoded] {
         Node& node = *nodes_[to];
@@ -151,12 +160,13 @@
         if (!response || isLost(to, from.index)) return;
         bytes += encode(*response).size();
         at(now() + randomDelay(),
-           [this, &from, process, id, response] { respond(from, process, id, response); });
+           [this, &from, process, id, response] { completeRequest(from, process, id, response); });
       });
     }
   }
-  void respond(Node& node, int process, std::uint64_t id, const std::optional<Message>& response) const {
-    if (node.process != process) return;  // the request was of a process that has ended
+  void completeRequest(Node& node, int process, std::uint64_t id,
+                       const std::optional<Message>& response) const {
+    if (node.process != process) return;  // the process that sent the request has ended
     node.replica->onResponse(now(), id, response);
     node.scheduleTick();
   }
@@ -165,8 +175,8 @@
   const double loss_;
   const Time faultsUntil_;
   Timing timing_;
-  int firstOfOtherSide_ = 0;
-  int written_ = 0;
+  int partitionBoundary_ = 0;
+  int writtenValues_ = 0;
   wingslip::lab::EventQueue events_;
   std::vector<std::unique_ptr<Node>> nodes_;
 };
--- a/tests/replication_test.cpp
+++ b/tests/replication_test.cpp
@@ -1,5 +1,5 @@
-/// Replicated state: convergence in virtual time under seeded faults, the algebra of merging, malformed
-/// input, and the driver on loopback sockets.
+/// Tests of the replicated state: convergence in virtual time under seeded faults, algebraic properties of
+/// merging, rejection of malformed input, and the driver on loopback sockets.
 #include <gtest/gtest.h>
 #include <unistd.h>
 
@@ -23,14 +23,14 @@
 
 #ifdef __SANITIZE_ADDRESS__
 constexpr int kFleets[] = {5, 30};
-constexpr std::uint64_t kSchedules = 15;  // each is some fifty times slower there
+constexpr std::uint64_t kSchedules = 15;  // each is about fifty times slower with AddressSanitizer
 #else
 constexpr int kFleets[] = {5, 30, 300};
 constexpr std::uint64_t kSchedules = 300;
 #endif
 
-// Once faults end all copies are equal, and all members are known to be live, within eight periods of
-// anti-entropy.
+// Guards against copies that stay different after message loss, partitions, restarts and clock steps: within
+// eight anti-entropy periods after the faults end, all copies must be equal and all members known to be live.
 TEST(ReplicaSchedules, CopiesConvergeAfterFaultsEnd) {
   std::uint64_t rejectedStale = 0;
   for (std::uint64_t seed = 1; seed <= kSchedules; ++seed) {
@@ -46,44 +46,48 @@
       if (step % 12 == 6) fleet.stepClock(fleet.randomMember(), fleet.randomBetween(-3600e3, 3600e3));
     }
     fleet.run(20000 + 8 * 1500);
-    ASSERT_TRUE(fleet.allEqual()) << "seed " << seed;
+    ASSERT_TRUE(fleet.allCopiesEqual()) << "seed " << seed;
     ASSERT_TRUE(fleet.allCaughtUp()) << "seed " << seed;
-    ASSERT_EQ(fleet.leastLiveCount(), static_cast<std::size_t>(size - 1)) << "seed " << seed;
+    ASSERT_EQ(fleet.minLiveCount(), static_cast<std::size_t>(size - 1)) << "seed " << seed;
     rejectedStale += fleet.rejectedStale();
   }
-  EXPECT_GT(rejectedStale, kSchedules / 10) << "messages of earlier processes came late";
+  EXPECT_GT(rejectedStale, kSchedules / 10)
+      << "too few late messages from superseded processes to test their rejection";
 }
 
-// A row written at one member is everywhere within a few rounds of gossip, and costs no more than its bound.
-TEST(ReplicaLoad, MessagesAndTimeToConvergeGrowSlowlyWithTheFleet) {
+// Guards against traffic or convergence time that grows too fast with the fleet: the idle message rate per
+// member has a constant bound, and a new row reaches all members within a number of gossip rounds logarithmic
+// in the fleet size.
+TEST(ReplicaLoad, IdleRateIsBoundedAndConvergenceTimeIsLogarithmicInFleetSize) {
   for (const int size : kFleets) {
     Fleet fleet(11, size, 0, 0);
     fleet.run(15000);
-    ASSERT_TRUE(fleet.allEqual()) << size;
+    ASSERT_TRUE(fleet.allCopiesEqual()) << size;
     const long before = fleet.messages;
     fleet.run(25000);
     const double idleMessagesPerS = static_cast<double>(fleet.messages - before) / 10 / size;
-    EXPECT_LE(idleMessagesPerS, 1000.0 / 300 + 1000.0 / 1500 * 2.5 + 0.5) << size;  // a probe, a repair
+    EXPECT_LE(idleMessagesPerS, 1000.0 / 300 + 1000.0 / 1500 * 2.5 + 0.5) << size;  // probes and anti-entropy
     const long messagesAtWrite = fleet.messages;
     const std::size_t bytesAtWrite = fleet.bytes;
     fleet.write(0);
     Time at = fleet.now();
-    const auto isEverywhere = [&] {
+    const auto reachedAllMembers = [&] {
       for (int i = 1; i < size; ++i)
         if (fleet.replica(i).rows() != fleet.replica(0).rows()) return false;
       return true;
     };
-    while (!isEverywhere() && at < 25000 + 5000) fleet.run(at += 20);
-    ASSERT_TRUE(isEverywhere()) << size;
+    while (!reachedAllMembers() && at < 25000 + 5000) fleet.run(at += 20);
+    ASSERT_TRUE(reachedAllMembers()) << size;
     EXPECT_LE(at - 25000, 100 * (std::log2(size) + 6)) << size;
     std::printf(
-        "members %d: idle %.2f messages/s each; a row is everywhere after %.0f ms, %ld messages, %zu bytes "
-        "(each to all: %d messages)\n",
+        "members %d: idle %.2f messages/s per member; a row reached all members after %.0f ms, %ld messages, "
+        "%zu bytes (all-to-all exchange: %d messages)\n",
         size, idleMessagesPerS, at - 25000, fleet.messages - messagesAtWrite, fleet.bytes - bytesAtWrite,
         size * (size - 1));
   }
 }
 
+// Records requests and counts changed rows; its physical clock stands still.
 struct RecordingEnvironment : Environment {
   void send(const OutgoingRequest& request) override { sent.push_back(request); }
   void onRowChanged(const Row&) override { ++changes; }
@@ -106,13 +110,13 @@
   return message;
 }
 
-// Merges in any order, doubled and in any grouping, give the same copy: rows and members.
+// Guards against copies that depend on the order, duplication or grouping of merges, in rows or members.
 TEST(Replica, MergingIsCommutativeAssociativeAndIdempotent) {
   std::mt19937 random(3);
   std::vector<Message> all;
   for (int i = 0; i < 60; ++i) {
     Message message = from("g" + std::to_string(random() % 3), 1);
-    // Stamps of the same time and count are part of it; each names one value.
+    // Includes timestamps of equal time and counter from different origins. A timestamp determines the value.
     const Timestamp timestamp{std::int64_t(random() % 3), std::uint32_t(random() % 2),
                               "g" + std::to_string(random() % 3)};
     const std::string key = "k" + std::to_string(random() % 4);
@@ -139,6 +143,8 @@
   }
 }
 
+// Guards against a live process that is taken for dead, and against stale, foreign or far-ahead input being
+// merged.
 TEST(Replica, RefutationRaisesIncarnationAndStaleProcessesAreRejected) {
   RecordingEnvironment environment;
   Replica copy = startedReplica(environment);
@@ -147,7 +153,7 @@
   ASSERT_TRUE(copy.onRequest(1, message));
   EXPECT_EQ(copy.self().incarnation, 4u);
   message.members = {
-      {"me", "a", 4, 9, MemberState::dead}};  // of an earlier process of this name: nothing to refute
+      {"me", "a", 4, 9, MemberState::dead}};  // an earlier process of this name: nothing to refute
   copy.onRequest(1, message);
   EXPECT_EQ(copy.self().incarnation, 4u);
   EXPECT_FALSE(copy.onRequest(1, from("g1", 6)));
@@ -156,15 +162,16 @@
   EXPECT_FALSE(copy.onRequest(1, other));
   EXPECT_EQ(copy.counts().rejectedStale, 1u);
   EXPECT_EQ(copy.counts().rejectedForeign, 1u);
-  Message far = from("g1", 7);
-  far.rows.push_back({"t", "k", "v", {1000000 + ReplicatedTable::kMaxClockSkewMs + 1, 0, "g1"}, false});
-  copy.onRequest(1, far);
-  EXPECT_EQ(copy.rows().size(), 0u) << "a stamp from far ahead would win for ever";
+  Message farAhead = from("g1", 7);
+  farAhead.rows.push_back({"t", "k", "v", {1000000 + ReplicatedTable::kMaxClockSkewMs + 1, 0, "g1"}, false});
+  copy.onRequest(1, farAhead);
+  EXPECT_EQ(copy.rows().size(), 0u) << "a timestamp too far ahead would win over all later writes";
   message.members = {{"me", "a", 9, 0, MemberState::alive}};
   copy.onRequest(1, message);
   EXPECT_TRUE(copy.isSuperseded());
 }
 
+// Guards against copies at the row limit that differ by the order in which rows were merged.
 TEST(Replica, FullTableKeepsNewestRowsInAnyMergeOrder) {
   RecordingEnvironment ascendingEnvironment;
   RecordingEnvironment descendingEnvironment;
@@ -186,7 +193,8 @@
   EXPECT_EQ(ascending.rows().size(), ReplicatedTable::kMaxRows);
 }
 
-TEST(Replica, RestoringTooManyRowsIsNotQuadratic) {
+// Guards against work quadratic in the number of rows, as from one search of the table per evicted row.
+TEST(Replica, RestoringRowsBeyondLimitIsNotQuadratic) {
   const double factor = growth::between(1000, [](std::size_t n) {
     std::vector<Row> rows;
     for (std::size_t i = 0; i < n; ++i)
@@ -200,7 +208,8 @@
   EXPECT_LT(factor, growth::kMost);
 }
 
-// Half of a fleet that is partitioned off is suspected at once.
+// Guards against work quadratic in the number of suspects. When half of a fleet is partitioned off, all its
+// members become suspect at the same time.
 TEST(Replica, ExpiringSuspectsIsNotQuadratic) {
   const double factor = growth::between(63, [](std::size_t n) {
     std::vector<MemberRecord> suspects;
@@ -217,65 +226,69 @@
   EXPECT_LT(factor, growth::kMost);
 }
 
-TEST(ReplicaBadInput, MalformedMessageIsRejectedWhole) {
+// Guards against a truncated or invalid message being accepted in part.
+TEST(ReplicaInputValidation, TruncatedOrMalformedMessageIsRejected) {
   Message message = from("g", 1);
   message.rows.push_back({"t", "k", std::string("\0\xff", 2), {1, 2, "o"}, true});
-  const std::vector<std::uint8_t> good = encode(message);
-  const Message again = decode(good.data(), good.size());
-  EXPECT_EQ(again.rows, message.rows);
-  EXPECT_EQ(again.sender, message.sender);
-  for (std::size_t cut = 0; cut < good.size(); ++cut)
-    EXPECT_THROW(decode(good.data(), cut), std::runtime_error) << cut;
+  const std::vector<std::uint8_t> valid = encode(message);
+  const Message decoded = decode(valid.data(), valid.size());
+  EXPECT_EQ(decoded.rows, message.rows);
+  EXPECT_EQ(decoded.sender, message.sender);
+  for (std::size_t cut = 0; cut < valid.size(); ++cut)
+    EXPECT_THROW(decode(valid.data(), cut), std::runtime_error) << cut;
   using nlohmann::json;
-  const auto changed = [&](const char* pointer, const json& value) {
-    json j = json::from_cbor(good);
+  const auto expectRejectedWith = [&](const char* pointer, const json& value) {
+    json j = json::from_cbor(valid);
     j[json::json_pointer(pointer)] = value;
     const auto bytes = json::to_cbor(j);
     EXPECT_THROW(decode(bytes.data(), bytes.size()), std::runtime_error) << pointer << " " << value;
   };
-  changed("/v", 2);
-  changed("/kind", 17);
-  changed("/kind", "ping");
-  changed("/self/0", "");
-  changed("/self/0", std::string(200, 'x'));
-  changed("/self/2", "new");
-  changed("/self/4", 9);
-  changed("/rows", 7);
-  changed("/rows/0/2", "text");
-  changed("/rows/0/3", -1);
-  changed("/rows/0/2", json::binary(std::vector<std::uint8_t>(5000)));
-  changed("/members", json::array({json::array({"g"})}));
-  changed("/digest", json::array({"x"}));
+  expectRejectedWith("/v", 2);
+  expectRejectedWith("/kind", 17);
+  expectRejectedWith("/kind", "ping");
+  expectRejectedWith("/self/0", "");
+  expectRejectedWith("/self/0", std::string(200, 'x'));
+  expectRejectedWith("/self/2", "new");
+  expectRejectedWith("/self/4", 9);
+  expectRejectedWith("/rows", 7);
+  expectRejectedWith("/rows/0/2", "text");
+  expectRejectedWith("/rows/0/3", -1);
+  expectRejectedWith("/rows/0/2", json::binary(std::vector<std::uint8_t>(5000)));
+  expectRejectedWith("/members", json::array({json::array({"g"})}));
+  expectRejectedWith("/digest", json::array({"x"}));
 }
 
-// As long as a message may be: an array of one item in an array of one item, and so on.
-TEST(ReplicaBadInput, MessageOfDeeplyNestedArraysIsRejected) {
+// Guards against stack exhaustion in the parser. The message has the maximum size and consists of nested
+// arrays of one item each.
+TEST(ReplicaInputValidation, DeeplyNestedMessageIsRejected) {
   const std::vector<std::uint8_t> nested(Message::kMaxBytes, 0x81);
   EXPECT_THROW(decode(nested.data(), nested.size()), std::runtime_error);
 }
 
-TEST(ReplicaBadInput, TruncatedDamagedOrForeignSnapshotIsRejected) {
+// Guards against using a snapshot that is truncated, extended, corrupted or of another format version.
+TEST(ReplicaInputValidation, TruncatedCorruptedOrUnsupportedSnapshotIsRejected) {
   Snapshot s{5, 7, {{"g", "a", 1, 2, MemberState::dead}}, {{"t", "k", "v", {1, 2, "o"}, false}}};
-  const std::string good = encodeSnapshot(s);
-  EXPECT_EQ(decodeSnapshot(good).rows, s.rows);
-  EXPECT_EQ(decodeSnapshot(good).members, s.members);
-  for (std::size_t cut = 0; cut < good.size(); ++cut)
-    EXPECT_THROW(decodeSnapshot(good.substr(0, cut)), std::runtime_error) << cut;
-  for (std::size_t i = 0; i < good.size(); ++i) {
-    std::string bad = good;
-    bad[i] = static_cast<char>(bad[i] ^ 0x20);
-    if (i < good.find('\n') && std::isxdigit(static_cast<unsigned char>(good[i])))
-      continue;  // the hash's case
-    EXPECT_THROW(decodeSnapshot(bad), std::runtime_error) << i;
+  const std::string valid = encodeSnapshot(s);
+  EXPECT_EQ(decodeSnapshot(valid).rows, s.rows);
+  EXPECT_EQ(decodeSnapshot(valid).members, s.members);
+  for (std::size_t cut = 0; cut < valid.size(); ++cut)
+    EXPECT_THROW(decodeSnapshot(valid.substr(0, cut)), std::runtime_error) << cut;
+  for (std::size_t i = 0; i < valid.size(); ++i) {
+    std::string corrupted = valid;
+    corrupted[i] = static_cast<char>(corrupted[i] ^ 0x20);
+    if (i < valid.find('\n') && std::isxdigit(static_cast<unsigned char>(valid[i])))
+      continue;  // may change only the case of a hexadecimal digit of the hash
+    EXPECT_THROW(decodeSnapshot(corrupted), std::runtime_error) << i;
   }
-  EXPECT_THROW(decodeSnapshot(good + "x"), std::runtime_error);
-  std::string next = good;
+  EXPECT_THROW(decodeSnapshot(valid + "x"), std::runtime_error);
+  std::string next = valid;
   next.replace(next.find(" 1 "), 3, " 2 ");
   EXPECT_THROW(decodeSnapshot(next), std::runtime_error);
 }
 
-// On sockets: garbage, silence and a body past the cap cost their connection; a message is answered after
-// them. Then the snapshot: a row written here is there for the next process, a damaged file is as none.
+// Guards against malformed, idle or oversized requests affecting more than their connection: a valid message
+// is answered after them. Also guards against losing rows over a restart (the next process must restore them
+// from the snapshot) and against a corrupted snapshot that prevents the start.
 TEST(ReplicaNode, SurvivesMalformedRequestsAndWritesSnapshot) {
   boost::asio::io_context io;
   MemoryBudget::Shares shares;
@@ -286,15 +299,15 @@
   std::filesystem::create_directories(dir);
   Replication config;
   {
-    tcp::acceptor free(io, {boost::asio::ip::address_v4::loopback(), 0});
-    config.listen = free.local_endpoint();
+    tcp::acceptor portFinder(io, {boost::asio::ip::address_v4::loopback(), 0});
+    config.listen = portFinder.local_endpoint();
   }
   config.advertise = "127.0.0.1:" + std::to_string(config.listen.port());
   config.fleet = "f";
-  std::vector<Row> seen;
+  std::vector<Row> changedRows;
   const auto openNode = [&] {
     return std::make_unique<ReplicaNode>(io, config, "me", dir, 1, overload,
-                                         [&](const Row& row) { seen.push_back(row); });
+                                         [&](const Row& row) { changedRows.push_back(row); });
   };
   auto node = openNode();
   node->start();
@@ -317,7 +330,7 @@
            body;
   };
   EXPECT_EQ(statusLineFor("nonsense\r\n\r\n"), "");
-  EXPECT_EQ(statusLineFor(""), "") << "silence ends after its time";
+  EXPECT_EQ(statusLineFor(""), "") << "an idle connection is closed after its timeout";
   EXPECT_EQ(statusLineFor(post("{}", 2)), "HTTP/1.1 400 Bad Request");
   EXPECT_EQ(statusLineFor(post("", 10 << 20)), "HTTP/1.1 413 Payload Too Large");
   const auto bytes = encode(from("g1", 3));
@@ -326,27 +339,29 @@
   EXPECT_NE(node->telemetry().find("svc.replica.malformed:3|c"), std::string::npos);
   node->drain();
   node.reset();
-  EXPECT_TRUE(seen.empty()) << "the callback is not for own rows";
+  EXPECT_TRUE(changedRows.empty()) << "the callback must not report rows written by this process";
   openNode();
-  ASSERT_EQ(seen.size(), 1u);
-  EXPECT_EQ(seen[0].key + seen[0].value, "kv");
+  ASSERT_EQ(changedRows.size(), 1u);
+  EXPECT_EQ(changedRows[0].key + changedRows[0].value, "kv");
   std::ofstream(dir + "/burlwind-replica.cbor", std::ios::app) << "more";
   openNode();
-  EXPECT_EQ(seen.size(), 1u) << "a damaged snapshot is ignored";
+  EXPECT_EQ(changedRows.size(), 1u) << "a corrupted snapshot must be ignored";
   std::filesystem::remove_all(dir);
 }
 
-TEST(ReplicaBadInput, ConfigurationWithInvalidPeersIsRejected) {
-  const std::string start = R"({"listen": "127.0.0.1:7", "peers": {"h": "127.0.0.1:8"})";
-  EXPECT_EQ(saidOf("replica", start + "}"), "");
-  for (const std::string& wrong :
+// Guards against accepting an invalid `replica` section: addresses, peers, limits, or unknown fields.
+TEST(ReplicaInputValidation, InvalidConfigurationIsRejected) {
+  const std::string validPrefix = R"({"listen": "127.0.0.1:7", "peers": {"h": "127.0.0.1:8"})";
+  EXPECT_EQ(saidOf("replica", validPrefix + "}"), "");
+  for (const std::string& invalidSection :
        {std::string("[]"), std::string("{}"), std::string(R"({"listen": "x", "peers": {}})"),
         std::string(R"({"listen": "127.0.0.1:7", "peers": {"g": "127.0.0.1:8"}})"),
         std::string(R"({"listen": "127.0.0.1:7", "peers": {"h": "nowhere"}})"),
         std::string(R"({"listen": "127.0.0.1:7", "peers": ["127.0.0.1:8"]})"),
-        std::string(R"({"listen": "127.0.0.1:0", "peers": {}})"), start + R"(, "fanout": 0})",
-        start + R"(, "probe_every_ms": 1})", start + R"(, "fleet": ""})", start + R"(, "probe": 5})"}) {
-    EXPECT_NE(saidOf("replica", wrong), "") << wrong;
+        std::string(R"({"listen": "127.0.0.1:0", "peers": {}})"), validPrefix + R"(, "fanout": 0})",
+        validPrefix + R"(, "probe_every_ms": 1})", validPrefix + R"(, "fleet": ""})",
+        validPrefix + R"(, "probe": 5})"}) {
+    EXPECT_NE(saidOf("replica", invalidSection), "") << invalidSection;
   }
 }
 
--- a/tests/stored_data_test.cpp
+++ b/tests/stored_data_test.cpp
@@ -1,5 +1,6 @@
-// Data that earlier versions of the program wrote, byte for byte as commit afadd11 wrote it: two versions run
-// side by side in an upgrade and find each other's files, records and messages.
+// Compatibility of stored data and messages with earlier versions. The literals are byte for byte as commit
+// afadd11 wrote them. Guards against a format change: during an upgrade two versions run side by side and
+// read each other's files, records and messages.
 #include <gtest/gtest.h>
 #include <unistd.h>
 
@@ -53,16 +54,16 @@
 const std::string kRegistration =
     R"({"build":"0.1.0","draining":true,"instance":"i-1","name":"g1","seen":{"roster":9},"started":1700000000})";
 
-/// A folder of its own for a test, removed at its end.
-class StateFolder {
+/// A temporary state directory, removed by the destructor.
+class StateDirectory {
  public:
-  StateFolder() : path_(::testing::TempDir() + "wingslip-stored-" + std::to_string(::getpid())) {
+  StateDirectory() : path_(::testing::TempDir() + "wingslip-stored-" + std::to_string(::getpid())) {
     std::filesystem::remove_all(path_);
     std::filesystem::create_directories(path_);
   }
-  ~StateFolder() { std::filesystem::remove_all(path_); }
-  StateFolder(const StateFolder&) = delete;
-  StateFolder& operator=(const StateFolder&) = delete;
+  ~StateDirectory() { std::filesystem::remove_all(path_); }
+  StateDirectory(const StateDirectory&) = delete;
+  StateDirectory& operator=(const StateDirectory&) = delete;
   const std::string& path() const { return path_; }
   void write(const std::string& name, const std::string& text) const {
     std::ofstream(path_ + "/" + name) << text;
@@ -76,7 +77,7 @@
   std::string path_;
 };
 
-TEST(StoredData, AReplicaSnapshotIsReadAndWrittenAsBefore) {
+TEST(StoredData, ReplicaSnapshotRoundTripsByteForByte) {
   const replication::Snapshot snapshot = replication::decodeSnapshot(replicaSnapshot());
   EXPECT_EQ(snapshot.writtenAtUnixMs, 1700000000000);
   EXPECT_EQ(snapshot.generation, 1700000001u);
@@ -92,7 +93,7 @@
   EXPECT_EQ(replication::encodeSnapshot(snapshot), replicaSnapshot());
 }
 
-TEST(StoredData, AReplicaMessageIsReadAndWrittenAsBefore) {
+TEST(StoredData, ReplicaMessageRoundTripsByteForByte) {
   const std::string& bytes = replicaMessage();
   const replication::Message message =
       replication::decode(reinterpret_cast<const std::uint8_t*>(bytes.data()), bytes.size());
@@ -103,11 +104,11 @@
   EXPECT_EQ(message.digest.size(), 3u);
   EXPECT_EQ(message.differingRanges.size(), 2u);
   EXPECT_TRUE(message.truncated);
-  const std::vector<std::uint8_t> again = replication::encode(message);
-  EXPECT_EQ(std::string(again.begin(), again.end()), bytes);
+  const std::vector<std::uint8_t> reencoded = replication::encode(message);
+  EXPECT_EQ(std::string(reencoded.begin(), reencoded.end()), bytes);
 }
 
-TEST(StoredData, ADistributionSnapshotIsReadAndWrittenAsBefore) {
+TEST(StoredData, DistributionSnapshotRoundTripsByteForByte) {
   const distribution::Snapshot snapshot = distribution::decodeSnapshot(distributionSnapshot());
   EXPECT_EQ(snapshot.version, 7u);
   EXPECT_EQ(snapshot.term, 3u);
@@ -116,7 +117,7 @@
   EXPECT_EQ(distribution::encodeSnapshot(snapshot), distributionSnapshot());
 }
 
-TEST(StoredData, ARegistrationIsReadAndWrittenAsBefore) {
+TEST(StoredData, RegistrationRoundTripsByteForByte) {
   const leader_election::Registration registration = leader_election::parseRegistration(kRegistration);
   EXPECT_EQ(registration.name, "g1");
   EXPECT_EQ(registration.startedUnixS, 1700000000);
@@ -125,25 +126,26 @@
   EXPECT_EQ(leader_election::registrationText(registration), kRegistration);
 }
 
-TEST(StoredData, ExclusionsAreReadAndWrittenAsBefore) {
-  const StateFolder folder;
-  folder.write("burlwind-excluded.json", R"({"excluded":["w1","w7"]})");
-  Exclusions exclusions(folder.path());
+TEST(StoredData, ExclusionsFileIsReadAndWrittenInStoredFormat) {
+  const StateDirectory stateDirectory;
+  stateDirectory.write("burlwind-excluded.json", R"({"excluded":["w1","w7"]})");
+  Exclusions exclusions(stateDirectory.path());
   EXPECT_EQ(exclusions.ids(), (std::set<std::string>{"w1", "w7"}));
   EXPECT_FALSE(exclusions.set("w8", true));
-  EXPECT_EQ(folder.read("burlwind-excluded.json"), R"({"excluded":["w1","w7","w8"]})");
+  EXPECT_EQ(stateDirectory.read("burlwind-excluded.json"), R"({"excluded":["w1","w7","w8"]})");
 }
 
-TEST(StoredData, TheHandoverIsReadAndWrittenAsBefore) {
-  const StateFolder folder;
-  folder.write("burlwind-handover.json", R"({"at":1234.5,"clockOffset":-17.25,"warmRate":0.125})");
-  const auto handover = readHandover(folder.path());
+TEST(StoredData, HandoverRoundTripsByteForByte) {
+  const StateDirectory stateDirectory;
+  stateDirectory.write("burlwind-handover.json", R"({"at":1234.5,"clockOffset":-17.25,"warmRate":0.125})");
+  const auto handover = readHandover(stateDirectory.path());
   ASSERT_TRUE(handover);
   EXPECT_EQ(handover->at, 1234.5);
   EXPECT_EQ(handover->warmRate, 0.125);
   EXPECT_EQ(handover->clockOffset, -17.25);
-  writeHandover(folder.path(), *handover);
-  EXPECT_EQ(folder.read("burlwind-handover.json"), R"({"at":1234.5,"clockOffset":-17.25,"warmRate":0.125})");
+  writeHandover(stateDirectory.path(), *handover);
+  EXPECT_EQ(stateDirectory.read("burlwind-handover.json"),
+            R"({"at":1234.5,"clockOffset":-17.25,"warmRate":0.125})");
 }
 
 }  // namespace
