--- a/src/overload/memory_budget.cpp
+++ b/src/overload/memory_budget.cpp
@@ -1,3 +1,4 @@
+// Implementation of the memory budget and of the division of the memory limit.
 #include "overload/memory_budget.hpp"
 
 #include <algorithm>
@@ -8,12 +9,13 @@
 namespace {
 
 constexpr std::size_t kMiB = std::size_t{1} << 20;
-// 9 MiB of the program and its libraries, 3 MiB of the decision module's full table of customers.
+// The program and its libraries take 9 MiB, and the decision module's full customer table takes 3 MiB.
 constexpr std::size_t kProcessBytes = 12 * kMiB;
-constexpr std::size_t kStateFileBytes = 2 * kMiB;   // the exclusions, 1 MiB at most, and their temporary copy
-constexpr std::size_t kMinBudgetBytes = kMiB;       // fewer than a hundred idle connections
-constexpr double kUsableShare = 0.75;               // the rest is overhead of the allocator and the kernel
-constexpr std::size_t kOperatorBytes = 192 * 1024;  // 16 callers with their answers
+// The exclusions file, at most 1 MiB, and its temporary copy.
+constexpr std::size_t kStateFileBytes = 2 * kMiB;
+constexpr std::size_t kMinBudgetBytes = kMiB;       // enough for fewer than 100 idle connections
+constexpr double kUsableShare = 0.75;               // allocator and kernel overhead take the remainder
+constexpr std::size_t kOperatorBytes = 192 * 1024;  // 16 operator connections with their responses
 
 }  // namespace
 
@@ -69,7 +71,7 @@
 MemoryBudget::MemoryBudget(const Shares& shares) : shares_(shares) {
   std::size_t reserved = 0;
   for (const std::size_t bytes : shares.reserved) reserved += bytes;
-  if (reserved > shares.total) throw std::invalid_argument("ledger: more is kept apart than there is");
+  if (reserved > shares.total) throw std::invalid_argument("memory budget: the reserves exceed the total");
 }
 
 std::size_t MemoryBudget::unusedReserve(std::size_t account) const {
@@ -80,7 +82,8 @@
   std::size_t reservedForOthers = 0;
   for (std::size_t other = 0; other < kAccounts; ++other)
     if (other != index(account)) reservedForOthers += unusedReserve(other);
-  return shares_.total - used_ - reservedForOthers;  // never below 0: each growth leaves the others' reserve
+  // Not below 0: no account can grow into the reserve of another.
+  return shares_.total - used_ - reservedForOthers;
 }
 
 bool MemoryBudget::grow(Account account, std::size_t bytes) {
@@ -147,14 +150,14 @@
   if (limit.twoProcesses) processLimit /= 2;
   shares.total = static_cast<std::size_t>(kUsableShare * static_cast<double>(processLimit - kProcessBytes));
   const std::size_t operatorBytes = std::min(shares.total / 4, kOperatorBytes);
-  const std::size_t rest = shares.total - operatorBytes;
+  const std::size_t sharedBytes = shares.total - operatorBytes;
   const auto reserve = [&](Account account, std::size_t bytes) {
     shares.reserved[static_cast<std::size_t>(account)] = bytes;
   };
   reserve(Account::operators, operatorBytes);
-  reserve(Account::clients, rest / 4);
-  reserve(Account::workers, rest / 4);
-  reserve(Account::discovery, rest / 8);
+  reserve(Account::clients, sharedBytes / 4);
+  reserve(Account::workers, sharedBytes / 4);
+  reserve(Account::discovery, sharedBytes / 8);
   return shares;
 }
 
--- a/src/overload/memory_budget.hpp
+++ b/src/overload/memory_budget.hpp
@@ -1,4 +1,5 @@
-/// The memory budget: bytes charged for clients, workers, discovery and operators. No I/O and no clock.
+/// Accounting of the process's buffer memory, divided between clients, workers, discovery and operators.
+/// Performs no I/O and reads no clock.
 #pragma once
 
 #include <array>
@@ -9,24 +10,26 @@
 
 namespace wingslip {
 
+/// The side of the gatekeeper for which memory is charged.
 enum class Account : unsigned { clients, workers, discovery, operators };
 constexpr std::size_t kAccounts = 4;
-/// As in the `svc.memory` figures, in the order of `Account`.
+/// Account names as they appear in the `svc.memory` metrics, in the order of `Account`.
 constexpr std::array<std::string_view, kAccounts> kAccountNames{"clients", "workers", "discovery",
                                                                 "operators"};
 
-/// A charge is refused if it would exceed the budget, and is given back once, by its destructor. Used from
-/// the event loop's thread only.
+/// Limits the memory that is charged to it. A charge that would exceed the budget or use the reserve of
+/// another account is refused; the destructor of a charge releases it exactly once. Owned by the
+/// OverloadManager and used from the event loop's thread only.
 class MemoryBudget {
  public:
-  /// Bytes.
+  /// The size of the budget and of its reserves, in bytes.
   struct Shares {
     std::size_t total = 0;
-    std::array<std::size_t, kAccounts> reserved{};  ///< of the total: for this account only
+    std::array<std::size_t, kAccounts> reserved{};  ///< part of `total` that only this account may use
   };
 
-  /// What one owner uses. A default-constructed charge belongs to no budget and cannot grow. Must not outlive
-  /// its budget.
+  /// The memory charged for one owner, released on destruction. A default-constructed charge belongs to no
+  /// budget and cannot grow. A charge must not outlive its budget.
   class Charge {
    public:
     Charge() = default;
@@ -34,14 +37,16 @@
     Charge& operator=(Charge&& other) noexcept;
     ~Charge() { release(); }
 
-    /// @return false if there is too little memory; the charge is then unchanged.
+    /// Sets the size of the charge. Shrinking always succeeds.
+    /// @return false if too little memory is available; the charge is then unchanged.
     [[nodiscard]] bool resize(std::size_t bytes);
-    void shrinkTo(std::size_t bytes);  ///< never grows
+    void shrinkTo(std::size_t bytes);  ///< no effect if the charge is already smaller
     void release() { shrinkTo(0); }
-    /// What is charged now stays as long as the owner exists: shedding requests would not free it, so it does
-    /// not count as usage.
+    /// Marks the present bytes as charged for the owner's whole lifetime. Shedding requests would not free
+    /// them, so `Usage` excludes them.
     void markPermanent();
-    /// Splits off this many bytes, or all that is not permanent if that is less.
+    /// Moves `bytes` bytes into a new charge of the same account, or all bytes that are not permanent if
+    /// there are fewer.
     Charge split(std::size_t bytes);
     std::size_t bytes() const { return bytes_; }
 
@@ -54,36 +59,43 @@
     std::size_t permanent_ = 0;
   };
 
-  /// Usage of an account without what is permanent: bytes in use, of those in use or available.
+  /// Usage of an account in bytes, without its permanent charges. `limit` is the sum of the used and the
+  /// available bytes.
   struct Usage {
     std::size_t used = 0;
     std::size_t limit = 0;
     double share() const { return used > 0 ? static_cast<double>(used) / static_cast<double>(limit) : 0; }
   };
 
-  /// @throws std::invalid_argument if more is reserved than the total.
+  /// @throws std::invalid_argument if the reserves exceed the total.
   explicit MemoryBudget(const Shares& shares);
   MemoryBudget(const MemoryBudget&) = delete;
   MemoryBudget& operator=(const MemoryBudget&) = delete;
 
+  /// @return an empty charge of this account.
   Charge open(Account account) { return {this, account}; }
-  /// How many bytes more the account could be charged now.
+  /// @return the bytes by which charges of this account can grow now.
   std::size_t available(Account account) const;
-  /// Whether the account's usage with `bytes` more would be at most `mark`.
+  /// @return whether the account's usage share would be at most `mark` (0 to 1) after `bytes` more.
   bool staysUnder(double mark, Account account, std::size_t bytes) const;
 
   std::size_t total() const { return shares_.total; }
   std::size_t used() const { return used_; }
   std::size_t used(Account account) const { return accounts_[index(account)].used; }
+  /// @return the most bytes that were in use at any time.
   std::size_t peak() const { return peak_; }
+  /// @return how many times a charge of this account could not grow.
   std::uint64_t refusals(Account account) const { return accounts_[index(account)].refusals; }
 
-  /// The higher usage of clients and workers: only their use can be controlled.
+  /// @return the usage of the clients' or the workers' account, whichever has the higher share. The
+  /// gatekeeper cannot limit the use of the other accounts.
   Usage highestUsage() const;
 
+  /// Sets the callbacks; neither may charge or release memory.
+  /// @param lowMark, highMark watermarks as shares of the limit (0 to 1)
   /// @param onMarkCrossed called when the highest usage has reached `highMark`, and again when it has fallen
   /// to `lowMark`
-  /// @param onFreed called after each release. Neither may charge or release.
+  /// @param onFreed called after each release
   void observe(double lowMark, double highMark, std::function<void()> onMarkCrossed,
                std::function<void()> onFreed);
 
@@ -104,22 +116,22 @@
   std::size_t used_ = 0;
   std::size_t peak_ = 0;
   double lowMark_ = 0;
-  double highMark_ = 2;     // never reached until `observe`
-  bool aboveMark_ = false;  // the high mark was reached, and the low one not since
+  double highMark_ = 2;     // above any share, so that no mark is crossed before `observe` is called
+  bool aboveMark_ = false;  // hysteresis: set at the high mark, cleared at the low mark
   std::function<void()> onMarkCrossed_;
   std::function<void()> onFreed_;
 };
 
-/// What a process may use of the machine's memory.
+/// The memory limit of the gatekeeper and what shares it.
 struct MemoryLimit {
-  std::size_t bytes = 0;
-  bool twoProcesses = false;  ///< shared by the two processes of a hot restart
-  bool stateFiles = false;    ///< the state directory counts as memory
+  std::size_t bytes = 0;      ///< of all processes together
+  bool twoProcesses = false;  ///< a handover's two processes share the limit
+  bool stateFiles = false;    ///< the files of the state directory count as memory
 };
 
-/// The budget of a process, or a total of 0 if the limit is below `minMemoryLimit`.
+/// @return the budget of one process, or a total of 0 if the limit is below `minMemoryLimit`.
 MemoryBudget::Shares sharesOf(const MemoryLimit& limit);
-/// Bytes.
+/// @return the smallest limit, in bytes, that leaves a usable budget.
 std::size_t minMemoryLimit(bool twoProcesses, bool stateFiles);
 
 }  // namespace wingslip
--- a/src/overload/overload_state.hpp
+++ b/src/overload/overload_state.hpp
@@ -1,5 +1,5 @@
-/// How overloaded the gatekeeper is: watermarks with hysteresis over memory and descriptors, and the event
-/// loop's delay judged as CoDel judges a queue. No I/O.
+/// Overload detection: watermarks with hysteresis for memory and descriptors, and a target for the event
+/// loop's delay as in CoDel queue management. Performs no I/O.
 #pragma once
 
 #include <array>
@@ -8,54 +8,64 @@
 
 namespace wingslip {
 
-/// `throttling`: request bodies are no longer read ahead, and the decision module is told: it rejects what is
-/// large or beyond its quota. `shedding`: a share of all requests is rejected too.
+/// Degree of overload. At `throttling`, request bodies are not read ahead and the decision module rejects
+/// requests that are large or exceed their customer's quota. At `shedding`, a share of all requests is
+/// rejected in addition.
 enum class OverloadLevel : unsigned { none, throttling, shedding };
 constexpr std::size_t kOverloadLevels = 3;
+/// A resource whose use can cause an overload.
 enum class OverloadSource : unsigned { memory, descriptors, eventLoop };
 constexpr std::size_t kOverloadSources = 3;
 
-/// State machine fed with usage, loop delays and time. Used from the event loop's thread only.
+/// Derives the overload level from samples of resource usage and event loop delay. Owned by the
+/// OverloadManager and used from the event loop's thread only.
 class OverloadState {
  public:
-  using Time = double;  ///< ms of any steady clock
+  using Time = double;  ///< milliseconds of any monotonic clock
 
-  /// Shares of what there is: overloaded from `high` on, until `low` is reached.
+  /// High and low watermark as shares of the limit (0 to 1). A resource is overloaded from when its usage
+  /// reaches `high` until it falls to `low`.
   struct Watermarks {
     double high = 0.75;
     double low = 0.55;
   };
+  /// Thresholds of the overload levels.
   struct Limits {
     Watermarks memory;
-    Watermarks descriptors{0.9, 0.75};  ///< of busy connections; idle ones are closed when needed
-    Time intervalMs = 100;              ///< for which a mark must be exceeded before anything is shed
-    Time targetDelayMs = 5;             ///< of the event loop
+    Watermarks descriptors{0.9, 0.75};  ///< idle connections do not count: they can be closed
+    Time intervalMs = 100;              ///< sustained excess after which shedding starts
+    Time targetDelayMs = 5;             ///< event loop delay that counts as late
   };
-  /// @param minLatencyObjectiveMs the shortest of all classes: it becomes the interval, within bounds
+  /// @param minLatencyObjectiveMs the shortest latency objective of all request classes; clamped to a fixed
+  /// range it becomes the interval
   static Limits limitsFor(Time minLatencyObjectiveMs);
 
   explicit OverloadState(const Limits& limits) : limits_(limits) {}
   void setLimits(const Limits& limits) { limits_ = limits; }
   const Limits& limits() const { return limits_; }
 
+  /// Adds a sample of a resource's usage.
   /// @param source memory or descriptors
+  /// @param used, total in the same unit; a total of 0 counts as no usage
   void onUsage(Time now, OverloadSource source, double used, double total);
+  /// Adds a sample of the event loop's delay.
   void onLoopDelay(Time now, Time delayMs);
-  /// Time has passed.
+  /// Updates the level and the reject share for elapsed time alone.
   void onTime(Time now);
 
   OverloadLevel level() const { return level_; }
   OverloadLevel level(OverloadSource source) const { return signal(source).level; }
-  /// Nothing is left that time alone would change.
+  /// @return whether there is no overload and the reject share has decayed to 0.
   bool isNormal() const { return level_ == OverloadLevel::none && rejectShare_ == 0; }
-  /// Bytes above the low mark that must be freed now, if memory is shedding; at most once an interval,
-  /// because what was shed takes a while to be freed.
+  /// @return the bytes above the low watermark that must be freed now, or 0 if memory is not at `shedding`.
+  /// Not 0 at most once per interval, because the memory of shed requests is freed with a delay.
   double takeExcessBytes(Time now);
-  /// Share of new requests to reject: it rises while the event loop is shedding, and falls afterwards.
+  /// @return the share of new requests to reject (0 to below 1). It rises while the event loop is at
+  /// `shedding` and falls afterwards.
   double rejectShare() const { return rejectShare_; }
-  /// How much longer the overload is expected to last, in ms; 0: there is none.
+  /// @return the expected remaining duration of the overload in ms, or 0 if there is none.
   Time expectedDurationMs(Time now) const;
-  /// How often the level was entered.
+  /// @return how many times the level was entered.
   std::uint64_t enteredCount(OverloadLevel level) const {
     return enteredCounts_[static_cast<std::size_t>(level)];
   }
@@ -65,7 +75,7 @@
     OverloadLevel level = OverloadLevel::none;
     Time aboveHighSince = 0;
     bool aboveHigh = false;
-    bool active = false;  // the high mark was reached, and the low one not since
+    bool active = false;  // hysteresis: set at the high mark, cleared at the low mark
   };
   Signal& signal(OverloadSource source) { return signals_[static_cast<std::size_t>(source)]; }
   const Signal& signal(OverloadSource source) const { return signals_[static_cast<std::size_t>(source)]; }
@@ -81,11 +91,11 @@
   double usedBytes_ = 0;
   double totalBytes_ = 0;
   double rejectShare_ = 0;
-  bool shareRises_ = false;
+  bool rejectShareRising_ = false;
   Time lastShareStepAt_ = 0;
   Time overloadedSince_ = 0;
-  Time usualDurationMs_ = 0;  // of earlier overloads; 0: there was none
-  Time excessTakenAt_ = 0;
+  Time meanDurationMs_ = 0;  // moving average of earlier overloads; 0 before the first has ended
+  Time lastExcessAt_ = 0;
 };
 
 }  // namespace wingslip
--- a/src/overload/wait_queues.cpp
+++ b/src/overload/wait_queues.cpp
@@ -1,3 +1,4 @@
+// Implementation of the wait queue statistics and of their output.
 #include "overload/wait_queues.hpp"
 
 #include <algorithm>
@@ -28,14 +29,14 @@
 void WaitQueues::setReader(WaitQueue queue, Reader reader) { record(queue).reader = std::move(reader); }
 
 WaitQueues::Figures WaitQueues::figures(WaitQueue queue, Time now) const {
-  const Record& counted = record(queue);
+  const Record& queueRecord = record(queue);
   Figures figures;
-  if (counted.reader) figures = counted.reader(now);
-  figures.waiting += counted.waiting;
-  figures.peak = std::max(figures.peak, counted.peak);
-  figures.rejections += counted.rejections;
-  if (!counted.entries.empty())
-    figures.oldestMs = std::max(figures.oldestMs, now - counted.entries.front().since());
+  if (queueRecord.reader) figures = queueRecord.reader(now);
+  figures.waiting += queueRecord.waiting;
+  figures.peak = std::max(figures.peak, queueRecord.peak);
+  figures.rejections += queueRecord.rejections;
+  if (!queueRecord.entries.empty())
+    figures.oldestMs = std::max(figures.oldestMs, now - queueRecord.entries.front().since());
   return figures;
 }
 
--- a/src/overload/wait_queues.hpp
+++ b/src/overload/wait_queues.hpp
@@ -1,5 +1,5 @@
-/// The queues in which work waits: how many wait, for how long, and how many were rejected. No I/O and no
-/// clock.
+/// Statistics of the queues in which connections, requests and messages wait: length, age and rejections.
+/// Performs no I/O and reads no clock.
 #pragma once
 
 #include <array>
@@ -12,42 +12,45 @@
 
 namespace wingslip {
 
+/// A stage at which work waits.
 enum class WaitQueue : unsigned {
-  acceptBacklog,       ///< connections in the kernel that are not accepted yet
-  freeConnection,      ///< accepted, and all connections are busy
-  incompleteRequest,   ///< a request, or the next piece of its body, that is still arriving
-  pausedRead,          ///< a read for which there is no memory
-  inFlight,            ///< a request in the decision module
-  connecting,          ///< an attempt whose connection is being established
-  awaitingResponse,    ///< an attempt that is sent
-  requestBodyWindow,   ///< a piece of a streamed body, until its worker has taken it
-  responseBodyWindow,  ///< a piece of a streamed response, until its client has taken it
-  responseWrite,       ///< a response that is being written to its client
-  operatorCall,
-  discoveryMessage,  ///< a message of service discovery that is not complete
-  eventLoop,         ///< handlers that are ready to run
+  acceptBacklog,       ///< connections that the kernel has established and the gatekeeper has not accepted
+  freeConnection,      ///< accepted connections that wait while all connections are busy
+  incompleteRequest,   ///< requests whose header or next piece of the body is still arriving
+  pausedRead,          ///< reads that are paused for lack of memory
+  inFlight,            ///< requests in the decision module
+  connecting,          ///< attempts whose connection is being established
+  awaitingResponse,    ///< attempts that are sent and not answered
+  requestBodyWindow,   ///< pieces of streamed request bodies that the worker has not received
+  responseBodyWindow,  ///< pieces of streamed responses that the client has not received
+  responseWrite,       ///< responses that are being written to the client
+  operatorCall,        ///< connections of operators
+  discoveryMessage,    ///< incomplete messages of service discovery
+  eventLoop,           ///< handlers that are ready to run
 };
 constexpr std::size_t kWaitQueues = static_cast<std::size_t>(WaitQueue::eventLoop) + 1;
-/// As the `svc.wait` figures, the log and docs/design.md name them, in the order of `WaitQueue`.
+/// Queue names as in the `svc.wait` metrics, the log and docs/design.md, in the order of `WaitQueue`.
 constexpr std::array<std::string_view, kWaitQueues> kWaitQueueNames{
     "accept_queue", "no_room",        "half_read",   "paused_read",   "held",
     "connecting",   "attempt_out",    "body_window", "answer_window", "answer_write",
     "ops_caller",   "discovery_line", "loop"};
 static_assert(!kWaitQueueNames.back().empty(), "every queue has a name");
 
-/// Statistics only: nothing is scheduled here. Used from the event loop's thread only.
+/// Counts the entries of each queue; it schedules nothing. Owned by the OverloadManager and used from the
+/// event loop's thread only.
 class WaitQueues {
  public:
-  using Time = double;  ///< ms of any steady clock
+  using Time = double;  ///< milliseconds of any monotonic clock
 
+  /// The statistics of one queue.
   struct Figures {
-    std::size_t waiting = 0;
-    std::size_t peak = 0;  ///< most that have waited at once
-    Time oldestMs = 0;     ///< how long the first of them has waited
-    std::uint64_t rejections = 0;
+    std::size_t waiting = 0;       ///< present length
+    std::size_t peak = 0;          ///< greatest length so far
+    Time oldestMs = 0;             ///< age of the oldest entry
+    std::uint64_t rejections = 0;  ///< entries that were rejected for waiting here
   };
 
-  /// Membership of one owner in at most one queue; it ends with the owner. Must not outlive the queues.
+  /// Membership of its owner in at most one queue, left on destruction. Must not outlive the WaitQueues.
   class QueueEntry
       : public boost::intrusive::list_base_hook<boost::intrusive::link_mode<boost::intrusive::auto_unlink>> {
    public:
@@ -55,9 +58,12 @@
     QueueEntry(const QueueEntry&) = delete;
     QueueEntry& operator=(const QueueEntry&) = delete;
     ~QueueEntry() { leave(); }
-    /// Leaves the present queue, if any.
+    /// Moves to `queue` from the present queue, if any.
+    /// @param now start of the wait
     void enter(WaitQueues& queues, WaitQueue queue, Time now);
+    /// Leaves the present queue; no effect if there is none.
     void leave();
+    /// @return when the present or last wait started.
     Time since() const { return since_; }
     bool isIn(WaitQueue queue) const { return queues_ && queue_ == queue; }
 
@@ -68,22 +74,26 @@
   };
 
   using Reader = std::function<Figures(Time now)>;
-  /// For a queue that somebody else counts (the kernel, the event loop); null: nobody does any more.
+  /// Sets the source of the statistics of a queue that is counted elsewhere (by the kernel or the event
+  /// loop); null removes it.
   void setReader(WaitQueue queue, Reader reader);
+  /// Adds rejections to the queue's count.
   void countRejection(WaitQueue queue, std::uint64_t count = 1) { record(queue).rejections += count; }
 
+  /// @return the queue's statistics, combined with those of its reader.
   Figures figures(WaitQueue queue, Time now) const;
+  /// @return the number of entries, without those that a reader counts.
   std::size_t waiting(WaitQueue queue) const { return record(queue).waiting; }
-  /// Whether an entry was ever in it, or it has a reader.
+  /// @return whether the queue has ever had an entry or has a reader.
   bool isReported(WaitQueue queue) const { return record(queue).everEntered || record(queue).reader; }
 
-  std::string telemetry(Time now) const;  ///< `svc.wait` lines
-  std::string logLine(Time now) const;    ///< one line, of queues that have entries or rejections
+  std::string telemetry(Time now) const;  ///< the `svc.wait` metrics, one per line
+  std::string logLine(Time now) const;    ///< key=value pairs of the queues with entries or rejections
 
  private:
   using Entries = boost::intrusive::list<QueueEntry, boost::intrusive::constant_time_size<false>>;
   struct Record {
-    Entries entries;  // in order of entry
+    Entries entries;  // oldest first
     std::size_t waiting = 0;
     std::size_t peak = 0;
     std::uint64_t rejections = 0;
