--- a/src/net/durable_file.cpp
+++ b/src/net/durable_file.cpp
@@ -1,3 +1,4 @@
+// Implementation of file replacement and file locks with Linux system calls.
 #include "net/durable_file.hpp"
 
 #include <fcntl.h>
@@ -18,24 +19,24 @@
 
 std::error_code lastError() { return {errno, std::system_category()}; }
 
-/// Makes the call until it is not interrupted.
+/// Repeats a system call as long as a signal interrupts it.
 template <class Call>
-auto uninterrupted(Call call) {
+auto retryOnInterrupt(Call call) {
   auto result = call();
   while (result < 0 && errno == EINTR) result = call();
   return result;
 }
 
-/// A descriptor that is closed with its scope.
-class Descriptor {
+/// An open file or directory, closed on destruction. `number` is negative if it could not be opened.
+class ScopedDescriptor {
  public:
-  Descriptor(const std::string& path, int flags)
-      : number_(uninterrupted([&] { return ::open(path.c_str(), flags | O_CLOEXEC, kOwnerOnly); })) {}
-  ~Descriptor() {
+  ScopedDescriptor(const std::string& path, int flags)
+      : number_(retryOnInterrupt([&] { return ::open(path.c_str(), flags | O_CLOEXEC, kOwnerOnly); })) {}
+  ~ScopedDescriptor() {
     if (number_ >= 0) ::close(number_);
   }
-  Descriptor(const Descriptor&) = delete;
-  Descriptor& operator=(const Descriptor&) = delete;
+  ScopedDescriptor(const ScopedDescriptor&) = delete;
+  ScopedDescriptor& operator=(const ScopedDescriptor&) = delete;
   int number() const { return number_; }
 
  private:
@@ -44,7 +45,7 @@
 
 std::error_code writeAll(int descriptor, std::string_view bytes) {
   while (!bytes.empty()) {
-    const ssize_t count = uninterrupted([&] { return ::write(descriptor, bytes.data(), bytes.size()); });
+    const ssize_t count = retryOnInterrupt([&] { return ::write(descriptor, bytes.data(), bytes.size()); });
     if (count < 0) return lastError();
     bytes.remove_prefix(static_cast<std::size_t>(count));
   }
@@ -52,26 +53,26 @@
 }
 
 std::error_code sync(int descriptor) {
-  return uninterrupted([&] { return ::fsync(descriptor); }) < 0 ? lastError() : std::error_code{};
+  return retryOnInterrupt([&] { return ::fsync(descriptor); }) < 0 ? lastError() : std::error_code{};
 }
 
 std::error_code writeTemporary(const std::string& temporary, std::string_view bytes, Durability durability) {
-  const Descriptor file(temporary, O_WRONLY | O_CREAT | O_TRUNC);
+  const ScopedDescriptor file(temporary, O_WRONLY | O_CREAT | O_TRUNC);
   if (file.number() < 0) return lastError();
   if (const std::error_code error = writeAll(file.number(), bytes)) return error;
   return durability == Durability::onDisk ? sync(file.number()) : std::error_code{};
 }
 
-/// Until its folder is synced a power cut may undo a rename.
-std::error_code syncFolderOf(const std::string& path) {
-  const Descriptor folder(path.substr(0, path.rfind('/') + 1), O_RDONLY | O_DIRECTORY);
-  return folder.number() < 0 ? lastError() : sync(folder.number());
+/// Syncs the file's directory: until then, a power failure may undo a rename.
+std::error_code syncDirectoryOf(const std::string& path) {
+  const ScopedDescriptor directory(path.substr(0, path.rfind('/') + 1), O_RDONLY | O_DIRECTORY);
+  return directory.number() < 0 ? lastError() : sync(directory.number());
 }
 
 }  // namespace
 
 std::error_code replaceFile(const std::string& path, std::string_view bytes, Durability durability) {
-  // A name of this process's own: another process may be writing the same file.
+  // The name contains the process id, because another process may be replacing the same file.
   const std::string temporary = path + "." + std::to_string(::getpid());
   std::error_code error = writeTemporary(temporary, bytes, durability);
   if (!error && std::rename(temporary.c_str(), path.c_str()) != 0) error = lastError();
@@ -79,30 +80,31 @@
     ::unlink(temporary.c_str());
     return error;
   }
-  return durability == Durability::onDisk ? syncFolderOf(path) : std::error_code{};
+  return durability == Durability::onDisk ? syncDirectoryOf(path) : std::error_code{};
 }
 
 std::error_code readFile(const std::string& path, std::size_t maxBytes, std::string& bytes) {
   bytes.clear();
-  const Descriptor file(path, O_RDONLY);
+  const ScopedDescriptor file(path, O_RDONLY);
   if (file.number() < 0) return lastError();
-  for (char piece[4096];;) {
-    const ssize_t count = uninterrupted([&] { return ::read(file.number(), piece, sizeof piece); });
+  for (char chunk[4096];;) {
+    const ssize_t count = retryOnInterrupt([&] { return ::read(file.number(), chunk, sizeof chunk); });
     if (count < 0) return lastError();
     if (count == 0) return {};
-    bytes.append(piece, static_cast<std::size_t>(count));
+    bytes.append(chunk, static_cast<std::size_t>(count));
     if (bytes.size() > maxBytes) return std::make_error_code(std::errc::file_too_large);
   }
 }
 
 FileLock::FileLock(const std::string& path) {
-  descriptor_ = uninterrupted([&] { return ::open(path.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, kOwnerOnly); });
+  descriptor_ =
+      retryOnInterrupt([&] { return ::open(path.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, kOwnerOnly); });
   if (descriptor_ < 0) {
     error_ = lastError();
     return;
   }
-  for (int triesLeft = kMaxLockTries; triesLeft > 0; --triesLeft) {
-    if (uninterrupted([&] { return ::flock(descriptor_, LOCK_EX | LOCK_NB); }) == 0) {
+  for (int remainingTries = kMaxLockTries; remainingTries > 0; --remainingTries) {
+    if (retryOnInterrupt([&] { return ::flock(descriptor_, LOCK_EX | LOCK_NB); }) == 0) {
       error_ = {};
       return;
     }
--- a/src/net/durable_file.hpp
+++ b/src/net/durable_file.hpp
@@ -1,7 +1,7 @@
-/// Files of the state folder, which outlive the process: read whole, and replaced whole.
+/// Atomic replacement of the files in the state directory, which persist across restarts of the process.
 ///
-/// A reader finds the old bytes or the new ones, at whatever moment the process is killed or loses power.
-/// Every error is returned; the caller has to retry what could not be written.
+/// A reader finds either the complete old or the complete new content, even if the process is killed or power
+/// is lost during a replacement. Every error is returned; retrying a failed write is up to the caller.
 #pragma once
 
 #include <cstddef>
@@ -11,21 +11,26 @@
 
 namespace wingslip {
 
-/// How far a replacement has gone when `replaceFile` returns without an error.
+/// The failures that a replacement survives once `replaceFile` has returned without an error.
 enum class Durability {
-  onDisk,    ///< file and folder are synced: it survives a power cut
-  inKernel,  ///< it survives the process alone
+  onDisk,    ///< file and directory are synced: survives a power failure
+  inKernel,  ///< not synced: survives the end of the process only
 };
 
-/// Writes `bytes` to a temporary file and renames it to `path`. Blocks for as long as the disk takes.
+/// Writes `bytes` to a temporary file and renames it to `path`. Blocks until the disk has completed the
+/// write.
+/// @param path must contain a directory for `Durability::onDisk`
+/// @return the system's error, or none on success
 std::error_code replaceFile(const std::string& path, std::string_view bytes, Durability durability);
 
-/// Reads at most `maxBytes` bytes; a longer file is `file_too_large`, one that is not there
-/// `no_such_file_or_directory`.
+/// Reads the file at `path` into `bytes`.
+/// @return `file_too_large` if the file is longer than `maxBytes`, `no_such_file_or_directory` if it does not
+/// exist, any other error of the system, or none on success
 std::error_code readFile(const std::string& path, std::size_t maxBytes, std::string& bytes);
 
-/// An exclusive lock between the processes that share a folder, while one of them reads and replaces a file.
-/// Gives up after some 20 ms: the other process may be stopped.
+/// An exclusive lock between the processes that share a directory, for a read and replacement of a file.
+/// Released on destruction. The constructor blocks for at most about 20 ms, because the process that has the
+/// lock may be stopped.
 class FileLock {
  public:
   explicit FileLock(const std::string& path);
@@ -33,7 +38,7 @@
   FileLock(const FileLock&) = delete;
   FileLock& operator=(const FileLock&) = delete;
 
-  /// Why it is not held; no error: it is.
+  /// @return why the lock could not be acquired, or no error if it was.
   const std::error_code& error() const { return error_; }
 
  private:
--- a/src/net/guarded_connection.hpp
+++ b/src/net/guarded_connection.hpp
@@ -1,4 +1,4 @@
-/// The base class of a connection whose asynchronous operations may complete after it has ended.
+/// Base class of connections whose asynchronous operations may complete after the connection has ended.
 #pragma once
 
 #include <boost/system/error_code.hpp>
@@ -8,12 +8,14 @@
 
 namespace wingslip {
 
-/// `Connection` derives from GuardedConnection<Connection> and is held by a std::shared_ptr.
+/// Suppresses completion handlers after the end of the connection. `Connection` derives from
+/// GuardedConnection<Connection> and is owned by a std::shared_ptr.
 template <class Connection>
 class GuardedConnection : public std::enable_shared_from_this<Connection> {
  protected:
-  /// A completion handler that keeps the connection alive, and calls `handler(error, bytes)` unless the
-  /// connection has ended by then. Fits operations with and without a count of bytes.
+  /// @return a completion handler that keeps the connection alive and calls `handler(error, bytes)` unless
+  /// the connection has ended. Suitable for operations with and without a byte count; without one, `bytes` is
+  /// 0.
   template <class Handler>
   auto guard(Handler handler) {
     return [self = this->shared_from_this(), handler = std::move(handler)](
@@ -22,10 +24,11 @@
     };
   }
 
-  /// From now on no guarded handler does anything.
+  /// Marks the connection as ended: its guarded handlers do nothing from now on.
   void markEnded() { ended_ = true; }
 
  public:
+  /// @return whether `markEnded` was called.
   bool ended() const { return ended_; }
 
  private:
--- a/src/net/http.hpp
+++ b/src/net/http.hpp
@@ -1,5 +1,5 @@
-/// HTTP on buffers, shared by the clients' side, the workers' side and discovery: Beast's parser fed from a
-/// buffer, and its serializer to text. No sockets.
+/// HTTP parsing from and serialization to buffers with Boost.Beast, for connections to clients, workers and
+/// discovery. Uses no sockets.
 #pragma once
 
 #include <boost/asio/buffer.hpp>
@@ -19,16 +19,17 @@
 namespace http = boost::beast::http;
 using Error = boost::system::error_code;
 
-constexpr std::size_t kMaxBodyBytes = std::size_t{32} * 1024 * 1024;  ///< of a request or response
-constexpr std::size_t kMaxBufferedBodyBytes = 64 * 1024;              ///< a longer body is streamed
-constexpr std::size_t kMaxHeaderBytes = 16 * 1024;
-constexpr std::size_t kReadBytes = 4096;              ///< of one read of anything else
-constexpr std::size_t kStreamPieceBytes = 16 * 1024;  ///< of one read of a streamed body
+constexpr std::size_t kMaxBodyBytes = std::size_t{32} * 1024 * 1024;  ///< limit for requests and responses
+constexpr std::size_t kMaxBufferedBodyBytes = 64 * 1024;              ///< longer bodies are streamed
+constexpr std::size_t kMaxHeaderBytes = 16 * 1024;                    ///< limit for requests and responses
+constexpr std::size_t kReadBytes = 4096;              ///< size of one read, except of a streamed body
+constexpr std::size_t kStreamPieceBytes = 16 * 1024;  ///< size of one read of a streamed body
 
+/// Converts Beast's string view; the result refers to the same characters.
 inline std::string_view view(beast::string_view text) { return {text.data(), text.size()}; }
 
-/// A body as far as it has come and has not been taken away. Whatever length the header states, nothing is
-/// allocated ahead.
+/// A Beast body type for the part of a body that has been received and not yet consumed. No memory is
+/// preallocated for the length that the header states.
 struct WindowBody {
   using value_type = std::string;
   class reader {
@@ -53,10 +54,11 @@
   };
 };
 
-/// Parses what has been read; true once the message is complete. What follows it stays in the buffer.
+/// Parses the bytes in `in` and consumes them; bytes after the message remain in the buffer.
 ///
-/// Never eagerly: an eager parser goes on to body bytes that came with the header and forgets that the header
-/// had exceeded its limit.
+/// The parser's eager mode is disabled: an eager parser continues with body bytes received together with the
+/// header, and does not report that the header had exceeded its limit.
+/// @return whether the message is complete; `error` is set if it is invalid
 template <class Parser>
 bool feed(Parser& parser, beast::flat_buffer& in, Error& error) {
   parser.eager(false);
@@ -74,7 +76,7 @@
 
 namespace detail {
 
-/// Appends the serializer's next buffers.
+/// Appends the buffers that the serializer returns next.
 template <class Serializer>
 void appendNext(std::string& out, Serializer& serializer, Error& error) {
   std::size_t size = 0;
@@ -89,7 +91,7 @@
 
 }  // namespace detail
 
-/// The whole message.
+/// Appends the serialized message, header and body.
 template <bool isRequest, class Body>
 void append(std::string& out, const http::message<isRequest, Body>& message) {
   http::serializer<isRequest, Body> serializer(message);
@@ -97,7 +99,7 @@
   while (!serializer.is_done() && !error) detail::appendNext(out, serializer, error);
 }
 
-/// The header alone; the body follows separately, framed as the header says.
+/// Appends the serialized header only. The caller appends the body with the framing that the header states.
 template <bool isRequest>
 void appendHead(std::string& out, const http::message<isRequest, http::empty_body>& message) {
   http::serializer<isRequest, http::empty_body> serializer(message);
@@ -106,7 +108,8 @@
   while (!serializer.is_header_done() && !error) detail::appendNext(out, serializer, error);
 }
 
-/// A piece of a body framed as a chunk; the last one, which may be empty, with the end of the body.
+/// Appends a piece of a body in chunked transfer coding. `last` also appends the end of the body; the piece
+/// may then be empty.
 inline void appendChunk(std::string& out, std::string_view piece, bool last) {
   if (!piece.empty()) {
     char size[20];
--- a/src/net/http_client.hpp
+++ b/src/net/http_client.hpp
@@ -1,5 +1,6 @@
-/// HTTP/1.1 calls to the coordination store and to other gatekeepers: one connection a call, limited in
-/// number, bytes and time, and charged to the memory budget.
+/// HTTP/1.1 client for the coordination store and other gatekeepers. Each call opens a connection of its own;
+/// the number of calls, their bytes and their time are limited, and their memory is charged to the memory
+/// budget.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -17,38 +18,44 @@
 
 namespace wingslip {
 
-/// Owns its calls. Everything runs on the one event loop.
+/// Owns its calls. Used from the event loop's thread only; handlers run there too.
 class HttpClient {
  public:
   using Request = boost::beast::http::request<boost::beast::http::string_body>;
   using Response = boost::beast::http::response<boost::beast::http::string_body>;
+  /// Resource limits of a client.
   struct Limits {
-    std::size_t maxCalls = 8;                         ///< at once; more fail
-    std::size_t maxBodyBytes = std::size_t{2} << 20;  ///< of a response
-    std::size_t memoryPerBodyByte = 8;                ///< bytes that a response takes while it is read
+    std::size_t maxCalls = 8;                         ///< concurrent calls; further calls fail
+    std::size_t maxBodyBytes = std::size_t{2} << 20;  ///< of one response
+    std::size_t memoryPerBodyByte = 8;                ///< bytes charged per byte of a response body
   };
-  /// `response` is null where there is none, and `error` then says why in a few words.
+  /// Receives the outcome of a call. `response` is null if the call failed; `error` is then the reason as
+  /// text, and empty otherwise. The response is valid only during the call of the handler.
   using CallDone = std::function<void(std::uint64_t id, const Response* response, const std::string& error)>;
 
-  HttpClient(boost::asio::io_context& io, const Limits& limits, OverloadManager& overload, CallDone callDone);
+  HttpClient(boost::asio::io_context& io, const Limits& limits, OverloadManager& overloadManager,
+             CallDone callDone);
   ~HttpClient();
   HttpClient(const HttpClient&) = delete;
   HttpClient& operator=(const HttpClient&) = delete;
 
-  /// `CallDone` is called once, from a handler of its own. `id` is chosen by the caller and not in use.
+  /// Starts a call. The `CallDone` handler is invoked exactly once, never from within this function.
+  /// @param id chosen by the caller; must not be the id of a call in flight
+  /// @param timeout limits the time from connecting to the end of the response
   void call(std::uint64_t id, const boost::asio::ip::tcp::endpoint& to, Request&& request,
             std::chrono::steady_clock::duration timeout);
-  /// Ends the call; `CallDone` is not called for it.
+  /// Cancels a call without invoking the handler; no effect for an unknown id.
   void drop(std::uint64_t id);
+  /// @return the number of calls in flight.
   std::size_t out() const { return calls_.size(); }
 
  private:
-  class Exchange;
+  class Call;
   boost::asio::io_context& io_;
   const Limits limits_;
-  OverloadManager& overload_;
+  OverloadManager& overloadManager_;
   const CallDone callDone_;
-  std::unordered_map<std::uint64_t, std::shared_ptr<Exchange>> calls_;
+  std::unordered_map<std::uint64_t, std::shared_ptr<Call>> calls_;
 };
 
 }  // namespace wingslip
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -1,3 +1,4 @@
+// Implementation of the listening socket set-up.
 #include "net/listener.hpp"
 
 #include <boost/asio/error.hpp>
--- a/src/net/listener.hpp
+++ b/src/net/listener.hpp
@@ -1,4 +1,4 @@
-/// Opening a listening socket at the process's start.
+/// Opens the listening sockets when the process starts.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -6,16 +6,18 @@
 
 namespace wingslip {
 
-/// Whether a call failed for want of descriptors (of the process or the machine) or of kernel memory, so that
-/// it may succeed later.
+/// @return whether a call failed for lack of file descriptors (of the process or the system) or of kernel
+/// memory and may succeed later.
 bool isShortage(const boost::system::error_code& error);
 
-/// Opens, binds and listens. Retries for up to 5 s where `isShortage`, blocking the calling thread: nothing
-/// is served yet. Throws boost::system::system_error.
+/// Opens and binds the acceptor and starts to listen. Retries for up to 5 s while the error is an
+/// `isShortage`, blocking the calling thread, which is acceptable because nothing is served yet.
+/// @throws boost::system::system_error if the socket cannot be opened, bound or listened on.
 void openListener(boost::asio::ip::tcp::acceptor& acceptor, const boost::asio::ip::tcp::endpoint& at);
 
-/// Makes accept return an error for a connection that was aborted in the queue. Without it Asio's accept, and
-/// with it the event loop, would block until the next connection comes.
+/// Makes accept return an error for a connection that was aborted in the accept backlog. By default Asio's
+/// accept would block, and with it the event loop, until the next connection arrives.
+/// @throws boost::system::system_error if the acceptor is not open.
 void reportAbortedConnections(boost::asio::ip::tcp::acceptor& acceptor);
 
 }  // namespace wingslip
--- a/src/net/log.cpp
+++ b/src/net/log.cpp
@@ -1,3 +1,4 @@
+// Creation of the process's logger.
 #include "net/log.hpp"
 
 #include <spdlog/sinks/stdout_sinks.h>
@@ -8,10 +9,10 @@
 
 spdlog::logger& processLog() {
   static const std::shared_ptr<spdlog::logger> logger = [] {
-    auto out = std::make_shared<spdlog::logger>("wingslip-gatekeeper",
-                                                std::make_shared<spdlog::sinks::stderr_sink_mt>());
-    out->set_pattern("%Y-%m-%dT%H:%M:%S.%e level=%l %v");
-    return out;
+    auto newLogger = std::make_shared<spdlog::logger>("wingslip-gatekeeper",
+                                                      std::make_shared<spdlog::sinks::stderr_sink_mt>());
+    newLogger->set_pattern("%Y-%m-%dT%H:%M:%S.%e level=%l %v");
+    return newLogger;
   }();
   return *logger;
 }
--- a/src/net/log.hpp
+++ b/src/net/log.hpp
@@ -1,12 +1,13 @@
-/// The process's log: one line an event on standard error, `TIME level=LEVEL event=NAME key=value ...`,
-/// through spdlog. Written in the calling thread, so that no line is lost when the process ends.
+/// The log of the process, written with spdlog to standard error: one line per event, formatted as
+/// `TIME level=LEVEL event=NAME key=value ...`. Lines are written synchronously, so that none is lost when
+/// the process ends.
 #pragma once
 
 #include <spdlog/spdlog.h>
 
 namespace wingslip {
 
-/// The one logger of the process.
+/// @return the logger of the process, created on the first call.
 spdlog::logger& processLog();
 
 }  // namespace wingslip
--- a/src/net/operator_response.hpp
+++ b/src/net/operator_response.hpp
@@ -1,4 +1,4 @@
-/// An operators' answer of many lines.
+/// A response to an operator that consists of several lines.
 #pragma once
 
 #include <cstddef>
@@ -7,13 +7,14 @@
 
 namespace wingslip {
 
-/// As many lines as fit, then how many were left out, then `EOF`.
+/// Collects as many lines as fit; the text ends with the number of omitted lines, if any, and a line `EOF`.
 class OperatorResponse {
  public:
-  static constexpr std::size_t kMaxBytes = 256 * 1024;  // 1,024 lines of the longest names
+  static constexpr std::size_t kMaxBytes = 256 * 1024;  // 1,024 lines with the longest names
 
   explicit OperatorResponse(std::string firstLine) : text_(std::move(firstLine)) { text_ += '\n'; }
 
+  /// Adds a line, given without its line feed, or counts it as omitted if it does not fit.
   void addLine(const std::string& line) {
     if (text_.size() + line.size() + 1 > kMaxBytes)
       ++omittedLines_;
@@ -21,6 +22,7 @@
       text_ += line + "\n";
   }
 
+  /// @return the complete response.
   std::string text() const {
     const std::string omitted =
         omittedLines_ > 0 ? "... and " + std::to_string(omittedLines_) + " more\n" : std::string();
--- a/src/net/overload_manager.cpp
+++ b/src/net/overload_manager.cpp
@@ -1,3 +1,4 @@
+// Implementation of overload control on the event loop.
 #include "net/overload_manager.hpp"
 
 #include <algorithm>
@@ -14,16 +15,16 @@
 using Error = boost::system::error_code;
 using namespace std::chrono_literals;
 
-constexpr double kLagIntervalMs = 10;   // between two samples
-constexpr auto kOverloadTick = 50ms;    // while there is an overload
-constexpr auto kPeerCheckTick = 250ms;  // while reads are paused only
+constexpr double kLagIntervalMs = 10;           // minimum time between two lag samples
+constexpr auto kOverloadTickInterval = 50ms;    // timer interval during an overload
+constexpr auto kPeerCheckTickInterval = 250ms;  // timer interval while reads are only paused or watched
 constexpr double kPeerCheckIntervalMs = 250;
-constexpr std::size_t kMaxFailedResumes = 4;  // of an account at a time
-constexpr double kMinUsageForResume = 0.5;    // below this no connection waits for memory
+constexpr std::size_t kMaxFailedResumes = 4;  // per account and pass
+constexpr double kMinUsageForResume = 0.5;    // below this usage share no connection waits for memory
 
-std::uint64_t figureOf(OverloadLevel level) { return static_cast<std::uint64_t>(level); }
+std::uint64_t metricValueOf(OverloadLevel level) { return static_cast<std::uint64_t>(level); }
 
-// As in the log.
+// The level's name in the log.
 const char* nameOf(OverloadLevel level) {
   static constexpr std::array<const char*, kOverloadLevels> kNames{"none", "slow", "shed"};
   return kNames[static_cast<std::size_t>(level)];
@@ -35,10 +36,10 @@
                                  const OverloadState::Limits& limits)
     : io_(io), memory_(shares), state_(limits), tickTimer_(io), lagTimer_(io) {
   memory_.observe(
-      limits.memory.low, limits.memory.high, [this] { evaluateSoon(); }, [this] { resumeSoon(); });
+      limits.memory.low, limits.memory.high, [this] { postEvaluation(); }, [this] { postResume(); });
   waitQueues_.setReader(WaitQueue::eventLoop, [this](double) {
     WaitQueues::Figures figures;
-    figures.waiting = lagMeasuring_;
+    figures.waiting = isMeasuringLag_;
     figures.oldestMs = lagMs_;
     figures.peak = static_cast<std::size_t>(peakLagMs_);
     return figures;
@@ -60,20 +61,20 @@
 // --- Overload --------------------------------------------------------------------------------------------
 
 void OverloadManager::noteActivity() {
-  if (!lagMeasuring_ && now() - lagStartedAt_ >= kLagIntervalMs) measureLag();
+  if (!isMeasuringLag_ && now() - lagMeasurementStartedAt_ >= kLagIntervalMs) measureLag();
 }
 
-// A timer that is due at once runs after the handlers that are ready and those of the sockets that the loop
-// then finds ready. A posted handler would not include the time spent on new sockets.
+// Measures with a timer that is already due: it runs after the ready handlers and those of the sockets that
+// the event loop then finds ready. A posted handler would not include the time spent on the latter.
 void OverloadManager::measureLag() {
-  lagMeasuring_ = true;
-  lagStartedAt_ = now();
+  isMeasuringLag_ = true;
+  lagMeasurementStartedAt_ = now();
   lagTimer_.expires_after(0ms);
   lagTimer_.async_wait([this](const Error& error) {
     if (error) return;
-    lagMeasuring_ = false;
+    isMeasuringLag_ = false;
     const double measuredAt = now();
-    onLagMeasured(measuredAt, measuredAt - lagStartedAt_);
+    onLagMeasured(measuredAt, measuredAt - lagMeasurementStartedAt_);
   });
 }
 
@@ -87,10 +88,10 @@
 
 void OverloadManager::noteDescriptorUse() {
   const bool aboveMark = descriptorUsage_ && descriptorUsage_() >= state_.limits().descriptors.high;
-  if (aboveMark != areDescriptorsOverloaded()) evaluateSoon();
+  if (aboveMark != areDescriptorsOverloaded()) postEvaluation();
 }
 
-void OverloadManager::evaluateSoon() {
+void OverloadManager::postEvaluation() {
   if (std::exchange(evaluationPosted_, true)) return;
   asio::post(io_, [this, alive = alive_] {
     if (*alive) evaluate();
@@ -110,22 +111,22 @@
   reportedRejectShare_ = state_.rejectShare();
   const double excessBytes = state_.takeExcessBytes(evaluatedAt);
   if ((changed || excessBytes > 0) && onChange_) onChange_(excessBytes);
-  if (memoryWasOverloaded && !isMemoryOverloaded()) resumeSoon();
-  if (!state_.isNormal()) startTick();
+  if (memoryWasOverloaded && !isMemoryOverloaded()) postResume();
+  if (!state_.isNormal()) scheduleTick();
 }
 
 // --- Paused reads ----------------------------------------------------------------------------------------
 
 void OverloadManager::pauseUntilMemory(PausedReader& reader, Account account, std::weak_ptr<void> owner,
                                        std::function<bool()> resume, std::function<void()> checkPeer) {
-  if (reader.isPaused() && reader.resume_) return;  // it keeps its turn
+  if (reader.isPaused() && reader.resume_) return;  // retains its position in the order of arrival
   reader.clear();
   reader.owner_ = std::move(owner);
   reader.resume_ = std::move(resume);
   reader.checkPeer_ = std::move(checkPeer);
   reader.queueEntry_.enter(waitQueues_, WaitQueue::pausedRead, now());
   pausedReaders_[static_cast<std::size_t>(account)].push_back(reader);
-  startTick();
+  scheduleTick();
 }
 
 void OverloadManager::watchPeer(PausedReader& reader, std::weak_ptr<void> owner,
@@ -136,24 +137,24 @@
   reader.resume_ = nullptr;
   reader.checkPeer_ = std::move(checkPeer);
   watchedReaders_.push_back(reader);
-  startTick();
+  scheduleTick();
 }
 
-bool OverloadManager::anyPaused() const {
+bool OverloadManager::hasPausedReads() const {
   return std::any_of(pausedReaders_.begin(), pausedReaders_.end(),
                      [](const Readers& readers) { return !readers.empty(); });
 }
 
-void OverloadManager::resumeSoon() {
-  if (resuming_ || resumePosted_ || (!anyPaused() && !connectionRetry_)) return;
-  if (!anyPaused() && memory_.highestUsage().share() < kMinUsageForResume) return;
+void OverloadManager::postResume() {
+  if (resuming_ || resumePosted_ || (!hasPausedReads() && !connectionRetry_)) return;
+  if (!hasPausedReads() && memory_.highestUsage().share() < kMinUsageForResume) return;
   resumePosted_ = true;
   asio::post(io_, [this, alive = alive_] {
     if (*alive) resumeReaders();
   });
 }
 
-// What frees memory or completes soonest first: endpoint lists, responses, requests.
+// Resumes reads that free memory or complete soonest first: endpoint lists, then responses, then requests.
 void OverloadManager::resumeReaders() {
   resumePosted_ = false;
   resuming_ = true;
@@ -163,12 +164,13 @@
   if (connectionRetry_) connectionRetry_();
 }
 
-// In order of arrival. A few that find too little memory do not block those behind them, which may need less.
+// Resumes reads in order of arrival. Continues after a few reads for which memory was insufficient, because
+// later ones may need less.
 void OverloadManager::resumeAccount(Account account) {
   std::size_t failed = 0;
-  for (const auto& [owner, reader] : ownedReaders(pausedReaders_[static_cast<std::size_t>(account)])) {
+  for (const auto& [owner, reader] : lockOwners(pausedReaders_[static_cast<std::size_t>(account)])) {
     if (failed >= kMaxFailedResumes) return;
-    if (!owner || !reader->isPaused()) continue;  // its owner has gone on meanwhile
+    if (!owner || !reader->isPaused()) continue;  // destroyed or ended by an earlier callback
     const auto resume = reader->resume_;
     if (!resume())
       ++failed;
@@ -177,15 +179,16 @@
   }
 }
 
-// Guards against a callback that ends readers of the list: the copy keeps their owners alive.
-std::vector<OverloadManager::OwnedReader> OverloadManager::ownedReaders(Readers& readers) {
-  std::vector<OwnedReader> owned;
-  for (PausedReader& reader : readers) owned.push_back({reader.owner_.lock(), &reader});
-  return owned;
+// Copies the list and locks the owners, because a callback may remove readers from the list or drop their
+// owners.
+std::vector<OverloadManager::OwnedReader> OverloadManager::lockOwners(Readers& readers) {
+  std::vector<OwnedReader> lockedReaders;
+  for (PausedReader& reader : readers) lockedReaders.push_back({reader.owner_.lock(), &reader});
+  return lockedReaders;
 }
 
 void OverloadManager::checkPeers(Readers& readers) {
-  for (const auto& [owner, reader] : ownedReaders(readers)) {
+  for (const auto& [owner, reader] : lockOwners(readers)) {
     if (!owner || !reader->isPaused() || !reader->checkPeer_) continue;
     const auto checkPeer = reader->checkPeer_;
     checkPeer();
@@ -194,18 +197,18 @@
 
 // --- Timer -----------------------------------------------------------------------------------------------
 
-void OverloadManager::startTick() {
-  if (std::exchange(tickStarted_, true)) return;
-  tickTimer_.expires_after(state_.isNormal() ? kPeerCheckTick : kOverloadTick);
+void OverloadManager::scheduleTick() {
+  if (std::exchange(tickScheduled_, true)) return;
+  tickTimer_.expires_after(state_.isNormal() ? kPeerCheckTickInterval : kOverloadTickInterval);
   tickTimer_.async_wait([this](const Error& error) {
     if (!error) onTick();
   });
 }
 
 void OverloadManager::onTick() {
-  tickStarted_ = false;
+  tickScheduled_ = false;
   if (!state_.isNormal()) {
-    if (!lagMeasuring_) measureLag();
+    if (!isMeasuringLag_) measureLag();
     evaluate();
   }
   if (now() - peersCheckedAt_ >= kPeerCheckIntervalMs) {
@@ -213,31 +216,31 @@
     for (Readers& readers : pausedReaders_) checkPeers(readers);
     checkPeers(watchedReaders_);
   }
-  if (anyPaused() && !isMemoryOverloaded()) resumeSoon();
-  if (!state_.isNormal() || anyPaused() || !watchedReaders_.empty()) startTick();
+  if (hasPausedReads() && !isMemoryOverloaded()) postResume();
+  if (!state_.isNormal() || hasPausedReads() || !watchedReaders_.empty()) scheduleTick();
 }
 
-// --- Figures ---------------------------------------------------------------------------------------------
+// --- Metrics ---------------------------------------------------------------------------------------------
 
 std::string OverloadManager::telemetry() const {
   std::string out;
-  const auto line = [&](const std::string& name, std::uint64_t value, const char* kind) {
+  const auto addMetric = [&](const std::string& name, std::uint64_t value, const char* kind) {
     out += "svc." + name + ":" + std::to_string(value) + "|" + kind + "\n";
   };
-  line("memory.budget", memory_.total(), "g");
-  line("memory.held", memory_.used(), "g");
-  line("memory.most", memory_.peak(), "g");
+  addMetric("memory.budget", memory_.total(), "g");
+  addMetric("memory.held", memory_.used(), "g");
+  addMetric("memory.most", memory_.peak(), "g");
   for (std::size_t i = 0; i < kAccounts; ++i) {
     const std::string name(kAccountNames[i]);
-    line("memory.held." + name, memory_.used(static_cast<Account>(i)), "g");
-    line("memory.refused." + name, memory_.refusals(static_cast<Account>(i)), "c");
+    addMetric("memory.held." + name, memory_.used(static_cast<Account>(i)), "g");
+    addMetric("memory.refused." + name, memory_.refusals(static_cast<Account>(i)), "c");
   }
-  line("pressure.stage", figureOf(state_.level()), "g");
-  line("pressure.memory", figureOf(state_.level(OverloadSource::memory)), "g");
-  line("pressure.descriptors", figureOf(state_.level(OverloadSource::descriptors)), "g");
-  line("pressure.loop", figureOf(state_.level(OverloadSource::eventLoop)), "g");
-  line("pressure.slowed", state_.enteredCount(OverloadLevel::throttling), "c");
-  line("pressure.shed", state_.enteredCount(OverloadLevel::shedding), "c");
+  addMetric("pressure.stage", metricValueOf(state_.level()), "g");
+  addMetric("pressure.memory", metricValueOf(state_.level(OverloadSource::memory)), "g");
+  addMetric("pressure.descriptors", metricValueOf(state_.level(OverloadSource::descriptors)), "g");
+  addMetric("pressure.loop", metricValueOf(state_.level(OverloadSource::eventLoop)), "g");
+  addMetric("pressure.slowed", state_.enteredCount(OverloadLevel::throttling), "c");
+  addMetric("pressure.shed", state_.enteredCount(OverloadLevel::shedding), "c");
   return out + waitQueues_.telemetry(now());
 }
 
--- a/src/net/overload_manager.hpp
+++ b/src/net/overload_manager.hpp
@@ -1,4 +1,4 @@
-/// Driver of overload control on the event loop. See docs/design.md, "Back-pressure".
+/// Overload control on the event loop. See docs/design.md, "Back-pressure".
 #pragma once
 
 #include <array>
@@ -17,37 +17,44 @@
 
 namespace wingslip {
 
-/// Owns the memory budget, the overload state and the wait queues; measures the event loop's lag; resumes
-/// reads that are paused until there is memory; reports changes of the overload. Used from the event loop's
-/// thread only. Its timer runs only while a read is paused or there is an overload.
+/// Owns the memory budget, the overload state and the wait queues. Measures the event loop's lag, resumes
+/// reads that are paused for lack of memory, and reports changes of the overload. Owned by the Gatekeeper and
+/// used from the event loop's thread only. Its timer runs only during an overload or while a read is paused
+/// or a peer is watched.
 class OverloadManager {
  public:
-  /// Busy connections as a share of those allowed, of the side where it is higher.
+  /// Returns the busy connections as a share (0 to 1) of the permitted ones, for clients or workers,
+  /// whichever share is higher.
   using DescriptorUsage = std::function<double()>;
-  /// The level or the reject share has changed, or `excessBytes` above 0 must be freed.
+  /// Called when the level or the reject share has changed, or when `excessBytes` above 0 must be freed.
   using OnChange = std::function<void(double excessBytes)>;
 
-  /// A read that is paused until there is memory, or whose peer is watched. Ends with its owner.
+  /// Registration of a read that is paused for lack of memory, or whose peer is only watched. A member of the
+  /// read's owner; its destructor ends the registration.
   class PausedReader
       : public boost::intrusive::list_base_hook<boost::intrusive::link_mode<boost::intrusive::auto_unlink>> {
    public:
     PausedReader() = default;
     ~PausedReader() { clear(); }
+    /// Ends the registration, if there is one.
     void clear() {
       unlink();
       queueEntry_.leave();
       owner_.reset();
     }
+    /// @return whether it is registered, as paused or as watched.
     bool isPaused() const { return is_linked(); }
 
    private:
     friend class OverloadManager;
     std::weak_ptr<void> owner_;
-    std::function<bool()> resume_;     // true: it reads again, or does not need to any more
-    std::function<void()> checkPeer_;  // whether its peer has closed
+    std::function<bool()> resume_;     // returns true if the read resumed or is no longer needed
+    std::function<void()> checkPeer_;  // checks whether the peer has closed; may be null
     WaitQueues::QueueEntry queueEntry_;
   };
 
+  /// @param io must outlive this object
+  /// @param shares the size of the memory budget
   OverloadManager(boost::asio::io_context& io, const MemoryBudget::Shares& shares,
                   const OverloadState::Limits& limits);
   ~OverloadManager();
@@ -57,55 +64,63 @@
   MemoryBudget& memory() { return memory_; }
   WaitQueues& waitQueues() { return waitQueues_; }
   const OverloadState& state() const { return state_; }
-  static double now();  ///< ms of the steady clock
+  static double now();  ///< milliseconds of std::chrono::steady_clock
 
+  /// Sets the callbacks. Descriptor usage is not evaluated before.
   void start(DescriptorUsage descriptorUsage, OnChange onChange);
+  /// Replaces the overload thresholds; the memory budget's watermarks stay unchanged.
   void setLimits(const OverloadState::Limits& limits) { state_.setLimits(limits); }
-  /// @param retry called when there may be memory for a connection again; null: nobody waits any more
+  /// @param retry called when memory for a waiting connection may be available; null if no connection waits
   void setConnectionRetry(std::function<void()> retry) { connectionRetry_ = std::move(retry); }
 
-  /// A connection, a request or a response has arrived: measures the loop's lag, at most every 10 ms.
+  /// To be called when a connection, a request or a response has arrived. Measures the event loop's lag, at
+  /// most every 10 ms.
   void noteActivity();
-  /// A connection has become busy or has ended.
+  /// To be called when a connection has become busy or has ended. Evaluates the descriptor usage.
   void noteDescriptorUse();
 
-  /// Pauses a read. It keeps its turn if it is paused already.
-  /// @param resume tried when memory is freed or memory overload ends, in order of arrival within the account
-  /// @param checkPeer called four times a second; may be null. Neither is called before this returns.
+  /// Pauses a read until memory is available. A read that is already paused retains its position. Neither
+  /// callback is called before this function returns, nor after the owner is destroyed.
+  /// @param resume called when memory is freed or the memory overload ends, in order of arrival within the
+  /// account; returns true if the read resumed or is no longer needed
+  /// @param checkPeer called every 250 ms; may be null
   void pauseUntilMemory(PausedReader& reader, Account account, std::weak_ptr<void> owner,
                         std::function<bool()> resume, std::function<void()> checkPeer);
-  /// For a read that is stopped for another reason: only `checkPeer` is called.
+  /// Watches the peer of a read that is paused for another reason than memory: only `checkPeer` is called,
+  /// every 250 ms.
   void watchPeer(PausedReader& reader, std::weak_ptr<void> owner, std::function<void()> checkPeer);
 
-  /// Request bodies are not to be read ahead.
+  /// @return whether memory is overloaded; request bodies must then not be read ahead.
   bool isMemoryOverloaded() const { return state_.level(OverloadSource::memory) != OverloadLevel::none; }
+  /// @return whether descriptors are overloaded.
   bool areDescriptorsOverloaded() const {
     return state_.level(OverloadSource::descriptors) != OverloadLevel::none;
   }
 
-  std::string telemetry() const;  ///< `svc.` lines
+  std::string telemetry() const;  ///< metrics, one `svc.` line each
+  /// Logs one line with the overload levels, the memory use and the wait queues.
   void logReport();
 
  private:
   using Readers = boost::intrusive::list<PausedReader, boost::intrusive::constant_time_size<false>>;
   struct OwnedReader {
-    std::shared_ptr<void> owner;  // null: the owner is gone, and the reader with it
+    std::shared_ptr<void> owner;  // null if the owner is destroyed; `reader` is then dangling
     PausedReader* reader;
   };
 
-  static std::vector<OwnedReader> ownedReaders(Readers& readers);
+  static std::vector<OwnedReader> lockOwners(Readers& readers);
   static void checkPeers(Readers& readers);
 
   void measureLag();
   void onLagMeasured(double measuredAt, double lagMs);
-  void evaluateSoon();
+  void postEvaluation();
   void evaluate();
-  void resumeSoon();
+  void postResume();
   void resumeReaders();
   void resumeAccount(Account account);
-  void startTick();
+  void scheduleTick();
   void onTick();
-  bool anyPaused() const;
+  bool hasPausedReads() const;
 
   boost::asio::io_context& io_;
   MemoryBudget memory_;
@@ -118,13 +133,14 @@
   Readers watchedReaders_;
   boost::asio::steady_timer tickTimer_;
   boost::asio::steady_timer lagTimer_;
-  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);  // guards handlers that run after the end
-  bool tickStarted_ = false;
-  bool lagMeasuring_ = false;
+  std::shared_ptr<bool> alive_ =
+      std::make_shared<bool>(true);  // false once destroyed, for posted handlers that run later
+  bool tickScheduled_ = false;
+  bool isMeasuringLag_ = false;
   bool evaluationPosted_ = false;
   bool resumePosted_ = false;
   bool resuming_ = false;
-  double lagStartedAt_ = 0;
+  double lagMeasurementStartedAt_ = 0;
   double peersCheckedAt_ = 0;
   double lagMs_ = 0;
   double peakLagMs_ = 0;
--- a/src/net/rate_limited_log.hpp
+++ b/src/net/rate_limited_log.hpp
@@ -1,4 +1,4 @@
-/// Log lines at a limited rate: those between are counted and suppressed.
+/// Warnings at a limited rate: lines above the rate are suppressed and counted.
 #pragma once
 
 #include <chrono>
@@ -9,14 +9,17 @@
 
 namespace wingslip {
 
+/// Logs the warnings of one event. Used from one thread only.
 class RateLimitedLog {
  public:
-  /// `event`: the name of its lines.
+  /// @param event value of the key `event` in each line
+  /// @param interval minimum time between two lines
   explicit RateLimitedLog(std::string event,
                           std::chrono::milliseconds interval = std::chrono::milliseconds(200))
       : event_(std::move(event)), interval_(interval) {}
 
-  /// Writes a warning, unless the last one was less than the interval ago.
+  /// Logs a warning with the number of lines suppressed since the last one, or suppresses it if the last
+  /// warning was logged less than the interval ago.
   void say(const std::string& text) {
     const auto now = std::chrono::steady_clock::now();
     if (now < nextLineAt_) return void(++suppressed_);
--- a/src/net/socket_io.hpp
+++ b/src/net/socket_io.hpp
@@ -1,6 +1,6 @@
-/// Reads and writes on non-blocking sockets that cope with what Linux documents: a call may be interrupted,
-/// may transfer only a part although more would fit, and may find no kernel memory for a moment. None of
-/// these means that the connection is broken.
+/// Reads and writes on non-blocking sockets that handle the temporary failures documented for Linux: a call
+/// may be interrupted, may transfer fewer bytes than would fit, and may fail temporarily for lack of kernel
+/// memory. None of these is an error of the connection.
 #pragma once
 
 #include <boost/asio/buffer.hpp>
@@ -13,8 +13,8 @@
 
 namespace wingslip {
 
-/// Whether the same call may succeed later on the same connection: interrupted, would block, or no kernel
-/// memory (recv(2), send(2)).
+/// @return whether the same call may succeed later on the same connection, because it was interrupted, would
+/// block or found no kernel memory (see recv(2) and send(2)).
 inline bool isTransient(const boost::system::error_code& error) {
   namespace errors = boost::asio::error;
   return error == errors::interrupted || error == errors::would_block || error == errors::try_again ||
@@ -23,9 +23,10 @@
 
 namespace detail {
 
-/// Makes the call until it is not interrupted; every other transient error becomes `would_block`.
+/// Repeats `call` as long as a signal interrupts it, and maps every other transient error to `would_block`.
+/// @return the bytes transferred, or 0 on an error
 template <class Call>
-std::size_t uninterrupted(boost::system::error_code& error, Call call) {
+std::size_t retryOnInterrupt(boost::system::error_code& error, Call call) {
   std::size_t bytes = 0;
   do {
     bytes = call();
@@ -36,36 +37,39 @@
 
 }  // namespace detail
 
-/// Reads what is there. `would_block`: nothing can be read now. The socket is non-blocking.
+/// Reads the available bytes from a non-blocking socket. Sets `error` to `would_block` if none are available.
+/// @return the number of bytes read
 template <class Buffers>
 std::size_t readSome(boost::asio::ip::tcp::socket& socket, const Buffers& to,
                      boost::system::error_code& error) {
-  return detail::uninterrupted(error, [&] { return socket.read_some(to, error); });
+  return detail::retryOnInterrupt(error, [&] { return socket.read_some(to, error); });
 }
 
-/// Writes as much as the socket takes, in as many calls as that needs: a short write alone does not say that
-/// the socket's buffer is full. `would_block`: the rest has to wait until the socket can be written to.
+/// Writes as many bytes as the non-blocking socket accepts, in several calls if needed: a short write alone
+/// does not mean that the socket's send buffer is full. Sets `error` to `would_block` if the remaining bytes
+/// have to wait until the socket is writable.
+/// @return the number of bytes written
 inline std::size_t writeSome(boost::asio::ip::tcp::socket& socket, boost::asio::const_buffer from,
                              boost::system::error_code& error) {
   std::size_t written = 0;
   error = {};
   while (!error && written < from.size())
-    written += detail::uninterrupted(error, [&] { return socket.write_some(from + written, error); });
+    written += detail::retryOnInterrupt(error, [&] { return socket.write_some(from + written, error); });
   return written;
 }
 
-/// The state of a connection as seen without reading from it.
+/// The state of a connection, determined without consuming received bytes.
 enum class PeerState {
-  quiet,    ///< open, and nothing has come
-  hasSent,  ///< bytes wait to be read
-  ended,    ///< closed, reset or broken
+  quiet,    ///< open, without received bytes
+  hasSent,  ///< received bytes are available
+  ended,    ///< closed, reset or failed
 };
 
-/// Peeks at the socket. Where the system cannot tell, the connection counts as open.
+/// Peeks at a non-blocking socket. A connection counts as open if the state cannot be determined now.
 inline PeerState peerState(boost::asio::ip::tcp::socket& socket) {
   char byte;
   boost::system::error_code error;
-  const std::size_t bytes = detail::uninterrupted(error, [&] {
+  const std::size_t bytes = detail::retryOnInterrupt(error, [&] {
     return socket.receive(boost::asio::buffer(&byte, 1), boost::asio::ip::tcp::socket::message_peek, error);
   });
   if (error == boost::asio::error::would_block) return PeerState::quiet;
@@ -73,26 +77,28 @@
   return PeerState::hasSent;
 }
 
-/// Writes all of `left`, which has to outlive the operation, and calls `done(error)` from a handler of its
-/// own. Before each further write `wanted()` is asked; false ends the operation without a call. Asio's own
-/// composed write waits for writability after a short write, an event that a buffer with space never raises.
-template <class Wanted, class Done>
-void asyncWriteAll(boost::asio::ip::tcp::socket& socket, boost::asio::const_buffer left, Wanted wanted,
-                   Done done) {
+/// Writes all bytes of `remaining`, which must outlive the operation, and then calls `handler(error)`, never
+/// from within this function. `isActive()` is called before each further write and before the handler; if it
+/// returns false, the operation ends without calling the handler. Asio's composed write is not used because
+/// it waits for writability after a short write, an event that is not raised while the send buffer has space.
+template <class IsActive, class Handler>
+void asyncWriteAll(boost::asio::ip::tcp::socket& socket, boost::asio::const_buffer remaining,
+                   IsActive isActive, Handler handler) {
   boost::system::error_code error;
   if (!socket.non_blocking()) socket.non_blocking(true, error);
-  if (!error) left += writeSome(socket, left, error);
+  if (!error) remaining += writeSome(socket, remaining, error);
   if (error == boost::asio::error::would_block)
-    return socket.async_wait(boost::asio::ip::tcp::socket::wait_write,
-                             [&socket, left, wanted = std::move(wanted),
-                              done = std::move(done)](const boost::system::error_code& waited) mutable {
-                               if (!wanted()) return;
-                               if (waited) return done(waited);
-                               asyncWriteAll(socket, left, std::move(wanted), std::move(done));
-                             });
+    return socket.async_wait(
+        boost::asio::ip::tcp::socket::wait_write,
+        [&socket, remaining, isActive = std::move(isActive),
+         handler = std::move(handler)](const boost::system::error_code& waitError) mutable {
+          if (!isActive()) return;
+          if (waitError) return handler(waitError);
+          asyncWriteAll(socket, remaining, std::move(isActive), std::move(handler));
+        });
   boost::asio::post(socket.get_executor(),
-                    [wanted = std::move(wanted), done = std::move(done), error]() mutable {
-                      if (wanted()) done(error);
+                    [isActive = std::move(isActive), handler = std::move(handler), error]() mutable {
+                      if (isActive()) handler(error);
                     });
 }
 
--- a/src/net/tcp_state.cpp
+++ b/src/net/tcp_state.cpp
@@ -1,3 +1,4 @@
+// Implementation of the TCP state queries with TCP_INFO and poll.
 #include "net/tcp_state.hpp"
 
 #include <netinet/tcp.h>
@@ -11,7 +12,7 @@
 
 using boost::asio::ip::tcp;
 
-// Whether the kernel returns at least the first `minSize` bytes of it.
+// Fills `info`. Returns false unless the kernel provides at least its first `minSize` bytes.
 bool readTcpInfo(int descriptor, tcp_info& info, std::size_t minSize) {
   socklen_t size = sizeof info;
   return getsockopt(descriptor, IPPROTO_TCP, TCP_INFO, &info, &size) == 0 && size >= minSize;
@@ -29,26 +30,27 @@
 }
 
 bool hasPeerFinishedSending(tcp::socket& socket) {
-  pollfd query{socket.native_handle(), POLLRDHUP, 0};
-  int ready = 0;
+  pollfd pollDescriptor{socket.native_handle(), POLLRDHUP, 0};
+  int readyCount = 0;
   do {
-    ready = poll(&query, 1, 0);
-  } while (ready < 0 && errno == EINTR);
-  return ready == 1 && (query.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
+    readyCount = poll(&pollDescriptor, 1, 0);
+  } while (readyCount < 0 && errno == EINTR);
+  return readyCount == 1 && (pollDescriptor.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
 }
 
 std::chrono::milliseconds timeSinceLastData(tcp::socket& socket) {
   tcp_info info{};
-  constexpr std::size_t kNeeded = offsetof(tcp_info, tcpi_last_data_recv) + sizeof info.tcpi_last_data_recv;
-  if (!socket.is_open() || !readTcpInfo(socket.native_handle(), info, kNeeded))
+  constexpr std::size_t kMinInfoSize =
+      offsetof(tcp_info, tcpi_last_data_recv) + sizeof info.tcpi_last_data_recv;
+  if (!socket.is_open() || !readTcpInfo(socket.native_handle(), info, kMinInfoSize))
     return std::chrono::milliseconds(0);
   return std::chrono::milliseconds(info.tcpi_last_data_recv);
 }
 
 std::size_t acceptBacklogLength(tcp::acceptor& acceptor) {
   tcp_info info{};
-  const bool known = acceptor.is_open() && readTcpState(acceptor.native_handle(), info);
-  return known && info.tcpi_state == TCP_LISTEN ? info.tcpi_unacked : 0;
+  const bool hasInfo = acceptor.is_open() && readTcpState(acceptor.native_handle(), info);
+  return hasInfo && info.tcpi_state == TCP_LISTEN ? info.tcpi_unacked : 0;
 }
 
 }  // namespace wingslip
--- a/src/net/tcp_state.hpp
+++ b/src/net/tcp_state.hpp
@@ -1,4 +1,4 @@
-/// What the kernel knows about a TCP socket, so that nothing has to be read from it.
+/// Queries of the kernel's state of TCP sockets that read no data from them.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -7,13 +7,14 @@
 
 namespace wingslip {
 
-/// Whether the peer has closed or reset the connection.
+/// @return whether the peer has closed or reset the connection; false if the socket is not open.
 bool hasPeerClosed(boost::asio::ip::tcp::socket& socket);
-/// Whether the peer has finished sending, also behind bytes that are not read yet.
+/// @return whether the peer has finished sending or closed the connection, even if received bytes are still
+/// unread.
 bool hasPeerFinishedSending(boost::asio::ip::tcp::socket& socket);
-/// How long ago the peer's last bytes arrived, read or not; 0 if the kernel does not say.
+/// @return the time since the peer's last bytes arrived, read or unread; 0 if the kernel does not report it.
 std::chrono::milliseconds timeSinceLastData(boost::asio::ip::tcp::socket& socket);
-/// Connections in the kernel that are not accepted yet; 0 if it does not say.
+/// @return the number of connections in the accept backlog; 0 if the kernel does not report it.
 std::size_t acceptBacklogLength(boost::asio::ip::tcp::acceptor& acceptor);
 
 }  // namespace wingslip
