--- a/src/invariant/invariant.hpp
+++ b/src/invariant/invariant.hpp
@@ -1,4 +1,4 @@
-/// What must never happen to a request, as a typed list.
+/// The invariants that the gatekeeper checks at run time, and their names.
 #pragma once
 
 #include <array>
@@ -8,27 +8,27 @@
 
 namespace wingslip::invariant {
 
-/// Each is checked where the gatekeeper acts, and counted when it is violated.
+/// An invariant, named after its violation. Checked where the gatekeeper acts; each violation is counted.
 enum class Invariant : std::uint8_t {
-  requestUnanswered,           ///< a request's time is over, or it was released, without a final answer
-  requestAnsweredTwice,        ///< a final answer for a request that has one
-  connectionClosedUnanswered,  ///< a connection was closed over a request that was read and not answered
-  attemptAfterClientLeft,      ///< an attempt was sent although the client had closed
-  attemptAfterAnswer,          ///< an attempt was sent for a request that is answered
-  attemptsPastCap,             ///< more attempts than the settings allow
+  requestUnanswered,     ///< a request was released without a final answer, or answered after its deadline
+  requestAnsweredTwice,  ///< a second final answer was given to a request
+  connectionClosedUnanswered,  ///< a connection was closed with a request that was read and not answered
+  attemptAfterClientLeft,      ///< an attempt was sent after the client had closed its connection
+  attemptAfterAnswer,          ///< an attempt was sent for an answered request
+  attemptsPastCap,             ///< more attempts were sent than the settings allow
   attemptPastDeadline,         ///< an attempt was sent after the client's deadline
-  deadlineTooLong,             ///< more time was passed on to a worker than its client has left
-  sentToDraining,              ///< to a draining worker, after the settings' grace
-  sentToGone,                  ///< to a removed worker, after the grace
-  sentToExcluded,              ///< to a worker that is excluded by hand
-  slowStartExceeded,           ///< more to a worker in slow start than the whole fleet may send it
-  unsafeRequestResent,         ///< sent again although it may have run, and is not idempotent
-  concurrentAttempts,          ///< a second attempt in flight where the class allows one
-  accountsNotZero,             ///< something is still held when nothing is left to hold it for
+  deadlineTooLong,             ///< a worker was sent a longer timeout than the client's remaining time
+  sentToDraining,              ///< an attempt was sent to a draining worker after the grace period
+  sentToGone,                  ///< an attempt was sent to a removed worker after the grace period
+  sentToExcluded,              ///< an attempt was sent to a worker excluded by an operator
+  slowStartExceeded,           ///< a worker in slow start was sent more than the whole fleet may send it
+  unsafeRequestResent,         ///< a request that is not idempotent was sent again although it may have run
+  concurrentAttempts,          ///< a second attempt was in flight although the request class allows one
+  accountsNotZero,             ///< charges or entries remained although no work was in progress
 };
 constexpr std::size_t kInvariants = static_cast<std::size_t>(Invariant::accountsNotZero) + 1;
 
-/// As the `svc.invariant` figures and the log name them, in the order of `Invariant`.
+/// Invariant names as in the `svc.invariant` metrics and the log, in the order of `Invariant`.
 constexpr std::array<std::string_view, kInvariants> kInvariantNames{
     "request_unanswered",
     "request_answered_twice",
@@ -48,6 +48,7 @@
 };
 static_assert(!kInvariantNames.back().empty(), "every invariant has a name");
 
+/// @return the invariant's name as in the metrics and the log.
 constexpr std::string_view nameOf(Invariant invariant) {
   return kInvariantNames[static_cast<std::size_t>(invariant)];
 }
--- a/src/invariant/monitor.cpp
+++ b/src/invariant/monitor.cpp
@@ -1,3 +1,4 @@
+// Implementation of the invariant monitor.
 #include "invariant/monitor.hpp"
 
 #include <algorithm>
@@ -13,9 +14,9 @@
 using decision::WorkerId;
 using decision::WorkerPhase;
 
-// Standard deviations of the number of calls that are tolerated, and the same in calls.
-constexpr double kTolerance = 2;
-constexpr double kToleranceOfFewCalls = 3;
+// Tolerance for the calls of a worker in slow start: in standard deviations, and added again as calls.
+constexpr double kToleranceDeviations = 2;
+constexpr double kToleranceDeviationsOfFewCalls = 3;
 constexpr double kFewCalls = 30;
 
 RequestState stateOf(AttemptResult result) {
@@ -40,7 +41,7 @@
   return RequestState::endedError;
 }
 
-// Whether the worker surely has not run the request.
+// Returns whether the result proves that the worker has not run the request.
 bool provesNotRun(AttemptResult result) {
   return result == AttemptResult::overloaded || result == AttemptResult::connectFailed ||
          result == AttemptResult::notSent;
@@ -68,7 +69,7 @@
   Worker& worker = workers_[id];
   if (!worker.retiredSince) worker.retiredSince = now;
   worker.phase = phase;
-  forgetRemovedWorkers();
+  eraseRemovedWorkers();
 }
 
 void Monitor::workerExcluded(WorkerId id, Time now) {
@@ -78,7 +79,7 @@
 
 void Monitor::workerIncluded(WorkerId id) { workers_[id].excludedSince.reset(); }
 
-void Monitor::forgetRemovedWorkers() {
+void Monitor::eraseRemovedWorkers() {
   if (workers_.size() <= kMaxWorkers) return;
   std::erase_if(workers_, [](const auto& entry) {
     return entry.second.phase == WorkerPhase::removed && !entry.second.excludedSince;
@@ -108,10 +109,11 @@
 void Monitor::checkDeadline(const RequestTrace& trace, Time now, Time timeoutMs) {
   const Time remainingMs = trace.deadline - now;
   if (now > trace.deadline)
-    violated(Invariant::attemptPastDeadline, now, trace, milliseconds(now - trace.deadline) + " late");
+    violated(Invariant::attemptPastDeadline, now, trace,
+             milliseconds(now - trace.deadline) + " after the deadline");
   if (timeoutMs > remainingMs + kDeadlineToleranceMs)
     violated(Invariant::deadlineTooLong, now, trace,
-             milliseconds(timeoutMs) + " passed on, " + milliseconds(remainingMs) + " left");
+             milliseconds(timeoutMs) + " sent as timeout, " + milliseconds(remainingMs) + " remaining");
 }
 
 void Monitor::checkRetry(const RequestTrace& trace, Time now) {
@@ -132,16 +134,17 @@
   if (found == workers_.end()) return;
   Worker& worker = found->second;
   if (worker.excludedSince)
-    violated(Invariant::sentToExcluded, now, trace, "since " + milliseconds(now - *worker.excludedSince));
+    violated(Invariant::sentToExcluded, now, trace,
+             "excluded for " + milliseconds(now - *worker.excludedSince));
   if (worker.retiredSince && now > *worker.retiredSince + rules_.drainGraceMs) {
     const bool removed = worker.phase == WorkerPhase::removed;
     violated(removed ? Invariant::sentToGone : Invariant::sentToDraining, now, trace,
-             "told " + milliseconds(now - *worker.retiredSince) + " ago");
+             "retired " + milliseconds(now - *worker.retiredSince) + " ago");
   }
   checkSlowStart(trace, worker, now);
 }
 
-// Guards against one gatekeeper that sends as much as all of them together may.
+// Detects that this gatekeeper alone sends more than the whole fleet may send.
 void Monitor::checkSlowStart(const RequestTrace& trace, Worker& worker, Time now) {
   const bool inSlowStart =
       worker.slowStartFrom > 0 && rules_.slowStartMs > 0 && now < worker.slowStartFrom + rules_.slowStartMs;
@@ -157,14 +160,14 @@
   const double maxCalls = maxCallsInSlowStart(worker, now, workerRate);
   if (static_cast<double>(worker.sentAt.size()) > maxCalls)
     violated(Invariant::slowStartExceeded, now, trace,
-             std::to_string(worker.sentAt.size()) + " calls of " + std::to_string(maxCalls));
+             std::to_string(worker.sentAt.size()) + " calls, limit " + std::to_string(maxCalls));
 }
 
 double Monitor::maxCallsInSlowStart(const Worker& worker, Time now, double workerRate) const {
   const double progress = std::clamp((now - worker.slowStartFrom) / rules_.slowStartMs, 0.0, 1.0);
   const double capacityShare = rules_.slowStartShare + (1 - rules_.slowStartShare) * progress;
   const double calls = rules_.overloadMultiple * capacityShare * workerRate * rules_.overloadWindowMs;
-  const double tolerance = calls < kFewCalls ? kToleranceOfFewCalls : kTolerance;
+  const double tolerance = calls < kFewCalls ? kToleranceDeviationsOfFewCalls : kToleranceDeviations;
   return calls + tolerance * std::sqrt(calls) + tolerance;
 }
 
@@ -177,13 +180,13 @@
 
 void Monitor::responseStreaming(RequestTrace& trace, Time now) { trace.add(now, RequestState::streaming); }
 
-void Monitor::requestAnswered(RequestTrace& trace, RequestState how, Time now) {
-  trace.add(now, how);
+void Monitor::requestAnswered(RequestTrace& trace, RequestState finalState, Time now) {
+  trace.add(now, finalState);
   if (trace.answered_) violated(Invariant::requestAnsweredTwice, now, trace, "");
   trace.answered_ = true;
-  if (how != RequestState::truncated && now > trace.deadline + kAnswerToleranceMs)
+  if (finalState != RequestState::truncated && now > trace.deadline + kAnswerToleranceMs)
     violated(Invariant::requestUnanswered, now, trace,
-             "answered " + milliseconds(now - trace.deadline) + " after its time");
+             "answered " + milliseconds(now - trace.deadline) + " after the deadline");
 }
 
 void Monitor::clientClosed(RequestTrace& trace, Time now) {
@@ -193,7 +196,7 @@
 
 void Monitor::requestReleased(RequestTrace& trace, Time now) {
   if (!trace.answered_ && !trace.clientClosed_)
-    violated(Invariant::requestUnanswered, now, trace, "let go of");
+    violated(Invariant::requestUnanswered, now, trace, "released unanswered");
 }
 
 // --- Connections and accounts ----------------------------------------------------------------------------
@@ -202,8 +205,8 @@
   violated(Invariant::connectionClosedUnanswered, now, reason);
 }
 
-void Monitor::checkNothingHeld(std::size_t held, const std::string& description, Time now) {
-  if (held > 0) violated(Invariant::accountsNotZero, now, description);
+void Monitor::checkNothingHeld(std::size_t remaining, const std::string& description, Time now) {
+  if (remaining > 0) violated(Invariant::accountsNotZero, now, description);
 }
 
 // --- Counts and log --------------------------------------------------------------------------------------
@@ -219,18 +222,18 @@
   return out;
 }
 
-void Monitor::violated(Invariant invariant, Time now, const RequestTrace& trace, const std::string& what) {
-  violated(invariant, now, (what.empty() ? "" : what + "; ") + trace.text(now));
+void Monitor::violated(Invariant invariant, Time now, const RequestTrace& trace, const std::string& detail) {
+  violated(invariant, now, (detail.empty() ? "" : detail + "; ") + trace.text(now));
 }
 
-void Monitor::violated(Invariant invariant, Time now, const std::string& what) {
+void Monitor::violated(Invariant invariant, Time now, const std::string& detail) {
   const auto index = static_cast<std::size_t>(invariant);
-  const bool loggedRecently = counts_[index] > 0 && now - loggedAt_[index] < kLogIntervalMs;
+  const bool loggedRecently = counts_[index] > 0 && now - lastLoggedAt_[index] < kLogIntervalMs;
   ++counts_[index];
   if (loggedRecently) return;
-  loggedAt_[index] = now;
+  lastLoggedAt_[index] = now;
   log_("invariant broken: " + std::string(nameOf(invariant)) + " (" + std::to_string(counts_[index]) +
-       "): " + what);
+       "): " + detail);
 }
 
 }  // namespace wingslip::invariant
--- a/src/invariant/request_trace.cpp
+++ b/src/invariant/request_trace.cpp
@@ -1,3 +1,4 @@
+// Implementation of the record of a request and of its text.
 #include "invariant/request_trace.hpp"
 
 #include <cstdio>
--- a/src/invariant/request_trace.hpp
+++ b/src/invariant/request_trace.hpp
@@ -1,4 +1,4 @@
-/// The record of one request that the invariant monitor checks, and its text for the log. No I/O.
+/// The record of a request that the invariant monitor checks, and its text for the log. Performs no I/O.
 #pragma once
 
 #include <array>
@@ -14,10 +14,10 @@
 
 using decision::Time;
 
-/// The steps of a request.
+/// A step in the processing of a request.
 enum class RequestState : std::uint8_t {
   received,
-  connecting,  ///< an attempt waits for its connection
+  connecting,  ///< an attempt waits for its connection to be established
   sent,        ///< an attempt's first byte is being written
   endedOk,
   endedError,
@@ -34,22 +34,23 @@
   truncated,
   clientClosed,
 };
-/// As in the log.
+/// @return the state's name as in the log.
 std::string_view nameOf(RequestState state);
 
-/// Owned by whoever holds the request. The settings that apply to it are set by the owner, the rest by
-/// `Monitor`.
+/// The data of a request that its invariants depend on. Owned by the owner of the request, which sets the
+/// public members; the `Monitor` sets the private ones.
 class RequestTrace {
  public:
-  static constexpr std::size_t kMaxSteps = 8;  ///< the last ones are kept
+  static constexpr std::size_t kMaxSteps = 8;  ///< number of most recent steps that are stored
 
-  std::string requestId;  ///< the client's, for the log
-  Time deadline = 0;      ///< of its client; moves while its body is still arriving
+  std::string requestId;  ///< as received from the client, for the log
+  Time deadline = 0;      ///< the client's deadline; moves while the request body is arriving
   decision::Idempotency idempotency = decision::Idempotency::notIdempotent;
-  Time idempotencyWindowMs = 0;  ///< with a key: from the first attempt that may have run
-  unsigned maxAttempts = 1;
+  Time idempotencyWindowMs = 0;  ///< deduplication period of an idempotency key, from the first
+                                 ///< attempt that may have run
+  unsigned maxAttempts = 1;      ///< including the first attempt
 
-  /// The last steps, the oldest first, with times relative to `now`.
+  /// @return the stored steps, oldest first, with times in ms relative to `now`.
   std::string text(Time now) const;
 
  private:
