--- a/tests/invariant_test.cpp
+++ b/tests/invariant_test.cpp
@@ -1,4 +1,4 @@
-// The invariant monitor: each invariant is counted when it is violated, and not when it holds.
+// Tests the invariant monitor: each invariant is counted when it is violated, and only then.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -28,8 +28,8 @@
     monitor.workerReady(kOther, 0);
     monitor.requestReceived(trace, 0);
   }
-  // Only this invariant is violated, this many times.
-  void expect(Invariant invariant, std::uint64_t times = 1) {
+  // Checks that only this invariant has been violated, and how many times.
+  void expectOnly(Invariant invariant, std::uint64_t times = 1) {
     EXPECT_EQ(monitor.count(invariant), times) << nameOf(invariant);
     EXPECT_EQ(monitor.total(), times);
   }
@@ -55,85 +55,85 @@
   EXPECT_TRUE(lines.empty());
 }
 
-TEST_F(InvariantMonitor, ARequestHasOneAnswer) {
+TEST_F(InvariantMonitor, ARequestHasOneFinalAnswer) {
   monitor.requestAnswered(trace, RequestState::rejected, 100);
   monitor.requestAnswered(trace, RequestState::failed, 200);
-  expect(Invariant::requestAnsweredTwice);
+  expectOnly(Invariant::requestAnsweredTwice);
 }
 
 TEST_F(InvariantMonitor, ALateAnswerCountsAsMissing) {
   monitor.requestAnswered(trace, RequestState::failed, 5000 + Monitor::kAnswerToleranceMs + 1);
-  expect(Invariant::requestUnanswered);
+  expectOnly(Invariant::requestUnanswered);
 }
 
-TEST_F(InvariantMonitor, AReleasedRequestHasAnAnswerOrNoClient) {
+TEST_F(InvariantMonitor, AReleasedRequestIsAnsweredOrItsClientHasClosed) {
   monitor.requestReleased(trace, 10);
-  expect(Invariant::requestUnanswered);
+  expectOnly(Invariant::requestUnanswered);
   RequestTrace closed;
   monitor.clientClosed(closed, 1);
   monitor.requestReleased(closed, 2);
-  expect(Invariant::requestUnanswered);
+  expectOnly(Invariant::requestUnanswered);
 }
 
 TEST_F(InvariantMonitor, NothingIsSentAfterTheClientHasClosed) {
   monitor.clientClosed(trace, 1);
   monitor.attemptSending(trace, kWorker, 2, 100);
-  expect(Invariant::attemptAfterClientLeft);
+  expectOnly(Invariant::attemptAfterClientLeft);
 }
 
 TEST_F(InvariantMonitor, NothingIsSentAfterTheAnswer) {
   monitor.requestAnswered(trace, RequestState::failed, 1);
   monitor.attemptSending(trace, kWorker, 2, 100);
-  expect(Invariant::attemptAfterAnswer);
+  expectOnly(Invariant::attemptAfterAnswer);
 }
 
 TEST_F(InvariantMonitor, AttemptsStayWithinTheMaximum) {
   sendAndEnd(AttemptResult::overloaded, 1);
   sendAndEnd(AttemptResult::overloaded, 20);
   sendAndEnd(AttemptResult::overloaded, 40);
-  expect(Invariant::attemptsPastCap);
+  expectOnly(Invariant::attemptsPastCap);
 }
 
 TEST_F(InvariantMonitor, NothingIsSentAfterTheDeadline) {
   monitor.attemptSending(trace, kWorker, 5001, 1);
-  expect(Invariant::attemptPastDeadline);
+  expectOnly(Invariant::attemptPastDeadline);
 }
 
-TEST_F(InvariantMonitor, TheTimePassedOnIsWhatTheClientHasLeft) {
+TEST_F(InvariantMonitor, TheTimeoutSentToAWorkerIsTheClientsRemainingTime) {
   monitor.attemptSending(trace, kWorker, 1000, 4000 + Monitor::kDeadlineToleranceMs);
   EXPECT_EQ(monitor.total(), 0u);
   monitor.attemptEnded(trace, kWorker, AttemptResult::overloaded, 1001);
   monitor.attemptSending(trace, kWorker, 1100, 4000 + Monitor::kDeadlineToleranceMs);
-  expect(Invariant::deadlineTooLong);
+  expectOnly(Invariant::deadlineTooLong);
 }
 
-TEST_F(InvariantMonitor, NothingIsSentToADrainingWorkerAfterTheGrace) {
+TEST_F(InvariantMonitor, NothingIsSentToADrainingWorkerAfterTheGracePeriod) {
   monitor.workerRetired(kWorker, WorkerPhase::draining, 0);
   sendAndEnd(AttemptResult::overloaded, 1000);
   EXPECT_EQ(monitor.total(), 0u);
-  monitor.workerRetired(kWorker, WorkerPhase::draining, 900);  // repeated: the first time counts
+  monitor.workerRetired(kWorker, WorkerPhase::draining, 900);  // repeated: only the first call counts
   sendAndEnd(AttemptResult::overloaded, 1100);
-  expect(Invariant::sentToDraining);
+  expectOnly(Invariant::sentToDraining);
 }
 
-TEST_F(InvariantMonitor, NothingIsSentToARemovedWorkerAfterTheGrace) {
+TEST_F(InvariantMonitor, NothingIsSentToARemovedWorkerAfterTheGracePeriod) {
   monitor.workerRetired(kWorker, WorkerPhase::removed, 0);
   sendAndEnd(AttemptResult::overloaded, 1001);
-  expect(Invariant::sentToGone);
+  expectOnly(Invariant::sentToGone);
 }
 
 TEST_F(InvariantMonitor, NothingIsSentToAnExcludedWorkerUntilItIsIncluded) {
   monitor.workerExcluded(kWorker, 10);
-  monitor.workerReady(kWorker, 0);  // whatever a list says
+  monitor.workerReady(kWorker, 0);  // an endpoint list does not end an exclusion
   sendAndEnd(AttemptResult::overloaded, 11);
-  expect(Invariant::sentToExcluded);
+  expectOnly(Invariant::sentToExcluded);
   monitor.workerIncluded(kWorker);
   sendAndEnd(AttemptResult::overloaded, 12);
-  expect(Invariant::sentToExcluded);
+  expectOnly(Invariant::sentToExcluded);
 }
 
-TEST_F(InvariantMonitor, AWorkerInSlowStartGetsNoMoreThanTheFleetMaySend) {
-  workerRate = 0.01;  // ten requests a second: 2 x 0.2 x 10 calls, and the tolerance
+TEST_F(InvariantMonitor, AWorkerInSlowStartIsSentNoMoreThanTheFleetMaySend) {
+  workerRate = 0.01;  // ten requests per second: 2 x 0.2 x 10 calls, plus the tolerance
   monitor.workerReady(kWorker, 100);
   trace.maxAttempts = 1000;
   trace.deadline = 60000;
@@ -142,19 +142,19 @@
   for (int i = 0; i < static_cast<int>(maxCalls); ++i) sendAndEnd(AttemptResult::overloaded, 110 + i);
   EXPECT_EQ(monitor.total(), 0u);
   sendAndEnd(AttemptResult::overloaded, 130);
-  expect(Invariant::slowStartExceeded);
+  expectOnly(Invariant::slowStartExceeded);
   for (int i = 0; i < 20; ++i)
     sendAndEnd(AttemptResult::overloaded, 2000 + 200 * i);  // spread over four windows
-  expect(Invariant::slowStartExceeded);
+  expectOnly(Invariant::slowStartExceeded);
 }
 
 TEST_F(InvariantMonitor, ARequestThatMayHaveRunIsNotSentAgain) {
   sendAndEnd(AttemptResult::reset, 1);
   sendAndEnd(AttemptResult::ok, 20);
-  expect(Invariant::unsafeRequestResent);
+  expectOnly(Invariant::unsafeRequestResent);
 }
 
-TEST_F(InvariantMonitor, ARequestWithAKeyIsSentAgainWithinItsWindowOnly) {
+TEST_F(InvariantMonitor, ARequestWithAKeyIsSentAgainOnlyWithinItsDeduplicationWindow) {
   trace.idempotency = Idempotency::withKey;
   trace.idempotencyWindowMs = 100;
   trace.maxAttempts = 9;
@@ -162,16 +162,16 @@
   sendAndEnd(AttemptResult::timeout, 101);
   EXPECT_EQ(monitor.total(), 0u);
   sendAndEnd(AttemptResult::timeout, 102);
-  expect(Invariant::unsafeRequestResent);
+  expectOnly(Invariant::unsafeRequestResent);
 }
 
 TEST_F(InvariantMonitor, ARequestThatIsNotIdempotentHasOneAttemptInFlight) {
   monitor.attemptSending(trace, kWorker, 1, 100);
   monitor.attemptSending(trace, kOther, 2, 100);
-  expect(Invariant::concurrentAttempts);
+  expectOnly(Invariant::concurrentAttempts);
 }
 
-TEST_F(InvariantMonitor, UnansweredConnectionsAndLeftoversAreCounted) {
+TEST_F(InvariantMonitor, UnansweredConnectionsAndRemainingRequestsAreCounted) {
   monitor.connectionClosedUnanswered("idle", 1);
   EXPECT_EQ(monitor.count(Invariant::connectionClosedUnanswered), 1u);
   monitor.checkNothingHeld(2, "2 requests", 2);
@@ -179,7 +179,7 @@
   EXPECT_EQ(monitor.total(), 2u);
 }
 
-// More violations of the same invariant are counted, and not logged at once.
+// Further violations of the same invariant are counted, but not logged within the log interval.
 TEST_F(InvariantMonitor, AViolationIsLoggedOnceWithTheRequestsStates) {
   monitor.workerExcluded(kWorker, 0);
   sendAndEnd(AttemptResult::reset, 10);
@@ -195,7 +195,7 @@
   EXPECT_NE(monitor.telemetry().find("svc.invariant.sent_to_excluded:2|c\n"), std::string::npos);
 }
 
-TEST_F(InvariantMonitor, ATraceKeepsTheLastStatesOnly) {
+TEST_F(InvariantMonitor, ATraceStoresOnlyTheLastStates) {
   for (int i = 0; i < 40; ++i) monitor.attemptConnecting(trace, kWorker, i);
   const std::string text = trace.text(40);
   EXPECT_EQ(std::count(text.begin(), text.end(), '@'), static_cast<long>(RequestTrace::kMaxSteps));
--- a/tests/memory_budget_test.cpp
+++ b/tests/memory_budget_test.cpp
@@ -1,4 +1,4 @@
-// The memory budget: charges, reserves, usage and marks.
+// Tests the memory budget: charges, reserves, usage and watermarks.
 #include "overload/memory_budget.hpp"
 
 #include <gtest/gtest.h>
@@ -25,9 +25,9 @@
   EXPECT_EQ(b.bytes(), 0u);
   EXPECT_TRUE(b.resize(40));
   EXPECT_FALSE(a.resize(61));
-  EXPECT_EQ(a.bytes(), 60u);  // as it was
+  EXPECT_EQ(a.bytes(), 60u);  // unchanged
   EXPECT_EQ(budget.refusals(Account::clients), 1u);
-  EXPECT_TRUE(a.resize(10));  // less is always granted
+  EXPECT_TRUE(a.resize(10));  // shrinking always succeeds
   EXPECT_EQ(budget.used(), 50u);
   EXPECT_EQ(budget.peak(), 100u);
   MemoryBudget::Charge unbound;
@@ -46,14 +46,15 @@
   EXPECT_TRUE(workers.resize(30));
 }
 
-// An account at its limit is overloaded although memory is reserved for others.
+// Guards against an account at its limit that does not count as overloaded because memory reserved for other
+// accounts is unused.
 TEST(MemoryBudget, ReportsTheAccountWithTheHighestUsage) {
   MemoryBudget budget(shares(100, 20, 50));
   std::size_t crossed = 0;
   budget.observe(
       0.5, 0.8, [&] { ++crossed; }, [] {});
   auto clients = budget.open(Account::clients);
-  ASSERT_TRUE(clients.resize(39));  // of the 50 that it could have
+  ASSERT_TRUE(clients.resize(39));  // of the 50 bytes that it may use
   EXPECT_EQ(crossed, 0u);
   ASSERT_TRUE(clients.resize(40));
   EXPECT_EQ(crossed, 1u);
@@ -66,8 +67,8 @@
   EXPECT_EQ(crossed, 2u);
 }
 
-// Shedding requests would not free them.
-TEST(MemoryBudget, PermanentChargesAreNoUsage) {
+// Guards against load shedding for bytes that shedding requests would not free.
+TEST(MemoryBudget, PermanentChargesDoNotCountAsUsage) {
   MemoryBudget budget(shares(100));
   auto permanent = budget.open(Account::clients), other = budget.open(Account::clients);
   ASSERT_TRUE(permanent.resize(90));
@@ -81,7 +82,7 @@
   EXPECT_FALSE(budget.staysUnder(0.75, Account::clients, 3));
   ASSERT_TRUE(permanent.resize(92));
   EXPECT_EQ(budget.highestUsage().used, 7u);
-  EXPECT_EQ(permanent.split(50).bytes(), 2u);  // and is gone
+  EXPECT_EQ(permanent.split(50).bytes(), 2u);  // released immediately by the temporary's destructor
   auto moved = std::move(permanent);
   moved.shrinkTo(40);
   EXPECT_EQ(budget.highestUsage().used, 5u);
@@ -90,20 +91,20 @@
   EXPECT_EQ(budget.highestUsage().limit, 100u);
 }
 
-TEST(MemoryBudget, AChargeIsGivenBackOnceHoweverItIsMoved) {
+TEST(MemoryBudget, AMovedChargeIsReleasedExactlyOnce) {
   MemoryBudget budget(shares(100));
   {
     auto a = budget.open(kAnyAccount);
     ASSERT_TRUE(a.resize(50));
     MemoryBudget::Charge b = std::move(a);
-    // NOLINTNEXTLINE(bugprone-use-after-move): the test is of what is left of it
+    // NOLINTNEXTLINE(bugprone-use-after-move): the test checks the moved-from charge
     EXPECT_EQ(a.bytes(), 0u);
     b = std::move(b);
     EXPECT_EQ(budget.used(), 50u);
-    // NOLINTNEXTLINE(bugprone-use-after-move): moved to itself, it still holds its bytes
+    // NOLINTNEXTLINE(bugprone-use-after-move): a charge moved to itself retains its bytes
     auto part = b.split(20);
     EXPECT_EQ(part.bytes() + b.bytes(), 50u);
-    EXPECT_EQ(b.split(1000).bytes(), 30u);  // and is gone at once
+    EXPECT_EQ(b.split(1000).bytes(), 30u);  // released immediately by the temporary's destructor
     EXPECT_EQ(budget.used(), 20u);
     auto c = budget.open(kAnyAccount);
     ASSERT_TRUE(c.resize(10));
@@ -116,51 +117,52 @@
   EXPECT_EQ(budget.used(), 0u);
 }
 
-TEST(MemoryBudget, AccountsAddUpOverAnySequence) {
+TEST(MemoryBudget, AccountsMatchTheirChargesForRandomSequences) {
   for (unsigned seed = 0; seed < 200; ++seed) {
     std::mt19937 random(seed);
     const auto below = [&](std::size_t n) {
       return std::uniform_int_distribution<std::size_t>(0, n - 1)(random);
     };
-    MemoryBudget::Shares given{1000, {}};
-    for (auto& part : given.reserved) part = below(250);
-    MemoryBudget budget(given);
-    std::vector<std::pair<Account, MemoryBudget::Charge>> all;
-    std::size_t crossings = 0, above = 0;
-    bool high = false;
+    MemoryBudget::Shares budgetShares{1000, {}};
+    for (auto& part : budgetShares.reserved) part = below(250);
+    MemoryBudget budget(budgetShares);
+    std::vector<std::pair<Account, MemoryBudget::Charge>> charges;
+    std::size_t crossings = 0, expectedPeak = 0;
+    bool highMarkReached = false;
     budget.observe(
         0.4, 0.7, [&] { ++crossings; }, [] {});
     for (int step = 0; step < 400; ++step) {
       const auto account = static_cast<Account>(below(kAccounts));
       switch (below(7)) {
         case 0:
-          all.emplace_back(account, budget.open(account));
+          charges.emplace_back(account, budget.open(account));
           break;
         case 1:
-          if (!all.empty()) all.erase(all.begin() + static_cast<long>(below(all.size())));
+          if (!charges.empty()) charges.erase(charges.begin() + static_cast<long>(below(charges.size())));
           break;
         case 2:
-          if (!all.empty()) {
-            auto& [of, from] = all[below(all.size())];
+          if (!charges.empty()) {
+            auto& [of, from] = charges[below(charges.size())];
             auto part = from.split(below(100));
-            all.emplace_back(Account(of), std::move(part));
+            charges.emplace_back(Account(of), std::move(part));
           }
           break;
         case 3:
-          if (!all.empty() && below(4) == 0) all[below(all.size())].second.markPermanent();
+          if (!charges.empty() && below(4) == 0) charges[below(charges.size())].second.markPermanent();
           break;
         default:
-          if (!all.empty()) {
-            auto& [of, charge] = all[below(all.size())];
-            const std::size_t before = charge.bytes(), to = below(400), room = budget.available(of);
-            const bool granted = charge.resize(to);
-            EXPECT_EQ(granted, to <= before + room);
-            EXPECT_EQ(charge.bytes(), granted ? to : before);
+          if (!charges.empty()) {
+            auto& [of, charge] = charges[below(charges.size())];
+            const std::size_t before = charge.bytes(), requested = below(400),
+                              availableBytes = budget.available(of);
+            const bool granted = charge.resize(requested);
+            EXPECT_EQ(granted, requested <= before + availableBytes);
+            EXPECT_EQ(charge.bytes(), granted ? requested : before);
           }
       }
       std::array<std::size_t, kAccounts> sums{};
       std::size_t sum = 0;
-      for (const auto& [of, charge] : all) {
+      for (const auto& [of, charge] : charges) {
         sums[static_cast<std::size_t>(of)] += charge.bytes();
         sum += charge.bytes();
       }
@@ -168,41 +170,43 @@
       ASSERT_LE(sum, 1000u);
       for (std::size_t i = 0; i < kAccounts; ++i) {
         ASSERT_EQ(budget.used(static_cast<Account>(i)), sums[i]);
-        // Its own reserve is always available.
-        ASSERT_GE(budget.available(static_cast<Account>(i)) + sums[i], given.reserved[i]) << "seed " << seed;
+        // An account's own reserve is always available to it.
+        ASSERT_GE(budget.available(static_cast<Account>(i)) + sums[i], budgetShares.reserved[i])
+            << "seed " << seed;
       }
-      above = std::max(above, sum);
+      expectedPeak = std::max(expectedPeak, sum);
       const double part = budget.highestUsage().share();
-      if (part >= 0.7) high = true;
-      if (high) {
+      if (part >= 0.7) highMarkReached = true;
+      if (highMarkReached) {
         ASSERT_GT(crossings, 0u);
       }
       ASSERT_LE(part, 1);
     }
-    EXPECT_EQ(high, crossings > 0) << seed;
-    EXPECT_EQ(budget.peak(), above) << seed;
-    all.clear();
+    EXPECT_EQ(highMarkReached, crossings > 0) << seed;
+    EXPECT_EQ(budget.peak(), expectedPeak) << seed;
+    charges.clear();
     EXPECT_EQ(budget.used(), 0u);
   }
 }
 
-TEST(MemoryBudget, TheBudgetLeavesMemoryForTheProcessTheHandoverAndFiles) {
+TEST(MemoryBudget, TheBudgetExcludesMemoryOfTheProcessAHandoverAndStateFiles) {
   constexpr std::size_t mib = std::size_t{1} << 20;
-  const auto total = [](std::size_t limit, bool two, bool files) {
-    return sharesOf({limit * mib, two, files}).total;
+  const auto total = [](std::size_t limit, bool twoProcesses, bool stateFiles) {
+    return sharesOf({limit * mib, twoProcesses, stateFiles}).total;
   };
   EXPECT_EQ(total(32, false, false), 15 * mib);
   EXPECT_LT(total(32, false, true), 15 * mib);
   EXPECT_LT(2 * total(64, true, true), total(64, false, true));
-  for (const bool two : {false, true})
-    for (const bool files : {false, true}) {
-      const std::size_t least = minMemoryLimit(two, files);
-      EXPECT_EQ(sharesOf({least - 1, two, files}).total, 0u);
-      EXPECT_GE(sharesOf({least, two, files}).total, mib * 99 / 100);
-      EXPECT_LE(least, 32 * mib);  // the least that the platform grants
+  for (const bool twoProcesses : {false, true})
+    for (const bool stateFiles : {false, true}) {
+      const std::size_t minimumLimit = minMemoryLimit(twoProcesses, stateFiles);
+      EXPECT_EQ(sharesOf({minimumLimit - 1, twoProcesses, stateFiles}).total, 0u);
+      EXPECT_GE(sharesOf({minimumLimit, twoProcesses, stateFiles}).total, mib * 99 / 100);
+      EXPECT_LE(minimumLimit, 32 * mib);  // the platform's smallest memory limit
       std::size_t reserved = 0;
-      for (const std::size_t part : sharesOf({least, two, files}).reserved) reserved += part;
-      EXPECT_LT(reserved, sharesOf({least, two, files}).total);
+      for (const std::size_t part : sharesOf({minimumLimit, twoProcesses, stateFiles}).reserved)
+        reserved += part;
+      EXPECT_LT(reserved, sharesOf({minimumLimit, twoProcesses, stateFiles}).total);
     }
 }
 
--- a/tests/overload_fixture.hpp
+++ b/tests/overload_fixture.hpp
@@ -1,4 +1,4 @@
-// A gatekeeper with a small memory budget, its worker and its discovery agent on loopback.
+// Test fixture: a gatekeeper with a small memory budget, a worker and a discovery agent on loopback.
 #pragma once
 
 #include <chrono>
@@ -13,7 +13,7 @@
 
 class OverloadFixture : public Loopback {
  protected:
-  json file() {
+  json configuration() {
     json workers = json::array();
     for (int i = 1; i <= 20; ++i) workers.push_back(entry("s-" + std::to_string(i), worker.text()));
     json out = configJson(discovery.text(), workers);
@@ -23,68 +23,68 @@
     return out;
   }
   void startGatekeeper(const json& config) {
-    node.emplace(io, parseConfig(config.dump()));
-    overflowBytes = memory().used(Account::clients);
-    node->start();
+    gatekeeper.emplace(io, parseConfig(config.dump()));
+    overflowConnectionBytes = memory().used(Account::clients);
+    gatekeeper->start();
   }
-  void startGatekeeper() { startGatekeeper(file()); }
+  void startGatekeeper() { startGatekeeper(configuration()); }
   PeerPtr sendRequest(const std::string& text) {
-    const auto client = dial(node->address());
+    const auto client = dial(gatekeeper->address());
     client->send(text);
     return client;
   }
-  PeerPtr sendSmall(const std::string& id) {
-    Ask what;
-    what.id = id;
-    return sendRequest(what.text());
+  PeerPtr sendSmallRequest(const std::string& id) {
+    Ask request;
+    request.id = id;
+    return sendRequest(request.text());
   }
-  std::string longRequestHead(std::size_t length, const std::string& id = "00000000000000b1") {
-    Ask what;
-    what.klass = "edit";
-    what.id = id;
-    std::string text = what.text();
+  std::string longRequestHeader(std::size_t length, const std::string& id = "00000000000000b1") {
+    Ask request;
+    request.klass = "edit";
+    request.id = id;
+    std::string text = request.text();
     text.erase(text.find("Content-Length: 0\r\n"), 19);
     return text.substr(0, text.size() - 2) + "Content-Length: " + std::to_string(length) + "\r\n\r\n";
   }
-  // The worker's end of the connection with this request.
+  // Returns the worker's end of the connection that has received the request with this id.
   PeerPtr workerConnection(const std::string& id) {
-    PeerPtr found;
+    PeerPtr connection;
     until(
         [&] {
           for (const auto& peer : worker.peers)
-            if (peer->has("Req-Id: " + id)) found = peer;
-          return found != nullptr;
+            if (peer->has("Req-Id: " + id)) connection = peer;
+          return connection != nullptr;
         },
-        "a request at the worker");
-    return found;
+        "the request at the worker");
+    return connection;
   }
   std::string operatorCall(const std::string& line) {
-    const auto caller = dial(node->opsAddress());
+    const auto caller = dial(gatekeeper->opsAddress());
     caller->send(line + "\n");
-    until([&] { return caller->ended; }, "the end of an operator's answer");
+    until([&] { return caller->ended; }, "the end of the response to an operator");
     return caller->got;
   }
-  MemoryBudget& memory() { return node->pressure().memory(); }
-  std::size_t waiting(WaitQueue queue) { return node->pressure().waitQueues().waiting(queue); }
+  MemoryBudget& memory() { return gatekeeper->pressure().memory(); }
+  std::size_t waiting(WaitQueue queue) { return gatekeeper->pressure().waitQueues().waiting(queue); }
   std::uint64_t rejections(WaitQueue queue) {
-    return node->pressure().waitQueues().figures(queue, OverloadManager::now()).rejections;
+    return gatekeeper->pressure().waitQueues().figures(queue, OverloadManager::now()).rejections;
   }
-  // Uses what is left of the budget but for `rest` bytes, as other clients would.
-  void fillMemory(std::size_t rest, bool permanent = false) {
-    otherClients = memory().open(Account::clients);
-    ASSERT_TRUE(otherClients.resize(memory().available(Account::clients) - rest));
-    if (permanent) otherClients.markPermanent();
+  // Charges the available memory of the clients' account except `remainingBytes`, as other clients would.
+  void fillMemory(std::size_t remainingBytes, bool permanent = false) {
+    otherClientsCharge = memory().open(Account::clients);
+    ASSERT_TRUE(otherClientsCharge.resize(memory().available(Account::clients) - remainingBytes));
+    if (permanent) otherClientsCharge.markPermanent();
   }
-  void runFor(std::chrono::milliseconds span) {
+  void runFor(std::chrono::milliseconds duration) {
     io.restart();
-    io.run_for(span);
+    io.run_for(duration);
   }
 
   Listener discovery{io}, worker{io};
-  std::optional<Gatekeeper> node;
-  MemoryBudget::Charge otherClients;
-  std::size_t overflowBytes = 0;  // reserved for overflow connections
-  void TearDown() override { otherClients.release(); }
+  std::optional<Gatekeeper> gatekeeper;
+  MemoryBudget::Charge otherClientsCharge;
+  std::size_t overflowConnectionBytes = 0;  // charged for overflow connections at the start
+  void TearDown() override { otherClientsCharge.release(); }
 };
 
 }  // namespace wingslip::test
--- a/tests/overload_process_test.cpp
+++ b/tests/overload_process_test.cpp
@@ -1,4 +1,4 @@
-// Overload of a whole gatekeeper: its figures, a handover, and its memory limit.
+// Tests a complete gatekeeper under overload: wait queue statistics, a handover, and the memory limit.
 #include <signal.h>
 #include <sys/wait.h>
 #include <unistd.h>
@@ -15,34 +15,34 @@
 
 class OverloadedProcess : public OverloadFixture {};
 
-// Guards against a queue that the program never fills or reads.
+// Guards against a wait queue that the program neither enters nor reads.
 TEST_F(OverloadedProcess, EveryWaitQueueIsReported) {
   startGatekeeper();
   until([&] { return !discovery.peers.empty() && discovery.peers[0]->has("\r\n\r\n"); }, "a watch");
   discovery.peers[0]->send("HTTP/1.1 200 OK\r\n\r\n{\"generation\":2,");
-  const auto body = sendRequest(longRequestHead(200000));
-  body->stream(200000);
+  const auto bodyClient = sendRequest(longRequestHeader(200000));
+  bodyClient->stream(200000);
   workerConnection("00000000000000b1")->send(reply("200 OK", "taken"));
-  until([&] { return body->has("taken"); }, "an answer");
-  const auto client = sendSmall("00000000000000a1");
+  until([&] { return bodyClient->has("taken"); }, "a response");
+  const auto client = sendSmallRequest("00000000000000a1");
   workerConnection("00000000000000a1")
       ->send("HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n" + std::string(100000, 'x'));
-  until([&] { return client->got.size() > 100000; }, "a long answer");
-  const auto half = sendRequest(longRequestHead(60000));
+  until([&] { return client->got.size() > 100000; }, "a long response");
+  const auto incompleteClient = sendRequest(longRequestHeader(60000));
   fillMemory(8 * 1024, true);
-  half->stream(60000);
-  const auto late = dial(node->address());
-  const auto& queues = node->pressure().waitQueues();
-  const auto all = [&] {
+  incompleteClient->stream(60000);
+  const auto lateClient = dial(gatekeeper->address());
+  const auto& queues = gatekeeper->pressure().waitQueues();
+  const auto allReported = [&] {
     for (std::size_t i = 0; i < kWaitQueues; ++i)
       if (!queues.isReported(static_cast<WaitQueue>(i))) return false;
     return true;
   };
   for (const char* call : {"readyz", "telemetry"}) EXPECT_FALSE(operatorCall(call).empty());
   client->end();
-  body->end();  // no idle one is left to make room
-  const auto limit = std::chrono::steady_clock::now() + 20s;
-  while (!all() && std::chrono::steady_clock::now() < limit) {
+  bodyClient->end();  // now no idle connection can be closed for a new one
+  const auto deadline = std::chrono::steady_clock::now() + 20s;
+  while (!allReported() && std::chrono::steady_clock::now() < deadline) {
     io.restart();
     io.run_one_for(50ms);
   }
@@ -50,54 +50,56 @@
     EXPECT_TRUE(queues.isReported(static_cast<WaitQueue>(i))) << kWaitQueueNames[i];
 }
 
-// The next process starts while the old one is overloaded; each has its half of the limit.
+// The new process starts while the old one is overloaded; each may use half of the memory limit. Guards
+// against a handover that an overload delays forever.
 TEST_F(OverloadedProcess, AHandoverUnderOverloadCompletes) {
-  tcp::acceptor held(io, tcp::endpoint(asio::ip::address_v4::loopback(), 0));
-  json config = file();
+  tcp::acceptor listeningSocket(io, tcp::endpoint(asio::ip::address_v4::loopback(), 0));
+  json config = configuration();
   config["limits"]["memory_mb"] = 28;
-  const auto inherit = [&] {
+  const auto inheritedConfig = [&] {
     Config out = parseConfig(config.dump());
-    out.acceptFd = dup(held.native_handle());
+    out.acceptFd = dup(listeningSocket.native_handle());
     return out;
   };
-  node.emplace(io, inherit());
+  gatekeeper.emplace(io, inheritedConfig());
   EXPECT_LT(memory().total(), 2 * kMiB);
-  node->start();
+  gatekeeper->start();
   until([&] { return !discovery.peers.empty() && discovery.peers[0]->has("\r\n\r\n"); }, "a watch");
   const std::string list =
       "HTTP/1.1 200 OK\r\n\r\n" + roster(2, true, json::array({entry("s-1", worker.text())})) + "\n";
   discovery.peers[0]->send(list);
-  const auto old = dial(held.local_endpoint());
-  old->send(Ask().text());
-  const auto from = workerConnection("00000000000000a1");
+  const auto oldClient = dial(listeningSocket.local_endpoint());
+  oldClient->send(Ask().text());
+  const auto workerPeer = workerConnection("00000000000000a1");
   fillMemory(4 * 1024);
-  until([&] { return node->pressure().state().level() != OverloadLevel::none; }, "pressure");
-  Gatekeeper next(io, inherit());
-  next.start();
-  until([&] { return discovery.peers.size() == 2 && discovery.peers[1]->has("\r\n\r\n"); }, "its watch");
+  until([&] { return gatekeeper->pressure().state().level() != OverloadLevel::none; }, "pressure");
+  Gatekeeper nextGatekeeper(io, inheritedConfig());
+  nextGatekeeper.start();
+  until([&] { return discovery.peers.size() == 2 && discovery.peers[1]->has("\r\n\r\n"); },
+        "the new process's watch");
   discovery.peers[1]->send(list);
-  until([&] { return next.ready(); }, "its list");
+  until([&] { return nextGatekeeper.ready(); }, "the new process's endpoint list");
   bool done = false;
-  node->drain([&] { done = true; });
-  from->send(reply("200 OK", "done"));
-  until([&] { return old->has("\r\n\r\n") && old->ended; }, "an answer of the old one");
-  until([&] { return done; }, "the old one's end");
-  otherClients.release();
-  node.reset();
-  const auto late = dial(held.local_endpoint());
-  late->send("GET /health/ready HTTP/1.1\r\nHost: b\r\n\r\n");
-  until([&] { return late->has("HTTP/1.1 200"); }, "the new one serves");
-  EXPECT_EQ(next.pressure().state().level(), OverloadLevel::none);
+  gatekeeper->drain([&] { done = true; });
+  workerPeer->send(reply("200 OK", "done"));
+  until([&] { return oldClient->has("\r\n\r\n") && oldClient->ended; }, "the old process's response");
+  until([&] { return done; }, "the end of the old process's drain");
+  otherClientsCharge.release();
+  gatekeeper.reset();
+  const auto lateClient = dial(listeningSocket.local_endpoint());
+  lateClient->send("GET /health/ready HTTP/1.1\r\nHost: b\r\n\r\n");
+  until([&] { return lateClient->has("HTTP/1.1 200"); }, "the new process's response");
+  EXPECT_EQ(nextGatekeeper.pressure().state().level(), OverloadLevel::none);
 }
 
-// The program itself, under a limit of 24 MB, with 600 MB on their way through clients and workers that
-// stall.
+// Runs the program with a limit of 24 MB while 600 MB are sent by clients and workers whose peers do not
+// read. Guards against memory outside the budget that grows with the load.
 TEST_F(OverloadedProcess, TheProcessStaysWithinItsMemoryLimitWithSlowPeers) {
-  json config = file();
+  json config = configuration();
   config["limits"]["memory_mb"] = 24;
-  tcp::acceptor free(io, tcp::endpoint(asio::ip::address_v4::loopback(), 0));
-  const tcp::endpoint listen = free.local_endpoint();
-  free.close();
+  tcp::acceptor portFinder(io, tcp::endpoint(asio::ip::address_v4::loopback(), 0));
+  const tcp::endpoint listen = portFinder.local_endpoint();
+  portFinder.close();
   config["listen"] = "127.0.0.1:" + std::to_string(listen.port());
   config.erase("ops");
   const std::string path = ::testing::TempDir() + "wingslip-pressed-" + std::to_string(getpid()) + ".json";
@@ -111,28 +113,29 @@
   }
   until([&] { return discovery.count("watch=1") == 1; }, "a watch");
   std::vector<PeerPtr> clients;
-  const auto add = [&](const std::string& text) {
+  const auto addClient = [&](const std::string& text) {
     clients.push_back(dial(listen));
     clients.back()->send(text);
   };
   for (int i = 0; i < 10; ++i) {
     char id[17];
     std::snprintf(id, sizeof id, "%016x", 0xb000 + i);
-    add(longRequestHead(30 * kMiB, id));
+    addClient(longRequestHeader(30 * kMiB, id));
     clients.back()->stream(30 * kMiB);
     workerConnection(id)->stall();
-    Ask what;
+    Ask request;
     std::snprintf(id, sizeof id, "%016x", 0xc000 + i);
-    what.id = id;
-    add(what.text());
+    request.id = id;
+    addClient(request.text());
     clients.back()->stall();
-    const auto from = workerConnection(id);
-    from->send("HTTP/1.1 200 OK\r\nContent-Length: 31457280\r\n\r\n");
-    from->stream(30 * kMiB);
+    const auto workerPeer = workerConnection(id);
+    workerPeer->send("HTTP/1.1 200 OK\r\nContent-Length: 31457280\r\n\r\n");
+    workerPeer->stream(30 * kMiB);
   }
   runFor(500ms);
   for (int i = 0; i < 20; i += 2) {
-    EXPECT_LT(clients[static_cast<std::size_t>(i)]->streamed, 30 * kMiB) << "read without a taker";
+    EXPECT_LT(clients[static_cast<std::size_t>(i)]->streamed, 30 * kMiB)
+        << "read although the receiving peer does not read";
   }
   std::ifstream status("/proc/" + std::to_string(child) + "/status");
   std::size_t peak = 0;
@@ -143,9 +146,9 @@
   EXPECT_LT(peak, 24 * kMiB);
 #endif
   kill(child, SIGTERM);
-  int code = 0;
-  until([&] { return waitpid(child, &code, WNOHANG) == child; }, "the end");
-  EXPECT_TRUE(WIFEXITED(code) && WEXITSTATUS(code) == 0) << code;
+  int exitStatus = 0;
+  until([&] { return waitpid(child, &exitStatus, WNOHANG) == child; }, "the end of the process");
+  EXPECT_TRUE(WIFEXITED(exitStatus) && WEXITSTATUS(exitStatus) == 0) << exitStatus;
   std::filesystem::remove(path);
 }
 
