--- a/src/invariant/invariant.hpp
+++ b/src/invariant/invariant.hpp
@@ -21,10 +21,10 @@
   sentToDraining,              ///< an attempt was sent to a draining worker after the grace period
   sentToGone,                  ///< an attempt was sent to a removed worker after the grace period
   sentToExcluded,              ///< an attempt was sent to a worker excluded by an operator
-  slowStartExceeded,           ///< a worker in slow start was sent more than the whole fleet may send it
-  unsafeRequestResent,         ///< a request that is not idempotent was sent again although it may have run
-  concurrentAttempts,          ///< a second attempt was in flight although the request class allows one
-  accountsNotZero,             ///< charges or entries remained although no work was in progress
+  slowStartExceeded,    ///< a worker in slow start was sent more than all gatekeepers together may send it
+  unsafeRequestResent,  ///< a request that is not idempotent was sent again although it may have run
+  concurrentAttempts,   ///< a second attempt was in flight although the request class allows one
+  accountsNotZero,      ///< charges or entries remained although no work was in progress
 };
 constexpr std::size_t kInvariants = static_cast<std::size_t>(Invariant::accountsNotZero) + 1;
 
--- a/src/invariant/monitor.cpp
+++ b/src/invariant/monitor.cpp
@@ -144,7 +144,7 @@
   checkSlowStart(trace, worker, now);
 }
 
-// Detects that this gatekeeper alone sends more than the whole fleet may send.
+// Detects that this gatekeeper alone sends more than all gatekeepers together may send.
 void Monitor::checkSlowStart(const RequestTrace& trace, Worker& worker, Time now) {
   const bool inSlowStart =
       worker.slowStartFrom > 0 && rules_.slowStartMs > 0 && now < worker.slowStartFrom + rules_.slowStartMs;
--- a/src/net/durable_file.hpp
+++ b/src/net/durable_file.hpp
@@ -17,8 +17,8 @@
   inKernel,  ///< not synced: survives the end of the process only
 };
 
-/// Writes `bytes` to a temporary file and renames it to `path`. Blocks until the disk has completed the
-/// write.
+/// Writes `bytes` to a temporary file and renames it to `path`. Blocks for as long as the disk takes
+/// to write.
 /// @param path must contain a directory for `Durability::onDisk`
 /// @return the system's error, or none on success
 std::error_code replaceFile(const std::string& path, std::string_view bytes, Durability durability);
--- a/src/net/http.hpp
+++ b/src/net/http.hpp
@@ -78,7 +78,7 @@
 
 /// Appends the buffers that the serializer returns next.
 template <class Serializer>
-void appendNext(std::string& out, Serializer& serializer, Error& error) {
+void appendNextBuffers(std::string& out, Serializer& serializer, Error& error) {
   std::size_t size = 0;
   serializer.next(error, [&](Error&, const auto& buffers) {
     for (const asio::const_buffer part : beast::buffers_range_ref(buffers)) {
@@ -96,7 +96,7 @@
 void append(std::string& out, const http::message<isRequest, Body>& message) {
   http::serializer<isRequest, Body> serializer(message);
   Error error;
-  while (!serializer.is_done() && !error) detail::appendNext(out, serializer, error);
+  while (!serializer.is_done() && !error) detail::appendNextBuffers(out, serializer, error);
 }
 
 /// Appends the serialized header only. The caller appends the body with the framing that the header states.
@@ -105,7 +105,7 @@
   http::serializer<isRequest, http::empty_body> serializer(message);
   serializer.split(true);
   Error error;
-  while (!serializer.is_header_done() && !error) detail::appendNext(out, serializer, error);
+  while (!serializer.is_header_done() && !error) detail::appendNextBuffers(out, serializer, error);
 }
 
 /// Appends a piece of a body in chunked transfer coding. `last` also appends the end of the body; the piece
--- a/src/net/http_client.hpp
+++ b/src/net/http_client.hpp
@@ -47,7 +47,7 @@
   /// Cancels a call without invoking the handler; no effect for an unknown id.
   void drop(std::uint64_t id);
   /// @return the number of calls in flight.
-  std::size_t out() const { return calls_.size(); }
+  std::size_t callsInFlight() const { return calls_.size(); }
 
  private:
   class Call;
--- a/src/net/overload_manager.hpp
+++ b/src/net/overload_manager.hpp
@@ -76,7 +76,8 @@
   /// To be called when a connection, a request or a response has arrived. Measures the event loop's lag, at
   /// most every 10 ms.
   void noteActivity();
-  /// To be called when a connection has become busy or has ended. Evaluates the descriptor usage.
+  /// To be called when a connection has become busy or has ended. Posts an evaluation if the descriptor
+  /// overload may have started or ended.
   void noteDescriptorUse();
 
   /// Pauses a read until memory is available. A read that is already paused retains its position. Neither
--- a/src/overload/memory_budget.hpp
+++ b/src/overload/memory_budget.hpp
@@ -42,12 +42,13 @@
     [[nodiscard]] bool resize(std::size_t bytes);
     void shrinkTo(std::size_t bytes);  ///< no effect if the charge is already smaller
     void release() { shrinkTo(0); }
-    /// Marks the present bytes as charged for the owner's whole lifetime. Shedding requests would not free
+    /// Marks the present bytes as charged for the owner's lifetime. Shedding requests would not free
     /// them, so `Usage` excludes them.
     void markPermanent();
     /// Moves `bytes` bytes into a new charge of the same account, or all bytes that are not permanent if
     /// there are fewer.
     Charge split(std::size_t bytes);
+    /// @return the charged bytes, including the permanent ones.
     std::size_t bytes() const { return bytes_; }
 
    private:
@@ -131,7 +132,7 @@
 
 /// @return the budget of one process, or a total of 0 if the limit is below `minMemoryLimit`.
 MemoryBudget::Shares sharesOf(const MemoryLimit& limit);
-/// @return the smallest limit, in bytes, that leaves a usable budget.
+/// @return the smallest limit, in bytes, for which the budget is usable.
 std::size_t minMemoryLimit(bool twoProcesses, bool stateFiles);
 
 }  // namespace wingslip
--- a/src/overload/wait_queues.hpp
+++ b/src/overload/wait_queues.hpp
@@ -50,7 +50,7 @@
     std::uint64_t rejections = 0;  ///< entries that were rejected for waiting here
   };
 
-  /// Membership of its owner in at most one queue, left on destruction. Must not outlive the WaitQueues.
+  /// Membership of its owner in at most one queue; ends on destruction. Must not outlive the WaitQueues.
   class QueueEntry
       : public boost::intrusive::list_base_hook<boost::intrusive::link_mode<boost::intrusive::auto_unlink>> {
    public:
@@ -61,10 +61,11 @@
     /// Moves to `queue` from the present queue, if any.
     /// @param now start of the wait
     void enter(WaitQueues& queues, WaitQueue queue, Time now);
-    /// Leaves the present queue; no effect if there is none.
+    /// Ends the membership; no effect if there is none.
     void leave();
     /// @return when the present or last wait started.
     Time since() const { return since_; }
+    /// @return whether it is a member of `queue` now.
     bool isIn(WaitQueue queue) const { return queues_ && queue_ == queue; }
 
    private:
@@ -73,6 +74,7 @@
     Time since_ = 0;
   };
 
+  /// Returns the statistics of a queue that is counted elsewhere.
   using Reader = std::function<Figures(Time now)>;
   /// Sets the source of the statistics of a queue that is counted elsewhere (by the kernel or the event
   /// loop); null removes it.
