--- a/src/distribution/change_log.cpp
+++ b/src/distribution/change_log.cpp
@@ -42,21 +42,21 @@
 
 void ChangeLog::truncateAfter(Version version) {
   while (lastVersion() > version && !records_.empty()) {
-    forgetRequest(*records_.back());
+    eraseRequest(*records_.back());
     records_.pop_back();
   }
 }
 
 void ChangeLog::compact(Version upTo, std::size_t maxRecords) {
   while (records_.size() > maxRecords && base_ < upTo) {
-    forgetRequest(*records_.front());
+    eraseRequest(*records_.front());
     baseTerm_ = records_.front()->term;
     records_.pop_front();
     ++base_;
   }
 }
 
-void ChangeLog::forgetRequest(const ChangeRecord& record) {
+void ChangeLog::eraseRequest(const ChangeRecord& record) {
   const auto found = requests_.find(record.requestId);
   if (found != requests_.end() && found->second == record.version) requests_.erase(found);
 }
--- a/src/distribution/change_log.hpp
+++ b/src/distribution/change_log.hpp
@@ -1,5 +1,6 @@
-/// The log: consecutive records after a base version. Records at or before the base were compacted away; a
-/// copy older than the base cannot be brought up to date by records.
+/// The replicated log of changes: consecutive records after a base version. Records up to and including the
+/// base have been compacted away, so a copy older than the base cannot catch up by records and is repaired by
+/// ranges.
 #pragma once
 
 #include <deque>
@@ -9,9 +10,10 @@
 
 namespace wingslip::distribution {
 
+/// Log of one control replica, in memory; owned by ReplicaState.
 class ChangeLog {
  public:
-  /// Forgets all records; the next one has version `base` + 1.
+  /// Discards all records; the next record appended must have version `base` + 1.
   void reset(Version base, Term baseTerm);
 
   Version base() const { return base_; }
@@ -19,23 +21,26 @@
   Version lastVersion() const { return base_ + records_.size(); }
   Term lastTerm() const { return records_.empty() ? baseTerm_ : records_.back()->term; }
 
-  /// Nothing for versions before the base and after the last.
+  /// Term of the record at `version`; empty if the version is before the base or after the last record.
   std::optional<Term> termAt(Version version) const;
-  /// The version must be after the base and not after the last.
+  /// Record at `version`. Precondition: base() < `version` <= lastVersion().
   const RecordPointer& at(Version version) const { return records_[version - base_ - 1]; }
-  /// Records after `version` up to and including `last`: at least one, then while they fit into `maxBytes`.
+  /// Records after `version` up to and including `last`. Returns the first one regardless of its size, then
+  /// as many as fit into `maxBytes` (approximate encoded bytes).
   std::vector<RecordPointer> after(Version version, Version last, std::size_t maxBytes) const;
-  /// The version that was written for this request, while the log still holds it.
+  /// Version of the record written for this request; empty if the log has no such record or it was compacted.
   std::optional<Version> findRequest(const std::string& requestId) const;
 
-  /// Takes the record only if it is of the next version and of no older term than the last one.
+  /// Appends the record if its version is the next one and its term is not older than that of the last
+  /// record. Returns false and changes nothing otherwise.
   bool append(RecordPointer record);
+  /// Removes all records after `version`.
   void truncateAfter(Version version);
-  /// Drops the oldest records until `maxRecords` are left, none of them after `upTo`.
+  /// Removes the oldest records until `maxRecords` remain, but none after `upTo`.
   void compact(Version upTo, std::size_t maxRecords);
 
  private:
-  void forgetRequest(const ChangeRecord& record);
+  void eraseRequest(const ChangeRecord& record);
 
   Version base_ = 0;
   Term baseTerm_ = 0;
--- a/src/distribution/codec_error.hpp
+++ b/src/distribution/codec_error.hpp
@@ -1,11 +1,12 @@
-/// The error of reading messages and snapshots.
+/// Exception of the decoders of messages and snapshots.
 #pragma once
 
 #include <stdexcept>
 
 namespace wingslip::distribution {
 
-/// The bytes are no message or snapshot of this format. `what()` is one line for the log.
+/// Thrown when bytes are not a valid message or snapshot of this format. `what()` is a single line for the
+/// log.
 class CodecError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
--- a/src/distribution/control_replica.cpp
+++ b/src/distribution/control_replica.cpp
@@ -34,7 +34,7 @@
 bool ControlReplica::becomeWriter(Milliseconds now, Term term) {
   if (term <= state_.promisedTerm()) return false;
   state_.promise(term);
-  stepDown(now, "a new term of its own");
+  stepDown(now, "becoming the writer of a new term");
   writer_ = std::make_unique<Writer>(
       now, term, peers_, limits_.maxUncommitted, state_,
       [this](const std::string& to, Message message) { environment_.send(to, std::move(message)); });
@@ -88,16 +88,16 @@
   if (isPeer(from)) sessions_.receive(from, message);
 }
 
-// The answer to a Fetch.
+// Changes are received only in response to a Fetch.
 void ControlReplica::handle(Milliseconds now, const std::string& from, const Changes& message) {
-  if (!isPeer(from) || from != fetchedFrom_) return unexpected(now, from, "changes");
+  if (!isPeer(from) || from != fetchedFrom_) return reportUnexpected(now, from, "changes");
   fetchedFrom_.clear();
   state_.advanceWriterTime(message.writerTime);
   if (repair_) return;
   for (const RecordPointer& record : message.records) {
     if (record->version <= state_.committed()) continue;
     if (record->version != state_.committed() + 1) return;
-    if (writer_ && record->term > writer_->term()) stepDown(now, "a later term has committed");
+    if (writer_ && record->term > writer_->term()) stepDown(now, "a record of a later term was committed");
     state_.promise(record->term);
     if (!state_.append(record)) {
       ++counts_.conflictingHistories;
@@ -110,10 +110,10 @@
 }
 
 void ControlReplica::handle(Milliseconds now, const std::string& from, const RangeContents& message) {
-  if (!repair_ || from != repairFrom_) return unexpected(now, from, "ranges");
-  const TransferStep step = repair_->take(message);
+  if (!repair_ || from != repairFrom_) return reportUnexpected(now, from, "ranges");
+  const TransferStep step = repair_->receivePart(message);
   if (step == TransferStep::ignored) {
-    if (message.transfer != repair_->id()) return unexpected(now, from, "ranges");
+    if (message.transfer != repair_->id()) return reportUnexpected(now, from, "ranges");
   } else {
     repairProgressAt_ = now;
   }
@@ -135,7 +135,7 @@
 
 void ControlReplica::handle(Milliseconds now, const std::string& from, const Rejection& message) {
   if (!isPeer(from) || (from != fetchedFrom_ && from != repairFrom_))
-    return unexpected(now, from, "rejection");
+    return reportUnexpected(now, from, "rejection");
   fetchedFrom_.clear();
   if (message.code == RejectionCode::differentHistory) {
     ++counts_.conflictingHistories;
@@ -146,12 +146,12 @@
 }
 
 void ControlReplica::handle(Milliseconds now, const std::string& from, const Prepare& message) {
-  if (!isPeer(from)) return unexpected(now, from, "prepare");
+  if (!isPeer(from)) return reportUnexpected(now, from, "prepare");
   Promise promise;
   promise.accepted = acceptTerm(message.term);
   promise.term = state_.promisedTerm();
   if (promise.accepted) {
-    if (writer_ && writer_->term() < message.term) stepDown(now, "a later term was claimed");
+    if (writer_ && writer_->term() < message.term) stepDown(now, "received a prepare of a later term");
     const ChangeLog& log = state_.log();
     promise.lastVersion = log.lastVersion();
     promise.lastTerm = log.lastTerm();
@@ -163,48 +163,50 @@
 }
 
 void ControlReplica::handle(Milliseconds now, const std::string& from, const Promise& message) {
-  if (!isPeer(from)) return unexpected(now, from, "promise");
+  if (!isPeer(from)) return reportUnexpected(now, from, "promise");
   if (!writer_) return;
   if (message.term > writer_->term()) {
     state_.promise(message.term);
-    return stepDown(now, "a later term was promised");
+    return stepDown(now, "a peer has promised a later term");
   }
   writer_->receivePromise(now, environment_.unixTime(), from, message);
-  afterWriter(now);
+  processWriterProgress(now);
 }
 
 void ControlReplica::handle(Milliseconds now, const std::string& from, const Append& message) {
-  if (!isPeer(from)) return unexpected(now, from, "records");
-  AppendResponse answer;
-  answer.sentAt = message.sentAt;
+  if (!isPeer(from)) return reportUnexpected(now, from, "records");
+  AppendResponse response;
+  response.sentAt = message.sentAt;
   if (!acceptTerm(message.term)) {
-    answer.term = state_.promisedTerm();
-    environment_.send(from, answer);
+    response.term = state_.promisedTerm();
+    environment_.send(from, response);
     return log_.line(now, "event=old_term_refused from=" + from);
   }
-  if (writer_) stepDown(now, "records of a later term");
+  if (writer_) stepDown(now, "received an append of a later term");
   writerReceivedAt_ = now;
   state_.advanceWriterTime(message.writerTime);
-  answer.term = message.term;
-  answer.accepted = appendRecords(message);
-  answer.version = answer.accepted ? message.previousVersion + message.records.size()
-                                   : std::min(state_.log().lastVersion(), message.previousVersion - 1);
-  if (answer.accepted && !repair_) commitTo(now, std::min(message.committed, answer.version));
-  environment_.send(from, answer);
-  // What the writer no longer has in its log comes by ranges.
-  if (!answer.accepted && message.previousVersion > state_.log().lastVersion() && !repair_ && now >= fetchAt_)
+  response.term = message.term;
+  response.accepted = appendRecords(message);
+  response.version = response.accepted ? message.previousVersion + message.records.size()
+                                       : std::min(state_.log().lastVersion(), message.previousVersion - 1);
+  if (response.accepted && !repair_) commitTo(now, std::min(message.committed, response.version));
+  environment_.send(from, response);
+  // The missing records may have been compacted from the writer's log; a peer that lacks them too rejects the
+  // fetch as behind the horizon, and the table is then repaired by ranges.
+  if (!response.accepted && message.previousVersion > state_.log().lastVersion() && !repair_ &&
+      now >= fetchAt_)
     fetchFromPeer(now);
 }
 
 void ControlReplica::handle(Milliseconds now, const std::string& from, const AppendResponse& message) {
-  if (!isPeer(from)) return unexpected(now, from, "answer");
+  if (!isPeer(from)) return reportUnexpected(now, from, "answer");
   if (!writer_) return;
   if (message.term > writer_->term()) {
     state_.promise(message.term);
-    return stepDown(now, "a later term was promised");
+    return stepDown(now, "a peer has promised a later term");
   }
   writer_->receiveAppendResponse(now, environment_.unixTime(), from, message);
-  afterWriter(now);
+  processWriterProgress(now);
 }
 
 bool ControlReplica::isPeer(const std::string& name) const {
@@ -220,7 +222,6 @@
   return true;
 }
 
-// Whether the log now agrees with the writer's up to the end of these records.
 bool ControlReplica::appendRecords(const Append& append) {
   const ChangeLog& log = state_.log();
   if (append.previousVersion > log.lastVersion()) return false;
@@ -238,26 +239,26 @@
 }
 
 void ControlReplica::commitTo(Milliseconds now, Version version) {
-  if (!state_.commitTo(version)) return repairOwnTable(now);
+  if (!state_.commitTo(version)) return repairTable(now);
   compact();
 }
 
-void ControlReplica::afterWriter(Milliseconds now) {
-  notifyCommitted();
+void ControlReplica::processWriterProgress(Milliseconds now) {
+  reportCommitted();
   compact();
   if (!writer_->tableDiffers()) return;
-  stepDown(now, "this copy differs");
-  repairOwnTable(now);
+  stepDown(now, "the table does not match the log");
+  repairTable(now);
 }
 
-void ControlReplica::repairOwnTable(Milliseconds now) {
+void ControlReplica::repairTable(Milliseconds now) {
   ++counts_.tableDiffers;
   sessions_.setServing(false);
   log_.line(now, "event=table_differs version=" + std::to_string(state_.committed()));
   if (!repair_ && !peers_.empty()) requestRepair(now, peers_[random_() % peers_.size()]);
 }
 
-void ControlReplica::notifyCommitted() {
+void ControlReplica::reportCommitted() {
   for (auto request = uncommittedRequests_.begin(); request != uncommittedRequests_.end();) {
     if (request->second > state_.committed()) {
       ++request;
@@ -268,11 +269,12 @@
   }
 }
 
-// What is not committed is not answered: whoever published it asks the next writer, with the same request id.
-void ControlReplica::stepDown(Milliseconds now, const char* why) {
+// Uncommitted requests are dropped without a response: their publishers retry at the next writer with the
+// same request id.
+void ControlReplica::stepDown(Milliseconds now, const char* reason) {
   uncommittedRequests_.clear();
   if (!writer_) return;
-  log_.line(now, std::string("event=writer_stepped_down reason=\"") + why + "\"");
+  log_.line(now, std::string("event=writer_stepped_down reason=\"") + reason + "\"");
   writer_.reset();
 }
 
@@ -304,9 +306,9 @@
   environment_.send(peer, std::move(request));
 }
 
-void ControlReplica::unexpected(Milliseconds now, const std::string& from, const char* what) {
+void ControlReplica::reportUnexpected(Milliseconds now, const std::string& from, const char* messageKind) {
   ++counts_.unexpected;
-  log_.line(now, "event=message_unexpected from=" + from + " what=" + what);
+  log_.line(now, "event=message_unexpected from=" + from + " what=" + messageKind);
 }
 
 }  // namespace wingslip::distribution
--- a/src/distribution/control_replica.hpp
+++ b/src/distribution/control_replica.hpp
@@ -1,6 +1,7 @@
-/// A control replica: holds the log, follows the writer or is it, copies from other replicas while no writer
-/// reaches it, and serves subscribers. Without I/O, clock or threads: messages and time in, messages out.
-/// What is in `state()` must be on disk before anything that a call sent goes out.
+/// Control replica: maintains the log as the writer or as a follower, fetches from other replicas while it
+/// receives nothing from a writer, and serves subscribers. Does no I/O and has no clock or threads: its
+/// inputs are messages and the time, its outputs are messages. The caller must persist `state()` before it
+/// transmits any message that a call has sent.
 #pragma once
 
 #include <random>
@@ -11,58 +12,67 @@
 
 namespace wingslip::distribution {
 
+/// Limits of a control replica; times in milliseconds.
 struct ReplicaLimits {
   SessionLimits sessions;
-  std::size_t maxUncommitted = 64;     ///< changes under way at the writer; fewer than maxRecords
-  std::size_t maxRecords = 65'536;     ///< the horizon: committed records kept in the log
-  Milliseconds writerSilence = 2'000;  ///< no message from a writer for so long: other replicas are asked
-  Milliseconds fetchInterval = 1'000;  ///< between two such requests
-  Milliseconds repairTimeout = 5'000;  ///< a repair without progress is restarted
+  std::size_t maxUncommitted = 64;     ///< uncommitted changes at the writer; must be less than maxRecords
+  std::size_t maxRecords = 65'536;     ///< records retained in the log: the horizon for subscribers
+  Milliseconds writerSilence = 2'000;  ///< without a message from a writer for this time, the replica
+                                       ///< fetches from other replicas
+  Milliseconds fetchInterval = 1'000;  ///< between two fetches
+  Milliseconds repairTimeout = 5'000;  ///< a repair without progress for this time is restarted
 };
 
+/// Event counters of a control replica.
 struct ReplicaCounts {
-  std::uint64_t oldTerms = 0;              ///< rejected messages of a writer with an older term
-  std::uint64_t conflictingHistories = 0;  ///< committed here with another term than received: not taken
-  std::uint64_t malformed = 0;             ///< bytes that were no message
-  std::uint64_t unexpected = 0;            ///< messages that were not requested, or not from a peer
+  std::uint64_t oldTerms = 0;              ///< rejected writer messages of an older term
+  std::uint64_t conflictingHistories = 0;  ///< other terms received for committed versions; not applied
+  std::uint64_t malformed = 0;             ///< messages that could not be decoded
+  std::uint64_t unexpected = 0;            ///< messages not requested, or not from a peer
   std::uint64_t fetches = 0;
   std::uint64_t repairs = 0;
   std::uint64_t repairsDone = 0;
   std::uint64_t repairsDamaged = 0;
-  std::uint64_t tableDiffers = 0;
+  std::uint64_t tableDiffers = 0;  ///< the table does not match the root hashes of the log
 };
 
+/// Not thread-safe. The owner drives it by `receive` and `tick`.
 class ControlReplica {
  public:
+  /// Interface to the process that owns the replica; must outlive it.
   class Environment {
    public:
     virtual ~Environment() = default;
     virtual void send(const std::string& to, Message message) = 0;
-    /// A change that was published here is committed.
+    /// A change that was published at this replica and was pending is now committed.
     virtual void onChangeCommitted(const std::string& requestId, Version version) = 0;
-    /// A subscriber does not accept a change; reported once for each session.
+    /// A subscriber has rejected a change. Called once per session and change.
     virtual void onChangeRejected(const std::string& subscriber, const RejectedChange& change) = 0;
     virtual void log(const std::string& line) = 0;
+    /// Current Unix time in milliseconds.
     virtual Milliseconds unixTime() = 0;
   };
 
-  /// `peers`: the other replicas. All replicas must agree on the set.
+  /// `peers` are the names of the other replicas. All replicas must be configured with the same set.
   ControlReplica(const ReplicaLimits& limits, const std::string& name, const std::vector<std::string>& peers,
                  std::uint64_t seed, Environment& environment);
 
-  /// What was on disk, before anything else. A table that does not fit its log is repaired before it is
-  /// served.
+  /// Restores the persisted state; must be called before any other function. If the table does not match its
+  /// log, the replica repairs it before it serves subscribers.
   void restore(const Snapshot& snapshot);
   const ReplicaState& state() const { return state_; }
 
-  /// This replica is the writer of `term` from now on. False: a later or the same term was promised already.
+  /// Makes this replica the writer of `term`. Returns false if this term or a later one was already promised.
   bool becomeWriter(Milliseconds now, Term term);
+  /// Whether this replica is the writer and a majority has promised its term.
   bool isWriter() const { return writer_ && writer_->ready(); }
+  /// Publishes a change. Retrying with the same request id is idempotent while the log has its record.
   PublishResult publish(Milliseconds now, const std::string& requestId, const std::vector<Edit>& edits);
 
+  /// Decodes and handles a message from `from`; counts and logs bytes that are not a valid message.
   void receiveBytes(Milliseconds now, const std::string& from, const std::uint8_t* bytes, std::size_t size);
   void receive(Milliseconds now, const std::string& from, const Message& message);
-  /// To be called some ten times a second.
+  /// Sends due messages and checks timeouts. To be called about every 100 ms.
   void tick(Milliseconds now);
 
   const ReplicaCounts& counts() const { return counts_; }
@@ -82,19 +92,22 @@
   void handle(Milliseconds now, const std::string& from, const Fetch& message);
 
   bool isPeer(const std::string& name) const;
-  // Whether a message of this term is accepted; the term is promised then.
+  // Returns whether a writer's message of this term is accepted. If so, the term is promised.
   bool acceptTerm(Term term);
+  // Appends the records; returns whether the log then matches the writer's log up to the last of them.
   bool appendRecords(const Append& append);
   void commitTo(Milliseconds now, Version version);
-  void afterWriter(Milliseconds now);
-  void repairOwnTable(Milliseconds now);
-  void notifyCommitted();
+  // Reports committed changes, and steps down if the writer found that the table differs from the log.
+  void processWriterProgress(Milliseconds now);
+  void repairTable(Milliseconds now);
+  void reportCommitted();
   void compact() { state_.compact(limits_.maxRecords); }
-  void stepDown(Milliseconds now, const char* why);
+  // Stops being the writer and drops the uncommitted requests.
+  void stepDown(Milliseconds now, const char* reason);
   bool isWriterAlive(Milliseconds now) const;
   void fetchFromPeer(Milliseconds now);
   void requestRepair(Milliseconds now, const std::string& peer);
-  void unexpected(Milliseconds now, const std::string& from, const char* what);
+  void reportUnexpected(Milliseconds now, const std::string& from, const char* messageKind);
 
   const ReplicaLimits limits_;
   const std::string name_;
@@ -105,7 +118,8 @@
   ReplicaState state_;
   SubscriberSessions sessions_;
   std::unique_ptr<Writer> writer_;
-  std::map<std::string, Version> uncommittedRequests_;  // requests written here and not yet committed
+  std::map<std::string, Version>
+      uncommittedRequests_;  // by request id: published at this replica, not yet committed
   std::unique_ptr<TransferReceiver> repair_;
   std::string repairFrom_;
   Milliseconds repairProgressAt_ = 0;
--- a/src/distribution/entry.cpp
+++ b/src/distribution/entry.cpp
@@ -11,7 +11,7 @@
 constexpr std::size_t kEntryOverheadBytes = 24;
 constexpr std::size_t kRecordOverheadBytes = 32;
 
-Hash hashOf(const Entry& entry) {
+Hash computeHash(const Entry& entry) {
   const std::array<std::uint64_t, 4> head{static_cast<std::uint64_t>(entry.key.kind), entry.key.name.size(),
                                           entry.version, entry.term};
   const std::string_view headBytes(reinterpret_cast<const char*>(head.data()), sizeof head);
@@ -26,7 +26,7 @@
   entry->value = std::move(value);
   entry->version = version;
   entry->term = term;
-  entry->hash = hashOf(*entry);
+  entry->hash = computeHash(*entry);
   return entry;
 }
 
@@ -40,7 +40,7 @@
   return bytes;
 }
 
-std::optional<std::string> findFault(const std::vector<Edit>& edits) {
+std::optional<std::string> validateEdits(const std::vector<Edit>& edits) {
   if (edits.empty()) return "a change without edits";
   if (edits.size() > kMaxEditsPerChange) return "too many edits in a change";
   std::set<EntryKey> keys;
--- a/src/distribution/entry.hpp
+++ b/src/distribution/entry.hpp
@@ -1,5 +1,5 @@
-/// Entries of the configuration and the changes made to them. A change is a set of edits that takes effect
-/// as a whole; each change is one version of the configuration.
+/// Entries of the configuration and the changes to them. A change is a set of edits that is applied
+/// atomically; each change creates one version of the configuration.
 #pragma once
 
 #include <array>
@@ -12,9 +12,9 @@
 
 namespace wingslip::distribution {
 
-using Version = std::uint64_t;      ///< position in the log; the first change is version 1
-using Term = std::uint64_t;         ///< fencing token of a writer; 0 is the term of the empty configuration
-using Milliseconds = std::int64_t;  ///< of a monotonic clock, unless said otherwise
+using Version = std::uint64_t;      ///< position in the log; the first record has version 1
+using Term = std::uint64_t;         ///< fencing token of a writer; the empty configuration has term 0
+using Milliseconds = std::int64_t;  ///< duration, or time of a monotonic clock unless documented as Unix time
 using Hash = std::uint64_t;
 
 enum class EntryKind : std::uint8_t { route, serviceClass, plan, limit };
@@ -26,6 +26,7 @@
 inline constexpr std::size_t kMaxEditsPerChange = 64;
 inline constexpr std::size_t kMaxChangeBytes = 64 * 1024;
 
+/// Identifies an entry: names are unique within a kind.
 struct EntryKey {
   EntryKind kind = EntryKind::route;
   std::string name;
@@ -33,46 +34,46 @@
   auto operator<=>(const EntryKey&) const = default;
 };
 
-/// Immutable once built, so that tables, log and messages share one copy.
+/// A configuration entry. Immutable once built, so that tables, log and messages share one copy.
 struct Entry {
   EntryKey key;
   std::string value;
-  Version version = 0;  ///< of the change that wrote it
-  Term term = 0;        ///< of that change's writer
-  Hash hash = 0;        ///< of everything above
+  Version version = 0;  ///< of the change that last wrote the entry
+  Term term = 0;        ///< term of the writer of that change
+  Hash hash = 0;        ///< of all the fields above
 };
 using EntryPointer = std::shared_ptr<const Entry>;
 
 /// Builds an entry and computes its hash.
 EntryPointer makeEntry(EntryKey key, std::string value, Version version, Term term);
 
-/// What a publisher asks for: a new value, or the removal of the entry.
+/// An edit as requested by a publisher: a new value, or the removal of the entry if `value` is empty.
 struct Edit {
   EntryKey key;
   std::optional<std::string> value;
 };
 
-/// An edit as the log holds it. Of a removal only the key, version and term of `entry` mean anything.
+/// An edit as stored in the log. For a removal, only the key, version and term of `entry` are meaningful.
 struct LoggedEdit {
   EntryPointer entry;
   bool removes = false;
 };
 
-/// One version of the log. A record without edits marks the start of a writer's term.
+/// A record of the log. A record without edits is the barrier that starts a writer's term.
 struct ChangeRecord {
   Version version = 0;
   Term term = 0;
-  std::string requestId;  ///< chosen by the publisher; the same id is written once
-  Hash rootHash = 0;      ///< of the whole table once this change is applied
+  std::string requestId;  ///< idempotency key chosen by the publisher; a request id is written at most once
+  Hash rootHash = 0;      ///< of the whole table after this change is applied
   std::vector<LoggedEdit> edits;
 };
 using RecordPointer = std::shared_ptr<const ChangeRecord>;
 
-/// About the bytes of a record or an entry in a message; a little more than the codec takes.
+/// Approximate size in bytes of an entry or a record in a message; slightly more than the codec produces.
 std::size_t approximateBytes(const Entry& entry);
 std::size_t approximateBytes(const ChangeRecord& record);
 
-/// The reason why these edits are no change; nothing when they are one.
-std::optional<std::string> findFault(const std::vector<Edit>& edits);
+/// Returns the reason why the edits do not form a valid change; empty if they do.
+std::optional<std::string> validateEdits(const std::vector<Edit>& edits);
 
 }  // namespace wingslip::distribution
--- a/src/distribution/entry_table.cpp
+++ b/src/distribution/entry_table.cpp
@@ -39,24 +39,24 @@
   const RangePointer& old = ranges_[index];
   range->entries.reserve((old ? old->entries.size() : 0) + 1);
   if (old) *range = *old;
-  const auto place = std::lower_bound(range->entries.begin(), range->entries.end(), entry->key, keyLess);
-  if (place != range->entries.end() && (*place)->key == entry->key) {
-    range->hash -= (*place)->hash;
-    *place = entry;
+  const auto position = std::lower_bound(range->entries.begin(), range->entries.end(), entry->key, keyLess);
+  if (position != range->entries.end() && (*position)->key == entry->key) {
+    range->hash -= (*position)->hash;
+    *position = entry;
   } else {
-    range->entries.insert(place, entry);
+    range->entries.insert(position, entry);
   }
   range->hash += entry->hash;
   replaceRange(index, std::move(range));
 }
 
 void EntryTable::erase(const EntryKey& key) {
-  const EntryPointer held = find(key);
-  if (!held) return;
+  const EntryPointer existing = find(key);
+  if (!existing) return;
   const std::size_t index = rangeOf(key);
   auto range = std::make_shared<Range>(*ranges_[index]);
-  range->hash -= held->hash;
-  std::erase(range->entries, held);
+  range->hash -= existing->hash;
+  std::erase(range->entries, existing);
   if (range->entries.empty()) range = nullptr;
   replaceRange(index, std::move(range));
 }
@@ -73,7 +73,7 @@
 Hash EntryTable::rootHashAfter(const std::vector<LoggedEdit>& edits) const {
   Hash hash = rootHash_;
   for (const LoggedEdit& edit : edits) {
-    if (const EntryPointer held = find(edit.entry->key)) hash -= held->hash;
+    if (const EntryPointer existing = find(edit.entry->key)) hash -= existing->hash;
     if (!edit.removes) hash += edit.entry->hash;
   }
   return hash;
@@ -89,15 +89,15 @@
 }
 
 void EntryTable::replaceRange(std::size_t index, RangePointer range) {
-  RangePointer& place = ranges_[index];
-  if (place) {
-    rootHash_ -= place->hash;
-    size_ -= place->entries.size();
+  RangePointer& slot = ranges_[index];
+  if (slot) {
+    rootHash_ -= slot->hash;
+    size_ -= slot->entries.size();
   }
-  place = std::move(range);
-  if (place) {
-    rootHash_ += place->hash;
-    size_ += place->entries.size();
+  slot = std::move(range);
+  if (slot) {
+    rootHash_ += slot->hash;
+    size_ += slot->entries.size();
   }
 }
 
--- a/src/distribution/entry_table.hpp
+++ b/src/distribution/entry_table.hpp
@@ -1,6 +1,7 @@
-/// The table of entries at one version, divided into ranges by the hash of the key. A range is immutable and
-/// replaced when an entry of it changes: a copy of the table costs one pointer a range, a change costs the
-/// pointers of one range. Hashes of ranges and of the whole are kept with each change, never computed anew.
+/// Table of entries at one version, partitioned into ranges by the hash of the key. A range is immutable and
+/// is replaced when one of its entries changes: copying the table copies one pointer per range, and a change
+/// copies the pointers of one range. The hashes of the ranges and of the table are updated incrementally with
+/// each change and never recomputed from all entries.
 #pragma once
 
 #include <functional>
@@ -9,37 +10,45 @@
 
 namespace wingslip::distribution {
 
-/// The entries of one range in the order of their keys. `hash`: the sum of their hashes.
+/// Entries of one range, sorted by key. `hash` is the sum of their hashes.
 struct Range {
   Hash hash = 0;
   std::vector<EntryPointer> entries;
 };
 using RangePointer = std::shared_ptr<const Range>;
 
-/// Sorts the entries and sums their hashes.
+/// Builds a range: sorts the entries and sums their hashes. Returns null if there are no entries.
 RangePointer makeRange(std::vector<EntryPointer> entries);
 
+/// Copy-on-write hash-partitioned table. Not thread-safe; copies share their ranges.
 class EntryTable {
  public:
   static constexpr std::size_t kRanges = 1024;
 
+  /// Index of the range of the key, below kRanges.
   static std::size_t rangeOf(const EntryKey& key);
 
-  /// Null when there is none.
+  /// Entry with this key; null if the table has none.
   EntryPointer find(const EntryKey& key) const;
+  /// Inserts the entry, or replaces the one with the same key.
   void put(const EntryPointer& entry);
+  /// Removes the entry with this key, if the table has one.
   void erase(const EntryKey& key);
+  /// Applies all edits of the record.
   void apply(const ChangeRecord& record);
 
-  /// The hash of the whole once the edits are applied, without applying them. The edits are of distinct keys.
+  /// Hash that the table would have after the edits, without applying them. The keys of the edits must be
+  /// distinct.
   Hash rootHashAfter(const std::vector<LoggedEdit>& edits) const;
 
+  /// Hash of the whole table: the sum of the hashes of its ranges.
   Hash rootHash() const { return rootHash_; }
   Hash rangeHash(std::size_t index) const;
   std::vector<Hash> rangeHashes() const;
+  /// Number of entries.
   std::size_t size() const { return size_; }
 
-  /// Null for an empty range.
+  /// Range with this index; null if it is empty.
   const RangePointer& range(std::size_t index) const { return ranges_[index]; }
   void replaceRange(std::size_t index, RangePointer range);
   void forEach(const std::function<void(const EntryPointer&)>& visit) const;
--- a/src/distribution/inbound.hpp
+++ b/src/distribution/inbound.hpp
@@ -1,4 +1,4 @@
-/// Reading of messages that came from a connection, for control replicas and subscribers alike.
+/// Decoding of received messages, shared by control replicas and subscribers.
 #pragma once
 
 #include <cstdint>
@@ -10,7 +10,8 @@
 
 namespace wingslip::distribution {
 
-/// The message in these bytes; nothing, and a line in the log, where they are none.
+/// Decodes a message received from `from`. Returns empty and logs the reason if the bytes are not a valid
+/// message.
 [[nodiscard]] std::optional<Message> decodeOrLog(Milliseconds now, const std::string& from,
                                                  const std::uint8_t* bytes, std::size_t size,
                                                  LimitedLog& log);
--- a/src/distribution/limited_log.hpp
+++ b/src/distribution/limited_log.hpp
@@ -1,4 +1,4 @@
-/// Log lines at a bounded rate; those left out are counted and the count goes with the next line.
+/// Rate-limited log. Suppressed lines are counted, and the next line that is written carries the count.
 #pragma once
 
 #include <functional>
@@ -8,10 +8,12 @@
 
 namespace wingslip::distribution {
 
+/// Owned by a replica or subscriber; `write` receives each line that is not suppressed.
 class LimitedLog {
  public:
   explicit LimitedLog(std::function<void(const std::string&)> write) : write_(std::move(write)) {}
 
+  /// Writes `text`, or counts it as suppressed if the rate limit is reached.
   void line(Milliseconds now, const std::string& text) {
     if (!bucket_.available(now)) {
       ++suppressed_;
--- a/src/distribution/message.cpp
+++ b/src/distribution/message.cpp
@@ -55,7 +55,7 @@
 Message readSubscribe(const json& fields) {
   requireTuple(fields, 3, "Subscribe");
   return Subscribe{readUnsigned(fields[0]), readUnsigned(fields[1]),
-                   readText(fields[2], kMaxBuildBytes, "a build")};
+                   readText(fields[2], kMaxBuildBytes, "build")};
 }
 Message readAcknowledge(const json& fields) {
   requireTuple(fields, 4, "Acknowledge");
@@ -82,14 +82,14 @@
                         readUnsigned(fields[4]),
                         readUnsigned(fields[5]),
                         {}};
-  for (const json& item : requireArray(fields[6], EntryTable::kRanges, "a list of ranges"))
+  for (const json& item : requireArray(fields[6], EntryTable::kRanges, "range list"))
     message.ranges.push_back(readRange(item));
   return message;
 }
 Message readRejection(const json& fields) {
   requireTuple(fields, 2, "Rejection");
   const std::uint64_t code = readUnsigned(fields[0]);
-  if (code >= kRejectionCodes) throw CodecError("an unknown rejection code");
+  if (code >= kRejectionCodes) throw CodecError("unknown rejection code");
   return Rejection{static_cast<RejectionCode>(code), readTime(fields[1])};
 }
 Message readPrepare(const json& fields) {
@@ -120,7 +120,7 @@
 }
 
 using Reader = Message (*)(const json&);
-// In the order of the alternatives of Message.
+// Indexed by the alternative of Message.
 constexpr std::array<Reader, std::variant_size_v<Message>> kReaders{
     readSubscribe, readAcknowledge, readChanges, readRangeRequest,   readRangeContents, readRejection,
     readPrepare,   readPromise,     readAppend,  readAppendResponse, readFetch};
@@ -143,22 +143,22 @@
 }
 
 Message decode(const std::uint8_t* bytes, std::size_t size) {
-  if (size > kMaxMessageBytes) throw CodecError("the message is too large");
-  if (size <= kChecksumBytes) throw CodecError("the message is cut short");
+  if (size > kMaxMessageBytes) throw CodecError("message is too large");
+  if (size <= kChecksumBytes) throw CodecError("message is shorter than its checksum");
   const std::size_t bodySize = size - kChecksumBytes;
   std::uint64_t checksum = 0;
   for (std::size_t i = 0; i < kChecksumBytes; ++i)
     checksum |= static_cast<std::uint64_t>(bytes[bodySize + i]) << (8 * i);
-  if (checksum64(bytes, bodySize) != checksum) throw CodecError("the message is damaged");
+  if (checksum64(bytes, bodySize) != checksum) throw CodecError("message checksum does not match");
   try {
     const json body = parseDocument(bytes, bodySize);
-    requireTuple(body, 3, "the message");
-    if (readUnsigned(body[0]) != kFormat) throw CodecError("a message of another format");
+    requireTuple(body, 3, "message");
+    if (readUnsigned(body[0]) != kFormat) throw CodecError("unsupported message format");
     const std::uint64_t type = readUnsigned(body[1]);
-    if (type >= kReaders.size()) throw CodecError("an unknown type of message");
+    if (type >= kReaders.size()) throw CodecError("unknown message type");
     return kReaders[type](body[2]);
   } catch (const json::exception&) {
-    throw CodecError("the message is malformed");
+    throw CodecError("message is malformed");
   }
 }
 
--- a/src/distribution/message.hpp
+++ b/src/distribution/message.hpp
@@ -1,6 +1,6 @@
-/// The messages between control replicas and subscribers, and their encoding: CBOR with a checksum, within
-/// limits. The sender is known from the connection. The order of the alternatives of `Message` is part of the
-/// format.
+/// Messages between control replicas and subscribers, and their encoding: CBOR with a checksum and limits on
+/// sizes. A message does not name its sender, which is known from the connection. The order of the
+/// alternatives of `Message` is part of the wire format.
 #pragma once
 
 #include <variant>
@@ -17,22 +17,23 @@
 inline constexpr std::size_t kMaxReasonBytes = 200;
 inline constexpr std::size_t kMaxBuildBytes = 64;
 
-/// Subscriber to replica: send me the changes after this version.
+/// Subscriber to replica: requests the changes after `version`.
 struct Subscribe {
   Version version = 0;
   Term term = 0;  ///< of the record at `version`
   std::string build;
 };
 
-/// A change whose entries the subscriber's build does not accept; its old entries stay in effect.
+/// A change with an entry that the subscriber's build does not accept. The previous entries stay in effect.
 struct RejectedChange {
   Version version = 0;
   std::string reason;
   bool operator==(const RejectedChange&) const = default;
 };
 
-/// Subscriber to replica: everything up to `version` is processed, these changes were rejected. Also the sign
-/// that the subscriber lives. `transfer` and `nextPart`: of a transfer under way, else 0.
+/// Subscriber to replica: all records up to `version` are processed, and `rejectedChanges` were rejected.
+/// Also serves as the subscriber's heartbeat. `transfer` and `nextPart` refer to the transfer in progress, or
+/// are 0.
 struct Acknowledge {
   Version version = 0;
   std::uint64_t transfer = 0;
@@ -40,31 +41,31 @@
   std::vector<RejectedChange> rejectedChanges;
 };
 
-/// Replica to subscriber, or in answer to Fetch: committed records that follow `previousVersion`. Without
-/// records: the sign that the replica lives, with its position.
+/// Replica to subscriber, or in response to Fetch: committed records that follow `previousVersion`. Without
+/// records: a heartbeat that carries the replica's position in the log.
 struct Changes {
   Version previousVersion = 0;
   Term previousTerm = 0;
   std::vector<RecordPointer> records;
   Version committed = 0;
-  Hash rootHash = 0;            ///< of the replica's table at `committed`
-  Milliseconds writerTime = 0;  ///< Unix time of the newest round of a writer that is known
+  Hash rootHash = 0;            ///< hash of the replica's table at `committed`
+  Milliseconds writerTime = 0;  ///< Unix time of the newest append round known to have majority responses
 };
 
-/// Asks for the ranges in which the table with these hashes differs from the replica's.
+/// Requests the ranges in which the replica's table differs from the table with these hashes.
 struct RangeRequest {
   Version version = 0;
   Term term = 0;
-  std::uint64_t transfer = 0;  ///< chosen by the asker, not 0
-  std::vector<Hash> hashes;    ///< EntryTable::kRanges of them; none: the asker holds nothing
+  std::uint64_t transfer = 0;  ///< id of the transfer, chosen by the requester; not 0
+  std::vector<Hash> hashes;    ///< EntryTable::kRanges hashes; empty if the requester has no entries
 };
 
 struct RangeContent {
   std::uint32_t index = 0;
-  RangePointer range;  ///< null: empty
+  RangePointer range;  ///< null if the range is empty
 };
 
-/// A part of a transfer: ranges of the table at one version. All parts of a transfer say the same version.
+/// A part of a transfer: ranges of the table at one version. All parts of a transfer have the same version.
 struct RangeContents {
   std::uint64_t transfer = 0;
   std::uint32_t part = 0;
@@ -76,29 +77,32 @@
 };
 
 enum class RejectionCode : std::uint8_t {
-  behindHorizon,     ///< the asker's version was compacted away: ask by ranges
-  subscriberAhead,   ///< this replica lags behind the asker
-  differentHistory,  ///< the asker's version has another term here
-  busy,              ///< too many transfers under way
+  behindHorizon,     ///< the requester's version was compacted away: it must send a RangeRequest
+  subscriberAhead,   ///< this replica lags behind the requester
+  differentHistory,  ///< the requester's version has a different term in this replica's log
+  busy,              ///< too many transfers in progress, or too many sessions
   notServing,        ///< this replica's own copy is being repaired
 };
 inline constexpr std::size_t kRejectionCodes = 5;
+/// Name of the code for log lines.
 const char* nameOf(RejectionCode code);
 
+/// Replica to subscriber, or to another replica: the request was not served.
 struct Rejection {
   RejectionCode code = RejectionCode::busy;
-  Milliseconds retryAfter = 0;
+  Milliseconds retryAfter = 0;  ///< 0 except for `busy`
 };
 
-/// Writer to replicas: promise to reject older terms than this one (Paxos' prepare).
+/// Writer to replicas: requests a promise to reject terms older than `term` (the prepare phase of Paxos).
 struct Prepare {
   Term term = 0;
   Version committed = 0;
 };
 
-/// Answer to Prepare. `records`: the promiser's log after `committed` of Prepare.
+/// Response to Prepare. `records` are those after `committed` of Prepare, as many as fit into a message;
+/// empty if they were compacted away.
 struct Promise {
-  Term term = 0;  ///< the highest that the promiser has promised
+  Term term = 0;  ///< the highest term promised by the replica
   bool accepted = false;
   Version lastVersion = 0;
   Term lastTerm = 0;
@@ -106,25 +110,26 @@
   std::vector<RecordPointer> records;
 };
 
-/// Writer to replicas: records that follow `previousVersion`; none: a heartbeat.
+/// Writer to replicas: records that follow `previousVersion`, or a heartbeat without records.
 struct Append {
   Term term = 0;
   Version previousVersion = 0;
   Term previousTerm = 0;
   std::vector<RecordPointer> records;
   Version committed = 0;
-  Milliseconds writerTime = 0;  ///< Unix time of the newest round that a majority has answered
+  Milliseconds writerTime = 0;  ///< Unix time of the newest round that a majority has responded to
   Milliseconds sentAt = 0;      ///< Unix time of this round
 };
 
+/// Response to Append.
 struct AppendResponse {
   Term term = 0;
   bool accepted = false;
-  Version version = 0;      ///< accepted: the log agrees up to here; else: send what follows this
-  Milliseconds sentAt = 0;  ///< of the Append that is answered
+  Version version = 0;  ///< if accepted, the log matches up to here; otherwise, append from the next version
+  Milliseconds sentAt = 0;  ///< copied from the Append
 };
 
-/// Replica to replica: answer once with the committed records after this version.
+/// Replica to replica: requests a single Changes with the committed records after `version`.
 struct Fetch {
   Version version = 0;
   Term term = 0;
@@ -133,8 +138,9 @@
 using Message = std::variant<Subscribe, Acknowledge, Changes, RangeRequest, RangeContents, Rejection, Prepare,
                              Promise, Append, AppendResponse, Fetch>;
 
+/// Encodes the message with its checksum.
 std::vector<std::uint8_t> encode(const Message& message);
-/// @throws CodecError on anything but a message of this format.
+/// @throws CodecError if the bytes are not a valid message of this format.
 Message decode(const std::uint8_t* bytes, std::size_t size);
 
 }  // namespace wingslip::distribution
--- a/src/distribution/placement.cpp
+++ b/src/distribution/placement.cpp
@@ -9,10 +9,11 @@
 namespace wingslip::distribution {
 namespace {
 
-enum class Distance : unsigned { sameZone, sameRegion, elsewhere };
+// In order of preference.
+enum class Distance : unsigned { sameZone, sameRegion, otherRegion };
 
 Distance distanceOf(const Location& a, const Location& b) {
-  if (a.region != b.region) return Distance::elsewhere;
+  if (a.region != b.region) return Distance::otherRegion;
   return a.zone == b.zone ? Distance::sameZone : Distance::sameRegion;
 }
 
--- a/src/distribution/placement.hpp
+++ b/src/distribution/placement.hpp
@@ -1,5 +1,6 @@
-/// Which control replicas a subscriber asks, in which order: those of its zone, then of its region, then any.
-/// Among equals a rendezvous hash decides, so that the subscribers of a lost replica spread evenly.
+/// Order in which a subscriber tries the control replicas: those of its zone first, then those of its region,
+/// then the others. Rendezvous hashing orders the replicas of a tier, so that the subscribers of a failed
+/// replica are spread evenly over the others.
 #pragma once
 
 #include <string>
@@ -7,16 +8,19 @@
 
 namespace wingslip::distribution {
 
+/// Location of a replica or subscriber.
 struct Location {
   std::string region;
   std::string zone;
 };
 
+/// A control replica that subscribers can connect to.
 struct ReplicaAddress {
   std::string name;
   Location location;
 };
 
+/// Names of all replicas in the order in which `subscriber` tries them.
 std::vector<std::string> orderReplicas(const std::string& subscriber, const Location& location,
                                        const std::vector<ReplicaAddress>& replicas);
 
--- a/src/distribution/record_codec.cpp
+++ b/src/distribution/record_codec.cpp
@@ -14,7 +14,7 @@
 }
 
 LoggedEdit readEdit(const json& value, Version version, Term term) {
-  const json& fields = requireTuple(value, 3, "an edit");
+  const json& fields = requireTuple(value, 3, "edit");
   LoggedEdit edit;
   edit.removes = fields[2].is_null();
   edit.entry =
@@ -31,20 +31,20 @@
 void requireDistinctKeys(const std::vector<LoggedEdit>& edits) {
   for (std::size_t i = 0; i < edits.size(); ++i)
     for (std::size_t j = 0; j < i; ++j)
-      if (edits[i].entry->key == edits[j].entry->key) throw CodecError("two edits of one entry");
+      if (edits[i].entry->key == edits[j].entry->key) throw CodecError("duplicate entry key in a record");
 }
 
 RecordPointer readRecord(const json& value) {
-  const json& fields = requireTuple(value, 5, "a record");
+  const json& fields = requireTuple(value, 5, "record");
   auto record = std::make_shared<ChangeRecord>();
   record->version = readUnsigned(fields[0]);
   record->term = readUnsigned(fields[1]);
-  record->requestId = readText(fields[2], kMaxRequestIdBytes, "a request id");
+  record->requestId = readText(fields[2], kMaxRequestIdBytes, "request id");
   record->rootHash = readUnsigned(fields[3]);
-  for (const json& edit : requireArray(fields[4], kMaxEditsPerChange, "a list of edits"))
+  for (const json& edit : requireArray(fields[4], kMaxEditsPerChange, "edit list"))
     record->edits.push_back(readEdit(edit, record->version, record->term));
   requireDistinctKeys(record->edits);
-  if (record->version == 0 || record->term == 0) throw CodecError("a record without version or term");
+  if (record->version == 0 || record->term == 0) throw CodecError("record version or term is 0");
   return record;
 }
 
@@ -56,7 +56,7 @@
 }
 
 EntryPointer readEntry(const json& value) {
-  const json& fields = requireTuple(value, 5, "an entry");
+  const json& fields = requireTuple(value, 5, "entry");
   return makeEntry(readKey(fields[0], fields[1]), readValue(fields[2]), readUnsigned(fields[3]),
                    readUnsigned(fields[4]));
 }
@@ -69,12 +69,14 @@
 
 std::vector<RecordPointer> readRecords(const json& value, std::size_t maxRecords) {
   std::vector<RecordPointer> records;
-  for (const json& item : requireArray(value, maxRecords, "a list of records")) {
+  for (const json& item : requireArray(value, maxRecords, "record list")) {
     records.push_back(readRecord(item));
     if (records.size() < 2) continue;
-    const ChangeRecord& before = *records[records.size() - 2];
-    if (records.back()->version != before.version + 1) throw CodecError("records out of order");
-    if (records.back()->term < before.term) throw CodecError("a record of an older term than the one before");
+    const ChangeRecord& previous = *records[records.size() - 2];
+    if (records.back()->version != previous.version + 1)
+      throw CodecError("record versions are not consecutive");
+    if (records.back()->term < previous.term)
+      throw CodecError("record term is older than that of the previous record");
   }
   return records;
 }
@@ -88,22 +90,22 @@
 
 std::vector<EntryPointer> readEntries(const json& value, std::size_t maxEntries) {
   std::vector<EntryPointer> entries;
-  for (const json& item : requireArray(value, maxEntries, "a list of entries"))
-    entries.push_back(readEntry(item));
+  for (const json& item : requireArray(value, maxEntries, "entry list")) entries.push_back(readEntry(item));
   return entries;
 }
 
 RangeContent readRange(const json& value) {
-  const json& fields = requireTuple(value, 2, "a range");
+  const json& fields = requireTuple(value, 2, "range");
   RangeContent content;
   content.index = readUint32(fields[0]);
-  if (content.index >= EntryTable::kRanges) throw CodecError("no such range");
+  if (content.index >= EntryTable::kRanges) throw CodecError("range index is out of bounds");
   content.range = makeRange(readEntries(fields[1], kMaxEntriesPerRange));
   if (!content.range) return content;
   const auto& entries = content.range->entries;
   for (std::size_t i = 0; i < entries.size(); ++i) {
-    if (EntryTable::rangeOf(entries[i]->key) != content.index) throw CodecError("an entry of another range");
-    if (i > 0 && entries[i - 1]->key == entries[i]->key) throw CodecError("an entry is there twice");
+    if (EntryTable::rangeOf(entries[i]->key) != content.index)
+      throw CodecError("entry key does not belong to the range");
+    if (i > 0 && entries[i - 1]->key == entries[i]->key) throw CodecError("duplicate entry key in a range");
   }
   return content;
 }
@@ -116,10 +118,11 @@
 }
 
 std::vector<Hash> readHashes(const json& value) {
-  if (!value.is_binary()) throw CodecError("hashes are no byte string");
+  if (!value.is_binary()) throw CodecError("range hashes are not a byte string");
   const auto& bytes = value.get_binary();
   if (bytes.empty()) return {};
-  if (bytes.size() != EntryTable::kRanges * sizeof(Hash)) throw CodecError("a wrong number of hashes");
+  if (bytes.size() != EntryTable::kRanges * sizeof(Hash))
+    throw CodecError("number of range hashes does not match the table");
   std::vector<Hash> hashes(EntryTable::kRanges, 0);
   for (std::size_t i = 0; i < bytes.size(); ++i)
     hashes[i / sizeof(Hash)] |= static_cast<Hash>(bytes[i]) << (8 * (i % sizeof(Hash)));
@@ -135,9 +138,10 @@
 
 std::vector<RejectedChange> readRejectedChanges(const json& value) {
   std::vector<RejectedChange> rejectedChanges;
-  for (const json& item : requireArray(value, kMaxRejectedChanges, "a list of rejected changes")) {
-    requireTuple(item, 2, "a rejected change");
-    rejectedChanges.push_back({readUnsigned(item[0]), readText(item[1], kMaxReasonBytes, "a reason")});
+  for (const json& item : requireArray(value, kMaxRejectedChanges, "list of rejected changes")) {
+    requireTuple(item, 2, "rejected change");
+    rejectedChanges.push_back(
+        {readUnsigned(item[0]), readText(item[1], kMaxReasonBytes, "rejection reason")});
   }
   return rejectedChanges;
 }
--- a/src/distribution/record_codec.hpp
+++ b/src/distribution/record_codec.hpp
@@ -1,5 +1,5 @@
-/// Entries, log records, ranges and hashes as the JSON values that messages and snapshots carry in CBOR.
-/// The readers throw CodecError.
+/// Conversion of entries, log records, ranges and hashes to and from the JSON values that messages and
+/// snapshots encode as CBOR. The readers throw CodecError if a value is not valid.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -17,11 +17,11 @@
 
 EntryPointer readEntry(const nlohmann::json& value);
 std::vector<EntryPointer> readEntries(const nlohmann::json& value, std::size_t maxEntries);
-/// Records whose versions follow each other and whose terms do not decrease.
+/// Requires consecutive versions and terms that do not decrease.
 std::vector<RecordPointer> readRecords(const nlohmann::json& value, std::size_t maxRecords);
-/// A range whose entries are distinct and belong to it.
+/// Requires distinct keys, all of which belong to the range.
 RangeContent readRange(const nlohmann::json& value);
-/// Empty, or one hash for each range of a table.
+/// Requires no hashes, or one for each range of a table.
 std::vector<Hash> readHashes(const nlohmann::json& value);
 std::vector<RejectedChange> readRejectedChanges(const nlohmann::json& value);
 
--- a/src/distribution/rejected_entries.cpp
+++ b/src/distribution/rejected_entries.cpp
@@ -3,7 +3,8 @@
 namespace wingslip::distribution {
 
 void RejectedEntries::add(const EntryKey& key, const EntryPointer& lastKnownGood, Version rejectedVersion) {
-  // The count first: removing the key's older override must not end this rejection.
+  // Incremented first: if the key already has an override of the same version, removing it must not end this
+  // rejection.
   ++entriesByVersion_[rejectedVersion];
   remove(key);
   overrides_[key] = {lastKnownGood, rejectedVersion};
--- a/src/distribution/rejected_entries.hpp
+++ b/src/distribution/rejected_entries.hpp
@@ -1,4 +1,5 @@
-/// The entries of changes that a subscriber's build rejects: what stays in effect in their place, and why.
+/// Entries of changes rejected by a subscriber's build, with the entries that stay in effect in their place
+/// and the reasons.
 #pragma once
 
 #include <map>
@@ -9,34 +10,39 @@
 
 namespace wingslip::distribution {
 
-/// Owned by `Subscriber`. A rejection stands until each entry of its change has a later, accepted change.
+/// Owned by `Subscriber`. A rejection ends once a later, accepted change has written each entry of its
+/// change.
 class RejectedEntries {
  public:
+  /// Replaces an entry of the table.
   struct Override {
-    EntryPointer lastKnownGood;  ///< null: no entry is in effect
+    EntryPointer lastKnownGood;  ///< null if no entry is in effect
     Version rejectedVersion = 0;
   };
 
-  /// Keeps `lastKnownGood` in effect for `key`, in place of what the change of `rejectedVersion` wrote.
+  /// Makes `lastKnownGood` the entry in effect for `key`, instead of the one written by the change of
+  /// `rejectedVersion`.
   void add(const EntryKey& key, const EntryPointer& lastKnownGood, Version rejectedVersion);
-  /// The table's own entry is in effect again.
+  /// Removes the override of `key`: the table's entry is in effect again.
   void remove(const EntryKey& key);
-  /// Cut to kMaxReasonBytes; the newest kMaxRejectedChanges are kept.
+  /// Stores the reason, truncated to kMaxReasonBytes. Only the reasons of the newest kMaxRejectedChanges
+  /// versions are stored.
   void addReason(Version rejectedVersion, const std::string& reason);
 
-  /// Null: the table's entry is in effect.
+  /// Override of `key`; null if the table's entry is in effect.
   [[nodiscard]] const Override* find(const EntryKey& key) const;
-  /// Whether entries of the change of this version are still rejected.
+  /// Whether any entry of the change of this version is still rejected.
   [[nodiscard]] bool containsVersion(Version version) const { return entriesByVersion_.contains(version); }
-  /// Reasons by version.
+  /// Reasons by rejected version.
   [[nodiscard]] const std::map<Version, std::string>& reasons() const { return reasons_; }
-  /// For a snapshot and for acknowledgements.
+  /// Entries for a snapshot.
   [[nodiscard]] std::vector<RejectedEntry> entries() const;
+  /// Reasons for a snapshot and for acknowledgements.
   [[nodiscard]] std::vector<RejectedChange> changes() const;
 
  private:
   std::map<EntryKey, Override> overrides_;
-  std::map<Version, std::size_t> entriesByVersion_;  // number of overrides of each rejected version
+  std::map<Version, std::size_t> entriesByVersion_;  // number of overrides by rejected version
   std::map<Version, std::string> reasons_;
 };
 
--- a/src/distribution/replica_state.cpp
+++ b/src/distribution/replica_state.cpp
@@ -13,7 +13,7 @@
   record->rootHash = latestRootHash();
   for (const Edit& edit : edits) {
     LoggedEdit logged{makeEntry(edit.key, edit.value.value_or(""), record->version, term), !edit.value};
-    if (const EntryPointer held = findLatest(edit.key)) record->rootHash -= held->hash;
+    if (const EntryPointer existing = findLatest(edit.key)) record->rootHash -= existing->hash;
     if (!logged.removes) record->rootHash += logged.entry->hash;
     record->edits.push_back(std::move(logged));
   }
@@ -23,9 +23,9 @@
 bool ReplicaState::append(const RecordPointer& record) {
   if (record->version <= committed_)
     return log_.termAt(record->version).value_or(record->term) == record->term;
-  const std::optional<Term> held = log_.termAt(record->version);
-  if (held == record->term) return true;
-  if (held) log_.truncateAfter(record->version - 1);
+  const std::optional<Term> existingTerm = log_.termAt(record->version);
+  if (existingTerm == record->term) return true;
+  if (existingTerm) log_.truncateAfter(record->version - 1);
   return log_.append(record);
 }
 
--- a/src/distribution/snapshot.cpp
+++ b/src/distribution/snapshot.cpp
@@ -28,7 +28,7 @@
 }
 
 RejectedEntry readRejectedEntry(const json& value) {
-  const json& fields = requireTuple(value, 4, "a rejected entry");
+  const json& fields = requireTuple(value, 4, "rejected entry");
   RejectedEntry rejected{readKey(fields[0], fields[1]), nullptr, readUnsigned(fields[3])};
   if (!fields[2].is_null()) rejected.lastKnownGood = readEntry(fields[2]);
   return rejected;
@@ -44,23 +44,23 @@
 }
 
 Snapshot readSnapshot(const json& body) {
-  const json& fields = requireTuple(body, 11, "a snapshot");
+  const json& fields = requireTuple(body, 11, "snapshot");
   Snapshot out;
   out.version = readUnsigned(fields[0]);
   out.term = readUnsigned(fields[1]);
   out.table = readTable(fields[3]);
   if (out.table.rootHash() != readUnsigned(fields[2]))
-    throw CodecError("the snapshot's table has another hash");
-  for (const json& rejected : requireArray(fields[4], SIZE_MAX, "a list of rejected entries"))
+    throw CodecError("snapshot table does not match its root hash");
+  for (const json& rejected : requireArray(fields[4], SIZE_MAX, "list of rejected entries"))
     out.rejectedEntries.push_back(readRejectedEntry(rejected));
   out.promisedTerm = readUnsigned(fields[5]);
   out.logBase = readUnsigned(fields[6]);
   out.logBaseTerm = readUnsigned(fields[7]);
   out.records = readRecords(fields[8], SIZE_MAX);
   out.rejectedChanges = readRejectedChanges(fields[9]);
-  out.build = readText(fields[10], kMaxBuildBytes, "a build");
+  out.build = readText(fields[10], kMaxBuildBytes, "build");
   if (!out.records.empty() && out.records.front()->version != out.logBase + 1)
-    throw CodecError("the snapshot's log does not follow its base");
+    throw CodecError("snapshot log does not start after its base");
   return out;
 }
 
@@ -82,21 +82,21 @@
 }
 
 Snapshot decodeSnapshot(const std::string& bytes) {
-  if (bytes.size() > kMaxSnapshotBytes) throw CodecError("the snapshot is too large");
+  if (bytes.size() > kMaxSnapshotBytes) throw CodecError("snapshot is too large");
   const std::size_t headerEnd = bytes.find('\n');
   if (bytes.rfind(kMagic, 0) != 0 || headerEnd >= kMaxHeaderBytes)
-    throw CodecError("no snapshot of this format");
+    throw CodecError("not a snapshot, or an unsupported format");
   unsigned long long checksum = 0;
   std::size_t size = 0;
   if (std::sscanf(bytes.c_str() + std::strlen(kMagic), "%16llx %zu", &checksum, &size) != 2)
-    throw CodecError("the snapshot's first line is malformed");
-  if (bytes.size() - headerEnd - 1 != size) throw CodecError("the snapshot is cut short or too long");
+    throw CodecError("snapshot header is malformed");
+  if (bytes.size() - headerEnd - 1 != size) throw CodecError("snapshot length does not match its header");
   const auto* body = reinterpret_cast<const std::uint8_t*>(bytes.data()) + headerEnd + 1;
-  if (checksum64(body, size) != checksum) throw CodecError("the snapshot is damaged");
+  if (checksum64(body, size) != checksum) throw CodecError("snapshot checksum does not match");
   try {
     return readSnapshot(parseDocument(body, size));
   } catch (const json::exception&) {
-    throw CodecError("the snapshot is malformed");
+    throw CodecError("snapshot body is malformed");
   }
 }
 
--- a/src/distribution/subscriber.cpp
+++ b/src/distribution/subscriber.cpp
@@ -7,7 +7,7 @@
 namespace wingslip::distribution {
 namespace {
 
-constexpr unsigned kMaxDoublings = 10;
+constexpr unsigned kMaxBackoffDoublings = 10;
 
 }  // namespace
 
@@ -28,17 +28,17 @@
   table_ = snapshot.table;
   std::vector<EntryPointer> entries;
   table_.forEach([&entries](const EntryPointer& entry) { entries.push_back(entry); });
-  const auto faults = findFaultyVersions(entries);
+  const auto reasons = findRejectedVersions(entries);
   const bool sameBuild = snapshot.build == build_;
   for (const RejectedEntry& rejected : snapshot.rejectedEntries)
-    if (sameBuild || faults.contains(rejected.rejectedVersion))
+    if (sameBuild || reasons.contains(rejected.rejectedVersion))
       rejected_.add(rejected.key, rejected.lastKnownGood, rejected.rejectedVersion);
   for (const EntryPointer& entry : entries)
-    if (faults.contains(entry->version) && !rejected_.find(entry->key))
+    if (reasons.contains(entry->version) && !rejected_.find(entry->key))
       rejected_.add(entry->key, nullptr, entry->version);
   for (const RejectedChange& change : snapshot.rejectedChanges)
     if (rejected_.containsVersion(change.version)) rejected_.addReason(change.version, change.reason);
-  for (const auto& [version, reason] : faults) rejected_.addReason(version, reason);
+  for (const auto& [version, reason] : reasons) rejected_.addReason(version, reason);
 }
 
 Snapshot Subscriber::snapshot() const {
@@ -65,10 +65,10 @@
     return;
   }
   if (state_ == State::connecting) {
-    if (now - subscribedAt_ >= limits_.connectTimeout) fail(now, "no answer");
+    if (now - subscribedAt_ >= limits_.connectTimeout) failOver(now, "connect timeout");
     return;
   }
-  if (now - lastReceivedAt_ >= limits_.silenceTimeout) return fail(now, "silence");
+  if (now - lastReceivedAt_ >= limits_.silenceTimeout) return failOver(now, "silence");
   if (rank_ > 0 && now >= preferredRetryAt_ && !repair_) {
     rank_ = 0;
     return subscribe(now);
@@ -94,7 +94,7 @@
 }
 
 void Subscriber::receive(Milliseconds now, const std::string& from, const Message& message) {
-  if (state_ == State::waiting || from != replica()) return unexpected(now);
+  if (state_ == State::waiting || from != replica()) return reportUnexpected(now);
   std::visit([&](const auto& typed) { handle(now, typed); }, message);
 }
 
@@ -105,7 +105,7 @@
 
 void Subscriber::handle(Milliseconds now, const Changes& message) {
   writerTime_ = std::max(writerTime_, message.writerTime);
-  // Only parts count as life during a repair: the request for them may have been lost.
+  // During a repair only parts reset the silence timeout: the range request may have been lost.
   if (repair_) return;
   lastReceivedAt_ = now;
   if (state_ == State::connecting) {
@@ -117,17 +117,17 @@
   }
   if (message.previousVersion == version_ && message.previousTerm != term_) {
     ++counts_.conflictingHistories;
-    return fail(now, "another history");
+    return failOver(now, "conflicting history");
   }
   std::vector<EffectiveChange> changes;
   RecordOutcome outcome = RecordOutcome::applied;
   const Version before = version_;
   for (const RecordPointer& record : message.records) {
-    outcome = take(*record, changes);
+    outcome = applyRecord(*record, changes);
     if (outcome != RecordOutcome::applied && outcome != RecordOutcome::duplicate) break;
   }
   if (version_ != before) environment_.onChangesApplied(version_, changes);
-  if (outcome == RecordOutcome::conflict) return fail(now, "another history");
+  if (outcome == RecordOutcome::conflict) return failOver(now, "conflicting history");
   const bool sameVersion = version_ == message.committed;
   if (outcome == RecordOutcome::damaged || (sameVersion && table_.rootHash() != message.rootHash)) {
     ++counts_.hashDiffers;
@@ -138,15 +138,15 @@
   if (outcome == RecordOutcome::gap) resubscribe(now);
 }
 
-Subscriber::RecordOutcome Subscriber::take(const ChangeRecord& record,
-                                           std::vector<EffectiveChange>& changes) {
-  const RecordOutcome outcome = check(record);
+Subscriber::RecordOutcome Subscriber::applyRecord(const ChangeRecord& record,
+                                                  std::vector<EffectiveChange>& changes) {
+  const RecordOutcome outcome = checkRecord(record);
   if (outcome != RecordOutcome::applied) return outcome;
-  if (const auto fault = findFault(record)) {
+  if (const auto error = validateRecord(record)) {
     ++counts_.rejectedChanges;
     for (const LoggedEdit& edit : record.edits)
       rejected_.add(edit.entry->key, find(edit.entry->key), record.version);
-    rejected_.addReason(record.version, *fault);
+    rejected_.addReason(record.version, *error);
   } else {
     for (const LoggedEdit& edit : record.edits) {
       rejected_.remove(edit.entry->key);
@@ -160,7 +160,7 @@
   return RecordOutcome::applied;
 }
 
-Subscriber::RecordOutcome Subscriber::check(const ChangeRecord& record) {
+Subscriber::RecordOutcome Subscriber::checkRecord(const ChangeRecord& record) {
   if (record.version == version_ && record.term != term_) {
     ++counts_.conflictingHistories;
     return RecordOutcome::conflict;
@@ -177,35 +177,35 @@
     ++counts_.oldTerms;
     return RecordOutcome::conflict;
   }
-  const bool hashFits = table_.rootHashAfter(record.edits) == record.rootHash;
-  return hashFits ? RecordOutcome::applied : RecordOutcome::damaged;
+  const bool hashMatches = table_.rootHashAfter(record.edits) == record.rootHash;
+  return hashMatches ? RecordOutcome::applied : RecordOutcome::damaged;
 }
 
-std::optional<std::string> Subscriber::findFault(const ChangeRecord& record) const {
+std::optional<std::string> Subscriber::validateRecord(const ChangeRecord& record) const {
   for (const LoggedEdit& edit : record.edits) {
     if (edit.removes) continue;
-    if (auto fault = validator_(*edit.entry)) return fault;
+    if (auto error = validator_(*edit.entry)) return error;
   }
   return std::nullopt;
 }
 
 void Subscriber::handle(Milliseconds now, const RangeContents& message) {
   lastReceivedAt_ = now;
-  if (!repair_) return unexpected(now);
-  const TransferStep step = repair_->take(message);
+  if (!repair_) return reportUnexpected(now);
+  const TransferStep step = repair_->receivePart(message);
   if (step == TransferStep::damaged) {
     ++counts_.repairsDamaged;
     repair_.reset();
     staged_.reset();
-    return fail(now, "a damaged transfer");
+    return failOver(now, "inconsistent transfer data");
   }
   acknowledge(now);
   if (step != TransferStep::complete) return;
-  const std::unique_ptr<TransferReceiver> done = std::move(repair_);
+  const std::unique_ptr<TransferReceiver> completed = std::move(repair_);
   staged_.reset();
-  if (done->version() < version_) return fail(now, "an old transfer");
+  if (completed->version() < version_) return failOver(now, "transfer older than this copy");
   ++counts_.repairsDone;
-  adopt(done->table(), done->version(), done->term());
+  adoptTable(completed->table(), completed->version(), completed->term());
   subscribe(now);
 }
 
@@ -213,7 +213,7 @@
   lastReceivedAt_ = now;
   if (message.code == RejectionCode::behindHorizon && !repair_) return requestRepair(now);
   if (message.code == RejectionCode::differentHistory) ++counts_.conflictingHistories;
-  fail(now, nameOf(message.code));
+  failOver(now, nameOf(message.code));
 }
 
 void Subscriber::subscribe(Milliseconds now) {
@@ -228,16 +228,16 @@
   environment_.send(replica(), Subscribe{version_, term_, build_});
 }
 
-void Subscriber::fail(Milliseconds now, const char* why) {
-  log_.line(now, "event=replica_left replica=" + replica() + " reason=\"" + why + "\"");
-  dropRepair();
+void Subscriber::failOver(Milliseconds now, const char* reason) {
+  log_.line(now, "event=replica_left replica=" + replica() + " reason=\"" + reason + "\"");
+  abortRepair();
   ++counts_.failovers;
   rank_ = (rank_ + 1) % replicas_.size();
-  const Milliseconds most =
-      std::min(limits_.backoffCap, limits_.backoffBase << std::min(attempts_, kMaxDoublings));
+  const Milliseconds maxDelay =
+      std::min(limits_.backoffCap, limits_.backoffBase << std::min(attempts_, kMaxBackoffDoublings));
   ++attempts_;
   state_ = State::waiting;
-  connectAt_ = now + std::uniform_int_distribution<Milliseconds>(0, most)(random_);
+  connectAt_ = now + std::uniform_int_distribution<Milliseconds>(0, maxDelay)(random_);
 }
 
 void Subscriber::acknowledge(Milliseconds now) {
@@ -266,28 +266,28 @@
   environment_.send(replica(), std::move(request));
 }
 
-void Subscriber::dropRepair() {
+void Subscriber::abortRepair() {
   if (!repair_) return;
   staged_ = repair_->table();
   repair_.reset();
 }
 
-void Subscriber::unexpected(Milliseconds now) {
+void Subscriber::reportUnexpected(Milliseconds now) {
   ++counts_.unexpected;
   log_.line(now, "event=message_unexpected");
 }
 
-void Subscriber::adopt(const EntryTable& table, Version version, Term term) {
+void Subscriber::adoptTable(const EntryTable& table, Version version, Term term) {
   std::vector<EffectiveChange> changes;
   std::vector<EntryPointer> entries;
   for (std::size_t i = 0; i < EntryTable::kRanges; ++i)
     if (table_.rangeHash(i) != table.rangeHash(i))
       compareRange(table_.range(i), table.range(i), entries, changes);
-  const auto faults = findFaultyVersions(entries);
+  const auto reasons = findRejectedVersions(entries);
   for (const EntryPointer& entry : entries) {
-    if (faults.contains(entry->version)) {
+    if (reasons.contains(entry->version)) {
       rejected_.add(entry->key, find(entry->key), entry->version);
-      rejected_.addReason(entry->version, faults.at(entry->version));
+      rejected_.addReason(entry->version, reasons.at(entry->version));
       continue;
     }
     rejected_.remove(entry->key);
@@ -301,29 +301,29 @@
 
 void Subscriber::compareRange(const RangePointer& before, const RangePointer& after,
                               std::vector<EntryPointer>& entries, std::vector<EffectiveChange>& changes) {
-  std::map<EntryKey, Hash> old;
+  std::map<EntryKey, Hash> previousHashes;
   if (before)
-    for (const EntryPointer& entry : before->entries) old[entry->key] = entry->hash;
+    for (const EntryPointer& entry : before->entries) previousHashes[entry->key] = entry->hash;
   if (after) {
     for (const EntryPointer& entry : after->entries) {
-      const auto held = old.find(entry->key);
-      const bool same = held != old.end() && held->second == entry->hash;
-      if (held != old.end()) old.erase(held);
-      if (!same) entries.push_back(entry);
+      const auto previous = previousHashes.find(entry->key);
+      const bool unchanged = previous != previousHashes.end() && previous->second == entry->hash;
+      if (previous != previousHashes.end()) previousHashes.erase(previous);
+      if (!unchanged) entries.push_back(entry);
     }
   }
-  for (const auto& [key, hash] : old) {
+  for (const auto& [key, hash] : previousHashes) {
     rejected_.remove(key);
     changes.push_back({key, nullptr});
   }
 }
 
-std::map<Version, std::string> Subscriber::findFaultyVersions(
+std::map<Version, std::string> Subscriber::findRejectedVersions(
     const std::vector<EntryPointer>& entries) const {
-  std::map<Version, std::string> faults;
+  std::map<Version, std::string> reasons;
   for (const EntryPointer& entry : entries)
-    if (auto fault = validator_(*entry)) faults.emplace(entry->version, std::move(*fault));
-  return faults;
+    if (auto error = validator_(*entry)) reasons.emplace(entry->version, std::move(*error));
+  return reasons;
 }
 
 }  // namespace wingslip::distribution
--- a/src/distribution/subscriber.hpp
+++ b/src/distribution/subscriber.hpp
@@ -1,6 +1,7 @@
-/// A gatekeeper's copy of the configuration: subscribes at a control replica from the version it holds, takes
-/// changes in order, reports those that its build rejects, repairs by ranges what differs. Without I/O, clock
-/// or threads: messages and time in, messages and changes of what is in effect out.
+/// A gatekeeper's copy of the configuration. Subscribes to a control replica from its current version,
+/// applies changes in order, reports those that its build rejects, and repairs differing ranges. Does no I/O
+/// and has no clock or threads: its inputs are messages and the time, its outputs are messages and changes of
+/// the entries in effect.
 #pragma once
 
 #include <functional>
@@ -14,25 +15,27 @@
 
 namespace wingslip::distribution {
 
+/// Timeouts and intervals of a subscriber, in milliseconds.
 struct SubscriberLimits {
-  Milliseconds connectTimeout = 2'000;  ///< no answer to Subscribe: the next replica is asked
-  Milliseconds silenceTimeout = 7'000;  ///< no message from the replica: the next one is asked
+  Milliseconds connectTimeout = 2'000;  ///< without a response to Subscribe, it fails over
+  Milliseconds silenceTimeout = 7'000;  ///< without a message from the replica, it fails over
   Milliseconds acknowledgeInterval = 10'000;
-  Milliseconds resubscribeInterval = 1'000;  ///< at most one a time after gaps
-  Milliseconds backoffBase = 500;  ///< full jitter: a wait of 0 to base * 2^attempts, at most the cap
+  Milliseconds resubscribeInterval = 1'000;  ///< minimum time between two Subscribe messages after gaps
+  Milliseconds backoffBase = 500;            ///< full jitter: waits 0 to base * 2^attempts, at most the cap
   Milliseconds backoffCap = 10'000;
-  /// Away from the preferred replica, it is tried again after one to two of these intervals.
+  /// While connected to another replica, the subscriber retries the preferred one after one to two intervals.
   Milliseconds preferredRetryInterval = 300'000;
 };
 
+/// Event counters of a subscriber.
 struct SubscriberCounts {
-  std::uint64_t applied = 0;          ///< changes, also the rejected ones
+  std::uint64_t applied = 0;          ///< changes, including rejected ones
   std::uint64_t rejectedChanges = 0;  ///< not accepted by this build
-  std::uint64_t duplicates = 0;       ///< records held already
-  std::uint64_t gaps = 0;             ///< records that do not follow
-  std::uint64_t oldTerms = 0;         ///< records of an older term than the held one
+  std::uint64_t duplicates = 0;       ///< records already applied
+  std::uint64_t gaps = 0;             ///< records that do not follow the current version
+  std::uint64_t oldTerms = 0;         ///< records of an older term than the last record
   std::uint64_t conflictingHistories = 0;
-  std::uint64_t hashDiffers = 0;  ///< a copy that differs from the replica's
+  std::uint64_t hashDiffers = 0;  ///< times the copy differed from the replica's
   std::uint64_t malformed = 0;
   std::uint64_t unexpected = 0;
   std::uint64_t repairs = 0;
@@ -41,48 +44,59 @@
   std::uint64_t failovers = 0;
 };
 
-/// An entry that is in effect from now on; null: none is.
+/// An entry that comes into effect; `entry` is null if no entry is in effect any more.
 struct EffectiveChange {
   EntryKey key;
   EntryPointer entry;
 };
 
+/// Not thread-safe. The owner drives it by `receive` and by `tick` at `nextTickAt`.
 class Subscriber {
  public:
+  /// Interface to the process that owns the subscriber; must outlive it.
   class Environment {
    public:
     virtual ~Environment() = default;
     virtual void send(const std::string& replica, Message message) = 0;
-    /// Takes effect as a whole, between two requests.
+    /// The changes must take effect atomically, between two requests.
     virtual void onChangesApplied(Version version, const std::vector<EffectiveChange>& changes) = 0;
     virtual void log(const std::string& line) = 0;
   };
-  /// The reason why this build does not accept the entry; nothing when it does.
+  /// Returns the reason why this build does not accept the entry; empty if it does.
   using Validator = std::function<std::optional<std::string>(const Entry&)>;
 
-  /// `replicas`: in the order in which they are asked (placement.hpp); at least one.
+  /// `replicas` are in the order in which they are tried (placement.hpp); at least one.
   Subscriber(const SubscriberLimits& limits, const std::vector<std::string>& replicas,
              const std::string& build, Validator validator, std::uint64_t seed, Environment& environment);
 
-  /// What was on disk, before `start`. Entries that this build rejects do not take effect.
+  /// Restores the persisted state; must be called before `start`. Entries that this build rejects do not take
+  /// effect.
   void restore(const Snapshot& snapshot);
+  /// State to persist.
   Snapshot snapshot() const;
 
+  /// Makes the subscriber connect with the next tick.
   void start(Milliseconds now);
+  /// Sends due messages and checks timeouts.
   void tick(Milliseconds now);
-  /// When `tick` has something to do next.
+  /// Time at which `tick` must be called next.
   Milliseconds nextTickAt() const;
+  /// Decodes and handles a message from `from`; counts and logs bytes that are not a valid message.
   void receiveBytes(Milliseconds now, const std::string& from, const std::uint8_t* bytes, std::size_t size);
   void receive(Milliseconds now, const std::string& from, const Message& message);
 
-  /// The entry in effect; null when there is none.
+  /// Entry in effect; null if there is none.
   EntryPointer find(const EntryKey& key) const;
   Version version() const { return version_; }
   Term term() const { return term_; }
+  /// Table as in the log, including entries of rejected changes.
   const EntryTable& table() const { return table_; }
+  /// Reasons by rejected version.
   const std::map<Version, std::string>& rejectedChanges() const { return rejected_.reasons(); }
-  /// Unix time up to which a writer is known to have answered: how stale this copy can be.
+  /// Unix time of the newest append round known to have responses of a majority: it bounds the
+  /// staleness of this copy.
   Milliseconds writerTime() const { return writerTime_; }
+  /// Replica to which the subscriber is connected, or which it tries next.
   const std::string& replica() const { return replicas_[rank_]; }
   bool connected() const { return state_ == State::connected; }
   const SubscriberCounts& counts() const { return counts_; }
@@ -95,29 +109,35 @@
   void handle(Milliseconds now, const Rejection& message);
   template <class Other>
   void handle(Milliseconds now, const Other&) {
-    unexpected(now);
+    reportUnexpected(now);
   }
 
   void subscribe(Milliseconds now);
   void resubscribe(Milliseconds now);
-  // Fails over to the next replica after a random wait.
-  void fail(Milliseconds now, const char* why);
+  // Switches to the next replica and connects to it after a random delay.
+  void failOver(Milliseconds now, const char* reason);
   void acknowledge(Milliseconds now);
+  // Requests the differing ranges, resuming from an interrupted transfer if there is one.
   void requestRepair(Milliseconds now);
-  void dropRepair();
-  void unexpected(Milliseconds now);
+  // Aborts the transfer; its received ranges are reused by the next one.
+  void abortRepair();
+  void reportUnexpected(Milliseconds now);
 
   enum class RecordOutcome { applied, duplicate, gap, conflict, damaged };
-  // Whether the record follows this copy; `applied`: it can be.
-  RecordOutcome check(const ChangeRecord& record);
-  RecordOutcome take(const ChangeRecord& record, std::vector<EffectiveChange>& changes);
-  std::optional<std::string> findFault(const ChangeRecord& record) const;
-  void adopt(const EntryTable& table, Version version, Term term);
-  // Entries of the new range that the old one has not; entries gone from it are released at once.
+  // Checks whether the record is the next one; `applied` means that it can be applied.
+  RecordOutcome checkRecord(const ChangeRecord& record);
+  // Applies the record and adds the entries that come into effect to `changes`.
+  RecordOutcome applyRecord(const ChangeRecord& record, std::vector<EffectiveChange>& changes);
+  // Returns the reason why this build does not accept the record; empty if it does.
+  std::optional<std::string> validateRecord(const ChangeRecord& record) const;
+  // Replaces the table by that of a completed transfer.
+  void adoptTable(const EntryTable& table, Version version, Term term);
+  // Adds new and changed entries of `after` to `entries`, and removed ones to `changes`.
   void compareRange(const RangePointer& before, const RangePointer& after, std::vector<EntryPointer>& entries,
                     std::vector<EffectiveChange>& changes);
-  // Versions of which one entry is not accepted, with the reason: all entries of them are rejected.
-  std::map<Version, std::string> findFaultyVersions(const std::vector<EntryPointer>& entries) const;
+  // Versions with an entry that this build does not accept, with the reason. All entries of these versions
+  // are rejected.
+  std::map<Version, std::string> findRejectedVersions(const std::vector<EntryPointer>& entries) const;
 
   const SubscriberLimits limits_;
   const std::vector<std::string> replicas_;
@@ -127,7 +147,7 @@
   std::mt19937_64 random_;
   LimitedLog log_;
 
-  EntryTable table_;  // as the log says, rejected changes included
+  EntryTable table_;  // as in the log, including entries of rejected changes
   Version version_ = 0;
   Term term_ = 0;
   RejectedEntries rejected_;
@@ -136,13 +156,13 @@
   State state_ = State::waiting;
   std::size_t rank_ = 0;
   unsigned attempts_ = 0;
-  Milliseconds connectAt_ = 0;     // waiting: Subscribe is sent then
-  Milliseconds subscribedAt_ = 0;  // of the last Subscribe
+  Milliseconds connectAt_ = 0;     // in State::waiting: when to send Subscribe
+  Milliseconds subscribedAt_ = 0;  // when the last Subscribe was sent
   Milliseconds lastReceivedAt_ = 0;
   Milliseconds acknowledgedAt_ = 0;
   Milliseconds preferredRetryAt_ = 0;
   std::unique_ptr<TransferReceiver> repair_;
-  std::optional<EntryTable> staged_;  // ranges of a transfer that was cut off, to go on from
+  std::optional<EntryTable> staged_;  // table of an interrupted transfer, from which the next one resumes
   SubscriberCounts counts_;
 };
 
--- a/src/distribution/subscriber_sessions.cpp
+++ b/src/distribution/subscriber_sessions.cpp
@@ -35,12 +35,12 @@
   if (found == sessions_.end()) return;
   Session& session = found->second;
   session.lastReceivedAt = now;
-  takeAcknowledgedVersion(now, session, acknowledge.version);
-  takeRejectedChanges(from, session, acknowledge.rejectedChanges);
-  takeAcknowledgedParts(now, session, acknowledge);
+  applyAcknowledgedVersion(now, session, acknowledge.version);
+  reportRejectedChanges(from, session, acknowledge.rejectedChanges);
+  applyAcknowledgedParts(now, session, acknowledge);
 }
 
-void SubscriberSessions::takeAcknowledgedVersion(Milliseconds now, Session& session, Version version) {
+void SubscriberSessions::applyAcknowledgedVersion(Milliseconds now, Session& session, Version version) {
   if (!session.streaming || version <= session.acknowledged || version > state_.committed()) return;
   session.acknowledged = version;
   session.sent = std::max(session.sent, version);
@@ -48,8 +48,8 @@
   session.resendTimeout = limits_.resendTimeout;
 }
 
-void SubscriberSessions::takeRejectedChanges(const std::string& subscriber, Session& session,
-                                             const std::vector<RejectedChange>& changes) {
+void SubscriberSessions::reportRejectedChanges(const std::string& subscriber, Session& session,
+                                               const std::vector<RejectedChange>& changes) {
   if (changes == session.rejectedChanges) return;
   for (const RejectedChange& change : changes) {
     if (std::count(session.rejectedChanges.begin(), session.rejectedChanges.end(), change) > 0) continue;
@@ -59,8 +59,8 @@
   session.rejectedChanges = changes;
 }
 
-void SubscriberSessions::takeAcknowledgedParts(Milliseconds now, Session& session,
-                                               const Acknowledge& acknowledge) {
+void SubscriberSessions::applyAcknowledgedParts(Milliseconds now, Session& session,
+                                                const Acknowledge& acknowledge) {
   if (!session.transfer || acknowledge.transfer != session.transfer->id()) return;
   if (acknowledge.nextPart <= session.acknowledgedParts) return;
   if (acknowledge.nextPart > session.transfer->partCount()) return;
@@ -99,7 +99,7 @@
 
 void SubscriberSessions::receive(const std::string& from, const Fetch& fetch) {
   if (const auto rejection = findRejection(fetch.version, fetch.term)) return reject(from, *rejection);
-  Changes changes = position();
+  Changes changes = changesWithoutRecords();
   changes.previousVersion = fetch.version;
   changes.previousTerm = fetch.term;
   changes.records = state_.log().after(fetch.version, state_.committed(), limits_.maxChangesBytes);
@@ -107,36 +107,36 @@
 }
 
 void SubscriberSessions::tick(Milliseconds now) {
-  const bool flush = now >= nextFlush_;
-  if (flush) nextFlush_ = now + limits_.batchInterval;
-  for (auto item = sessions_.begin(); item != sessions_.end();) {
-    const std::string& name = item->first;
-    Session& session = item->second;
+  const bool flush = now >= nextFlushAt_;
+  if (flush) nextFlushAt_ = now + limits_.batchInterval;
+  for (auto current = sessions_.begin(); current != sessions_.end();) {
+    const std::string& name = current->first;
+    Session& session = current->second;
     if (now - session.lastReceivedAt > limits_.sessionTimeout) {
       endTransfer(session);
       ++counts_.sessionsExpired;
-      item = sessions_.erase(item);
+      current = sessions_.erase(current);
       continue;
     }
     if (!serving_) {
-      ++item;
+      ++current;
       continue;
     }
-    resendIfStuck(now, session);
+    resendIfStalled(now, session);
     if (session.transfer) sendParts(now, name, session);
     if (session.streaming && flush) sendChanges(now, name, session);
     if (session.streaming && now - session.sentAt >= limits_.heartbeatInterval)
       sendHeartbeat(now, name, session);
-    ++item;
+    ++current;
   }
 }
 
 std::optional<RejectionCode> SubscriberSessions::findRejection(Version version, Term term) const {
   if (!serving_) return RejectionCode::notServing;
   if (version > state_.committed()) return RejectionCode::subscriberAhead;
-  const std::optional<Term> held = state_.log().termAt(version);
-  if (!held) return RejectionCode::behindHorizon;
-  if (*held != term) return RejectionCode::differentHistory;
+  const std::optional<Term> termHere = state_.log().termAt(version);
+  if (!termHere) return RejectionCode::behindHorizon;
+  if (*termHere != term) return RejectionCode::differentHistory;
   return std::nullopt;
 }
 
@@ -178,10 +178,10 @@
   --transfers_;
 }
 
-void SubscriberSessions::resendIfStuck(Milliseconds now, Session& session) {
-  const bool changesStuck = session.streaming && session.sent > session.acknowledged;
-  const bool partsStuck = session.transfer && session.sentParts > session.acknowledgedParts;
-  if (!changesStuck && !partsStuck) {
+void SubscriberSessions::resendIfStalled(Milliseconds now, Session& session) {
+  const bool changesStalled = session.streaming && session.sent > session.acknowledged;
+  const bool partsStalled = session.transfer && session.sentParts > session.acknowledgedParts;
+  if (!changesStalled && !partsStalled) {
     session.progressAt = now;
     return;
   }
@@ -213,7 +213,7 @@
   }
   const Version last = std::min(state_.committed(), session.acknowledged + limits_.maxRecordsInFlight);
   while (session.sent < last && session.bucket.available(now)) {
-    Changes changes = position();
+    Changes changes = changesWithoutRecords();
     changes.previousVersion = session.sent;
     changes.previousTerm = state_.log().termAt(session.sent).value_or(0);
     changes.records = state_.log().after(session.sent, last, limits_.maxChangesBytes);
@@ -233,13 +233,13 @@
   session.bucket.take(now, kHeartbeatBytes);
   session.sentAt = now;
   ++counts_.heartbeatsSent;
-  Changes changes = position();
+  Changes changes = changesWithoutRecords();
   changes.previousVersion = session.sent;
   changes.previousTerm = state_.log().termAt(session.sent).value_or(0);
   send_(name, std::move(changes));
 }
 
-Changes SubscriberSessions::position() const {
+Changes SubscriberSessions::changesWithoutRecords() const {
   Changes changes;
   changes.committed = state_.committed();
   changes.rootHash = state_.table().rootHash();
--- a/src/distribution/subscriber_sessions.hpp
+++ b/src/distribution/subscriber_sessions.hpp
@@ -1,6 +1,6 @@
-/// The subscribers of a control replica. A session holds no queue, only positions in the log: what a slow
-/// subscriber has not taken stays in the log, and past the horizon it is repaired by ranges. Each session
-/// sends within its token bucket and a window of bytes that are not yet acknowledged.
+/// Sessions of the subscribers of a control replica. A session has no queue, only positions in the log: a
+/// slow subscriber is sent its missing records from the log, and beyond the horizon it is repaired by ranges.
+/// Each session is limited by a token bucket and by a window of unacknowledged records or parts.
 #pragma once
 
 #include <functional>
@@ -12,23 +12,25 @@
 
 namespace wingslip::distribution {
 
+/// Limits of the sessions of a control replica; times in milliseconds.
 struct SessionLimits {
-  double bytesPerSecond = 15'500;  ///< to a subscriber
-  double burstBytes = 4 * 1024;
-  double peerBytesPerSecond = 1'000'000;  ///< to another replica
+  double bytesPerSecond = 15'500;         ///< rate limit of a session with a subscriber
+  double burstBytes = 4 * 1024;           ///< capacity of the token bucket of a session
+  double peerBytesPerSecond = 1'000'000;  ///< rate limit of a session with another replica
   std::size_t maxSessions = 8'400;
-  std::size_t maxTransfers = 500;           ///< under way at once; others are rejected as busy
-  Milliseconds batchInterval = 250;         ///< changes of so long are sent together
-  Milliseconds heartbeatInterval = 2'000;   ///< when nothing else is sent
-  Milliseconds resendTimeout = 1'000;       ///< no progress for so long: sent again
-  Milliseconds maxResendTimeout = 16'000;   ///< it doubles up to this while nothing is acknowledged
-  Milliseconds sessionTimeout = 30'000;     ///< no message for so long: the session ends
-  Milliseconds transferRetryTime = 10'000;  ///< sent to those who are rejected as busy
-  std::size_t maxChangesBytes = 16 * 1024;  ///< of the records in a message
-  std::size_t maxRecordsInFlight = 256;     ///< sent and not acknowledged
+  std::size_t maxTransfers = 500;           ///< concurrent transfers; further ones are rejected as busy
+  Milliseconds batchInterval = 250;         ///< changes within this time are sent as a batch
+  Milliseconds heartbeatInterval = 2'000;   ///< sent if no other message was sent for this time
+  Milliseconds resendTimeout = 1'000;       ///< unacknowledged data is resent after this time
+  Milliseconds maxResendTimeout = 16'000;   ///< maximum of the timeout, which doubles with each resend
+  Milliseconds sessionTimeout = 30'000;     ///< a session without a message for this time expires
+  Milliseconds transferRetryTime = 10'000;  ///< retry delay sent with a busy rejection
+  std::size_t maxChangesBytes = 16 * 1024;  ///< of the records in a Changes message
+  std::size_t maxRecordsInFlight = 256;     ///< sent and not yet acknowledged
   std::uint32_t maxPartsInFlight = 4;
 };
 
+/// Event counters of the sessions.
 struct SessionCounts {
   std::uint64_t changesSent = 0;
   std::uint64_t heartbeatsSent = 0;
@@ -45,6 +47,7 @@
   std::uint64_t rejectedChanges = 0;
 };
 
+/// Owned by ControlReplica. Not thread-safe.
 class SubscriberSessions {
  public:
   using Send = std::function<void(const std::string& subscriber, Message message)>;
@@ -54,19 +57,21 @@
   SubscriberSessions(const SessionLimits& limits, const ReplicaState& state, Send send,
                      RejectionCallback onChangeRejected);
 
-  /// While this replica's own copy is under repair nothing is served.
+  /// False while this replica's own copy is being repaired: requests are then rejected.
   void setServing(bool serving) { serving_ = serving; }
   bool serving() const { return serving_; }
 
   void receive(Milliseconds now, const std::string& from, const Subscribe& subscribe);
   void receive(Milliseconds now, const std::string& from, const Acknowledge& acknowledge);
   void receive(Milliseconds now, const std::string& from, const RangeRequest& request, bool fromReplica);
-  /// One answer without a session, to another replica.
+  /// Responds to another replica, without a session.
   void receive(const std::string& from, const Fetch& fetch);
-  /// Sends what is due: changes, parts of transfers, heartbeats.
+  /// Resends unacknowledged data, sends due changes, parts of transfers and heartbeats, and expires sessions.
   void tick(Milliseconds now);
 
+  /// Number of sessions.
   std::size_t size() const { return sessions_.size(); }
+  /// Number of transfers in progress.
   std::size_t transfers() const { return transfers_; }
   const SessionCounts& counts() const { return counts_; }
 
@@ -76,7 +81,7 @@
     TokenBucket bucket;
     Version sent = 0;
     Version acknowledged = 0;
-    bool streaming = false;  // follows the log; a session that only repairs does not
+    bool streaming = false;  // whether changes are sent; false for a session that only transfers ranges
     Milliseconds lastReceivedAt = 0;
     Milliseconds sentAt = 0;
     Milliseconds progressAt = 0;
@@ -87,20 +92,23 @@
     std::uint32_t acknowledgedParts = 0;
   };
 
-  // The reason for which a copy at this position cannot be served; nothing when it can.
+  // Reason why a copy at this position cannot be served; empty if it can.
   std::optional<RejectionCode> findRejection(Version version, Term term) const;
   void reject(const std::string& to, RejectionCode code);
+  // Finds or creates the session; null if the limit of sessions is reached.
   Session* openSession(Milliseconds now, const std::string& name, double bytesPerSecond);
-  void takeAcknowledgedVersion(Milliseconds now, Session& session, Version version);
-  void takeRejectedChanges(const std::string& subscriber, Session& session,
-                           const std::vector<RejectedChange>& changes);
-  void takeAcknowledgedParts(Milliseconds now, Session& session, const Acknowledge& acknowledge);
+  void applyAcknowledgedVersion(Milliseconds now, Session& session, Version version);
+  void reportRejectedChanges(const std::string& subscriber, Session& session,
+                             const std::vector<RejectedChange>& changes);
+  void applyAcknowledgedParts(Milliseconds now, Session& session, const Acknowledge& acknowledge);
   void endTransfer(Session& session);
-  void resendIfStuck(Milliseconds now, Session& session);
+  // Returns to the acknowledged position if there was no progress within the resend timeout.
+  void resendIfStalled(Milliseconds now, Session& session);
   void sendParts(Milliseconds now, const std::string& name, Session& session);
   void sendChanges(Milliseconds now, const std::string& name, Session& session);
   void sendHeartbeat(Milliseconds now, const std::string& name, Session& session);
-  Changes position() const;
+  // Changes without records, with this replica's position in the log.
+  Changes changesWithoutRecords() const;
 
   const SessionLimits limits_;
   const ReplicaState& state_;
@@ -109,7 +117,7 @@
   std::unordered_map<std::string, Session> sessions_;
   std::size_t transfers_ = 0;
   bool serving_ = true;
-  Milliseconds nextFlush_ = 0;
+  Milliseconds nextFlushAt_ = 0;
   SessionCounts counts_;
 };
 
--- a/src/distribution/transfer.cpp
+++ b/src/distribution/transfer.cpp
@@ -3,7 +3,7 @@
 namespace wingslip::distribution {
 namespace {
 
-// A part is full when it has this many bytes; a range is never divided.
+// Target size of a part. A range is never split, so a part with a single larger range exceeds it.
 constexpr std::size_t kPartBytes = 8 * 1024;
 constexpr std::size_t kPartOverheadBytes = 64;
 constexpr std::size_t kRangeOverheadBytes = 8;
@@ -22,8 +22,8 @@
     : id_(request.transfer), table_(table), version_(version), term_(term), parts_(1) {
   std::size_t bytes = 0;
   for (std::uint32_t i = 0; i < EntryTable::kRanges; ++i) {
-    const Hash held = request.hashes.empty() ? 0 : request.hashes[i];
-    if (held == table_.rangeHash(i)) continue;
+    const Hash requesterHash = request.hashes.empty() ? 0 : request.hashes[i];
+    if (requesterHash == table_.rangeHash(i)) continue;
     const std::size_t rangeBytes = bytesOf(table_.range(i));
     if (bytes > 0 && bytes + rangeBytes > kPartBytes) {
       parts_.emplace_back();
@@ -46,7 +46,7 @@
   return bytes;
 }
 
-TransferStep TransferReceiver::take(const RangeContents& contents) {
+TransferStep TransferReceiver::receivePart(const RangeContents& contents) {
   if (contents.transfer != id_ || contents.part != nextPart_) return TransferStep::ignored;
   if (nextPart_ == 0) {
     version_ = contents.version;
--- a/src/distribution/transfer.hpp
+++ b/src/distribution/transfer.hpp
@@ -1,4 +1,4 @@
-/// The transfer of those ranges in which two tables differ: a cold start is the transfer of all of them.
+/// Transfer of the ranges in which two tables differ. A cold start transfers all non-empty ranges.
 #pragma once
 
 #include <optional>
@@ -7,17 +7,19 @@
 
 namespace wingslip::distribution {
 
-/// The sender's side: the parts of one transfer. The table is as it was at the request, so that the transfer
-/// is of one version while the replica's own table goes on; it shares the ranges that did not change since.
+/// Sender of one transfer, which it splits into parts. Stores a copy of the table from the time of the
+/// request, so that all parts are of one version while the replica applies further changes. The copy shares
+/// the unchanged ranges with the replica's table.
 class TransferSender {
  public:
-  /// `term`: of the record at `version`.
+  /// `version` is that of `table`; `term` is the term of the record at `version`.
   TransferSender(const RangeRequest& request, const EntryTable& table, Version version, Term term);
 
   std::uint64_t id() const { return id_; }
   Version version() const { return version_; }
   Term term() const { return term_; }
   std::uint32_t partCount() const { return static_cast<std::uint32_t>(parts_.size()); }
+  /// Part with this index, which must be below partCount().
   RangeContents part(std::uint32_t index) const;
 
  private:
@@ -25,25 +27,30 @@
   EntryTable table_;
   Version version_;
   Term term_;
-  std::vector<std::vector<std::uint32_t>> parts_;  // indices of ranges
+  std::vector<std::vector<std::uint32_t>> parts_;  // range indices by part
 };
 
-/// About the bytes of a part in a message.
+/// Approximate size in bytes of a part in a message.
 std::size_t approximateBytes(const RangeContents& contents);
 
+/// Result of receiving a part: `ignored` if it is not the next part of the transfer, `damaged` if the parts
+/// or the completed table are inconsistent.
 enum class TransferStep { ignored, progress, complete, damaged };
 
-/// The receiver's side: gathers the parts aside and hands out the table only when it is whole and has the
-/// hash that the sender said.
+/// Receiver of one transfer. Applies the parts to its own copy of the table; the transfer is complete only
+/// once the last part has arrived and the copy has the root hash announced by the sender.
 class TransferReceiver {
  public:
-  TransferReceiver(std::uint64_t id, EntryTable own) : id_(id), table_(std::move(own)) {}
+  /// `base` is the table whose range hashes were sent in the request.
+  TransferReceiver(std::uint64_t id, EntryTable base) : id_(id), table_(std::move(base)) {}
 
-  TransferStep take(const RangeContents& contents);
+  /// Applies the part if it is the next one.
+  TransferStep receivePart(const RangeContents& contents);
 
   std::uint64_t id() const { return id_; }
   std::uint32_t nextPart() const { return nextPart_; }
-  /// The table so far; whole, with version and term, once the transfer is complete.
+  /// Table with the parts received so far. Consistent, and at version() and term(), once the transfer is
+  /// complete.
   const EntryTable& table() const { return table_; }
   Version version() const { return version_; }
   Term term() const { return term_; }
--- a/src/distribution/writer.cpp
+++ b/src/distribution/writer.cpp
@@ -22,11 +22,11 @@
     return {PublishStatus::invalid, 0, "a request id of a wrong length"};
   if (!ready_) return {PublishStatus::notWriter, 0, "no majority has promised this term yet"};
   if (const auto version = state_.log().findRequest(requestId)) {
-    const bool done = *version <= state_.committed();
-    return {done ? PublishStatus::committed : PublishStatus::pending, *version, ""};
+    const bool committed = *version <= state_.committed();
+    return {committed ? PublishStatus::committed : PublishStatus::pending, *version, ""};
   }
-  if (const auto fault = findFault(edits)) return {PublishStatus::invalid, 0, *fault};
-  if (const auto fault = findOversizedRange(edits)) return {PublishStatus::invalid, 0, *fault};
+  if (const auto error = validateEdits(edits)) return {PublishStatus::invalid, 0, *error};
+  if (const auto error = findOversizedRange(edits)) return {PublishStatus::invalid, 0, *error};
   if (state_.log().lastVersion() - state_.committed() >= maxUncommitted_)
     return {PublishStatus::busy, 0, "too many changes are not yet committed"};
   if (now - majorityRespondedAt_ > kMajorityTimeout)
@@ -35,8 +35,8 @@
   state_.append(record);
   broadcast(unixTime);
   advanceCommit(unixTime);
-  const bool done = record->version <= state_.committed();
-  return {done ? PublishStatus::committed : PublishStatus::pending, record->version, ""};
+  const bool committed = record->version <= state_.committed();
+  return {committed ? PublishStatus::committed : PublishStatus::pending, record->version, ""};
 }
 
 void Writer::tick(Milliseconds now, Milliseconds unixTime) {
@@ -51,7 +51,7 @@
     majorityRespondedAt_ = now;
     state_.advanceWriterTime(unixTime);
   }
-  // What was sent and not answered is sent again.
+  // Records that have not been acknowledged are sent again.
   for (auto& [peer, progress] : peers_) progress.sent = progress.matched;
   broadcast(unixTime);
 }
@@ -64,31 +64,31 @@
 void Writer::receivePromise(Milliseconds now, Milliseconds unixTime, const std::string& from,
                             const Promise& promise) {
   if (ready_ || promise.term != term_ || !promise.accepted) return;
-  if (!adoptLog(promise)) return;  // asked again with the next heartbeat
+  if (!adoptLog(promise)) return;  // prepared again with the next heartbeat
   promised_.insert(from);
   const std::size_t replicas = peers_.size() + 1;
   if (2 * (promised_.size() + 1) > replicas) becomeReady(now, unixTime);
 }
 
-// Whether this log is now at least as new as the promiser's.
 bool Writer::adoptLog(const Promise& promise) {
-  const auto newness = [this] { return std::tuple(state_.log().lastTerm(), state_.log().lastVersion()); };
-  const std::tuple promised(promise.lastTerm, promise.lastVersion);
-  if (promised <= newness()) return true;
+  const auto logPosition = [this] { return std::tuple(state_.log().lastTerm(), state_.log().lastVersion()); };
+  const std::tuple peerPosition(promise.lastTerm, promise.lastVersion);
+  if (peerPosition <= logPosition()) return true;
   if (promise.records.empty()) return false;
   if (promise.records.front()->version > state_.committed() + 1) return false;
-  // Of an incomplete log only the committed part: the rest would replace records that a majority may hold.
+  // If the records do not reach the end of the peer's log, only the committed ones are adopted: the others
+  // could replace records that a majority may have appended.
   const bool complete = promise.records.back()->version == promise.lastVersion;
   const Version last = complete ? promise.lastVersion : promise.committed;
-  Version taken = 0;
+  Version lastAppended = 0;
   for (const RecordPointer& record : promise.records) {
     if (record->version > last) break;
     if (!state_.append(record)) return false;
-    taken = record->version;
+    lastAppended = record->version;
   }
-  if (complete) state_.truncateUncommittedAfter(taken);
-  if (!state_.commitTo(std::min(promise.committed, taken))) tableDiffers_ = true;
-  return promised <= newness();
+  if (complete) state_.truncateUncommittedAfter(lastAppended);
+  if (!state_.commitTo(std::min(promise.committed, lastAppended))) tableDiffers_ = true;
+  return peerPosition <= logPosition();
 }
 
 void Writer::becomeReady(Milliseconds now, Milliseconds unixTime) {
@@ -106,7 +106,7 @@
 
 void Writer::sendAppend(const std::string& peer, Progress& progress, Milliseconds unixTime) {
   const ChangeLog& log = state_.log();
-  // A peer behind the horizon hears of the committed version and repairs its table itself.
+  // A peer behind the horizon receives the committed version and repairs its table by itself.
   const Version previous = std::clamp(progress.sent, log.base(), log.lastVersion());
   Append append;
   append.term = term_;
@@ -121,16 +121,16 @@
 }
 
 void Writer::receiveAppendResponse(Milliseconds now, Milliseconds unixTime, const std::string& from,
-                                   const AppendResponse& appended) {
+                                   const AppendResponse& response) {
   const auto found = peers_.find(from);
-  if (!ready_ || found == peers_.end() || appended.term != term_) return;
+  if (!ready_ || found == peers_.end() || response.term != term_) return;
   Progress& progress = found->second;
-  progress.answeredRound = std::max(progress.answeredRound, appended.sentAt);
+  progress.respondedRound = std::max(progress.respondedRound, response.sentAt);
   advanceWriterTime(now);
-  const Version version = std::min(appended.version, state_.log().lastVersion());
-  if (!appended.accepted) {
+  const Version version = std::min(response.version, state_.log().lastVersion());
+  if (!response.accepted) {
     progress.sent = version;
-    // A peer behind the horizon repairs its table first; it is asked again with the next heartbeat.
+    // A peer behind the horizon repairs its table first; the next heartbeat retries the append.
     if (version < state_.log().base()) return;
     sendAppend(from, progress, unixTime);
     return;
@@ -152,7 +152,7 @@
 }
 
 void Writer::advanceWriterTime(Milliseconds now) {
-  const Milliseconds round = reachedByMajority(INT64_MAX, &Progress::answeredRound);
+  const Milliseconds round = reachedByMajority(INT64_MAX, &Progress::respondedRound);
   if (round <= state_.writerTime() || round == INT64_MAX) return;
   state_.advanceWriterTime(round);
   majorityRespondedAt_ = now;
--- a/tests/distribution_codec_test.cpp
+++ b/tests/distribution_codec_test.cpp
@@ -1,4 +1,4 @@
-/// Encoding of messages and snapshots: round trips and malformed input.
+/// Tests of the encoding of messages and snapshots: round trips and invalid input.
 #include <gtest/gtest.h>
 
 #define XXH_INLINE_ALL
@@ -14,15 +14,15 @@
 
 using nlohmann::json;
 
-// A message with a right checksum around any body.
-Bytes sealed(const json& body) {
+// Message with the given body, which may be invalid, and a correct checksum.
+Bytes withChecksum(const json& body) {
   Bytes bytes = json::to_cbor(body);
   const std::uint64_t checksum = XXH64(bytes.data(), bytes.size(), 0);
   for (int i = 0; i < 8; ++i) bytes.push_back(static_cast<std::uint8_t>(checksum >> (8 * i)));
   return bytes;
 }
 
-std::string reasonOf(const Bytes& bytes) {
+std::string decodeError(const Bytes& bytes) {
   try {
     decode(bytes.data(), bytes.size());
     return "";
@@ -31,7 +31,7 @@
   }
 }
 
-std::string snapshotReason(const std::string& bytes) {
+std::string snapshotError(const std::string& bytes) {
   try {
     decodeSnapshot(bytes);
     return "";
@@ -40,7 +40,7 @@
   }
 }
 
-TEST(DistributionCodec, EveryMessageRoundTrips) {
+TEST(DistributionCodec, EncodedMessageDecodesToSameMessage) {
   EntryTable table;
   const auto record = makeRecord(7, 3, table, "name", "value");
   table.apply(*record);
@@ -62,26 +62,26 @@
   for (std::size_t i = 0; i < messages.size(); ++i) {
     EXPECT_EQ(messages[i].index(), i);
     const Bytes bytes = encode(messages[i]);
-    const Message back = decode(bytes.data(), bytes.size());
-    EXPECT_EQ(back.index(), i);
-    EXPECT_EQ(encode(back), bytes);
+    const Message decoded = decode(bytes.data(), bytes.size());
+    EXPECT_EQ(decoded.index(), i);
+    EXPECT_EQ(encode(decoded), bytes);
   }
 }
 
-TEST(DistributionCodec, TruncatedOrDamagedBytesAreRejected) {
+TEST(DistributionCodec, TruncatedOrCorruptedMessageIsRejected) {
   EntryTable table;
   const Bytes bytes = encode(Changes{0, 0, {makeRecord(1, 1, table, "name", "value")}, 1, 0, 0});
   for (std::size_t size = 0; size < bytes.size(); ++size)
-    EXPECT_NE(reasonOf(Bytes(bytes.begin(), bytes.begin() + static_cast<std::ptrdiff_t>(size))), "");
+    EXPECT_NE(decodeError(Bytes(bytes.begin(), bytes.begin() + static_cast<std::ptrdiff_t>(size))), "");
   for (std::size_t i = 0; i < bytes.size(); ++i) {
     Bytes changed = bytes;
     changed[i] ^= 0x20;
-    EXPECT_EQ(reasonOf(changed), "the message is damaged");
+    EXPECT_EQ(decodeError(changed), "message checksum does not match");
   }
 }
 
-TEST(DistributionCodec, InvalidBodiesAreRejectedWithReason) {
-  const json name10k = std::string(10'240, 'n');
+TEST(DistributionCodec, InvalidMessageBodyIsRejectedWithReason) {
+  const json oversizedName = std::string(10'240, 'n');
   const auto changes = [](const json& records) {
     return json::array({1, 2, json::array({0, 0, records, 1, 0, 0})});
   };
@@ -92,55 +92,59 @@
     return json::array({version, term, "id", 0, edits});
   };
   const json value = json::binary({1, 2, 3});
-  const json good = json::array({edit(0, "name", value)});
+  const json validEdits = json::array({edit(0, "name", value)});
   const std::vector<std::pair<json, std::string>> cases{
-      {changes(json::array({record(1, 1, json::array({edit(0, name10k, value)}))})), "a name is too long"},
-      {changes(json::array({record(1, 1, json::array({edit(0, "", value)}))})), "an entry without a name"},
-      {changes(json::array({record(1, 1, json::array({edit(9, "n", value)}))})), "an unknown kind of entry"},
+      {changes(json::array({record(1, 1, json::array({edit(0, oversizedName, value)}))})),
+       "entry name is too long"},
+      {changes(json::array({record(1, 1, json::array({edit(0, "", value)}))})), "entry name is empty"},
+      {changes(json::array({record(1, 1, json::array({edit(9, "n", value)}))})), "unknown entry kind"},
       {changes(json::array({record(1, 1, json::array({edit(0, "n", "text")}))})),
-       "a value is no byte string"},
-      {changes(json::array({record(1, 1, json::array({edit(0, 5, value)}))})), "a name is no text"},
+       "entry value is not a byte string"},
+      {changes(json::array({record(1, 1, json::array({edit(0, 5, value)}))})), "entry name is not a string"},
       {changes(json::array({record(1, 1, json::array({edit(0, "n", value), edit(0, "n", value)}))})),
-       "two edits of one entry"},
+       "duplicate entry key in a record"},
       {changes(
            json::array({record(1, 1, json::array({edit(0, "n", json::binary(Bytes(kMaxValueBytes + 1)))}))})),
-       "a value is too long"},
-      {changes(json::array({record(0, 1, good)})), "a record without version or term"},
-      {changes(json::array({record(2, 1, good), record(1, 1, good)})), "records out of order"},
-      {changes(json::array({record(1, 1, good), record(1, 1, good)})), "records out of order"},
-      {changes(json::array({record(1, 2, good), record(2, 1, good)})),
-       "a record of an older term than the one before"},
-      {changes("none"), "a list of records is no array"},
-      {json::array({1, 2, json::array({-1, 0, json::array(), 1, 0, 0})}), "a field is no unsigned number"},
-      {json::array({1, 2, json::array({0, 0})}), "Changes has a wrong shape"},
-      {json::array({2, 2, json::array()}), "a message of another format"},
-      {json::array({1, 99, json::array()}), "an unknown type of message"},
-      {json::array({1, 3, json::array({0, 0, 1, json::binary({1, 2})})}), "a wrong number of hashes"},
+       "entry value is too long"},
+      {changes(json::array({record(0, 1, validEdits)})), "record version or term is 0"},
+      {changes(json::array({record(2, 1, validEdits), record(1, 1, validEdits)})),
+       "record versions are not consecutive"},
+      {changes(json::array({record(1, 1, validEdits), record(1, 1, validEdits)})),
+       "record versions are not consecutive"},
+      {changes(json::array({record(1, 2, validEdits), record(2, 1, validEdits)})),
+       "record term is older than that of the previous record"},
+      {changes("none"), "record list is not an array"},
+      {json::array({1, 2, json::array({-1, 0, json::array(), 1, 0, 0})}), "field is not an unsigned integer"},
+      {json::array({1, 2, json::array({0, 0})}), "Changes is not an array of the expected length"},
+      {json::array({2, 2, json::array()}), "unsupported message format"},
+      {json::array({1, 99, json::array()}), "unknown message type"},
+      {json::array({1, 3, json::array({0, 0, 1, json::binary({1, 2})})}),
+       "number of range hashes does not match the table"},
       {json::array(
            {1, 4, json::array({1, 0, true, 1, 1, 0, json::array({json::array({5000, json::array()})})})}),
-       "no such range"},
-      {json{{"a", 1}}, "the message has a wrong shape"},
-      {json("text"), "the message has a wrong shape"}};
-  for (const auto& [body, reason] : cases) EXPECT_EQ(reasonOf(sealed(body)), reason);
-  EXPECT_EQ(reasonOf(Bytes(kMaxMessageBytes + 1)), "the message is too large");
+       "range index is out of bounds"},
+      {json{{"a", 1}}, "message is not an array of the expected length"},
+      {json("text"), "message is not an array of the expected length"}};
+  for (const auto& [body, reason] : cases) EXPECT_EQ(decodeError(withChecksum(body)), reason);
+  EXPECT_EQ(decodeError(Bytes(kMaxMessageBytes + 1)), "message is too large");
 }
 
-TEST(DistributionCodec, DeepNestingIsRejectedBeforeParsing) {
+TEST(DistributionCodec, DeeplyNestedMessageIsRejected) {
   Bytes bytes(kMaxMessageBytes - 8, 0x81);
   const std::uint64_t checksum = XXH64(bytes.data(), bytes.size(), 0);
   for (int i = 0; i < 8; ++i) bytes.push_back(static_cast<std::uint8_t>(checksum >> (8 * i)));
-  EXPECT_EQ(reasonOf(bytes), "not CBOR, or nested too deep");
+  EXPECT_EQ(decodeError(bytes), "not CBOR, or nested too deep");
 }
 
-TEST(DistributionCodec, EntryOfAnotherRangeIsRejected) {
+TEST(DistributionCodec, EntryOutsideItsRangeIsRejected) {
   const std::size_t other = (EntryTable::rangeOf(route("name")) + 1) % EntryTable::kRanges;
   const RangePointer range = makeRange({makeEntry(route("name"), "v", 1, 1)});
   EXPECT_EQ(
-      reasonOf(encode(RangeContents{1, 0, true, 1, 1, 0, {{static_cast<std::uint32_t>(other), range}}})),
-      "an entry of another range");
+      decodeError(encode(RangeContents{1, 0, true, 1, 1, 0, {{static_cast<std::uint32_t>(other), range}}})),
+      "entry key does not belong to the range");
 }
 
-TEST(DistributionSnapshot, RoundTripsAndIsRejectedWhenDamagedOrInconsistent) {
+TEST(DistributionSnapshot, RoundTripsAndIsRejectedWhenCorruptedOrInconsistent) {
   Snapshot snapshot;
   for (Version version = 1; version <= 5; ++version) {
     const auto record = makeRecord(version, 1, snapshot.table, "n" + std::to_string(version), "v");
@@ -155,19 +159,19 @@
   snapshot.rejectedChanges.push_back({5, "why"});
   snapshot.build = "build";
   const std::string bytes = encodeSnapshot(snapshot);
-  const Snapshot back = decodeSnapshot(bytes);
-  EXPECT_EQ(back.table.rootHash(), snapshot.table.rootHash());
-  EXPECT_EQ(encodeSnapshot(back), bytes);
-  for (std::size_t size = 0; size < bytes.size(); ++size)
-    EXPECT_NE(snapshotReason(bytes.substr(0, size)), "");
-  EXPECT_EQ(snapshotReason(bytes + "x"), "the snapshot is cut short or too long");
+  const Snapshot decoded = decodeSnapshot(bytes);
+  EXPECT_EQ(decoded.table.rootHash(), snapshot.table.rootHash());
+  EXPECT_EQ(encodeSnapshot(decoded), bytes);
+  for (std::size_t size = 0; size < bytes.size(); ++size) EXPECT_NE(snapshotError(bytes.substr(0, size)), "");
+  EXPECT_EQ(snapshotError(bytes + "x"), "snapshot length does not match its header");
   for (std::size_t i = bytes.find('\n') + 1; i < bytes.size(); ++i) {
     std::string changed = bytes;
     changed[i] = static_cast<char>(changed[i] ^ 1);
-    EXPECT_EQ(snapshotReason(changed), "the snapshot is damaged");
+    EXPECT_EQ(snapshotError(changed), "snapshot checksum does not match");
   }
-  EXPECT_EQ(snapshotReason("burlwind-distribution 2" + bytes.substr(23)), "no snapshot of this format");
-  // The same file with another value and a right checksum: the table's own hash tells.
+  EXPECT_EQ(snapshotError("burlwind-distribution 2" + bytes.substr(23)),
+            "not a snapshot, or an unsupported format");
+  // A different value under a correct checksum is detected by the root hash of the table.
   const std::size_t head = bytes.find('\n') + 1;
   json body = json::from_cbor(bytes.substr(head));
   body[3][0][2] = json::binary({'w'});
@@ -175,8 +179,8 @@
   char line[80];
   std::snprintf(line, sizeof line, "burlwind-distribution 1 %016llx %zu\n",
                 static_cast<unsigned long long>(XXH64(changed.data(), changed.size(), 0)), changed.size());
-  EXPECT_EQ(snapshotReason(line + std::string(changed.begin(), changed.end())),
-            "the snapshot's table has another hash");
+  EXPECT_EQ(snapshotError(line + std::string(changed.begin(), changed.end())),
+            "snapshot table does not match its root hash");
 }
 
 }  // namespace
