--- a/src/distribution/control_replica.cpp
+++ b/src/distribution/control_replica.cpp
@@ -27,7 +27,7 @@
 void ControlReplica::restore(const Snapshot& snapshot) {
   state_.restore(snapshot);
   if (state_.tableMatchesLog()) return;
-  ++counts_.tableDiffers;
+  ++counts_.tableMismatches;
   sessions_.setServing(false);
 }
 
@@ -65,10 +65,10 @@
 
 void ControlReplica::tick(Milliseconds now) {
   if (writer_) writer_->tick(now, environment_.unixTime());
-  if (repair_ && now - repairProgressAt_ > limits_.repairTimeout) repair_.reset();
-  if (!repair_ && now >= fetchAt_ && !sessions_.serving() && !peers_.empty())
+  if (repair_ && now - lastRepairProgressAt_ > limits_.repairTimeout) repair_.reset();
+  if (!repair_ && now >= nextFetchAt_ && !sessions_.serving() && !peers_.empty())
     requestRepair(now, peers_[random_() % peers_.size()]);
-  if (!repair_ && now >= fetchAt_ && !isWriterAlive(now)) fetchFromPeer(now);
+  if (!repair_ && now >= nextFetchAt_ && !isWriterAlive(now)) fetchFromPeer(now);
   sessions_.tick(now);
 }
 
@@ -90,8 +90,8 @@
 
 // Changes are received only in response to a Fetch.
 void ControlReplica::handle(Milliseconds now, const std::string& from, const Changes& message) {
-  if (!isPeer(from) || from != fetchedFrom_) return reportUnexpected(now, from, "changes");
-  fetchedFrom_.clear();
+  if (!isPeer(from) || from != pendingFetchPeer_) return reportUnexpected(now, from, "changes");
+  pendingFetchPeer_.clear();
   state_.advanceWriterTime(message.writerTime);
   if (repair_) return;
   for (const RecordPointer& record : message.records) {
@@ -106,16 +106,16 @@
     commitTo(now, record->version);
     if (state_.committed() < record->version) return;
   }
-  if (state_.committed() < message.committed) fetchAt_ = now;
+  if (state_.committed() < message.committed) nextFetchAt_ = now;
 }
 
 void ControlReplica::handle(Milliseconds now, const std::string& from, const RangeContents& message) {
-  if (!repair_ || from != repairFrom_) return reportUnexpected(now, from, "ranges");
+  if (!repair_ || from != repairPeer_) return reportUnexpected(now, from, "ranges");
   const TransferStep step = repair_->receivePart(message);
   if (step == TransferStep::ignored) {
     if (message.transfer != repair_->id()) return reportUnexpected(now, from, "ranges");
   } else {
-    repairProgressAt_ = now;
+    lastRepairProgressAt_ = now;
   }
   if (step == TransferStep::damaged) {
     ++counts_.repairsDamaged;
@@ -134,15 +134,15 @@
 }
 
 void ControlReplica::handle(Milliseconds now, const std::string& from, const Rejection& message) {
-  if (!isPeer(from) || (from != fetchedFrom_ && from != repairFrom_))
+  if (!isPeer(from) || (from != pendingFetchPeer_ && from != repairPeer_))
     return reportUnexpected(now, from, "rejection");
-  fetchedFrom_.clear();
+  pendingFetchPeer_.clear();
   if (message.code == RejectionCode::differentHistory) {
     ++counts_.conflictingHistories;
     return log_.line(now, "event=history_conflict from=" + from);
   }
   if (message.code == RejectionCode::behindHorizon) return requestRepair(now, from);
-  if (repair_ && from == repairFrom_) repair_.reset();
+  if (repair_ && from == repairPeer_) repair_.reset();
 }
 
 void ControlReplica::handle(Milliseconds now, const std::string& from, const Prepare& message) {
@@ -183,7 +183,7 @@
     return log_.line(now, "event=old_term_refused from=" + from);
   }
   if (writer_) stepDown(now, "received an append of a later term");
-  writerReceivedAt_ = now;
+  lastWriterMessageAt_ = now;
   state_.advanceWriterTime(message.writerTime);
   response.term = message.term;
   response.accepted = appendRecords(message);
@@ -194,7 +194,7 @@
   // The missing records may have been compacted from the writer's log; a peer that lacks them too rejects the
   // fetch as behind the horizon, and the table is then repaired by ranges.
   if (!response.accepted && message.previousVersion > state_.log().lastVersion() && !repair_ &&
-      now >= fetchAt_)
+      now >= nextFetchAt_)
     fetchFromPeer(now);
 }
 
@@ -252,7 +252,7 @@
 }
 
 void ControlReplica::repairTable(Milliseconds now) {
-  ++counts_.tableDiffers;
+  ++counts_.tableMismatches;
   sessions_.setServing(false);
   log_.line(now, "event=table_differs version=" + std::to_string(state_.committed()));
   if (!repair_ && !peers_.empty()) requestRepair(now, peers_[random_() % peers_.size()]);
@@ -280,16 +280,16 @@
 
 bool ControlReplica::isWriterAlive(Milliseconds now) const {
   const Milliseconds lastReceivedAt =
-      writer_ && writer_->ready() ? writer_->majorityRespondedAt() : writerReceivedAt_;
-  return lastReceivedAt > 0 && now - lastReceivedAt <= limits_.writerSilence;
+      writer_ && writer_->ready() ? writer_->majorityRespondedAt() : lastWriterMessageAt_;
+  return lastReceivedAt > 0 && now - lastReceivedAt <= limits_.writerTimeout;
 }
 
 void ControlReplica::fetchFromPeer(Milliseconds now) {
-  fetchAt_ = now + limits_.fetchInterval;
+  nextFetchAt_ = now + limits_.fetchInterval;
   if (peers_.empty()) return;
-  fetchedFrom_ = peers_[random_() % peers_.size()];
+  pendingFetchPeer_ = peers_[random_() % peers_.size()];
   ++counts_.fetches;
-  environment_.send(fetchedFrom_, Fetch{state_.committed(), state_.committedTerm()});
+  environment_.send(pendingFetchPeer_, Fetch{state_.committed(), state_.committedTerm()});
 }
 
 void ControlReplica::requestRepair(Milliseconds now, const std::string& peer) {
@@ -299,9 +299,9 @@
   request.transfer = random_() | 1;
   if (state_.table().size() > 0) request.hashes = state_.table().rangeHashes();
   repair_ = std::make_unique<TransferReceiver>(request.transfer, state_.table());
-  repairFrom_ = peer;
-  repairProgressAt_ = now;
-  fetchAt_ = now + limits_.fetchInterval;
+  repairPeer_ = peer;
+  lastRepairProgressAt_ = now;
+  nextFetchAt_ = now + limits_.fetchInterval;
   ++counts_.repairs;
   environment_.send(peer, std::move(request));
 }
--- a/src/distribution/control_replica.hpp
+++ b/src/distribution/control_replica.hpp
@@ -16,8 +16,8 @@
 struct ReplicaLimits {
   SessionLimits sessions;
   std::size_t maxUncommitted = 64;     ///< uncommitted changes at the writer; must be less than maxRecords
-  std::size_t maxRecords = 65'536;     ///< records retained in the log: the horizon for subscribers
-  Milliseconds writerSilence = 2'000;  ///< without a message from a writer for this time, the replica
+  std::size_t maxRecords = 65'536;     ///< the horizon: maximum of committed records retained in the log
+  Milliseconds writerTimeout = 2'000;  ///< without a message from a writer for this time, the replica
                                        ///< fetches from other replicas
   Milliseconds fetchInterval = 1'000;  ///< between two fetches
   Milliseconds repairTimeout = 5'000;  ///< a repair without progress for this time is restarted
@@ -33,7 +33,7 @@
   std::uint64_t repairs = 0;
   std::uint64_t repairsDone = 0;
   std::uint64_t repairsDamaged = 0;
-  std::uint64_t tableDiffers = 0;  ///< the table does not match the root hashes of the log
+  std::uint64_t tableMismatches = 0;  ///< the table does not match the root hashes of the log
 };
 
 /// Not thread-safe. The owner drives it by `receive` and `tick`.
@@ -121,11 +121,11 @@
   std::map<std::string, Version>
       uncommittedRequests_;  // by request id: published at this replica, not yet committed
   std::unique_ptr<TransferReceiver> repair_;
-  std::string repairFrom_;
-  Milliseconds repairProgressAt_ = 0;
-  Milliseconds writerReceivedAt_ = 0;
-  Milliseconds fetchAt_ = 0;
-  std::string fetchedFrom_;
+  std::string repairPeer_;
+  Milliseconds lastRepairProgressAt_ = 0;
+  Milliseconds lastWriterMessageAt_ = 0;
+  Milliseconds nextFetchAt_ = 0;
+  std::string pendingFetchPeer_;
   ReplicaCounts counts_;
 };
 
--- a/src/distribution/subscriber.cpp
+++ b/src/distribution/subscriber.cpp
@@ -69,19 +69,19 @@
     return;
   }
   if (now - lastReceivedAt_ >= limits_.silenceTimeout) return failOver(now, "silence");
-  if (rank_ > 0 && now >= preferredRetryAt_ && !repair_) {
-    rank_ = 0;
+  if (replicaIndex_ > 0 && now >= preferredRetryAt_ && !repair_) {
+    replicaIndex_ = 0;
     return subscribe(now);
   }
-  if (now - acknowledgedAt_ >= limits_.acknowledgeInterval) acknowledge(now);
+  if (now - lastAcknowledgeAt_ >= limits_.acknowledgeInterval) acknowledge(now);
 }
 
 Milliseconds Subscriber::nextTickAt() const {
   if (state_ == State::waiting) return connectAt_;
   if (state_ == State::connecting) return subscribedAt_ + limits_.connectTimeout;
   Milliseconds at =
-      std::min(lastReceivedAt_ + limits_.silenceTimeout, acknowledgedAt_ + limits_.acknowledgeInterval);
-  if (rank_ > 0 && !repair_) at = std::min(at, preferredRetryAt_);
+      std::min(lastReceivedAt_ + limits_.silenceTimeout, lastAcknowledgeAt_ + limits_.acknowledgeInterval);
+  if (replicaIndex_ > 0 && !repair_) at = std::min(at, preferredRetryAt_);
   return at;
 }
 
@@ -110,7 +110,7 @@
   lastReceivedAt_ = now;
   if (state_ == State::connecting) {
     state_ = State::connected;
-    attempts_ = 0;
+    failedAttempts_ = 0;
     preferredRetryAt_ =
         now + limits_.preferredRetryInterval +
         std::uniform_int_distribution<Milliseconds>(0, limits_.preferredRetryInterval)(random_);
@@ -130,7 +130,7 @@
   if (outcome == RecordOutcome::conflict) return failOver(now, "conflicting history");
   const bool sameVersion = version_ == message.committed;
   if (outcome == RecordOutcome::damaged || (sameVersion && table_.rootHash() != message.rootHash)) {
-    ++counts_.hashDiffers;
+    ++counts_.hashMismatches;
     log_.line(now, "event=copy_differs version=" + std::to_string(version_));
     return requestRepair(now);
   }
@@ -232,16 +232,16 @@
   log_.line(now, "event=replica_left replica=" + replica() + " reason=\"" + reason + "\"");
   abortRepair();
   ++counts_.failovers;
-  rank_ = (rank_ + 1) % replicas_.size();
+  replicaIndex_ = (replicaIndex_ + 1) % replicas_.size();
   const Milliseconds maxDelay =
-      std::min(limits_.backoffCap, limits_.backoffBase << std::min(attempts_, kMaxBackoffDoublings));
-  ++attempts_;
+      std::min(limits_.backoffCap, limits_.backoffBase << std::min(failedAttempts_, kMaxBackoffDoublings));
+  ++failedAttempts_;
   state_ = State::waiting;
   connectAt_ = now + std::uniform_int_distribution<Milliseconds>(0, maxDelay)(random_);
 }
 
 void Subscriber::acknowledge(Milliseconds now) {
-  acknowledgedAt_ = now;
+  lastAcknowledgeAt_ = now;
   Acknowledge message;
   message.version = version_;
   if (repair_) {
--- a/src/distribution/subscriber.hpp
+++ b/src/distribution/subscriber.hpp
@@ -35,7 +35,7 @@
   std::uint64_t gaps = 0;             ///< records that do not follow the current version
   std::uint64_t oldTerms = 0;         ///< records of an older term than the last record
   std::uint64_t conflictingHistories = 0;
-  std::uint64_t hashDiffers = 0;  ///< times the copy differed from the replica's
+  std::uint64_t hashMismatches = 0;  ///< times the copy differed from the replica's
   std::uint64_t malformed = 0;
   std::uint64_t unexpected = 0;
   std::uint64_t repairs = 0;
@@ -97,7 +97,7 @@
   /// staleness of this copy.
   Milliseconds writerTime() const { return writerTime_; }
   /// Replica to which the subscriber is connected, or which it tries next.
-  const std::string& replica() const { return replicas_[rank_]; }
+  const std::string& replica() const { return replicas_[replicaIndex_]; }
   bool connected() const { return state_ == State::connected; }
   const SubscriberCounts& counts() const { return counts_; }
 
@@ -154,15 +154,15 @@
   Milliseconds writerTime_ = 0;
 
   State state_ = State::waiting;
-  std::size_t rank_ = 0;
-  unsigned attempts_ = 0;
+  std::size_t replicaIndex_ = 0;
+  unsigned failedAttempts_ = 0;
   Milliseconds connectAt_ = 0;     // in State::waiting: when to send Subscribe
   Milliseconds subscribedAt_ = 0;  // when the last Subscribe was sent
   Milliseconds lastReceivedAt_ = 0;
-  Milliseconds acknowledgedAt_ = 0;
+  Milliseconds lastAcknowledgeAt_ = 0;
   Milliseconds preferredRetryAt_ = 0;
   std::unique_ptr<TransferReceiver> repair_;
-  std::optional<EntryTable> staged_;  // table of an interrupted transfer, from which the next one resumes
+  std::optional<EntryTable> staged_;  // base of the next transfer, with the ranges of an interrupted one
   SubscriberCounts counts_;
 };
 
--- a/src/distribution/subscriber_sessions.cpp
+++ b/src/distribution/subscriber_sessions.cpp
@@ -134,9 +134,9 @@
 std::optional<RejectionCode> SubscriberSessions::findRejection(Version version, Term term) const {
   if (!serving_) return RejectionCode::notServing;
   if (version > state_.committed()) return RejectionCode::subscriberAhead;
-  const std::optional<Term> termHere = state_.log().termAt(version);
-  if (!termHere) return RejectionCode::behindHorizon;
-  if (*termHere != term) return RejectionCode::differentHistory;
+  const std::optional<Term> localTerm = state_.log().termAt(version);
+  if (!localTerm) return RejectionCode::behindHorizon;
+  if (*localTerm != term) return RejectionCode::differentHistory;
   return std::nullopt;
 }
 
@@ -146,10 +146,10 @@
       ++counts_.rejectedBehindHorizon;
       break;
     case RejectionCode::subscriberAhead:
-      ++counts_.rejectedAhead;
+      ++counts_.rejectedSubscriberAhead;
       break;
     case RejectionCode::differentHistory:
-      ++counts_.rejectedHistory;
+      ++counts_.rejectedDifferentHistory;
       break;
     case RejectionCode::busy:
       ++counts_.rejectedBusy;
@@ -158,7 +158,7 @@
       ++counts_.rejectedNotServing;
       break;
   }
-  send_(to, Rejection{code, code == RejectionCode::busy ? limits_.transferRetryTime : 0});
+  send_(to, Rejection{code, code == RejectionCode::busy ? limits_.busyRetryDelay : 0});
 }
 
 SubscriberSessions::Session* SubscriberSessions::openSession(Milliseconds now, const std::string& name,
--- a/src/distribution/subscriber_sessions.hpp
+++ b/src/distribution/subscriber_sessions.hpp
@@ -24,7 +24,7 @@
   Milliseconds resendTimeout = 1'000;       ///< unacknowledged data is resent after this time
   Milliseconds maxResendTimeout = 16'000;   ///< maximum of the timeout, which doubles with each resend
   Milliseconds sessionTimeout = 30'000;     ///< a session without a message for this time expires
-  Milliseconds transferRetryTime = 10'000;  ///< retry delay sent with a busy rejection
+  Milliseconds busyRetryDelay = 10'000;     ///< retry delay sent with a busy rejection
   std::size_t maxChangesBytes = 16 * 1024;  ///< of the records in a Changes message
   std::size_t maxRecordsInFlight = 256;     ///< sent and not yet acknowledged
   std::uint32_t maxPartsInFlight = 4;
@@ -39,8 +39,8 @@
   std::uint64_t sessionsExpired = 0;
   std::uint64_t rejectedBusy = 0;
   std::uint64_t rejectedBehindHorizon = 0;
-  std::uint64_t rejectedAhead = 0;
-  std::uint64_t rejectedHistory = 0;
+  std::uint64_t rejectedSubscriberAhead = 0;
+  std::uint64_t rejectedDifferentHistory = 0;
   std::uint64_t rejectedNotServing = 0;
   std::uint64_t transfersStarted = 0;
   std::uint64_t transfersDone = 0;
--- a/tests/distribution_fixtures.hpp
+++ b/tests/distribution_fixtures.hpp
@@ -1,4 +1,5 @@
-/// Recorders, single replicas and subscribers in known states, for the tests of the distribution core.
+/// Fixtures for the tests of configuration distribution: recording environments, and replicas and subscribers
+/// in known states.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -32,7 +33,7 @@
   return record;
 }
 
-// What a core sent and said.
+// Records the messages, notifications and log lines of a replica.
 struct ReplicaRecorder : ControlReplica::Environment {
   void send(const std::string& to, Message message) override { sent.emplace_back(to, std::move(message)); }
   void onChangeCommitted(const std::string& requestId, Version) override { committed.push_back(requestId); }
@@ -47,18 +48,19 @@
   std::vector<std::pair<std::string, RejectedChange>> rejectedChanges;
 };
 
+// Records the messages, applied changes and log lines of a subscriber.
 struct SubscriberRecorder : Subscriber::Environment {
   void send(const std::string& to, Message message) override { sent.emplace_back(to, std::move(message)); }
   void onChangesApplied(Version version, const std::vector<EffectiveChange>& changes) override {
     versions.push_back(version);
-    inForce.push_back(changes);
+    appliedChanges.push_back(changes);
   }
   void log(const std::string& line) override { lines.push_back(line); }
 
   std::vector<std::pair<std::string, Message>> sent;
   std::vector<std::string> lines;
   std::vector<Version> versions;
-  std::vector<std::vector<EffectiveChange>> inForce;
+  std::vector<std::vector<EffectiveChange>> appliedChanges;
 };
 
 inline std::optional<std::string> acceptAll(const Entry&) { return std::nullopt; }
@@ -67,32 +69,33 @@
   return std::nullopt;
 }
 
+// Last message of this type; null if none was sent.
 template <class Type>
 const Type* lastOf(const std::vector<std::pair<std::string, Message>>& sent) {
-  for (auto place = sent.rbegin(); place != sent.rend(); ++place)
-    if (const Type* typed = std::get_if<Type>(&place->second)) return typed;
+  for (auto position = sent.rbegin(); position != sent.rend(); ++position)
+    if (const Type* typed = std::get_if<Type>(&position->second)) return typed;
   return nullptr;
 }
 
-// One replica, its own majority, as the writer of term 1.
-struct LoneReplica {
-  explicit LoneReplica(const ReplicaLimits& limits = {}) : core(limits, "r0", {}, 1, environment) {
+// A single replica, which is its own majority, as the writer of term 1.
+struct SingleWriterReplica {
+  explicit SingleWriterReplica(const ReplicaLimits& limits = {}) : core(limits, "r0", {}, 1, environment) {
     core.becomeWriter(0, 1);
   }
   void put(const std::string& name, const std::string& value) {
     const auto result = core.publish(now, "put" + std::to_string(++requests), {{route(name), value}});
     EXPECT_EQ(result.status, PublishStatus::committed) << result.reason;
   }
-  // Ticks both until `until`, messages between them taking no time and passing the codec.
-  void talk(Subscriber& subscriber, SubscriberRecorder& recorder, Milliseconds until,
-            const std::string& name = "s0") {
+  // Ticks both until `until`. Messages between them are delivered immediately, through the codec.
+  void exchangeUntil(Subscriber& subscriber, SubscriberRecorder& recorder, Milliseconds until,
+                     const std::string& name = "s0") {
     for (; now <= until; now += 50) {
       core.tick(now);
       subscriber.tick(now);
-      while (!environment.sent.empty() || !recorder.sent.empty()) exchange(subscriber, recorder, name);
+      while (!environment.sent.empty() || !recorder.sent.empty()) deliverSent(subscriber, recorder, name);
     }
   }
-  void exchange(Subscriber& subscriber, SubscriberRecorder& recorder, const std::string& name) {
+  void deliverSent(Subscriber& subscriber, SubscriberRecorder& recorder, const std::string& name) {
     for (const auto& [to, message] : std::exchange(environment.sent, {})) {
       if (to != name) continue;
       const Bytes bytes = encode(message);
@@ -112,7 +115,7 @@
   std::size_t bytesToSubscriber = 0;
 };
 
-// A subscriber that is connected to "r0" and holds version 3 of term 2.
+// A subscriber that is connected to "r0" and has version 3 of term 2.
 struct ConnectedSubscriber {
   explicit ConnectedSubscriber(Subscriber::Validator validator = acceptAll)
       : core({}, {"r0", "r1"}, "build", std::move(validator), 1, environment) {
@@ -130,7 +133,7 @@
     core.receive(1, "r0", first);
     environment.sent.clear();
   }
-  Changes following(const RecordPointer& record) const {
+  Changes changesWith(const RecordPointer& record) const {
     return {3, 2, {record}, record->version, record->rootHash, 0};
   }
   void expectUnchanged() const {
@@ -144,7 +147,7 @@
   EntryTable table;
 };
 
-// Three replicas whose messages take no time; `cut` holds pairs that do not reach each other.
+// Three replicas whose messages are delivered immediately, except between the pairs in `cutLinks`.
 struct ThreeReplicas {
   struct Node : ReplicaRecorder {
     Milliseconds unixTime() override { return 1'000'000 + *now; }
@@ -152,15 +155,15 @@
     std::unique_ptr<ControlReplica> core;
   };
   explicit ThreeReplicas(const ReplicaLimits& replicaLimits = {}) : limits(replicaLimits) {
-    for (int i = 0; i < 3; ++i) begin(i, Snapshot{});
+    for (int i = 0; i < 3; ++i) restart(i, Snapshot{});
   }
-  void begin(int i, const Snapshot& disk) {
+  void restart(int i, const Snapshot& persisted) {
     std::vector<std::string> peers;
     for (int j = 0; j < 3; ++j)
       if (j != i) peers.push_back("r" + std::to_string(j));
     nodes[i].now = &now;
     nodes[i].core = std::make_unique<ControlReplica>(limits, "r" + std::to_string(i), peers, i + 1, nodes[i]);
-    nodes[i].core->restore(disk);
+    nodes[i].core->restore(persisted);
   }
   void run(Milliseconds until) {
     for (; now <= until; now += 100) {
@@ -172,18 +175,18 @@
   void deliverFrom(int i) {
     for (const auto& [to, message] : std::exchange(nodes[i].sent, {})) {
       const int j = to[1] - '0';
-      if (to[0] != 'r' || cut.contains({std::min(i, j), std::max(i, j)})) continue;
+      if (to[0] != 'r' || cutLinks.contains({std::min(i, j), std::max(i, j)})) continue;
       nodes[j].core->receive(now, "r" + std::to_string(i), message);
     }
   }
-  PublishResult put(int i, const std::string& id) {
+  PublishResult publishValue(int i, const std::string& id) {
     return nodes[i].core->publish(now, id, {{route("name-" + id), "value"}});
   }
 
   ReplicaLimits limits;
   Milliseconds now = 100;
   std::array<Node, 3> nodes;
-  std::set<std::pair<int, int>> cut;
+  std::set<std::pair<int, int>> cutLinks;
 };
 
 }  // namespace wingslip::distribution
--- a/tests/distribution_fleet.hpp
+++ b/tests/distribution_fleet.hpp
@@ -1,6 +1,6 @@
-// Control replicas and subscribers in virtual time under a seeded schedule of faults: loss, delay, doubling,
-// reordering, damaged bytes, partitions, restarts, writers that do not know that they were replaced. Every
-// message goes through the codec. Broken properties are gathered in `faults`.
+// Control replicas and subscribers in virtual time under a seeded fault schedule: loss, delay, duplication,
+// reordering, corrupted bytes, partitions, restarts, and replaced writers that are not aware of it. Every
+// message passes through the codec. Violated invariants are collected in `violations`.
 #pragma once
 
 #include <deque>
@@ -15,62 +15,65 @@
 
 namespace wingslip::distribution {
 
+// Size and faults of a schedule; times in milliseconds.
 struct ScheduleOptions {
   std::uint64_t seed = 1;
   int replicas = 5;
   int subscribers = 8;
   double loss = 0.05;
   Milliseconds faultsUntil = 30'000;
-  Milliseconds settleTime = 40'000;  // all copies are equal so long after the faults end
+  Milliseconds settleTime = 40'000;  // after the last fault; all copies must then be equal
 };
 
+// Runs one schedule. The same options give the same run.
 class ScheduledFleet {
  public:
   explicit ScheduledFleet(const ScheduleOptions& options) : options_(options), random_(options.seed) {
     for (int i = 0; i < options.replicas; ++i) replicas_.push_back(std::make_unique<ReplicaNode>(*this, i));
     for (int i = 0; i < options.subscribers; ++i)
       subscribers_.push_back(std::make_unique<SubscriberNode>(*this, i));
-    for (auto& node : replicas_) node->begin(Snapshot{});
-    for (auto& node : subscribers_) node->begin(Snapshot{});
-    grantTerm();
+    for (auto& node : replicas_) node->start(Snapshot{});
+    for (auto& node : subscribers_) node->start(Snapshot{});
+    grantNewTerm();
     scheduleFaults();
     schedulePublishing();
   }
 
   void run() {
     const Milliseconds end = options_.faultsUntil + options_.settleTime;
-    while (!events_.empty() && events_.top().at <= end && faults.size() < kMaxFaults) {
+    while (!events_.empty() && events_.top().at <= end && violations.size() < kMaxViolations) {
       const Event event = events_.top();
       events_.pop();
       now_ = event.at;
-      event.what();
+      event.action();
     }
     checkEnd();
   }
 
-  std::vector<std::string> faults;
+  std::vector<std::string> violations;
   std::uint64_t committed() const { return history_.empty() ? 0 : history_.rbegin()->first; }
-  std::uint64_t repairs = 0, rejectedChanges = 0, conflicts = 0, restarts = 0, differing = 0;
+  std::uint64_t repairs = 0, rejectedChanges = 0, conflicts = 0, restarts = 0, corruptedTables = 0;
 
  private:
-  static constexpr std::size_t kMaxFaults = 5;
-  static constexpr int kPairs = 40;
+  static constexpr std::size_t kMaxViolations = 5;
+  static constexpr int kPairCount = 40;
 
   struct Event {
     Milliseconds at;
     std::uint64_t order;
-    std::function<void()> what;
+    std::function<void()> action;
     bool operator<(const Event& other) const { return at != other.at ? at > other.at : order > other.order; }
   };
-  // What the log says at a version, by whoever saw it first.
-  struct HistoryItem {
+  // Term and root hash of a version, as first observed at any replica or subscriber.
+  struct CommittedVersion {
     Term term = 0;
     Hash rootHash = 0;
   };
 
+  // A control replica, with the environment that transmits its messages.
   struct ReplicaNode : ControlReplica::Environment {
     ReplicaNode(ScheduledFleet& owner, int index) : fleet(owner), name("r" + std::to_string(index)) {}
-    void begin(const Snapshot& disk) {
+    void start(const Snapshot& persisted) {
       std::vector<std::string> peers;
       for (int i = 0; i < fleet.options_.replicas; ++i)
         if ("r" + std::to_string(i) != name) peers.push_back("r" + std::to_string(i));
@@ -78,22 +81,24 @@
       limits.maxUncommitted = 12;
       limits.maxRecords = fleet.options_.seed % 2 == 0 ? 60 : 25;
       core = std::make_unique<ControlReplica>(limits, name, peers, fleet.random_(), *this);
-      core->restore(disk);
+      core->restore(persisted);
       observed = core->state().committed();
       up = true;
-      tickLater(++epoch);
+      scheduleTick(++epoch);
     }
-    void tickLater(int ofEpoch) {
-      fleet.after(100, [this, ofEpoch] {
-        if (ofEpoch != epoch || !up) return;
+    void scheduleTick(int tickEpoch) {
+      fleet.scheduleAfter(100, [this, tickEpoch] {
+        if (tickEpoch != epoch || !up) return;
         core->tick(fleet.now_);
-        observe();
-        tickLater(ofEpoch);
+        recordCommitted();
+        scheduleTick(tickEpoch);
       });
     }
-    void observe() { observed = fleet.observe(core->state(), observed); }
+    void recordCommitted() { observed = fleet.recordCommitted(core->state(), observed); }
     void send(const std::string& to, Message message) override { fleet.transmit(name, to, message); }
-    void onChangeCommitted(const std::string& requestId, Version) override { fleet.confirm(requestId); }
+    void onChangeCommitted(const std::string& requestId, Version) override {
+      fleet.confirmRequest(requestId);
+    }
     void onChangeRejected(const std::string&, const RejectedChange&) override { ++fleet.rejectedChanges; }
     void log(const std::string&) override {}
     Milliseconds unixTime() override { return fleet.now_ + 1; }
@@ -106,140 +111,152 @@
     int epoch = 0;
   };
 
+  // A subscriber, with the environment that transmits its messages.
   struct SubscriberNode : Subscriber::Environment {
     SubscriberNode(ScheduledFleet& owner, int index)
         : fleet(owner), name("s" + std::to_string(index)), build(index % 2 == 0 ? "even" : "odd") {}
-    void begin(const Snapshot& from) {
+    void start(const Snapshot& from) {
       std::vector<ReplicaAddress> addresses;
       addresses.reserve(static_cast<std::size_t>(fleet.options_.replicas));
       for (int i = 0; i < fleet.options_.replicas; ++i)
         addresses.push_back({"r" + std::to_string(i), {"region", "zone" + std::to_string(i)}});
-      const std::string refusedMark = build + "!";
+      const std::string rejectedSuffix = build + "!";
       core = std::make_unique<Subscriber>(
           SubscriberLimits{}, orderReplicas(name, {"region", ""}, addresses), build,
-          [refusedMark](const Entry& entry) -> std::optional<std::string> {
-            if (entry.key.name.starts_with("b") && entry.value.find(refusedMark) != std::string::npos)
+          [rejectedSuffix](const Entry& entry) -> std::optional<std::string> {
+            if (entry.key.name.starts_with("b") && entry.value.find(rejectedSuffix) != std::string::npos)
               return "not known to this build";
             return std::nullopt;
           },
           fleet.random_(), *this);
       core->restore(from);
-      lastApplied = core->version();
+      lastAppliedVersion = core->version();
       checkPairs();
       core->start(fleet.now_);
       up = true;
       ++epoch;
-      arm();
+      scheduleNextTick();
     }
-    void arm() {
+    // Schedules the next tick.
+    void scheduleNextTick() {
       const Milliseconds at = std::max(core->nextTickAt(), fleet.now_ + 1);
-      if (armedEpoch == epoch && armedAt > fleet.now_ && armedAt <= at) return;
-      armedAt = at;
-      armedEpoch = epoch;
-      fleet.at(at, [this, ofEpoch = epoch, at] {
-        if (ofEpoch != epoch || !up || armedAt != at) return;
-        armedAt = 0;
+      if (nextTickEpoch == epoch && nextTickAt > fleet.now_ && nextTickAt <= at) return;
+      nextTickAt = at;
+      nextTickEpoch = epoch;
+      fleet.scheduleAt(at, [this, tickEpoch = epoch, at] {
+        if (tickEpoch != epoch || !up || nextTickAt != at) return;
+        nextTickAt = 0;
         core->tick(fleet.now_);
-        arm();
+        scheduleNextTick();
       });
     }
     void send(const std::string& to, Message message) override { fleet.transmit(name, to, message); }
     void onChangesApplied(Version version, const std::vector<EffectiveChange>&) override {
-      if (version < lastApplied) fleet.fail(name + " went back to version " + std::to_string(version));
-      lastApplied = version;
-      fleet.see(name, version, core->term(), core->table().rootHash());
+      if (version < lastAppliedVersion)
+        fleet.addViolation(name + " went back to version " + std::to_string(version));
+      lastAppliedVersion = version;
+      fleet.addToHistory(name, version, core->term(), core->table().rootHash());
       checkPairs();
     }
     void log(const std::string&) override {}
+    // A change writes both entries of a pair: both or neither must be in effect.
     void checkPairs() {
-      for (int i = 0; i < kPairs; ++i) {
+      for (int i = 0; i < kPairCount; ++i) {
         const EntryPointer a = core->find({EntryKind::route, "a" + std::to_string(i)});
         const EntryPointer b = core->find({EntryKind::limit, "b" + std::to_string(i)});
         if ((a == nullptr) == (b == nullptr) && (!a || a->value == b->value)) continue;
-        fleet.fail(name + " has half of a change of pair " + std::to_string(i) + " in force");
+        fleet.addViolation(name + " applied a change of pair " + std::to_string(i) + " partially");
       }
     }
 
     ScheduledFleet& fleet;
     const std::string name, build;
     std::unique_ptr<Subscriber> core;
-    Snapshot disk;
-    Version lastApplied = 0;
+    Snapshot persisted;
+    Version lastAppliedVersion = 0;
     bool up = false;
-    int epoch = 0, armedEpoch = 0;
-    Milliseconds armedAt = 0;
+    int epoch = 0, nextTickEpoch = 0;
+    Milliseconds nextTickAt = 0;
   };
 
-  void at(Milliseconds when, std::function<void()> what) { events_.push({when, ++order_, std::move(what)}); }
-  void after(Milliseconds delay, std::function<void()> what) { at(now_ + delay, std::move(what)); }
-  Milliseconds between(Milliseconds a, Milliseconds b) {
+  void scheduleAt(Milliseconds when, std::function<void()> action) {
+    events_.push({when, ++order_, std::move(action)});
+  }
+  void scheduleAfter(Milliseconds delay, std::function<void()> action) {
+    scheduleAt(now_ + delay, std::move(action));
+  }
+  Milliseconds randomBetween(Milliseconds a, Milliseconds b) {
     return std::uniform_int_distribution<Milliseconds>(a, b)(random_);
   }
-  bool chance(double probability) { return std::bernoulli_distribution(probability)(random_); }
-  bool faulty() const { return now_ < options_.faultsUntil; }
-  void fail(const std::string& what) {
-    faults.push_back("seed " + std::to_string(options_.seed) + " at " + std::to_string(now_) +
-                     " ms: " + what);
+  bool randomBool(double probability) { return std::bernoulli_distribution(probability)(random_); }
+  bool injectingFaults() const { return now_ < options_.faultsUntil; }
+  void addViolation(const std::string& text) {
+    violations.push_back("seed " + std::to_string(options_.seed) + " at " + std::to_string(now_) +
+                         " ms: " + text);
   }
 
   void transmit(const std::string& from, const std::string& to, const Message& message) {
-    if (faulty() && (chance(options_.loss) || cut(from, to))) return;
+    if (injectingFaults() && (randomBool(options_.loss) || partitioned(from, to))) return;
     auto bytes = std::make_shared<std::vector<std::uint8_t>>(encode(message));
-    const int copies = faulty() && chance(0.05) ? 2 : 1;
+    const int copies = injectingFaults() && randomBool(0.05) ? 2 : 1;
     for (int i = 0; i < copies; ++i) {
       auto delivered = bytes;
-      if (faulty() && chance(0.005)) delivered = damaged(*bytes);
-      const Milliseconds delay = faulty() && chance(0.02) ? between(100, 3000) : between(1, 40);
-      after(delay, [this, from, to, delivered] { deliver(from, to, *delivered); });
+      if (injectingFaults() && randomBool(0.005)) delivered = corrupted(*bytes);
+      const Milliseconds delay =
+          injectingFaults() && randomBool(0.02) ? randomBetween(100, 3000) : randomBetween(1, 40);
+      scheduleAfter(delay, [this, from, to, delivered] { deliver(from, to, *delivered); });
     }
   }
-  std::shared_ptr<std::vector<std::uint8_t>> damaged(std::vector<std::uint8_t> bytes) {
+  std::shared_ptr<std::vector<std::uint8_t>> corrupted(std::vector<std::uint8_t> bytes) {
     bytes[random_() % bytes.size()] ^= static_cast<std::uint8_t>(1 + random_() % 255);
-    if (chance(0.3)) bytes.resize(random_() % bytes.size());
+    if (randomBool(0.3)) bytes.resize(random_() % bytes.size());
     return std::make_shared<std::vector<std::uint8_t>>(std::move(bytes));
   }
   void deliver(const std::string& from, const std::string& to, const std::vector<std::uint8_t>& bytes) {
-    if (faulty() && cut(from, to)) return;
+    if (injectingFaults() && partitioned(from, to)) return;
     const std::size_t index = std::stoul(to.substr(1));
     if (to[0] == 'r') {
       ReplicaNode& node = *replicas_[index];
       if (!node.up) return;
       node.core->receiveBytes(now_, from, bytes.data(), bytes.size());
-      node.observe();
+      node.recordCommitted();
     } else {
       SubscriberNode& node = *subscribers_[index];
       if (!node.up) return;
       node.core->receiveBytes(now_, from, bytes.data(), bytes.size());
-      node.arm();
+      node.scheduleNextTick();
     }
   }
-  bool cut(const std::string& from, const std::string& to) const {
-    return now_ < cutUntil_ && side_.contains(from) != side_.contains(to);
+  // Whether a partition currently separates the two nodes.
+  bool partitioned(const std::string& from, const std::string& to) const {
+    return now_ < partitionUntil_ && partitionSide_.contains(from) != partitionSide_.contains(to);
   }
 
-  // The committed versions that are new at this replica go into the common history.
-  Version observe(const ReplicaState& state, Version observed) {
+  // Adds the versions that are newly committed at this replica to the common history; returns its committed
+  // version.
+  Version recordCommitted(const ReplicaState& state, Version observed) {
     const ChangeLog& log = state.log();
-    if (state.committed() < observed) fail("a replica took a committed version back");
+    if (state.committed() < observed) addViolation("committed version of a replica decreased");
     for (Version v = std::max(observed, log.base()) + 1; v <= state.committed(); ++v) {
       const ChangeRecord& record = *log.at(v);
-      see("a replica", v, record.term, record.rootHash);
+      addToHistory("a replica", v, record.term, record.rootHash);
       if (record.requestId.empty()) continue;
-      const auto [place, fresh] = requests_.emplace(record.requestId, v);
-      if (!fresh && place->second != v) fail("request " + record.requestId + " was written twice");
+      const auto [position, inserted] = requests_.emplace(record.requestId, v);
+      if (!inserted && position->second != v)
+        addViolation("request " + record.requestId + " was written twice");
     }
     if (state.committed() > observed)
-      see("a replica", state.committed(), state.committedTerm(), state.table().rootHash());
+      addToHistory("a replica", state.committed(), state.committedTerm(), state.table().rootHash());
     return state.committed();
   }
-  void see(const std::string& who, Version version, Term term, Hash rootHash) {
+  void addToHistory(const std::string& observer, Version version, Term term, Hash rootHash) {
     if (version == 0) return;
-    const auto [place, fresh] = history_.emplace(version, HistoryItem{term, rootHash});
-    if (fresh || (place->second.term == term && place->second.rootHash == rootHash)) return;
-    fail(who + " has another history at version " + std::to_string(version));
+    const auto [position, inserted] = history_.emplace(version, CommittedVersion{term, rootHash});
+    if (inserted || (position->second.term == term && position->second.rootHash == rootHash)) return;
+    addViolation(observer + " has a different term or root hash at version " + std::to_string(version));
   }
 
-  void grantTerm() {
+  void grantNewTerm() {
     ReplicaNode& node = *replicas_[random_() % replicas_.size()];
     ++term_;
     if (node.up) node.core->becomeWriter(now_, term_);
@@ -247,51 +264,52 @@
   void schedulePublishing() {
     const Milliseconds interval = options_.seed % 2 == 0 ? 400 : 900;
     for (Milliseconds when = 1000; when < options_.faultsUntil; when += interval)
-      at(when, [this] { publishNew(); });
+      scheduleAt(when, [this] { publishNewRequest(); });
     for (Milliseconds when = 1500; when < options_.faultsUntil + options_.settleTime / 2; when += 1500)
-      at(when, [this] { retry(); });
+      scheduleAt(when, [this] { retryUncommitted(); });
   }
-  void publishNew() {
-    const std::string id = "q" + std::to_string(++published_);
-    const std::string pair = std::to_string(random_() % kPairs);
+  void publishNewRequest() {
+    const std::string id = "q" + std::to_string(++lastRequestNumber_);
+    const std::string pair = std::to_string(random_() % kPairCount);
     const unsigned kind = random_() % 8;
     std::optional<std::string> value = "v" + id;
     if (kind == 0) value.reset();
     if (kind == 1) *value += " odd!";
     if (kind == 2) *value += " even!";
-    open_[id] = {{{EntryKind::route, "a" + pair}, value}, {{EntryKind::limit, "b" + pair}, value}};
+    uncommitted_[id] = {{{EntryKind::route, "a" + pair}, value}, {{EntryKind::limit, "b" + pair}, value}};
     publish(id);
   }
-  void retry() {
-    const auto ids = open_;
+  void retryUncommitted() {
+    const auto ids = uncommitted_;
     for (const auto& [id, edits] : ids) publish(id);
   }
-  // To any that takes itself for the writer.
+  // Publishes to a random replica that considers itself the writer.
   void publish(const std::string& id) {
     std::vector<ReplicaNode*> writers;
     for (auto& node : replicas_)
       if (node->up && node->core->isWriter()) writers.push_back(node.get());
     if (writers.empty()) return;
     ReplicaNode& node = *writers[random_() % writers.size()];
-    const PublishResult result = node.core->publish(now_, id, open_.at(id));
-    node.observe();
-    if (result.status == PublishStatus::committed) confirm(id);
+    const PublishResult result = node.core->publish(now_, id, uncommitted_.at(id));
+    node.recordCommitted();
+    if (result.status == PublishStatus::committed) confirmRequest(id);
   }
-  void confirm(const std::string& id) {
-    open_.erase(id);
+  void confirmRequest(const std::string& id) {
+    uncommitted_.erase(id);
     confirmed_.insert(id);
   }
 
   void scheduleFaults() {
-    for (Milliseconds when = between(1000, 4000); when < options_.faultsUntil; when += between(500, 4000))
-      at(when, [this] { someFault(); });
-    at(options_.faultsUntil, [this] { heal(); });
+    for (Milliseconds when = randomBetween(1000, 4000); when < options_.faultsUntil;
+         when += randomBetween(500, 4000))
+      scheduleAt(when, [this] { injectRandomFault(); });
+    scheduleAt(options_.faultsUntil, [this] { endFaults(); });
   }
-  void someFault() {
+  void injectRandomFault() {
     switch (random_() % 8) {
       case 0:
       case 1:
-        return grantTerm();
+        return grantNewTerm();
       case 2:
         return partition();
       case 3:
@@ -300,84 +318,88 @@
       case 5:
         return restartSubscriber();
       case 6:
-        return makeDiffer(*subscribers_[random_() % subscribers_.size()]);
+        return corruptTable(*subscribers_[random_() % subscribers_.size()]);
       default:
-        return keepSnapshot(*subscribers_[random_() % subscribers_.size()]);
+        return saveSnapshot(*subscribers_[random_() % subscribers_.size()]);
     }
   }
   void partition() {
-    side_.clear();
+    partitionSide_.clear();
     for (auto& node : replicas_)
-      if (chance(0.5)) side_.insert(node->name);
+      if (randomBool(0.5)) partitionSide_.insert(node->name);
     for (auto& node : subscribers_)
-      if (chance(0.5)) side_.insert(node->name);
-    cutUntil_ = now_ + between(1000, 15'000);
+      if (randomBool(0.5)) partitionSide_.insert(node->name);
+    partitionUntil_ = now_ + randomBetween(1000, 15'000);
   }
   void restartReplica() {
     ReplicaNode& node = *replicas_[random_() % replicas_.size()];
     if (!node.up) return;
     node.up = false;
     ++restarts;
-    after(between(100, 8000), [this, &node] {
-      if (!node.up) node.begin(decodeSnapshot(encodeSnapshot(node.core->state().snapshot())));
+    scheduleAfter(randomBetween(100, 8000), [this, &node] {
+      if (!node.up) node.start(decodeSnapshot(encodeSnapshot(node.core->state().snapshot())));
     });
   }
-  void keepSnapshot(SubscriberNode& node) {
-    if (node.up) node.disk = decodeSnapshot(encodeSnapshot(node.core->snapshot()));
+  void saveSnapshot(SubscriberNode& node) {
+    if (node.up) node.persisted = decodeSnapshot(encodeSnapshot(node.core->snapshot()));
   }
   void restartSubscriber() {
     SubscriberNode& node = *subscribers_[random_() % subscribers_.size()];
     if (!node.up) return;
     node.up = false;
     ++restarts;
-    if (chance(0.3)) node.disk = Snapshot{};
-    after(between(100, 8000), [this, &node] {
-      if (!node.up) node.begin(node.disk);
+    if (randomBool(0.3)) node.persisted = Snapshot{};
+    scheduleAfter(randomBetween(100, 8000), [this, &node] {
+      if (!node.up) node.start(node.persisted);
     });
   }
-  // A copy that differs although its snapshot was sound: a pair of another value at the same version.
-  void makeDiffer(SubscriberNode& node) {
+  // Restarts the subscriber with a table that differs at the same version although its snapshot is valid:
+  // another value in one pair.
+  void corruptTable(SubscriberNode& node) {
     if (!node.up || node.core->version() == 0) return;
     Snapshot snapshot = node.core->snapshot();
-    const std::string pair = std::to_string(random_() % kPairs);
+    const std::string pair = std::to_string(random_() % kPairCount);
     for (const EntryKey& key :
          {EntryKey{EntryKind::route, "a" + pair}, EntryKey{EntryKind::limit, "b" + pair}}) {
       snapshot.table.put(makeEntry(key, "differs", 1, 1));
       std::erase_if(snapshot.rejectedEntries,
                     [&key](const RejectedEntry& rejected) { return rejected.key == key; });
     }
-    ++differing;
+    ++corruptedTables;
     node.up = false;
-    node.begin(snapshot);
+    node.start(snapshot);
   }
-  void heal() {
-    cutUntil_ = 0;
+  void endFaults() {
+    partitionUntil_ = 0;
     for (auto& node : replicas_)
-      if (!node->up) node->begin(node->core->state().snapshot());
+      if (!node->up) node->start(node->core->state().snapshot());
     for (auto& node : subscribers_)
-      if (!node->up) node->begin(node->disk);
-    grantTerm();
+      if (!node->up) node->start(node->persisted);
+    grantNewTerm();
   }
 
   void checkEnd() {
-    if (!faults.empty()) return;
-    if (!open_.empty()) fail(std::to_string(open_.size()) + " requests were never committed");
+    if (!violations.empty()) return;
+    if (!uncommitted_.empty())
+      addViolation(std::to_string(uncommitted_.size()) + " requests were never committed");
     const ReplicaState& first = replicas_[0]->core->state();
     for (auto& node : replicas_) {
       conflicts += node->core->counts().conflictingHistories;
-      if (node->core->state().committed() != first.committed()) fail(node->name + " lags at the end");
-      if (node->core->state().table().rootHash() != first.table().rootHash()) fail(node->name + " differs");
+      if (node->core->state().committed() != first.committed()) addViolation(node->name + " lags at the end");
+      if (node->core->state().table().rootHash() != first.table().rootHash())
+        addViolation(node->name + " has a different table at the end");
     }
     for (auto& node : subscribers_) {
       repairs += node->core->counts().repairsDone;
       conflicts += node->core->counts().conflictingHistories;
-      if (node->core->version() != first.committed()) fail(node->name + " lags at the end");
+      if (node->core->version() != first.committed()) addViolation(node->name + " lags at the end");
       if (node->core->table().rootHash() != first.table().rootHash())
-        fail(node->name + " differs at the end");
+        addViolation(node->name + " has a different table at the end");
       node->checkPairs();
     }
     for (const std::string& id : confirmed_)
-      if (!requests_.contains(id)) fail("request " + id + " was confirmed and is in no log");
+      if (!requests_.contains(id))
+        addViolation("request " + id + " was reported as committed and is in no log");
   }
 
   const ScheduleOptions options_;
@@ -387,14 +409,14 @@
   std::priority_queue<Event> events_;
   std::vector<std::unique_ptr<ReplicaNode>> replicas_;
   std::vector<std::unique_ptr<SubscriberNode>> subscribers_;
-  std::map<Version, HistoryItem> history_;
+  std::map<Version, CommittedVersion> history_;
   std::map<std::string, Version> requests_;
-  std::map<std::string, std::vector<Edit>> open_;
+  std::map<std::string, std::vector<Edit>> uncommitted_;
   std::set<std::string> confirmed_;
-  std::set<std::string> side_;
-  Milliseconds cutUntil_ = 0;
+  std::set<std::string> partitionSide_;
+  Milliseconds partitionUntil_ = 0;
   Term term_ = 0;
-  std::uint64_t published_ = 0;
+  std::uint64_t lastRequestNumber_ = 0;
 };
 
 }  // namespace wingslip::distribution
--- a/tests/distribution_replica_test.cpp
+++ b/tests/distribution_replica_test.cpp
@@ -1,4 +1,4 @@
-/// Control replicas: what they serve and reject, repair, fail-over of the writer.
+/// Tests of control replicas: sessions and rejections, repair, and replacement of the writer.
 #include <gtest/gtest.h>
 
 #include "distribution_fixtures.hpp"
@@ -6,25 +6,25 @@
 namespace wingslip::distribution {
 namespace {
 
-TEST(DistributionReplica, SubscriberOfConflictingOrLaterHistoryIsRejected) {
-  LoneReplica replica;
+TEST(DistributionReplica, SubscriberWithConflictingTermOrNewerVersionIsRejected) {
+  SingleWriterReplica replica;
   replica.put("a", "1");
   const Version committed = replica.core.state().committed();
-  const auto answer = [&replica](const Subscribe& subscribe) {
+  const auto response = [&replica](const Subscribe& subscribe) {
     replica.environment.sent.clear();
     replica.core.receive(200, "s0", subscribe);
     const Rejection* rejection = lastOf<Rejection>(replica.environment.sent);
     return rejection == nullptr ? std::string("served") : nameOf(rejection->code);
   };
-  EXPECT_EQ(answer({committed + 10, 1, "build"}), "subscriber_ahead");
-  EXPECT_EQ(answer({committed, 7, "build"}), "different_history");
-  EXPECT_EQ(answer({committed, 1, "build"}), "served");
-  EXPECT_EQ(replica.core.sessions().counts().rejectedAhead, 1u);
-  EXPECT_EQ(replica.core.sessions().counts().rejectedHistory, 1u);
+  EXPECT_EQ(response({committed + 10, 1, "build"}), "subscriber_ahead");
+  EXPECT_EQ(response({committed, 7, "build"}), "different_history");
+  EXPECT_EQ(response({committed, 1, "build"}), "served");
+  EXPECT_EQ(replica.core.sessions().counts().rejectedSubscriberAhead, 1u);
+  EXPECT_EQ(replica.core.sessions().counts().rejectedDifferentHistory, 1u);
 }
 
-TEST(DistributionReplica, ReplicaMessagesAreAcceptedFromPeersOnly) {
-  LoneReplica replica;
+TEST(DistributionReplica, ReplicaMessagesFromNonPeersAreIgnored) {
+  SingleWriterReplica replica;
   const Term promised = replica.core.state().promisedTerm();
   replica.core.receive(200, "s0", Prepare{99, 0});
   replica.core.receive(200, "s0", Append{99, 0, 0, {}, 0, 0, 0});
@@ -35,9 +35,9 @@
   EXPECT_TRUE(replica.core.isWriter());
 }
 
-TEST(DistributionReplica, SilentSubscriberCostsBoundedWindowThenExpires) {
+TEST(DistributionReplica, UnresponsiveSubscriberIsSentBoundedWindowAndExpires) {
   ReplicaLimits limits;
-  LoneReplica replica(limits);
+  SingleWriterReplica replica(limits);
   replica.core.receive(200, "s0", Subscribe{0, 0, "build"});
   for (int i = 0; i < 2000; ++i) {
     replica.now += 10;
@@ -47,40 +47,40 @@
   std::size_t records = 0;
   for (const auto& [to, message] : replica.environment.sent)
     if (const auto* changes = std::get_if<Changes>(&message)) records += changes->records.size();
-  // The window, sent again at times that double.
+  // The window of records in flight is resent with a timeout that doubles.
   EXPECT_LE(records, 6 * limits.sessions.maxRecordsInFlight);
   EXPECT_EQ(replica.core.sessions().size(), 1u);
   replica.core.tick(replica.now + limits.sessions.sessionTimeout + 1);
   EXPECT_EQ(replica.core.sessions().size(), 0u);
 }
 
-TEST(DistributionReplica, CopyBehindHorizonIsRepairedByRanges) {
+TEST(DistributionReplica, SubscriberBehindHorizonIsRepairedByRanges) {
   ReplicaLimits limits;
   limits.maxRecords = 70;
-  LoneReplica replica(limits);
+  SingleWriterReplica replica(limits);
   for (int i = 0; i < 3000; ++i) replica.put("n" + std::to_string(i), "value");
   SubscriberRecorder recorder;
   Subscriber subscriber({}, {"r0"}, "build", acceptAll, 1, recorder);
   subscriber.start(0);
-  replica.talk(subscriber, recorder, 60'000);
+  replica.exchangeUntil(subscriber, recorder, 60'000);
   ASSERT_EQ(subscriber.table().rootHash(), replica.core.state().table().rootHash());
-  const std::size_t whole = replica.bytesToSubscriber;
-  // A day passes for it: few entries change, more versions than the horizon keeps.
+  const std::size_t coldStartBytes = replica.bytesToSubscriber;
+  // While the subscriber is disconnected, more versions than the horizon are written to a few entries.
   for (int i = 0; i < 300; ++i) replica.put("n" + std::to_string(i % 10), "later" + std::to_string(i));
   SubscriberRecorder laterRecorder;
   Subscriber later({}, {"r0"}, "build", acceptAll, 2, laterRecorder);
   later.restore(subscriber.snapshot());
   later.start(replica.now);
   replica.bytesToSubscriber = 0;
-  replica.talk(later, laterRecorder, replica.now + 10'000);
+  replica.exchangeUntil(later, laterRecorder, replica.now + 10'000);
   EXPECT_EQ(later.table().rootHash(), replica.core.state().table().rootHash());
   EXPECT_EQ(later.counts().repairsDone, 1u);
-  EXPECT_LT(replica.bytesToSubscriber, whole / 20);
-  EXPECT_EQ(laterRecorder.versions.size(), 1u);  // in force at once, not range by range
+  EXPECT_LT(replica.bytesToSubscriber, coldStartBytes / 20);
+  EXPECT_EQ(laterRecorder.versions.size(), 1u);  // applied as one change, not range by range
 }
 
-TEST(DistributionReplica, DifferingCopyIsDetectedAndOnlyItsRangeIsSent) {
-  LoneReplica replica;
+TEST(DistributionReplica, DifferingSubscriberTableIsDetectedAndOnlyItsRangeIsSent) {
+  SingleWriterReplica replica;
   for (int i = 0; i < 3000; ++i) replica.put("n" + std::to_string(i), "value");
   SubscriberRecorder recorder;
   Subscriber subscriber({}, {"r0"}, "build", acceptAll, 1, recorder);
@@ -89,8 +89,8 @@
   differing.records.clear();
   subscriber.restore(differing);
   subscriber.start(0);
-  replica.talk(subscriber, recorder, 5000);
-  EXPECT_EQ(subscriber.counts().hashDiffers, 1u);
+  replica.exchangeUntil(subscriber, recorder, 5000);
+  EXPECT_EQ(subscriber.counts().hashMismatches, 1u);
   EXPECT_EQ(subscriber.find(route("n7"))->value, "value");
   EXPECT_LT(replica.bytesToSubscriber, 2000u);
 }
@@ -98,39 +98,39 @@
 TEST(DistributionReplica, ConcurrentTransfersAreLimited) {
   ReplicaLimits limits;
   limits.sessions.maxTransfers = 3;
-  LoneReplica replica(limits);
+  SingleWriterReplica replica(limits);
   for (int i = 0; i < 5; ++i) {
     const RangeRequest request{0, 0, 77, std::vector<Hash>(EntryTable::kRanges, 0)};
     replica.core.receive(200, "s" + std::to_string(i), request);
-    replica.core.receive(200, "s" + std::to_string(i), request);  // doubled
+    replica.core.receive(200, "s" + std::to_string(i), request);  // duplicate
   }
   EXPECT_EQ(replica.core.sessions().transfers(), 3u);
   EXPECT_GE(replica.core.sessions().counts().rejectedBusy, 2u);
   EXPECT_GT(lastOf<Rejection>(replica.environment.sent)->retryAfter, 0);
-  // A transfer whose subscriber is silent gives its place back.
+  // The transfer of a subscriber that sends nothing ends when its session expires.
   replica.core.tick(40'000);
   EXPECT_EQ(replica.core.sessions().transfers(), 0u);
 }
 
 TEST(DistributionReplica, ColdStartStaysWithinRateLimit) {
-  LoneReplica replica;
+  SingleWriterReplica replica;
   for (int i = 0; i < 4000; ++i) replica.put("n" + std::to_string(i), std::string(100, 'v'));
-  const Snapshot disk = replica.core.state().snapshot();
+  const Snapshot expected = replica.core.state().snapshot();
   ReplicaLimits limits;
   limits.maxRecords = 0;
   SubscriberRecorder recorder;
   Subscriber subscriber({}, {"r0"}, "build", acceptAll, 1, recorder);
   subscriber.start(replica.now);
-  const Milliseconds begin = replica.now;
-  subscriber.tick(begin);
-  subscriber.receive(begin, "r0", Rejection{RejectionCode::behindHorizon, 0});
-  while (subscriber.version() == 0 && replica.now < begin + 600'000)
-    replica.talk(subscriber, recorder, replica.now + 100);
-  EXPECT_EQ(subscriber.table().rootHash(), disk.table.rootHash());
-  const double seconds = static_cast<double>(replica.now - begin) / 1000;
-  const double mostBytes =
+  const Milliseconds startedAt = replica.now;
+  subscriber.tick(startedAt);
+  subscriber.receive(startedAt, "r0", Rejection{RejectionCode::behindHorizon, 0});
+  while (subscriber.version() == 0 && replica.now < startedAt + 600'000)
+    replica.exchangeUntil(subscriber, recorder, replica.now + 100);
+  EXPECT_EQ(subscriber.table().rootHash(), expected.table.rootHash());
+  const double seconds = static_cast<double>(replica.now - startedAt) / 1000;
+  const double maxBytes =
       limits.sessions.bytesPerSecond * (seconds + 1) + limits.sessions.burstBytes + 32 * 1024;
-  EXPECT_LE(static_cast<double>(replica.bytesToSubscriber), mostBytes);
+  EXPECT_LE(static_cast<double>(replica.bytesToSubscriber), maxBytes);
   EXPECT_GT(seconds, 20);
 }
 
@@ -138,14 +138,14 @@
   ThreeReplicas fleet;
   ASSERT_TRUE(fleet.nodes[0].core->becomeWriter(fleet.now, 1));
   fleet.run(1000);
-  fleet.put(0, "a");
+  fleet.publishValue(0, "a");
   fleet.run(2000);
   const Snapshot older = fleet.nodes[2].core->state().snapshot();
-  fleet.put(0, "b");
-  fleet.put(0, "c");
+  fleet.publishValue(0, "b");
+  fleet.publishValue(0, "c");
   fleet.run(4000);
   const Version newest = fleet.nodes[0].core->state().committed();
-  fleet.begin(2, older);
+  fleet.restart(2, older);
   fleet.nodes[2].core->receive(fleet.now, "s0", Subscribe{newest, 1, "build"});
   ASSERT_NE(lastOf<Rejection>(fleet.nodes[2].sent), nullptr);
   EXPECT_EQ(lastOf<Rejection>(fleet.nodes[2].sent)->code, RejectionCode::subscriberAhead);
@@ -161,35 +161,35 @@
   ThreeReplicas fleet(limits);
   ASSERT_TRUE(fleet.nodes[0].core->becomeWriter(fleet.now, 1));
   fleet.run(1000);
-  fleet.cut = {{0, 2}, {1, 2}};
+  fleet.cutLinks = {{0, 2}, {1, 2}};
   for (int i = 0; i < 40; ++i) {
-    EXPECT_NE(fleet.put(0, "q" + std::to_string(i)).status, PublishStatus::busy);
+    EXPECT_NE(fleet.publishValue(0, "q" + std::to_string(i)).status, PublishStatus::busy);
     fleet.run(fleet.now + 100);
   }
-  fleet.cut.clear();
+  fleet.cutLinks.clear();
   fleet.run(fleet.now + 10'000);
   EXPECT_EQ(fleet.nodes[2].core->counts().repairsDone, 1u);
   EXPECT_EQ(fleet.nodes[2].core->state().committed(), fleet.nodes[0].core->state().committed());
   EXPECT_EQ(fleet.nodes[2].core->state().table().rootHash(), fleet.nodes[0].core->state().table().rootHash());
 }
 
-TEST(DistributionReplica, PartitionedReplicaFetchesFromPeerOrReportsStaleness) {
+TEST(DistributionReplica, ReplicaCutOffFromWriterFetchesFromPeerOrReportsStaleness) {
   ThreeReplicas fleet;
   ASSERT_TRUE(fleet.nodes[0].core->becomeWriter(fleet.now, 1));
   fleet.run(5000);
   const ReplicaState& state = fleet.nodes[2].core->state();
-  fleet.cut = {{0, 2}};
-  fleet.put(0, "a");
+  fleet.cutLinks = {{0, 2}};
+  fleet.publishValue(0, "a");
   fleet.run(15'000);
   EXPECT_EQ(state.committed(), fleet.nodes[0].core->state().committed());
   EXPECT_GT(state.writerTime(), 1'000'000 + 10'000);
-  fleet.cut = {{0, 2}, {1, 2}};
+  fleet.cutLinks = {{0, 2}, {1, 2}};
   const Milliseconds newestWriterTime = state.writerTime();
-  fleet.put(0, "b");
+  fleet.publishValue(0, "b");
   fleet.run(60'000);
   EXPECT_EQ(state.writerTime(), newestWriterTime);
   EXPECT_LT(state.committed(), fleet.nodes[0].core->state().committed());
-  // It serves on, and reports its age to subscribers.
+  // It still serves subscribers and reports the writer time, from which they know its staleness.
   fleet.nodes[2].sent.clear();
   fleet.nodes[2].core->receive(fleet.now, "s0", Subscribe{state.committed(), state.committedTerm(), "build"});
   ASSERT_NE(lastOf<Changes>(fleet.nodes[2].sent), nullptr);
@@ -200,19 +200,20 @@
   ThreeReplicas fleet;
   ASSERT_TRUE(fleet.nodes[0].core->becomeWriter(fleet.now, 1));
   fleet.run(5000);
-  fleet.cut = {{0, 1}, {0, 2}};
+  fleet.cutLinks = {{0, 1}, {0, 2}};
   const Milliseconds newestWriterTime = fleet.nodes[0].core->state().writerTime();
-  EXPECT_EQ(fleet.put(0, "a").status, PublishStatus::pending);
+  EXPECT_EQ(fleet.publishValue(0, "a").status, PublishStatus::pending);
   fleet.run(20'000);
-  EXPECT_EQ(fleet.put(0, "b").status, PublishStatus::busy);
+  EXPECT_EQ(fleet.publishValue(0, "b").status, PublishStatus::busy);
   EXPECT_EQ(fleet.nodes[0].core->state().writerTime(), newestWriterTime);
   EXPECT_TRUE(fleet.nodes[0].committed.empty());
-  // The others go on; the old one follows once it reaches them, and its change was never made.
+  // Another replica becomes the writer. Once the partition heals, the old writer follows it, and its
+  // uncommitted change is discarded.
   ASSERT_TRUE(fleet.nodes[1].core->becomeWriter(fleet.now, 2));
   fleet.run(22'000);
-  fleet.put(1, "c");
+  fleet.publishValue(1, "c");
   fleet.run(24'000);
-  fleet.cut.clear();
+  fleet.cutLinks.clear();
   fleet.run(30'000);
   EXPECT_FALSE(fleet.nodes[0].core->isWriter());
   EXPECT_EQ(fleet.nodes[0].core->state().table().find(route("name-a")), nullptr);
@@ -220,44 +221,44 @@
   EXPECT_EQ(fleet.nodes[0].core->counts().conflictingHistories, 0u);
 }
 
-TEST(DistributionReplica, TableThatDiffersFromLogIsRepairedBeforeServing) {
+TEST(DistributionReplica, RestoredTableThatDiffersFromLogIsRepairedBeforeServing) {
   ThreeReplicas fleet;
   ASSERT_TRUE(fleet.nodes[0].core->becomeWriter(fleet.now, 1));
   fleet.run(1000);
-  fleet.put(0, "a");
+  fleet.publishValue(0, "a");
   fleet.run(2000);
   Snapshot differing = fleet.nodes[2].core->state().snapshot();
   differing.table.put(makeEntry(route("name-a"), "differs", 2, 1));
-  fleet.begin(2, differing);
+  fleet.restart(2, differing);
   fleet.nodes[2].core->receive(fleet.now, "s0", Subscribe{0, 0, "build"});
   ASSERT_NE(lastOf<Rejection>(fleet.nodes[2].sent), nullptr);
   EXPECT_EQ(lastOf<Rejection>(fleet.nodes[2].sent)->code, RejectionCode::notServing);
-  fleet.put(0, "b");
+  fleet.publishValue(0, "b");
   fleet.run(8000);
-  EXPECT_EQ(fleet.nodes[2].core->counts().tableDiffers, 1u);
+  EXPECT_EQ(fleet.nodes[2].core->counts().tableMismatches, 1u);
   EXPECT_EQ(fleet.nodes[2].core->counts().repairsDone, 1u);
   EXPECT_EQ(fleet.nodes[2].core->state().table().rootHash(), fleet.nodes[0].core->state().table().rootHash());
   fleet.nodes[2].core->receive(fleet.now, "s0", Subscribe{0, 0, "build"});
   EXPECT_EQ(lastOf<Rejection>(fleet.nodes[2].sent), nullptr);
 }
 
-TEST(DistributionReplica, TableThatDiffersWithoutLogIsDetectedAtNextChange) {
+TEST(DistributionReplica, RestoredTableThatDiffersWithoutLogIsDetectedAtNextChange) {
   ThreeReplicas fleet;
   ASSERT_TRUE(fleet.nodes[0].core->becomeWriter(fleet.now, 1));
   fleet.run(1000);
-  fleet.put(0, "a");
+  fleet.publishValue(0, "a");
   fleet.run(2000);
   Snapshot differing = fleet.nodes[2].core->state().snapshot();
   differing.table.put(makeEntry(route("name-a"), "differs", 2, 1));
   differing.logBase = differing.version;
   differing.logBaseTerm = differing.term;
   differing.records.clear();
-  fleet.begin(2, differing);
+  fleet.restart(2, differing);
   fleet.run(3000);
-  EXPECT_EQ(fleet.nodes[2].core->counts().tableDiffers, 0u);
-  fleet.put(0, "b");
+  EXPECT_EQ(fleet.nodes[2].core->counts().tableMismatches, 0u);
+  fleet.publishValue(0, "b");
   fleet.run(8000);
-  EXPECT_GE(fleet.nodes[2].core->counts().tableDiffers, 1u);
+  EXPECT_GE(fleet.nodes[2].core->counts().tableMismatches, 1u);
   EXPECT_EQ(fleet.nodes[2].core->counts().repairsDone, 1u);
   EXPECT_EQ(fleet.nodes[2].core->state().table().rootHash(), fleet.nodes[0].core->state().table().rootHash());
 }
--- a/tests/distribution_schedule_test.cpp
+++ b/tests/distribution_schedule_test.cpp
@@ -1,5 +1,6 @@
-/// The distribution core in virtual time: seeded schedules of faults, and the lab's simulation of a fleet.
-/// DISTRIBUTION_SCHEDULES and DISTRIBUTION_FIRST_SEED choose how many schedules run and which.
+/// Tests of configuration distribution in virtual time: seeded fault schedules, and the lab's simulation of a
+/// fleet. The environment variables DISTRIBUTION_SCHEDULES and DISTRIBUTION_FIRST_SEED set the number of
+/// schedules and the first seed.
 #include <gtest/gtest.h>
 
 #include <cstdlib>
@@ -12,49 +13,49 @@
 namespace {
 
 #ifdef __SANITIZE_ADDRESS__
-constexpr std::uint64_t kSchedules = 12;  // each is many times slower there
+constexpr std::uint64_t kSchedules = 12;  // a schedule runs many times slower under AddressSanitizer
 #else
 constexpr std::uint64_t kSchedules = 150;
 #endif
 
-std::uint64_t fromEnvironment(const char* name, std::uint64_t otherwise) {
+std::uint64_t fromEnvironment(const char* name, std::uint64_t defaultValue) {
   const char* value = std::getenv(name);
-  return value == nullptr ? otherwise : std::strtoull(value, nullptr, 10);
+  return value == nullptr ? defaultValue : std::strtoull(value, nullptr, 10);
 }
 
 void runSchedules(double loss) {
   const std::uint64_t first = fromEnvironment("DISTRIBUTION_FIRST_SEED", 1);
   const std::uint64_t schedules = fromEnvironment("DISTRIBUTION_SCHEDULES", kSchedules);
-  std::uint64_t versions = 0, repairs = 0, rejectedChanges = 0, restarts = 0, differing = 0, failed = 0;
+  std::uint64_t versions = 0, repairs = 0, rejectedChanges = 0, restarts = 0, corruptedTables = 0, failed = 0;
   for (std::uint64_t seed = first; seed < first + schedules; ++seed) {
     ScheduleOptions options;
     options.seed = seed;
     options.loss = loss;
     ScheduledFleet fleet(options);
     fleet.run();
-    for (const std::string& fault : fleet.faults) ADD_FAILURE() << fault;
-    failed += fleet.faults.empty() ? 0 : 1;
+    for (const std::string& violation : fleet.violations) ADD_FAILURE() << violation;
+    failed += fleet.violations.empty() ? 0 : 1;
     versions += fleet.committed();
     repairs += fleet.repairs;
     rejectedChanges += fleet.rejectedChanges;
     restarts += fleet.restarts;
-    differing += fleet.differing;
+    corruptedTables += fleet.corruptedTables;
     EXPECT_EQ(fleet.conflicts, 0u) << "seed " << seed;
   }
   std::cout << schedules << " schedules from seed " << first << ", loss " << loss << ": " << versions
-            << " versions, " << repairs << " repairs, " << rejectedChanges << " refusals told, " << restarts
-            << " restarts, " << differing << " differing copies, " << failed << " failed\n";
-  // The schedules must reach what they are for.
+            << " versions, " << repairs << " repairs, " << rejectedChanges << " rejections reported, "
+            << restarts << " restarts, " << corruptedTables << " corrupted tables, " << failed << " failed\n";
+  // The schedules must exercise changes, repairs, rejections and restarts.
   EXPECT_GT(versions, schedules * 10);
   EXPECT_GT(repairs, schedules);
   EXPECT_GT(rejectedChanges, schedules);
   EXPECT_GT(restarts, schedules);
 }
 
-TEST(DistributionSchedules, LossOfFivePercent) { runSchedules(0.05); }
-TEST(DistributionSchedules, LossOfTwentyPercent) { runSchedules(0.20); }
+TEST(DistributionSchedules, ReplicasAndSubscribersConvergeAtFivePercentLoss) { runSchedules(0.05); }
+TEST(DistributionSchedules, ReplicasAndSubscribersConvergeAtTwentyPercentLoss) { runSchedules(0.20); }
 
-// The small form of the simulation: counts and shape, no wall time.
+// Small fleet. The tests check counts and ratios in virtual time, not wall time.
 wingslip::lab::DistributionOptions smallFleet(wingslip::lab::DistributionScenario scenario) {
   wingslip::lab::DistributionOptions options;
   options.scenario = scenario;
@@ -67,30 +68,30 @@
   return options;
 }
 
-constexpr double kMaxEverywhereMs = 18'000;
+constexpr double kMaxDeliveryToAllMs = 18'000;
 constexpr double kMaxBytesPerSecond = 17'000;
 
-void expectKept(const wingslip::lab::DistributionResult& result) {
+void expectConsistentAndWithinLimits(const wingslip::lab::DistributionResult& result) {
   EXPECT_EQ(result.differingCopies, 0u);
   EXPECT_EQ(result.conflicts, 0u);
   EXPECT_EQ(result.recovered, result.restarted);
   for (const auto& phase : result.phases) {
     EXPECT_GT(phase.changes, 0u) << phase.name;
     EXPECT_EQ(phase.uncommitted, 0u) << phase.name;
-    EXPECT_LE(phase.everywhere.worst, kMaxEverywhereMs) << phase.name;
+    EXPECT_LE(phase.everywhere.worst, kMaxDeliveryToAllMs) << phase.name;
     EXPECT_LE(phase.subscriber.worstTenSecondBytes, kMaxBytesPerSecond) << phase.name;
   }
 }
 
-TEST(DistributionSimulation, EveryChangeReachesEveryGatekeeperOnce) {
+TEST(DistributionSimulation, EveryChangeIsAppliedOnceByEveryGatekeeper) {
   const auto result = simulateDistribution(smallFleet(wingslip::lab::DistributionScenario::steady));
-  expectKept(result);
+  expectConsistentAndWithinLimits(result);
   for (const auto& phase : result.phases) {
     EXPECT_EQ(phase.deliveries, phase.changes * 200) << phase.name;
     EXPECT_LE(phase.messagesPerChangeAndSubscriber, 2.3) << phase.name;
     EXPECT_LE(phase.bytesPerChangeAndSubscriber, 350) << phase.name;
   }
-  // A storm is taken in batches: fewer messages a change.
+  // Changes of a storm are sent in batches: fewer messages per change.
   EXPECT_LT(result.phases[1].messagesPerChangeAndSubscriber, result.phases[0].messagesPerChangeAndSubscriber);
 }
 
@@ -110,26 +111,26 @@
   }
 }
 
-TEST(DistributionSimulation, LostReplicaOrWriterDelaysWithinBound) {
+TEST(DistributionSimulation, DeliveryDelayIsBoundedAfterLossOfReplicaOrWriter) {
   using wingslip::lab::DistributionScenario;
   for (const auto scenario : {DistributionScenario::replica_dies, DistributionScenario::writer_dies}) {
     auto options = smallFleet(scenario);
     options.meanSeconds = 180;
     const auto result = simulateDistribution(options);
-    expectKept(result);
-    EXPECT_GE(result.failovers, 33u);  // a zone's subscribers
+    expectConsistentAndWithinLimits(result);
+    EXPECT_GE(result.failovers, 33u);  // the subscribers of one zone
     EXPECT_EQ(result.repairs, 0u);
   }
 }
 
-TEST(DistributionSimulation, RestartedZoneCatchesUp) {
+TEST(DistributionSimulation, RestartedZoneCatchesUpWithAndWithoutSnapshot) {
   using wingslip::lab::DistributionScenario;
   const auto warm = simulateDistribution(smallFleet(DistributionScenario::zone_restart));
-  expectKept(warm);
+  expectConsistentAndWithinLimits(warm);
   EXPECT_GE(warm.restarted, 33u);
   EXPECT_EQ(warm.repairs, 0u);
   const auto cold = simulateDistribution(smallFleet(DistributionScenario::zone_cold));
-  expectKept(cold);
+  expectConsistentAndWithinLimits(cold);
   EXPECT_GE(cold.repairs, 33u);
   EXPECT_LT(50 * warm.restartedMeanBytes, cold.restartedMeanBytes);
   EXPECT_LT(cold.restartedMeanBytes, 1.3 * cold.wholeFileBytes);
@@ -138,10 +139,10 @@
 TEST(DistributionSimulation, PartitionedRegionsReceiveThroughThirdRegion) {
   auto options = smallFleet(wingslip::lab::DistributionScenario::regions_part);
   options.meanSeconds = 400;
-  expectKept(simulateDistribution(options));
+  expectConsistentAndWithinLimits(simulateDistribution(options));
 }
 
-TEST(DistributionSimulation, SameSeedGivesSameRun) {
+TEST(DistributionSimulation, SameSeedReproducesSameRun) {
   const auto options = smallFleet(wingslip::lab::DistributionScenario::steady);
   const auto first = simulateDistribution(options), second = simulateDistribution(options);
   EXPECT_EQ(first.phases[1].subscriber.meanBytesIn, second.phases[1].subscriber.meanBytesIn);
--- a/tests/distribution_test.cpp
+++ b/tests/distribution_test.cpp
@@ -1,4 +1,4 @@
-/// The parts of the distribution core alone: table, token bucket, placement, writer, subscriber.
+/// Unit tests of configuration distribution: table, token bucket, placement, writer, subscriber.
 #include <gtest/gtest.h>
 
 #include <random>
@@ -9,7 +9,7 @@
 namespace wingslip::distribution {
 namespace {
 
-TEST(DistributionTable, HashesFollowEachChangeAndOnlyItsRangeIsReplaced) {
+TEST(DistributionTable, IncrementalHashesMatchRebuildAndOnlyChangedRangeIsReplaced) {
   EntryTable table;
   std::mt19937_64 random(1);
   for (int step = 0; step < 5000; ++step) {
@@ -50,7 +50,7 @@
   EXPECT_LE(taken, 10'000 + 500 + 100);
 }
 
-TEST(DistributionPlacement, PrefersZoneThenRegionAndSpreadsSubscribersOfLostReplica) {
+TEST(DistributionPlacement, PrefersZoneThenRegionAndSpreadsSubscribersOfFailedReplica) {
   std::vector<ReplicaAddress> replicas;
   replicas.reserve(18);
   for (int zone = 0; zone < 18; ++zone)
@@ -70,8 +70,8 @@
   for (const auto& [name, subscribers] : fourth) EXPECT_LT(subscribers, 60) << name;
 }
 
-TEST(DistributionWriter, RequestIsWrittenOnce) {
-  LoneReplica replica;
+TEST(DistributionWriter, RepeatedRequestIdIsWrittenOnce) {
+  SingleWriterReplica replica;
   const std::vector<Edit> edits{{route("a"), "1"}};
   const PublishResult first = replica.core.publish(0, "id", edits);
   const PublishResult second = replica.core.publish(0, "id", edits);
@@ -81,38 +81,39 @@
   EXPECT_EQ(replica.core.state().committed(), first.version);
 }
 
-TEST(DistributionWriter, ChangeOfDeadWriterIsFoundByNextWriter) {
+TEST(DistributionWriter, UncommittedChangeOfFailedWriterIsAdoptedByNextWriter) {
   ReplicaRecorder environment0, environment1, environment2;
   ControlReplica r0({}, "r0", {"r1", "r2"}, 1, environment0), r1({}, "r1", {"r0", "r2"}, 1, environment1),
       r2({}, "r2", {"r0", "r1"}, 1, environment2);
-  const std::map<std::string, std::pair<ControlReplica*, ReplicaRecorder*>> all{
+  const std::map<std::string, std::pair<ControlReplica*, ReplicaRecorder*>> replicas{
       {"r0", {&r0, &environment0}}, {"r1", {&r1, &environment1}}, {"r2", {&r2, &environment2}}};
-  std::set<std::string> down;
-  const auto settle = [&] {
+  std::set<std::string> failed;
+  const auto deliverAll = [&] {
     for (int round = 0; round < 20; ++round)
-      for (const auto& [name, node] : all)
+      for (const auto& [name, node] : replicas)
         for (const auto& [to, message] : std::exchange(node.second->sent, {}))
-          if (!down.contains(name) && !down.contains(to)) all.at(to).first->receive(1, name, message);
+          if (!failed.contains(name) && !failed.contains(to))
+            replicas.at(to).first->receive(1, name, message);
   };
   ASSERT_TRUE(r0.becomeWriter(1, 1));
-  settle();
+  deliverAll();
   ASSERT_TRUE(r0.isWriter());
   EXPECT_EQ(r0.publish(1, "id", {{route("a"), "1"}}).status, PublishStatus::pending);
-  // Its records reach one other replica; it dies before any answer.
+  // The records reach one other replica; the writer fails before any response.
   for (const auto& [to, message] : std::exchange(environment0.sent, {}))
     if (to == "r1") r1.receive(1, "r0", message);
-  down.insert("r0");
+  failed.insert("r0");
   environment1.sent.clear();
   ASSERT_TRUE(r2.becomeWriter(1, 2));
-  settle();
+  deliverAll();
   ASSERT_TRUE(r2.isWriter());
-  const PublishResult again = r2.publish(1, "id", {{route("a"), "1"}});
-  EXPECT_EQ(again.status, PublishStatus::committed);
-  EXPECT_EQ(again.version, 2u);  // after the barrier of term 1
-  // The dead one comes back, still the writer of term 1: refused, and it follows.
-  down.clear();
+  const PublishResult retried = r2.publish(1, "id", {{route("a"), "1"}});
+  EXPECT_EQ(retried.status, PublishStatus::committed);
+  EXPECT_EQ(retried.version, 2u);  // after the barrier of term 1
+  // The old writer recovers, still with term 1: its messages are rejected, and it follows the new writer.
+  failed.clear();
   EXPECT_EQ(r0.publish(2, "late", {{route("a"), "2"}}).status, PublishStatus::pending);
-  settle();
+  deliverAll();
   EXPECT_FALSE(r0.isWriter());
   EXPECT_GT(r1.counts().oldTerms + r2.counts().oldTerms, 0u);
   EXPECT_FALSE(r0.becomeWriter(2, 2));
@@ -121,7 +122,7 @@
 }
 
 TEST(DistributionWriter, InvalidChangeIsRejectedWithReason) {
-  LoneReplica replica;
+  SingleWriterReplica replica;
   const Version before = replica.core.state().committed();
   const auto reason = [&replica](const std::string& id, const std::vector<Edit>& edits) {
     const PublishResult result = replica.core.publish(0, id, edits);
@@ -147,14 +148,14 @@
 TEST(DistributionSubscriber, AppliesNextRecordAndAcknowledges) {
   ConnectedSubscriber subscriber;
   const auto record = makeRecord(4, 2, subscriber.table, "n4", "v");
-  subscriber.core.receive(2, "r0", subscriber.following(record));
+  subscriber.core.receive(2, "r0", subscriber.changesWith(record));
   EXPECT_EQ(subscriber.core.version(), 4u);
   EXPECT_EQ(subscriber.core.find(route("n4"))->value, "v");
   ASSERT_NE(lastOf<Acknowledge>(subscriber.environment.sent), nullptr);
   EXPECT_EQ(lastOf<Acknowledge>(subscriber.environment.sent)->version, 4u);
 }
 
-TEST(DistributionSubscriber, DuplicateOldAndOutOfOrderRecordsChangeNothing) {
+TEST(DistributionSubscriber, DuplicateAndOutOfOrderRecordsAreNotApplied) {
   ConnectedSubscriber subscriber;
   EntryTable empty;
   const auto old = makeRecord(2, 2, empty, "other", "v");
@@ -169,17 +170,17 @@
   EXPECT_EQ(lastOf<Subscribe>(subscriber.environment.sent)->version, 3u);
 }
 
-TEST(DistributionSubscriber, OlderTermAndConflictingHistoryAreRejected) {
+TEST(DistributionSubscriber, RecordsOfOlderTermOrConflictingHistoryAreNotApplied) {
   {
     ConnectedSubscriber subscriber;
-    subscriber.core.receive(2, "r0", subscriber.following(makeRecord(4, 1, subscriber.table, "n4", "v")));
+    subscriber.core.receive(2, "r0", subscriber.changesWith(makeRecord(4, 1, subscriber.table, "n4", "v")));
     subscriber.expectUnchanged();
     EXPECT_EQ(subscriber.core.counts().oldTerms, 1u);
     EXPECT_EQ(subscriber.core.replica(), "r1");
   }
   {
     ConnectedSubscriber subscriber;
-    Changes changes = subscriber.following(makeRecord(4, 3, subscriber.table, "n4", "v"));
+    Changes changes = subscriber.changesWith(makeRecord(4, 3, subscriber.table, "n4", "v"));
     changes.previousTerm = 1;
     subscriber.core.receive(2, "r0", changes);
     subscriber.expectUnchanged();
@@ -191,9 +192,9 @@
   ConnectedSubscriber subscriber;
   auto record = std::make_shared<ChangeRecord>(*makeRecord(4, 2, subscriber.table, "n4", "v"));
   record->rootHash += 1;
-  subscriber.core.receive(2, "r0", subscriber.following(record));
+  subscriber.core.receive(2, "r0", subscriber.changesWith(record));
   subscriber.expectUnchanged();
-  EXPECT_EQ(subscriber.core.counts().hashDiffers, 1u);
+  EXPECT_EQ(subscriber.core.counts().hashMismatches, 1u);
   ASSERT_NE(lastOf<RangeRequest>(subscriber.environment.sent), nullptr);
   EXPECT_EQ(lastOf<RangeRequest>(subscriber.environment.sent)->hashes, subscriber.table.rangeHashes());
 }
@@ -205,14 +206,14 @@
   EXPECT_EQ(subscriber.core.counts().malformed, 1000u);
   EXPECT_LE(subscriber.environment.lines.size(), 11u);
   const auto record = makeRecord(4, 2, subscriber.table, "n4", "v");
-  subscriber.core.receive(6, "r1", subscriber.following(record));
+  subscriber.core.receive(6, "r1", subscriber.changesWith(record));
   subscriber.core.receive(6, "r0", Append{});
   subscriber.core.receive(6, "r0", RangeContents{});
   EXPECT_EQ(subscriber.core.counts().unexpected, 3u);
   subscriber.expectUnchanged();
 }
 
-TEST(DistributionSubscriber, DamagedTransferChangesNothing) {
+TEST(DistributionSubscriber, TransferWithWrongRootHashIsNotApplied) {
   ConnectedSubscriber subscriber;
   subscriber.core.receive(2, "r0", Rejection{RejectionCode::behindHorizon, 0});
   const RangeRequest* request = lastOf<RangeRequest>(subscriber.environment.sent);
@@ -225,47 +226,47 @@
   EXPECT_EQ(subscriber.core.counts().repairsDamaged, 1u);
 }
 
-TEST(DistributionSubscriber, InvalidChangeIsRejectedWholeAndReported) {
-  LoneReplica replica;
+TEST(DistributionSubscriber, ChangeWithInvalidEntryIsRejectedAtomicallyAndReported) {
+  SingleWriterReplica replica;
   SubscriberRecorder recorder;
   Subscriber subscriber({}, {"r0"}, "build", rejectBad, 1, recorder);
   replica.core.publish(0, "one", {{route("a"), "1"}, {route("b"), "1"}, {route("c"), "1"}});
   subscriber.start(0);
-  replica.talk(subscriber, recorder, 1000);
+  replica.exchangeUntil(subscriber, recorder, 1000);
   replica.core.publish(1000, "two", {{route("a"), "2"}, {route("b"), "bad"}, {route("c"), std::nullopt}});
-  replica.talk(subscriber, recorder, 2000);
+  replica.exchangeUntil(subscriber, recorder, 2000);
   EXPECT_EQ(subscriber.version(), replica.core.state().committed());
   for (const char* name : {"a", "b", "c"}) EXPECT_EQ(subscriber.find(route(name))->value, "1");
   ASSERT_EQ(replica.environment.rejectedChanges.size(), 1u);
   EXPECT_EQ(replica.environment.rejectedChanges[0].second, (RejectedChange{3, "a bad value"}));
-  // It stays so over a restart, and goes when each entry has a good change.
+  // The rejection survives a restart and ends once each entry has an accepted change.
   Subscriber restarted({}, {"r0"}, "build", rejectBad, 2, recorder);
   restarted.restore(decodeSnapshot(encodeSnapshot(subscriber.snapshot())));
   for (const char* name : {"a", "b", "c"}) EXPECT_EQ(restarted.find(route(name))->value, "1");
   EXPECT_EQ(restarted.rejectedChanges().size(), 1u);
   restarted.start(2000);
   for (const char* name : {"a", "b", "c"}) replica.put(name, "3");
-  replica.talk(restarted, recorder, 4000);
+  replica.exchangeUntil(restarted, recorder, 4000);
   for (const char* name : {"a", "b", "c"}) EXPECT_EQ(restarted.find(route(name))->value, "3");
   EXPECT_TRUE(restarted.rejectedChanges().empty());
 }
 
-TEST(DistributionSubscriber, NewerBuildAcceptsRejectedChangeAtStart) {
-  LoneReplica replica;
+TEST(DistributionSubscriber, NewerBuildAppliesPreviouslyRejectedChangeOnRestore) {
+  SingleWriterReplica replica;
   SubscriberRecorder recorder;
   Subscriber older({}, {"r0"}, "older", rejectBad, 1, recorder);
   replica.put("a", "1");
   older.start(0);
-  replica.talk(older, recorder, 1000);
+  replica.exchangeUntil(older, recorder, 1000);
   replica.put("a", "bad");
-  replica.talk(older, recorder, 2000);
+  replica.exchangeUntil(older, recorder, 2000);
   EXPECT_EQ(older.find(route("a"))->value, "1");
   Subscriber newer({}, {"r0"}, "newer", acceptAll, 1, recorder);
   newer.restore(older.snapshot());
   EXPECT_EQ(newer.find(route("a"))->value, "bad");
 }
 
-TEST(DistributionSubscriber, FailsOverAfterSilenceWithJitter) {
+TEST(DistributionSubscriber, FailsOverAfterConnectTimeoutWithJitter) {
   std::set<Milliseconds> waits;
   for (std::uint64_t seed = 1; seed <= 50; ++seed) {
     SubscriberRecorder environment;
