--- a/tools/lab/scenario.cpp
+++ b/tools/lab/scenario.cpp
@@ -1,3 +1,4 @@
+/// Reads a scenario file: parses the TOML and runs the readers of its parts.
 #include "scenario.hpp"
 
 #include <toml++/toml.h>
--- a/tools/lab/scenario.hpp
+++ b/tools/lab/scenario.hpp
@@ -1,5 +1,5 @@
-// A lab scenario: the fleet, the load and the faults at their times, read whole from TOML and checked before
-// anything starts. Pure: no I/O but the read of the file.
+/// A lab scenario: the fleet, its load and its scheduled faults. The TOML file is parsed and validated
+/// completely before any process is started. The only I/O is reading the file.
 #pragma once
 
 #include <cstdint>
@@ -12,144 +12,159 @@
 
 namespace wingslip::lab {
 
-// A scenario that cannot be played: `what` names the file, line and column ("crash.toml:7:1: ...").
+/// The scenario file is invalid. The message starts with file, line and column ("crash.toml:7:1: ...").
 struct BadScenario : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-// One fault or repair at its time. Which target fields are set depends on `what`:
-// gatekeeper faults (kill, stop, cont, pause, term, finish, restart, upgrade, hup) set `gatekeeper`, where
-// `term` excuses what is open then and `finish` (SIGTERM too) excuses nothing; link faults (cut, blackhole,
-// oneway, delay, throttle, heal) set `worker`, `zone` or `link` and optionally `gatekeeper` (all when
-// missing); worker faults (drain, silent, revive, restart_worker) set `worker` or `zone`; agent faults
-// (agent_down, agent_up, watch_end, watch_silent, discovery_crowded, discovery_ok) and `invalidate` (its
-// sessions at the store) set `gatekeeper`; faults of its system (calls, clock_step, disk) set `gatekeeper`,
-// or none for all; the store's (store_stop, store_start, store_wipe, store_save, store_old, store_silent,
-// store_errors, store_lose, store_ok) set none.
+/// One scheduled fault or repair. The kind of step, `what`, decides which target fields are set:
+/// - gatekeeper faults (kill, stop, cont, pause, term, finish, restart, upgrade, hup) set `gatekeeper`. Both
+///   `term` and `finish` send SIGTERM: `term` exempts the requests in flight from the rules, `finish`
+///   doesn't;
+/// - link faults (cut, blackhole, oneway, delay, throttle, heal) set `worker`, `zone` or `link`, and
+/// optionally
+///   `gatekeeper` (default: all gatekeepers);
+/// - worker faults (drain, silent, revive, restart_worker) set `worker` or `zone`;
+/// - agent faults (agent_down, agent_up, watch_end, watch_silent, discovery_crowded, discovery_ok) and
+///   `invalidate`, which ends the gatekeeper's store sessions, set `gatekeeper`;
+/// - system faults (calls, clock_step, disk) optionally set `gatekeeper` (default: all gatekeepers);
+/// - store faults (store_stop, store_start, store_wipe, store_save, store_old, store_silent, store_errors,
+///   store_lose, store_ok) have no target.
 struct Step {
-  double atS = 0;  // seconds from the start of the load
-  std::string what;
+  double atS = 0;    ///< seconds after the start of the load
+  std::string what;  ///< the kind of step, the file's key `do`
   std::optional<int> gatekeeper, worker;
-  // In place of a gatekeeper's number: "holder", who holds the duty at that time; "former", whom the last
-  // step with "holder" meant.
+  /// Set when the file names a role in place of a gatekeeper's number. "holder": the leader at the time of
+  /// the step; "former": the gatekeeper that the last "holder" step resolved to.
   std::string role;
   std::optional<std::string> zone;
-  std::string link;  // "discovery", "store": the links are those of gatekeepers to it; "peers": to each other
-  int below = 0;     // "peers" only: the links between gatekeepers below this and the others, both ways
-  double delayMs = 0;             // `delay` only: added to each piece, each way
-  double bytesPerS = 0;           // `throttle` only: what passes at most, each way
-  std::string patch;              // `hup` only: a JSON merge patch of that gatekeeper's configuration file
-  std::optional<CallFault> call;  // `calls` only: the kind of system calls that fail from now on
-  double share = 0;               // `calls` only: of these calls
-  double stepMs = 0;              // `clock_step` only: by how much the wall clock is stepped
-  double forMs = 0;               // `pause` only: how long the process stands still
-  int diskError = 0;              // `disk` only: errno of writes to files from now on; 0: none
-  int line = 0;                   // where it stands in the file, for messages
+  /// "discovery" or "store": the gatekeepers' links to that stand-in; "peers": the links between gatekeepers.
+  std::string link;
+  /// "peers" only: selects the links, in both directions, between gatekeepers with an index below this one
+  /// and the other gatekeepers.
+  int below = 0;
+  double delayMs = 0;             ///< `delay` only: added to each chunk of data, in each direction
+  double bytesPerS = 0;           ///< `throttle` only: bandwidth limit in each direction
+  std::string patch;              ///< `hup` only: JSON merge patch for the gatekeeper's configuration file
+  std::optional<CallFault> call;  ///< `calls` only: the kind of system call that fails from this step on
+  double share = 0;               ///< `calls` only: the share of these calls that fail, 0 to 1
+  double stepMs = 0;              ///< `clock_step` only: offset added to the wall clock
+  double forMs = 0;               ///< `pause` only: how long the process is stopped
+  int diskError = 0;              ///< `disk` only: errno that file writes return from this step on; 0: none
+  int line = 0;                   ///< line in the scenario file, for messages
 };
 
-// Clients that connect to each gatekeeper and rest; a connection that the gatekeeper closes comes back at
-// once, as far as the rate allows.
+/// Clients that connect to each gatekeeper and stay idle. A connection that the gatekeeper closes is reopened
+/// immediately, within the connection rate.
 struct IdleLoad {
-  int each = 0;                   // clients at each gatekeeper; 0: the scenario has none
-  std::optional<int> gatekeeper;  // only at this one; none: at all of them
-  double fromS = 0;               // seconds from the start of the load
-  double untilS = 0;              // then all connections are closed
-  double connectsPerS = 200;      // connections a second to one gatekeeper at most, returns among them
-  double requestShare = 0.3;      // of the clients: send one whole request and rest
-  double partShare = 0.05;        // of the clients: send part of a request and rest; the others send nothing
+  int each = 0;                   ///< clients per gatekeeper; 0: no idle clients
+  std::optional<int> gatekeeper;  ///< the only gatekeeper that gets idle clients; unset: all gatekeepers
+  double fromS = 0;               ///< seconds after the start of the load
+  double untilS = 0;              ///< seconds after the start of the load; all connections are closed then
+  double connectsPerS = 200;      ///< limit of connections a second to one gatekeeper, reconnects included
+  double requestShare = 0.3;      ///< share of the clients that send one complete request and then stay idle
+  double partShare = 0.05;  ///< share of the clients that send part of a request; the others send nothing
 };
 
-/// Clients that keep their connections and are rough with them (`rough_clients.hpp`). The shares are those of
-/// the exchanges; the rest are plain ones.
+/// Misbehaving clients on persistent connections (`rough_clients.hpp`). Each share is a part, 0 to 1, of the
+/// exchanges; the remaining exchanges are well-formed.
 struct RoughLoad {
-  int clients = 0;       ///< over all gatekeepers
-  double thinkMs = 200;  ///< between two exchanges, in the mean
-  double leave = 0;      ///< go while their request is out, or in the middle of it
-  double pipeline = 0;   ///< send several requests at once
-  double stop = 0;       ///< stop in the middle of a request and stay
-  double slow = 0;       ///< write a request in pieces
-  double malformed = 0;  ///< send what is no request
+  int clients = 0;       ///< in total over all gatekeepers
+  double thinkMs = 200;  ///< mean time between two exchanges
+  double leave = 0;      ///< disconnect while the request is being sent or is in flight
+  double pipeline = 0;   ///< send several requests without waiting for the answers
+  double stop = 0;       ///< send part of a request and keep the connection open
+  double slow = 0;       ///< write a request in small pieces
+  double malformed = 0;  ///< send bytes that are not an HTTP request
 };
 
-/// What a stand-in worker does to some of its exchanges, as shares of them.
+/// Misbehaviour of the stand-in workers. Each value is a share, 0 to 1, of the exchanges.
 struct RoughWorkers {
-  double twice = 0;     ///< answers a second time some milliseconds later
-  double unframed = 0;  ///< answers with no length, and closes
+  double twice = 0;     ///< sends a second answer some milliseconds after the first
+  double unframed = 0;  ///< answers without a length and closes the connection
   double broken = 0;    ///< resets the connection in the middle of the answer
-  double reset = 0;     ///< resets the connection once it has the request
-  double hang = 0;      ///< says nothing
+  double reset = 0;     ///< resets the connection after reading the request
+  double hang = 0;      ///< never answers
   double error = 0;     ///< answers 500
   double closes = 0;    ///< closes the connection some time after the answer
 };
 
-// A count that the run must reach: fates (served, refused, failed, closed, unreachable, lost, wrong) of the
-// requests sent in [afterS, beforeS), at one gatekeeper or all; `attempts` that came to a worker or a zone's
-// workers in that time; `upgrades` whose old process has ended in order; `claims` of the duty (a new token
-// was recorded); or of the last roster recorded before beforeS how many names are `roster_here`,
-// `roster_draining`, `roster_left`, `roster_missing`; `copies_equal`, how many
-// gatekeepers hold the most common copy of the shared state at the end; `roster_agreed`, how many
-// gatekeepers tell that roster at the end to an operator; `idle_opened`, `idle_closed`, `idle_refused`, the
-// idle clients' connections; or `figure`, the largest value of that figure that one gatekeeper or all told
-// operators in [afterS, beforeS).
+/// An expected count, checked after the run. `fate` names the count:
+/// - served, refused, failed, closed, unreachable, lost, wrong: requests with that outcome, of those sent in
+///   [afterS, beforeS), at one gatekeeper or all;
+/// - attempts: those that arrived at a worker, or at the workers of a zone, in that time;
+/// - upgrades: those whose old process ended with status 0;
+/// - claims: new tokens recorded for the duty;
+/// - roster_here, roster_draining, roster_left, roster_missing: names in that state in the last roster
+///   recorded before beforeS;
+/// - roster_agreed: gatekeepers that report that roster to operators at the end;
+/// - copies_equal: gatekeepers that have the most common copy of the shared state at the end;
+/// - idle_opened, idle_closed, idle_refused: connections of the idle clients;
+/// - figure: the largest value of that figure that one gatekeeper or all reported to operators in
+///   [afterS, beforeS).
 struct Expect {
   std::string fate;
-  std::string figure;  // `figure` only: its name as in the gatekeepers' telemetry, without "svc."
+  std::string figure;  ///< `figure` only: its name in the gatekeepers' telemetry, without "svc."
   std::optional<int> gatekeeper, worker;
   std::optional<std::string> zone;
-  double afterS = 0, beforeS = 1e9;
-  std::optional<long> min, max;
-  int line = 0;
+  double afterS = 0, beforeS = 1e9;  ///< seconds after the start of the load
+  std::optional<long> min, max;      ///< inclusive bounds; at least one is set
+  int line = 0;                      ///< line in the scenario file, for messages
 };
 
 struct Scenario {
   std::string name;
-  double lengthS = 10;  // load from 0 to this
+  double lengthS = 10;  ///< duration of the load in seconds
   int gatekeepers = 3, workers = 4;
-  int settingsFor = 0;  // gatekeepers that the settings name; more than are started where the fleet is larger
-  std::vector<std::string> zones{"a"};  // workers are dealt round them: worker w in zones[w % size]
+  /// Number of gatekeepers given in the settings (`nInstances`); never below the number started.
+  int settingsFor = 0;
+  std::vector<std::string> zones{"a"};  ///< assigned round-robin: worker w is in zones[w % size]
   // Load: open-loop Poisson arrivals.
-  double rate = 50;  // requests a second over the fleet
+  double rate = 50;  ///< requests a second over the whole fleet
   double deadlineMs = 1500;
   int customers = 32;
-  double editShare = 0.2;  // keyed POSTs; the rest safe GETs
-  int mostInFlight = 2000;
+  double editShare = 0.2;   ///< share of requests that are keyed POSTs; the others are safe GETs
+  int mostInFlight = 2000;  ///< limit of client requests in flight
   // Stand-in workers: log-normal service time.
-  double serviceMs = 20, spread = 0.4;
-  int workerInFlight = 32;
-  double coldS = 0;  // a worker that starts anew answers 4 times slower, falling to 1 over this
+  double serviceMs = 20, spread = 0.4;  ///< median and the standard deviation of the logarithm
+  int workerInFlight = 32;              ///< concurrency limit of one worker; further requests are declined
+  double coldS = 0;  ///< after a restart, a worker's service time falls from 4 times to 1 over this time
   int attemptsCap = 3;
-  // The lab holds the clients' listening sockets, as a platform does that upgrades in place; `upgrade` needs
-  // it.
+  /// The lab owns the clients' listening sockets and passes them on, as a platform with in-place upgrades
+  /// does. `upgrade` steps require it.
   bool heldSockets = false;
-  // `[store]`: gatekeepers have a coordination store, with sessions of this TTL and lock-delay.
+  /// `[store]`: gatekeepers use a coordination store.
   bool store = false;
-  double storeTtlMs = 2000, storeLockDelayMs = 200;
-  // `[replica]`: gatekeepers share state; each is told of the two after it, and finds the others through
-  // them.
+  double storeTtlMs = 2000, storeLockDelayMs = 200;  ///< of the sessions
+  /// `[replica]`: gatekeepers share state. In a large fleet each is configured with the two gatekeepers after
+  /// it only and discovers the others through them.
   bool replica = false;
   double probeEveryMs = 300, gossipEveryMs = 100, repairEveryMs = 1500;
-  IdleLoad idle;               // `[idle_clients]`
-  RoughLoad rough;             // `[rough_clients]`
-  RoughWorkers roughWorkers;   // `[rough_workers]`
-  bool directWorkers = false;  // no fault proxies on the links to workers: many links cost little
-  bool stateFolders = false;   // every gatekeeper has a $TMPDIR that outlives it; with heldSockets it has one
-  bool clientsMayWait = false;  // a stopped process is late by as much: answers past their time are excused
-  // `[system]`, or a step of that kind: every gatekeeper runs with the fault library.
+  IdleLoad idle;               ///< `[idle_clients]`
+  RoughLoad rough;             ///< `[rough_clients]`
+  RoughWorkers roughWorkers;   ///< `[rough_workers]`
+  bool directWorkers = false;  ///< connect to workers without fault proxies, which saves cost with many links
+  /// Every gatekeeper has a $TMPDIR that persists over restarts. `heldSockets` implies one.
+  bool stateFolders = false;
+  /// Exempts late answers of a gatekeeper whose process was stopped, which delays them by as much.
+  bool clientsMayWait = false;
+  /// Every gatekeeper runs with the fault library. Set by `[system]` and by steps with system faults.
   bool faultLibrary = false;
-  SystemFaults system;      // from each start of a gatekeeper on
-  std::string configPatch;  // a JSON merge patch of every gatekeeper's configuration; empty: none
+  SystemFaults system;      ///< active from each start of a gatekeeper
+  std::string configPatch;  ///< JSON merge patch for every gatekeeper's configuration; empty: none
   std::vector<Step> steps;
   std::vector<Expect> expects;
 
+  /// Index in `zones` of the worker's zone.
   int zoneOf(int worker) const { return worker % static_cast<int>(zones.size()); }
 };
 
-// Reads and checks a scenario. Fleet sizes given here (> 0) replace the file's before the targets are
-// checked. A `[random]` table (rate_per_s, faults, heal_after_s, from_s, until_s) adds faults at Poisson
-// times drawn from `seed`, each on a target picked by chance that no other fault holds, each undone after
-// heal_after_s (kill and term by restart, stop by cont, link faults by heal, drain and silent by revive,
-// agent_down by agent_up); the steps come out sorted by time. Throws BadScenario with file:line:column for
-// the first fault the file has.
+/// Reads and validates a scenario file. `gatekeepers` and `workers`, where > 0, override the file's fleet
+/// size before targets are validated. A `[random]` table (rate_per_s, faults, heal_after_s, from_s, until_s)
+/// adds faults at Poisson times drawn from `seed`. Each hits a random target that has no other active fault,
+/// and is undone after heal_after_s: kill and term by restart, stop by cont, link faults by heal, drain and
+/// silent by revive, agent_down by agent_up. The steps are returned sorted by time.
+/// @throws BadScenario with file:line:column of the first error in the file.
 Scenario readScenario(const std::string& path, int gatekeepers = 0, int workers = 0, std::uint64_t seed = 1);
 
 }  // namespace wingslip::lab
--- a/tools/lab/scenario_expectations.cpp
+++ b/tools/lab/scenario_expectations.cpp
@@ -1,3 +1,4 @@
+/// Reads and validates the `[[expect]]` tables.
 #include "scenario_expectations.hpp"
 
 #include <set>
@@ -16,7 +17,7 @@
   if (!fate || !fate->is_string() || !kFates.contains(*fate->value<std::string>()))
     reader.fail(
         fate ? fate->source() : table.source(),
-        "fate is one of served, refused, failed, closed, unreachable, lost, wrong, attempts, upgrades, "
+        "fate must be one of served, refused, failed, closed, unreachable, lost, wrong, attempts, upgrades, "
         "claims, roster_*, copies_equal, idle_*, figure");
   return *fate->value<std::string>();
 }
@@ -36,7 +37,7 @@
   expect.worker = reader.index(table, "worker", scenario.workers, "worker");
   expect.zone = reader.zone(table, scenario.zones);
   if ((expect.worker || expect.zone) != (expect.fate == "attempts"))
-    reader.fail(table.source(), "attempts are counted at a worker or a zone, and only they");
+    reader.fail(table.source(), "fate = \"attempts\" needs a worker or a zone; no other fate takes one");
   expect.afterS = reader.number(table, "after_s", 0.0, 0, 1e9);
   expect.beforeS = reader.number(table, "before_s", 1e9, 0, 1e9);
   if (table.get("min")) expect.min = reader.number(table, "min", 0L, 0, 1e9);
@@ -52,7 +53,7 @@
   if (!expects) return;
   for (const toml::node& node : *expects) {
     const toml::table* table = node.as_table();
-    if (!table) reader.fail(node.source(), "an expectation is a table: [[expect]]");
+    if (!table) reader.fail(node.source(), "an expectation must be a table: [[expect]]");
     scenario.expects.push_back(readExpectation(reader, *table, scenario));
   }
 }
--- a/tools/lab/scenario_expectations.hpp
+++ b/tools/lab/scenario_expectations.hpp
@@ -1,4 +1,4 @@
-/// The expectations of a scenario file: counts that a run must reach.
+/// Reader of a scenario file's expectations: bounds of counts, checked after the run.
 #pragma once
 
 #include <toml++/toml.h>
@@ -8,8 +8,8 @@
 
 namespace wingslip::lab {
 
-/// Reads all `[[expect]]` tables into the scenario, whose sections have been read.
-/// @throws BadScenario for the first fault.
+/// Reads all `[[expect]]` tables into the scenario, whose sections must have been read before.
+/// @throws BadScenario for the first error in the file.
 void readExpectations(const TableReader& reader, const toml::table& file, Scenario& scenario);
 
 }  // namespace wingslip::lab
--- a/tools/lab/scenario_sections.cpp
+++ b/tools/lab/scenario_sections.cpp
@@ -1,3 +1,4 @@
+/// Reads and validates a scenario file's sections: fleet, load, stand-ins and their misbehaviour.
 #include "scenario_sections.hpp"
 
 #include <set>
@@ -5,7 +6,7 @@
 namespace wingslip::lab {
 namespace {
 
-/// Of a scenario's requests, and of its idle clients' connections.
+/// Limit for a scenario's number of requests, and for its idle clients' number of connections.
 constexpr double kMaxArrivals = 200000;
 
 std::vector<std::string> readZones(const TableReader& reader, const toml::table& fleet,
@@ -14,7 +15,7 @@
   if (!names) return fallback;
   std::vector<std::string> zones;
   for (const toml::node& name : *names) {
-    if (!name.is_string()) reader.fail(name.source(), "a zone is named by a string");
+    if (!name.is_string()) reader.fail(name.source(), "a zone's name must be a string");
     zones.push_back(*name.value<std::string>());
   }
   if (zones.empty()) reader.fail(fleet.source(), "zones is empty");
@@ -97,7 +98,7 @@
   out.slow = reader.number(table, "slow", out.slow, 0, 1);
   out.malformed = reader.number(table, "malformed", out.malformed, 0, 1);
   if (out.leave + out.pipeline + out.stop + out.slow + out.malformed > 1)
-    reader.fail(table.source(), "the shares are more than 1 together");
+    reader.fail(table.source(), "the sum of the shares is above 1");
   return out;
 }
 
--- a/tools/lab/scenario_sections.hpp
+++ b/tools/lab/scenario_sections.hpp
@@ -1,4 +1,4 @@
-/// The sections of a scenario file but its steps and expectations.
+/// Reader of a scenario file's sections, all except steps, expectations and random faults.
 #pragma once
 
 #include <toml++/toml.h>
@@ -8,7 +8,7 @@
 
 namespace wingslip::lab {
 
-/// Fleet sizes given by the caller; 0: those of the file.
+/// Fleet size that overrides the file's; 0: the file's value applies.
 struct FleetSize {
   int gatekeepers = 0;
   int workers = 0;
@@ -16,7 +16,7 @@
 
 /// Reads `[fleet]`, `[load]`, `[idle_clients]`, `[worker]`, `[store]`, `[replica]`, `[rough_clients]`,
 /// `[rough_workers]` and `[system]` into the scenario.
-/// @throws BadScenario for the first fault.
+/// @throws BadScenario for the first error in the file.
 void readSections(const TableReader& reader, const toml::table& file, FleetSize size, Scenario& scenario);
 
 }  // namespace wingslip::lab
--- a/tools/lab/scenario_steps.cpp
+++ b/tools/lab/scenario_steps.cpp
@@ -1,3 +1,4 @@
+/// Reads and validates the `[[step]]` tables.
 #include "scenario_steps.hpp"
 
 #include <set>
@@ -17,21 +18,21 @@
 const std::set<std::string> kWorkerFaults{"drain", "silent", "revive", "restart_worker"};
 const std::set<std::string> kSystemFaults{"calls", "clock_step", "disk"};
 
-/// One step's table with what all checks of it need.
+/// Reads one `[[step]]` table and validates it against the scenario.
 class StepReader {
  public:
   StepReader(const TableReader& reader, const toml::table& table, Scenario& scenario)
       : reader_(reader), table_(table), scenario_(scenario) {}
 
-  /// @param earliestS the time of the step ahead of it, in seconds.
+  /// @param earliestS time of the preceding step in seconds; steps must be in order of time.
   Step read(double earliestS) {
     reader_.onlyKeys(table_, {"at_s", "do", "gatekeeper", "worker", "zone", "link", "below", "delay_ms",
                               "bytes_per_s", "patch", "call", "share", "step_ms", "error", "for_ms"});
     step_.line = static_cast<int>(table_.source().begin.line);
     readTime(earliestS);
-    what_ = table_.get("do");
-    if (!what_ || !what_->is_string()) reader_.fail(table_.source(), "a step has no do = \"...\"");
-    step_.what = *what_->value<std::string>();
+    kind_ = table_.get("do");
+    if (!kind_ || !kind_->is_string()) reader_.fail(table_.source(), "a step has no do = \"...\"");
+    step_.what = *kind_->value<std::string>();
     readTargets();
     checkTargets();
     checkKind();
@@ -41,7 +42,7 @@
   }
 
  private:
-  [[noreturn]] void fail(const std::string& what) const { reader_.fail(what_->source(), what); }
+  [[noreturn]] void fail(const std::string& message) const { reader_.fail(kind_->source(), message); }
 
   bool isOnWorkers() const { return step_.worker || step_.zone; }
 
@@ -72,11 +73,12 @@
 
   void checkTargets() {
     if (!step_.patch.empty() && step_.what != "hup") fail("only hup takes a patch");
-    if (isOnWorkers() && !step_.link.empty()) fail("a link to a worker or by name, not both");
+    if (isOnWorkers() && !step_.link.empty())
+      fail("a link fault takes either a worker or zone, or link, not both");
     step_.below = reader_.number(table_, "below", 0, 1, scenario_.gatekeepers - 1);
     const bool namesPeers = step_.gatekeeper || step_.below != 0;
     if (step_.link == "peers" && (!scenario_.replica || !namesPeers))
-      fail("peers' links need a [replica] and a gatekeeper or below");
+      fail("link = \"peers\" needs [replica], and gatekeeper or below");
     const bool isOperatorsCall = step_.what == "exclude" || step_.what == "include";
     if (isOperatorsCall && !step_.worker) fail(step_.what + " needs a worker");
     const bool needsStore =
@@ -89,14 +91,15 @@
     if (kGatekeeperFaults.contains(step_.what)) return checkGatekeeperFault();
     if (kSystemFaults.contains(step_.what)) return readSystemFault();
     const bool isNamedLink = kLinkFaults.contains(step_.what) && !step_.link.empty();
-    if (isNamedLink) return;  // all gatekeepers' links of that name, or one's
+    if (isNamedLink) return;  // the gatekeeper is optional
     if (kLinkFaults.contains(step_.what)) return checkLinkFault();
     if (kWorkerFaults.contains(step_.what)) return checkWorkerFault();
     fail("unknown fault " + step_.what);
   }
 
   void checkStoreFault() const {
-    if (step_.gatekeeper || isOnWorkers()) fail(step_.what + " is the store's alone");
+    if (step_.gatekeeper || isOnWorkers())
+      fail(step_.what + " applies to the store: it takes no gatekeeper, worker or zone");
   }
 
   void checkGatekeeperFault() {
@@ -106,17 +109,18 @@
   }
 
   void checkLinkFault() const {
-    if (scenario_.directWorkers) fail(step_.what + " needs proxies: fleet.direct_workers is true");
+    if (scenario_.directWorkers)
+      fail(step_.what + " needs fault proxies, and fleet.direct_workers = true has none");
     if (!isOnWorkers()) fail(step_.what + " needs a worker or a zone");
   }
 
   void checkWorkerFault() const {
     if (!isOnWorkers()) fail(step_.what + " needs a worker or a zone");
-    if (step_.gatekeeper) fail(step_.what + " is a worker's: it takes no gatekeeper");
+    if (step_.gatekeeper) fail(step_.what + " applies to workers: it takes no gatekeeper");
   }
 
   void readSystemFault() {
-    if (isOnWorkers()) fail(step_.what + " is a gatekeeper's: it takes no worker");
+    if (isOnWorkers()) fail(step_.what + " applies to gatekeepers: it takes no worker or zone");
     scenario_.faultLibrary = true;
     if (step_.what == "calls") readFailingCalls();
     step_.stepMs = reader_.number(table_, "step_ms", 0.0, -1e9, 1e9);
@@ -126,7 +130,9 @@
   void readFailingCalls() {
     const std::string name = table_["call"].value_or(std::string());
     step_.call = callFaultOf(name);
-    if (!step_.call) reader_.fail(table_.source(), "calls needs call = the kind that fails, not " + name);
+    if (!step_.call)
+      reader_.fail(table_.source(),
+                   "calls needs call = \"...\", a kind of system call; unknown kind " + name);
     step_.share = reader_.number(table_, "share", 0.0, 0, 1);
   }
 
@@ -139,7 +145,7 @@
   const TableReader& reader_;
   const toml::table& table_;
   Scenario& scenario_;
-  const toml::node* what_ = nullptr;  ///< where the fault is named
+  const toml::node* kind_ = nullptr;  ///< value of the key `do`, whose position error messages name
   Step step_;
 };
 
@@ -153,7 +159,7 @@
   double earliestS = 0;
   for (const toml::node& node : *steps) {
     const toml::table* table = node.as_table();
-    if (!table) reader.fail(node.source(), "a step is a table: [[step]]");
+    if (!table) reader.fail(node.source(), "a step must be a table: [[step]]");
     const Step step = StepReader(reader, *table, scenario).read(earliestS);
     earliestS = step.atS;
     scenario.steps.push_back(step);
--- a/tools/lab/scenario_steps.hpp
+++ b/tools/lab/scenario_steps.hpp
@@ -1,4 +1,4 @@
-/// The steps of a scenario file: faults and repairs at their times.
+/// Reader of a scenario file's steps: scheduled faults and repairs.
 #pragma once
 
 #include <toml++/toml.h>
@@ -10,11 +10,11 @@
 
 namespace wingslip::lab {
 
-/// Whether a fault of this name is done to a gatekeeper.
+/// Whether the step kind `what` targets a gatekeeper.
 bool isGatekeeperFault(const std::string& what);
 
-/// Reads all `[[step]]` tables into the scenario, whose sections have been read.
-/// @throws BadScenario for the first fault.
+/// Reads all `[[step]]` tables into the scenario, whose sections must have been read before.
+/// @throws BadScenario for the first error in the file.
 void readSteps(const TableReader& reader, const toml::table& file, Scenario& scenario);
 
 }  // namespace wingslip::lab
--- a/tools/lab/table_reader.hpp
+++ b/tools/lab/table_reader.hpp
@@ -1,4 +1,4 @@
-/// Reads the tables of a scenario file.
+/// Typed and validated access to the tables of a scenario file.
 #pragma once
 
 #include <toml++/toml.h>
@@ -17,43 +17,44 @@
 
 namespace wingslip::lab {
 
-/// Typed access to the tables of one file; every error names file, line and column.
+/// Reads values from the tables of one file. Every error message names file, line and column.
 class TableReader {
  public:
   explicit TableReader(std::string path) : path_(std::move(path)) {}
 
-  /// @throws BadScenario always.
-  [[noreturn]] void fail(const toml::source_region& region, const std::string& what) const {
+  /// @throws BadScenario always, with the region's position and the message.
+  [[noreturn]] void fail(const toml::source_region& region, const std::string& message) const {
     std::ostringstream out;
-    out << path_ << ":" << region.begin.line << ":" << region.begin.column << ": " << what;
+    out << path_ << ":" << region.begin.line << ":" << region.begin.column << ": " << message;
     throw BadScenario(out.str());
   }
 
-  /// A number of the table, within [least, most]; `fallback` where it is missing.
+  /// The number under `key`, which must be within [min, max]; `fallback` if the key is absent.
   template <typename T>
-  T number(const toml::table& table, const char* key, T fallback, double least, double most) const {
+  T number(const toml::table& table, const char* key, T fallback, double min, double max) const {
     const toml::node* node = table.get(key);
     if (!node) return fallback;
     std::optional<double> value = node->value<double>();
     if (!value) fail(node->source(), std::string(key) + " is not a number");
-    if (*value < least || *value > most)
+    if (*value < min || *value > max)
       fail(node->source(), std::string(key) + " is " + std::to_string(*value) + ", not within " +
-                               std::to_string(least) + " to " + std::to_string(most));
+                               std::to_string(min) + " to " + std::to_string(max));
     return static_cast<T>(*value);
   }
 
-  /// The number, from 0, of one of `count` targets; none where it is missing.
-  std::optional<int> index(const toml::table& table, const char* key, int count, const char* of) const {
+  /// The index under `key` of one of `count` targets, from 0; none if the key is absent. `kind` names the
+  /// targets in the error message.
+  std::optional<int> index(const toml::table& table, const char* key, int count, const char* kind) const {
     const toml::node* node = table.get(key);
     if (!node) return std::nullopt;
     const std::optional<std::int64_t> value = node->value<std::int64_t>();
     if (!value || *value < 0 || *value >= count)
-      fail(node->source(), std::string(of) + " " + (value ? std::to_string(*value) : "?") +
+      fail(node->source(), std::string(kind) + " " + (value ? std::to_string(*value) : "?") +
                                " does not exist (there are " + std::to_string(count) + ")");
     return static_cast<int>(*value);
   }
 
-  /// The table's `zone`, one of `zones`; none where it is missing.
+  /// The value of the key `zone`, which must be in `zones`; none if the key is absent.
   std::optional<std::string> zone(const toml::table& table, const std::vector<std::string>& zones) const {
     const toml::node* node = table.get("zone");
     if (!node) return std::nullopt;
@@ -63,18 +64,18 @@
     return name;
   }
 
-  /// A string of the table, one of `names`; empty where it is missing.
+  /// The string under `key`, which must be in `names`; empty if the key is absent.
   std::string oneOf(const toml::table& table, const char* key, const std::set<std::string>& names) const {
     const toml::node* node = table.get(key);
     if (!node) return "";
     const std::string name = node->value<std::string>().value_or("?");
     if (names.contains(name)) return name;
     std::string list;
-    for (const std::string& one : names) list += (list.empty() ? "" : ", ") + one;
+    for (const std::string& allowed : names) list += (list.empty() ? "" : ", ") + allowed;
     fail(node->source(), std::string(key) + " is one of " + list);
   }
 
-  /// The text of a JSON object; empty where it is missing.
+  /// The text under `key`, which must be a JSON object; empty if the key is absent.
   std::string jsonObject(const toml::table& table, const char* key) const {
     const toml::node* node = table.get(key);
     if (!node) return "";
@@ -84,14 +85,16 @@
     return text;
   }
 
-  /// A boolean of the table; `fallback` where it is missing.
+  /// The boolean under `key`; `fallback` if the key is absent.
   bool boolean(const toml::table& table, const char* key, bool fallback) const {
     const toml::node* node = table.get(key);
     if (!node) return fallback;
-    if (!node->is_boolean()) fail(node->source(), std::string(key) + " is true or false");
+    if (!node->is_boolean()) fail(node->source(), std::string(key) + " must be true or false");
     return *node->value<bool>();
   }
 
+  /// Rejects the table if it has a key that is not in `keys`.
+  /// @throws BadScenario with the position of the first unknown key.
   void onlyKeys(const toml::table& table, const std::set<std::string>& keys) const {
     for (const auto& [key, node] : table)
       if (!keys.contains(std::string(key.str())))
