--- a/tools/lab/discovery_agent.cpp
+++ b/tools/lab/discovery_agent.cpp
@@ -1,3 +1,4 @@
+/// The agent's watches and the changes of its endpoint list.
 #include "discovery_agent.hpp"
 
 #include <array>
@@ -14,9 +15,10 @@
 
 namespace {
 
-constexpr auto kBeat = std::chrono::seconds(2);  // PROTOCOL: an empty line every 2 s while nothing changes
-constexpr double kSilentToldMs = 6000;           // STANDING: what a silent watch misses counts as told then
-constexpr double kNever = 1e9;                   // ms, past the end of any run
+constexpr auto kHeartbeatPeriod =
+    std::chrono::seconds(2);             // PROTOCOL: an empty line every 2 s without changes
+constexpr double kSilentWatchMs = 6000;  // STANDING: a gatekeeper must have noticed a silent watch by then
+constexpr double kNever = 1e9;           // ms, later than the end of any run
 
 }  // namespace
 
@@ -36,22 +38,22 @@
       nowMs_(std::move(nowMs)),
       acceptor_(listenAt(io)),
       port_(acceptor_.local_endpoint().port()),
-      beat_(io) {
+      heartbeat_(io) {
   accept();
-  struct Beat {
-    Agent* a;
+  struct Heartbeat {
+    Agent* agent;
     void operator()(const Error& error) const {
       if (error) return;
-      if (!a->down_) {
-        for (const auto& watch : a->watches_) watch->out.emplace_back("1\r\n\n\r\n");
-        a->tell({});
+      if (!agent->down_) {
+        for (const auto& watch : agent->watches_) watch->out.emplace_back("1\r\n\n\r\n");
+        agent->send({});
       }
-      a->beat_.expires_after(kBeat);
-      a->beat_.async_wait(*this);
+      agent->heartbeat_.expires_after(kHeartbeatPeriod);
+      agent->heartbeat_.async_wait(*this);
     }
   };
-  beat_.expires_after(kBeat);
-  beat_.async_wait(Beat{this});
+  heartbeat_.expires_after(kHeartbeatPeriod);
+  heartbeat_.async_wait(Heartbeat{this});
 }
 
 std::string Agent::listJson(bool resetAll, const std::vector<std::size_t>& only) const {
@@ -77,10 +79,10 @@
   acceptor_.async_accept([this](const Error& error, tcp::socket socket) {
     if (error) return;
     accept();
-    if (down_) {  // silent: the connection is held and nothing said; it ends with the gatekeeper's
-      auto held = std::make_shared<tcp::socket>(std::move(socket));
-      auto piece = std::make_shared<std::array<char, 512>>();
-      held->async_read_some(asio::buffer(*piece), [held, piece](const Error&, std::size_t) {});
+    if (down_) {  // the connection stays open without an answer until the gatekeeper sends or closes
+      auto unanswered = std::make_shared<tcp::socket>(std::move(socket));
+      auto chunk = std::make_shared<std::array<char, 512>>();
+      unanswered->async_read_some(asio::buffer(*chunk), [unanswered, chunk](const Error&, std::size_t) {});
       return;
     }
     auto watch = std::make_shared<Watch>(std::move(socket));
@@ -107,14 +109,14 @@
                 std::string(size) + line + "\r\n");
             silentSince_.reset();
             crowdedUntil_ = -kNever;
-            for (std::size_t w = 0; w < list_.size(); ++w) toldOf(w);
+            for (std::size_t w = 0; w < list_.size(); ++w) recordDelivery(w);
           } else {
             const std::string body = listJson(true, {});
             watch->out.push_back("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: " +
                                  std::to_string(body.size()) + "\r\n\r\n" + body);
           }
           watches_.insert(watch);
-          tell({});
+          send({});
         });
   });
 }
@@ -123,17 +125,17 @@
   list_[worker].lifecycle = lifecycle;
   if (startedAtMs > 0) list_[worker].startedAtMs = startedAtMs;
   ++generation_;
-  untold_.push_back(worker);
-  if (!down_) tell(untold_);
+  unsent_.push_back(worker);
+  if (!down_) send(unsent_);
 }
 
 void Agent::setDown(bool down) {
   down_ = down;
-  // A watch that has fallen silent stays so: it has to be opened anew.
-  if (down_) mute_.insert(watches_.begin(), watches_.end()), watches_.clear();
-  if (!down_ && std::exchange(untoldToNew_, false))
-    for (std::size_t w = 0; w < list_.size(); ++w) toldOf(w);
-  if (!down_ && !untold_.empty()) tell(untold_);
+  // A silenced watch stays silent; the gatekeeper has to open a new one.
+  if (down_) silencedWatches_.insert(watches_.begin(), watches_.end()), watches_.clear();
+  if (!down_ && std::exchange(startedWhileDown_, false))
+    for (std::size_t w = 0; w < list_.size(); ++w) recordDelivery(w);
+  if (!down_ && !unsent_.empty()) send(unsent_);
 }
 
 void Agent::setCrowded(bool crowded) {
@@ -150,54 +152,52 @@
 }
 
 void Agent::silenceWatches() {
-  mute_.insert(watches_.begin(), watches_.end());
+  silencedWatches_.insert(watches_.begin(), watches_.end());
   watches_.clear();
   silentSince_ = nowMs_();
 }
 
-void Agent::gatekeeperStarts() {
+void Agent::onGatekeeperStart() {
   if (!down_) return;
-  untoldToNew_ = true;
+  startedWhileDown_ = true;
   for (std::size_t w = 0; w < list_.size(); ++w) judge_.drainUndone(gatekeeper_, static_cast<int>(w));
 }
 
-void Agent::setHeard(bool heard) {
-  heard_ = heard;
-  if (!heard_ || down_) return;
-  for (std::size_t w = 0; w < list_.size(); ++w) toldOf(w);
+void Agent::setReachable(bool reachable) {
+  reachable_ = reachable;
+  if (!reachable_ || down_) return;
+  for (std::size_t w = 0; w < list_.size(); ++w) recordDelivery(w);
 }
 
-void Agent::toldOf(std::size_t worker) {
+void Agent::recordDelivery(std::size_t worker) {
   if (list_[worker].lifecycle == "Ready")
     judge_.drainUndone(gatekeeper_, static_cast<int>(worker));
-  else if (heard_)
+  else if (reachable_)
     judge_.drainTold(gatekeeper_, static_cast<int>(worker),
-                     std::max({nowMs_(), silentSince_ ? *silentSince_ + kSilentToldMs : 0.0,
-                               crowdedUntil_ + kSilentToldMs}));
+                     std::max({nowMs_(), silentSince_ ? *silentSince_ + kSilentWatchMs : 0.0,
+                               crowdedUntil_ + kSilentWatchMs}));
 }
 
-// Writes what each watch has waiting; with `changed`, a line of those entries first, and their drains to the
-// judge.
-void Agent::tell(const std::vector<std::size_t>& changed) {
+void Agent::send(const std::vector<std::size_t>& changed) {
   if (!changed.empty()) {
     std::string line = listJson(false, changed) + "\n";
     char size[32];
     std::snprintf(size, sizeof size, "%zx\r\n", line.size());
     for (const auto& watch : watches_) watch->out.push_back(std::string(size) + line + "\r\n");
-    for (const std::size_t w : changed) toldOf(w);
-    untold_.clear();
+    for (const std::size_t w : changed) recordDelivery(w);
+    unsent_.clear();
   }
   for (const auto& watch : std::set(watches_)) {
     if (watch->writing || watch->out.empty()) continue;
     watch->writing = true;
-    bytesSaid_ += static_cast<long>(watch->out.front().size());
+    bytesSent_ += static_cast<long>(watch->out.front().size());
     auto text = std::make_shared<std::string>(std::move(watch->out.front()));
     watch->out.pop_front();
     asio::async_write(watch->socket, asio::buffer(*text),
                       [this, watch, text](const Error& error, std::size_t) {
                         watch->writing = false;
                         if (error) return void(watches_.erase(watch));
-                        tell({});
+                        send({});
                       });
   }
 }
--- a/tools/lab/discovery_agent.hpp
+++ b/tools/lab/discovery_agent.hpp
@@ -16,41 +16,53 @@
 
 namespace wingslip::lab {
 
-/// The discovery agent on one gatekeeper's machine: `GET /registry/instances` and its watch.
+/// The discovery agent on one gatekeeper's machine: serves `GET /registry/instances` and its watch, and
+/// reports to the run's verifier when the gatekeeper must know of a draining worker. Runs on the given loop;
+/// not thread-safe.
 class Agent {
  public:
   struct Entry {
     std::string id, hostPort, zone, lifecycle = "Ready";
-    double startedAtMs = 0;
+    double startedAtMs = 0;  ///< wall clock
   };
+  /// `io` and `judge` must outlive the agent. `nowMs` gives the run's time.
   Agent(asio::io_context& io, int gatekeeper, std::vector<Entry> list, Judge& judge,
         std::function<double()> nowMs);
   unsigned short port() const { return port_; }
-  /// A worker changes; watches are told at once (unless the agent is down), and drains go to the judge.
+  /// Changes a worker's entry. `startedAtMs` 0 keeps the old start time. The watches get the change
+  /// immediately, or when the agent is up again, and the verifier gets a drain.
   void change(std::size_t worker, const std::string& lifecycle, double startedAtMs);
+  /// While down, the agent accepts connections and answers none, and open watches are silenced.
   void setDown(bool down);
-  /// Ends all open watches; they may be opened anew.
+  /// Closes all open watches; the gatekeeper may open new ones.
   void endWatches();
-  /// All open watches fall silent; others may be opened. What they miss counts as told kSilentToldMs later.
+  /// Stops sending on all open watches without closing them; the gatekeeper may open new ones. A change that
+  /// they miss counts as delivered kSilentWatchMs later.
   void silenceWatches();
-  /// While crowded every call is answered 503; what changes until a watch is open again counts as told
-  /// kSilentToldMs after discovery could be reached.
+  /// While crowded, every call is answered 503. A change before the next watch opens counts as delivered
+  /// kSilentWatchMs after the end of the crowding.
   void setCrowded(bool crowded);
-  /// In discovery's form: the whole list, or these entries of it.
-  std::string listJson(bool reset, const std::vector<std::size_t>& only) const;
-  /// Its gatekeeper starts anew. While the agent is silent nothing tells a new process what the agent has
-  /// (docs/open.md): that counts as told when it speaks again.
-  void gatekeeperStarts();
-  long bytesSaid() const { return bytesSaid_; }
-  /// Whether its gatekeeper can reach it now. What it has counts as told from then on, whether or not a watch
-  /// is open.
-  void setHeard(bool heard);
+  /// The list in discovery's JSON format: all entries if `resetAll`, else only those with the given indexes.
+  std::string listJson(bool resetAll, const std::vector<std::size_t>& only) const;
+  /// Must be called when the gatekeeper's process starts. A process that starts while the agent is down
+  /// cannot learn the list (docs/open.md), so that the list counts as delivered only when the agent is up
+  /// again.
+  void onGatekeeperStart();
+  /// Bytes written to the gatekeeper, without the 503 answers while crowded.
+  long bytesSent() const { return bytesSent_; }
+  /// Sets whether the gatekeeper can reach the agent. Once it can, the list counts as delivered, whether or
+  /// not a watch is open.
+  void setReachable(bool reachable);
 
  private:
   struct Watch;
-  void toldOf(std::size_t worker);
+  /// Reports to the verifier from when the gatekeeper must know that the worker drains, or that it no longer
+  /// does.
+  void recordDelivery(std::size_t worker);
   void accept();
-  void tell(const std::vector<std::size_t>& changed);
+  /// Writes the queued data of each watch. With `changed`, first queues a line with these entries and records
+  /// their delivery.
+  void send(const std::vector<std::size_t>& changed);
   asio::io_context& io_;
   int gatekeeper_;
   std::vector<Entry> list_;
@@ -59,14 +71,14 @@
   tcp::acceptor acceptor_;
   unsigned short port_;
   long generation_ = 1;
-  long bytesSaid_ = 0;
-  bool down_ = false, heard_ = true, crowded_ = false;
-  double crowdedUntil_ = -1e9;         // ms; no watch has been opened since
-  bool untoldToNew_ = false;           // its gatekeeper has started while it was silent
-  std::optional<double> silentSince_;  // until a watch is opened anew
-  std::vector<std::size_t> untold_;
-  std::set<std::shared_ptr<Watch>> watches_, mute_;
-  asio::steady_timer beat_;
+  long bytesSent_ = 0;
+  bool down_ = false, reachable_ = true, crowded_ = false;
+  double crowdedUntil_ = -1e9;         // ms of the run; reset when a watch opens
+  bool startedWhileDown_ = false;      // the gatekeeper's process started while the agent was down
+  std::optional<double> silentSince_;  // ms of the run; reset when a watch opens
+  std::vector<std::size_t> unsent_;    // changed entries that no watch has got yet
+  std::set<std::shared_ptr<Watch>> watches_, silencedWatches_;
+  asio::steady_timer heartbeat_;
 };
 
 }  // namespace wingslip::lab
--- a/tools/lab/fault_proxy.cpp
+++ b/tools/lab/fault_proxy.cpp
@@ -1,3 +1,4 @@
+/// Forwarding and delaying of a link's data.
 #include "fault_proxy.hpp"
 
 #include <array>
@@ -9,107 +10,112 @@
 
 namespace {
 
-constexpr std::size_t kPiece = 16384;
+constexpr std::size_t kChunkBytes = 16384;
 
 }  // namespace
 
+// A connection over the link: the gatekeeper's socket `down` and the socket `up` to the upstream port.
 struct Proxy::Pair : std::enable_shared_from_this<Pair> {
   Pair(Proxy& p, tcp::socket d) : proxy(p), down(std::move(d)), up(p.io_) {}
   Proxy& proxy;
   tcp::socket down, up;
-  int open = 2;
-  bool lost = false;  // bytes were dropped
+  int open = 2;              // directions whose end of stream has not been forwarded
+  bool droppedData = false;  // the streams have a gap
 
   void start() {
     if (proxy.mode_ == LinkMode::blackhole) return pump(down, up, true);
-    up.async_connect(tcp::endpoint(asio::ip::address_v4::loopback(), proxy.towards_),
-                     [self = shared_from_this()](const Error& error) {
-                       if (error) return self->kill();
-                       Error ignored;
-                       self->up.set_option(tcp::no_delay(true), ignored);
-                       self->down.set_option(tcp::no_delay(true), ignored);
-                       self->proxy.links_[{self->proxy.towards_, self->up.local_endpoint(ignored).port()}] =
-                           self->proxy.gatekeeper_;
-                       self->pump(self->down, self->up, true);
-                       self->pump(self->up, self->down, false);
-                     });
+    up.async_connect(
+        tcp::endpoint(asio::ip::address_v4::loopback(), proxy.upstreamPort_),
+        [self = shared_from_this()](const Error& error) {
+          if (error) return self->kill();
+          Error ignored;
+          self->up.set_option(tcp::no_delay(true), ignored);
+          self->down.set_option(tcp::no_delay(true), ignored);
+          self->proxy.links_[{self->proxy.upstreamPort_, self->up.local_endpoint(ignored).port()}] =
+              self->proxy.gatekeeper_;
+          self->pump(self->down, self->up, true);
+          self->pump(self->up, self->down, false);
+        });
   }
   void kill() {
     reset(down), reset(up);
     proxy.pairs_.erase(shared_from_this());
   }
-  // Moves what `from` says to `to`, piece by piece, as the link's mode is when the piece comes.
+  // Forwards data from one socket to the other in chunks. The link's mode at the arrival of a chunk applies.
   void pump(tcp::socket& from, tcp::socket& to, bool towardsWorker) {
-    auto piece = std::make_shared<std::array<char, kPiece>>();
-    from.async_read_some(asio::buffer(*piece), [self = shared_from_this(), &from, &to, towardsWorker, piece](
+    auto chunk = std::make_shared<std::array<char, kChunkBytes>>();
+    from.async_read_some(asio::buffer(*chunk), [self = shared_from_this(), &from, &to, towardsWorker, chunk](
                                                    const Error& error, std::size_t n) {
       if (error == asio::error::eof) return self->enqueue(to, towardsWorker, "", 0);
       if (error) return self->kill();
       const LinkMode mode = self->proxy.mode_;
       if (mode == LinkMode::cut) return self->kill();
       if (mode == LinkMode::blackhole || !to.is_open() || (mode == LinkMode::oneway && !towardsWorker))
-        return self->lost = true, self->pump(from, to, towardsWorker);  // heard and dropped
-      self->enqueue(to, towardsWorker, std::string(piece->data(), n), n);
+        return self->droppedData = true, self->pump(from, to, towardsWorker);
+      self->enqueue(to, towardsWorker, std::string(chunk->data(), n), n);
       self->pump(from, to, towardsWorker);
     });
   }
 
-  // A piece on its way over the link; an empty one is the end of that direction.
-  struct OnItsWay {
+  // A chunk in transit over the link; an empty one marks the end of the stream.
+  struct DelayedChunk {
     Clock::time_point due;
     std::string bytes;
   };
   struct Direction {
-    std::deque<OnItsWay> pieces;
-    Clock::time_point last{};  // when the piece before arrives
-    bool moving = false;
+    std::deque<DelayedChunk> chunks;
+    Clock::time_point last{};  // due time of the last chunk enqueued
+    bool writing = false;
   };
 
-  // Pieces keep their distance in time: a later one is not held up by the one before.
+  // Each chunk's due time is counted from its own arrival, so that a delay adds latency without reducing the
+  // throughput.
   void enqueue(tcp::socket& to, bool towardsWorker, std::string bytes, std::size_t n) {
-    Direction& way = towardsWorker ? there : back;
+    Direction& direction = towardsWorker ? upstream : downstream;
     const auto inMs = [](double ms) { return std::chrono::microseconds(static_cast<long>(ms * 1000)); };
     Clock::time_point due = Clock::now();
     if (proxy.mode_ == LinkMode::delay) due += inMs(proxy.delayMs_);
     if (proxy.mode_ == LinkMode::throttle)
-      due = std::max(due, way.last) + inMs(1000 * static_cast<double>(n) / proxy.bytesPerS_);
-    way.last = std::max(way.last, due);
-    way.pieces.push_back({way.last, std::move(bytes)});
-    if (!way.moving) move(to, way);
+      due = std::max(due, direction.last) + inMs(1000 * static_cast<double>(n) / proxy.bytesPerS_);
+    direction.last = std::max(direction.last, due);
+    direction.chunks.push_back({direction.last, std::move(bytes)});
+    if (!direction.writing) writeNext(to, direction);
   }
 
-  void move(tcp::socket& to, Direction& way) {
-    if (way.pieces.empty()) return void(way.moving = false);
-    way.moving = true;
-    auto next = std::make_shared<OnItsWay>(std::move(way.pieces.front()));
-    way.pieces.pop_front();
-    if (next->due <= Clock::now()) return arrive(to, way, next);
+  void writeNext(tcp::socket& to, Direction& direction) {
+    if (direction.chunks.empty()) return void(direction.writing = false);
+    direction.writing = true;
+    auto next = std::make_shared<DelayedChunk>(std::move(direction.chunks.front()));
+    direction.chunks.pop_front();
+    if (next->due <= Clock::now()) return write(to, direction, next);
     auto timer = std::make_shared<asio::steady_timer>(proxy.io_, next->due);
-    timer->async_wait(
-        [self = shared_from_this(), this, timer, &to, &way, next](const Error&) { arrive(to, way, next); });
+    timer->async_wait([self = shared_from_this(), this, timer, &to, &direction, next](const Error&) {
+      write(to, direction, next);
+    });
   }
 
-  void arrive(tcp::socket& to, Direction& way, const std::shared_ptr<OnItsWay>& next) {
+  void write(tcp::socket& to, Direction& direction, const std::shared_ptr<DelayedChunk>& next) {
     if (next->bytes.empty()) {
       Error ignored;
       to.shutdown(tcp::socket::shutdown_send, ignored);
       if (--open == 0) kill();
       return;
     }
-    asio::async_write(to, asio::buffer(next->bytes),
-                      [self = shared_from_this(), this, &to, &way, next](const Error& error, std::size_t) {
-                        if (error) return kill();
-                        move(to, way);
-                      });
+    asio::async_write(
+        to, asio::buffer(next->bytes),
+        [self = shared_from_this(), this, &to, &direction, next](const Error& error, std::size_t) {
+          if (error) return kill();
+          writeNext(to, direction);
+        });
   }
 
-  Direction there, back;
+  Direction upstream, downstream;
 };
 
-Proxy::Proxy(asio::io_context& io, int gatekeeper, unsigned short towards, LinkOf& links)
+Proxy::Proxy(asio::io_context& io, int gatekeeper, unsigned short upstreamPort, LinkOf& links)
     : io_(io),
       gatekeeper_(gatekeeper),
-      towards_(towards),
+      upstreamPort_(upstreamPort),
       links_(links),
       acceptor_(listenAt(io)),
       port_(acceptor_.local_endpoint().port()) {
@@ -120,7 +126,7 @@
   acceptor_.async_accept([this](const Error& error, tcp::socket socket) {
     if (error) return;
     accept();
-    if (mode_ == LinkMode::cut) return reset(socket);  // as a machine that is back resets
+    if (mode_ == LinkMode::cut) return reset(socket);  // a restarted machine resets unknown connections too
     auto pair = std::make_shared<Pair>(*this, std::move(socket));
     pairs_.insert(pair);
     pair->start();
@@ -130,7 +136,8 @@
 void Proxy::set(LinkMode mode, double delayMs, double bytesPerS) {
   mode_ = mode, delayMs_ = delayMs, bytesPerS_ = bytesPerS;
   for (const auto& pair : std::set(pairs_))
-    if (mode == LinkMode::cut || (pair->lost && mode != LinkMode::blackhole && mode != LinkMode::oneway))
+    if (mode == LinkMode::cut ||
+        (pair->droppedData && mode != LinkMode::blackhole && mode != LinkMode::oneway))
       pair->kill();
 }
 
--- a/tools/lab/fault_proxy.hpp
+++ b/tools/lab/fault_proxy.hpp
@@ -1,4 +1,4 @@
-/// The fault proxy on a link from a gatekeeper to a worker, its agent or the store.
+/// TCP proxy with fault injection on a link of a gatekeeper.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -11,15 +11,20 @@
 
 namespace wingslip::lab {
 
+/// cut: connections are reset; blackhole: data is dropped in both directions; oneway: data towards the
+/// gatekeeper is dropped.
 enum class LinkMode { pass, cut, blackhole, oneway, delay, throttle };
 
-/// A fault proxy between one gatekeeper and one port: a worker, its discovery agent or the store.
+/// A proxy between one gatekeeper and one upstream port: that of a worker, its discovery agent, the store or
+/// another gatekeeper. Runs on the given loop; not thread-safe.
 class Proxy {
  public:
-  Proxy(asio::io_context& io, int gatekeeper, unsigned short towards, LinkOf& links);
+  /// Registers every upstream connection in `links`. `io` and `links` must outlive the proxy.
+  Proxy(asio::io_context& io, int gatekeeper, unsigned short upstreamPort, LinkOf& links);
   unsigned short port() const { return port_; }
-  /// A link that has dropped bytes is reset when it heals, since TCP never leaves a hole in a stream.
-  /// delay: `delayMs` is added to each piece, each way. throttle: at most `bytesPerS` each way.
+  /// Sets the mode of open and future connections. `delay` adds `delayMs` to each chunk in each direction;
+  /// `throttle` limits each direction to `bytesPerS`. A connection that has dropped data is reset when the
+  /// link passes data again, since a TCP stream cannot have a gap.
   void set(LinkMode mode, double delayMs = 0, double bytesPerS = 0);
 
  private:
@@ -27,7 +32,7 @@
   void accept();
   asio::io_context& io_;
   int gatekeeper_;
-  unsigned short towards_;
+  unsigned short upstreamPort_;
   LinkOf& links_;
   tcp::acceptor acceptor_;
   unsigned short port_;
--- a/tools/lab/fleet.cpp
+++ b/tools/lab/fleet.cpp
@@ -1,3 +1,4 @@
+/// Construction of the fleet, the course of a run and its report.
 #include "fleet.hpp"
 
 #include <signal.h>
@@ -18,48 +19,48 @@
 
 namespace {
 
-constexpr double kTailS = 2;  // after the load, for the last answers
-constexpr int kLinksBesideWorkers = 4;
-constexpr int kWorkersUsed = 48;  // by one gatekeeper of a large fleet
-constexpr int kEachConnection = 3;
-constexpr int kOtherDescriptors = 500;  // of the lab, beside those of idle clients
-constexpr double kThrottledMs = 300;    // a request takes that long over a throttled link
-constexpr std::uint64_t kRoughSeed = 0x2545f4914f6cdd1dULL;
-constexpr std::uint64_t kIdleSeedStep = 104729;  // between the seeds of two runs' idle clients
-
-// The lab's own descriptors: listeners of the fleet's links, three for each connection that a gatekeeper
-// holds to a worker, one for each client. Throws where its limit does not hold them, and raises the soft one
-// to it.
-void checkDescriptors(const Scenario& s) {
-  const int crowded = s.idle.gatekeeper ? 1 : s.gatekeepers;
+constexpr double kDrainS = 2;           // extra time after the last request's deadline for answers to arrive
+constexpr int kLinksBesideWorkers = 4;  // per gatekeeper
+constexpr int kWorkersUsed = 48;        // workers that one gatekeeper of a large fleet connects to
+constexpr int kDescriptorsPerConnection = 3;  // the proxy's two sockets and the worker's
+constexpr int kOtherDescriptors = 500;        // of the lab, beside links, connections and clients
+constexpr double kThrottledMs = 300;          // longest delay of a request by a throttled link
+constexpr std::uint64_t kRoughSeed = 0x2545f4914f6cdd1dULL;  // makes the misbehaving clients' seed differ
+constexpr std::uint64_t kIdleSeedStep = 104729;  // distance between the idle clients' seeds of two runs
+
+// Estimates the lab's own descriptors: a listener for each link, three descriptors for each connection
+// between gatekeeper and worker, one for each client. Raises the soft limit to the estimate, and throws
+// std::runtime_error if the hard limit is below it.
+void ensureDescriptorLimit(const Scenario& s) {
+  const int gatekeepersWithIdle = s.idle.gatekeeper ? 1 : s.gatekeepers;
   const long links =
       static_cast<long>(s.gatekeepers) * ((s.directWorkers ? 0 : s.workers) + kLinksBesideWorkers) +
       s.workers;
   const long connections = static_cast<long>(s.gatekeepers) * std::min(s.workers, kWorkersUsed);
   const long requests = std::lround(s.rate * s.deadlineMs / 1000);
-  const auto needed =
-      static_cast<rlim_t>(s.idle.each * crowded + links + kEachConnection * connections +
-                          std::min<long>(requests, s.mostInFlight) + s.rough.clients + kOtherDescriptors);
+  const auto needed = static_cast<rlim_t>(
+      s.idle.each * gatekeepersWithIdle + links + kDescriptorsPerConnection * connections +
+      std::min<long>(requests, s.mostInFlight) + s.rough.clients + kOtherDescriptors);
   rlimit limit{};
   ::getrlimit(RLIMIT_NOFILE, &limit);
   if (limit.rlim_max < needed)
-    throw std::runtime_error("this fleet needs some " + std::to_string(needed) +
-                             " descriptors of the lab, and its limit is " + std::to_string(limit.rlim_max) +
-                             ": fewer gatekeepers, workers or clients");
+    throw std::runtime_error("this fleet needs about " + std::to_string(needed) +
+                             " file descriptors in the lab, and the hard limit is " +
+                             std::to_string(limit.rlim_max) + ": use fewer gatekeepers, workers or clients");
   if (limit.rlim_cur >= needed) return;
   limit.rlim_cur = needed;
   ::setrlimit(RLIMIT_NOFILE, &limit);
 }
 
-// What gatekeepers' logs say of broken invariants. One that answers late because the lab stopped its process
-// for long is not to blame for that.
-std::vector<std::string> brokenInvariants(const fs::path& log, bool stoppedForLong) {
+// Reads the broken invariants from a gatekeeper's log. `request_unanswered` is ignored if the lab stopped the
+// process for long, which delays its answers.
+std::vector<std::string> brokenInvariants(const fs::path& log, bool longStopped) {
   std::vector<std::string> out;
   std::ifstream in(log);
   for (std::string line; std::getline(in, line);) {
     const auto at = line.find("invariant broken: ");
     if (at == std::string::npos) continue;
-    if (stoppedForLong && line.find("request_unanswered", at) != std::string::npos) continue;
+    if (longStopped && line.find("request_unanswered", at) != std::string::npos) continue;
     out.push_back(log.stem().string() + ": " + line.substr(at));
   }
   return out;
@@ -109,20 +110,20 @@
   for (Gatekeeper& gatekeeper : gatekeepers_) launch(gatekeeper);
   if (scenario_.idle.each > 0) addIdleClients();
   checkHealth();
-  // The load begins once every gatekeeper is in the front, or after 15 s with those that are.
+  // The load starts when the load balancer has every gatekeeper in rotation, or after 15 s with those it has.
   waitForFront();
   clock_.restart();
   for (const Step& step : scenario_.steps) clock_.at(step.atS, [this, step] { apply(step); });
   load_.arrive();
   rough_.start();
   scheduleIdleClients();
-  askFigures();
+  pollFigures();
   logProgress();
-  if (store_) clock_.at(scenario_.lengthS + 0.5, [this] { askRosters(); });
-  if (scenario_.replica) clock_.at(scenario_.lengthS + 0.5, [this] { askCopies(); });
-  clock_.at(scenario_.lengthS + scenario_.deadlineMs / 1000 + kTailS, [this] { finish(); });
+  if (store_) clock_.at(scenario_.lengthS + 0.5, [this] { queryRosters(); });
+  if (scenario_.replica) clock_.at(scenario_.lengthS + 0.5, [this] { queryCopies(); });
+  clock_.at(scenario_.lengthS + scenario_.deadlineMs / 1000 + kDrainS, [this] { finish(); });
   io_.run();
-  return verdict();
+  return reportResults();
 }
 
 void Fleet::addIdleClients() {
@@ -164,7 +165,7 @@
   const std::string name = "g" + std::to_string(g);
   gatekeeper.index = g, gatekeeper.port = ports_.listen(g);
   gatekeeper.config = out / (name + ".json"), gatekeeper.log = out / (name + ".log");
-  fs::remove(gatekeeper.log);  // of an earlier run in this folder
+  fs::remove(gatekeeper.log);  // left by an earlier run in this directory
   if (scenario_.faultLibrary)
     gatekeeper.faults = std::make_shared<FaultFile>(out / (name + ".faults"), scenario_.system);
   if (scenario_.heldSockets) {
@@ -175,22 +176,22 @@
     fs::remove_all(gatekeeper.state);
     fs::create_directories(gatekeeper.state);
   }
-  // As before the first step, at each start.
+  // Every start, also a restart, uses the list of workers as it was before the first step.
   const json known = json::parse(agents_[g]->listJson(true, {}));
   std::ofstream(gatekeeper.config)
       << gatekeeperConfig(scenario_, g, addPorts(g), known, options_.seed).dump(1);
   return gatekeeper;
 }
 
-int Fleet::verdict() {
+int Fleet::reportResults() {
   runRecord_.seed = options_.seed;
   runRecord_.notSent = load_.notSent();
   for (const Gatekeeper& gatekeeper : gatekeepers_)
-    for (std::string& line : brokenInvariants(gatekeeper.log, stoppedForLong_.contains(gatekeeper.index)))
+    for (std::string& line : brokenInvariants(gatekeeper.log, longStopped_.contains(gatekeeper.index)))
       runRecord_.invariants.push_back(std::move(line));
   runRecord_.failedCalls = failedCalls();
   for (const auto& worker : workers_) runRecord_.workerConnections += worker->accepted();
-  for (const auto& agent : agents_) runRecord_.listBytes += agent->bytesSaid();
+  for (const auto& agent : agents_) runRecord_.listBytes += agent->bytesSent();
   if (store_) runRecord_.store = StoreUse{store_->calls(), store_->callsBySecond(), claims_};
   for (const auto& [g, clients] : idleClients_) observed_.idleClients[g] = clients->counts();
   runRecord_.idleClients = observed_.idleClients;
@@ -204,8 +205,9 @@
 
 int play(const Scenario& scenario, const RunOptions& options) {
   if (::access(options.gatekeeperProgram.c_str(), X_OK) != 0)
-    throw std::runtime_error("no program to start at " + options.gatekeeperProgram + " (set --gatekeeper)");
-  checkDescriptors(scenario);
+    throw std::runtime_error("no executable gatekeeper program at " + options.gatekeeperProgram +
+                             " (set --gatekeeper)");
+  ensureDescriptorLimit(scenario);
   ::signal(SIGPIPE, SIG_IGN);
   return Fleet(scenario, options).run();
 }
--- a/tools/lab/fleet.hpp
+++ b/tools/lab/fleet.hpp
@@ -1,4 +1,4 @@
-// The lab's driver: starts the fleet, plays the scenario's load and faults, and judges the run.
+/// Entry point of a lab run: starts the fleet, runs the scenario's load and faults, and verifies the result.
 #pragma once
 
 #include <cstdint>
@@ -9,14 +9,15 @@
 namespace wingslip::lab {
 
 struct RunOptions {
-  std::string gatekeeperProgram;  // path of the program under test
-  std::string out;                // folder for configurations, logs and the report
-  std::uint64_t seed = 1;
+  std::string gatekeeperProgram;  ///< path of the program under test
+  std::string out;                ///< directory for configurations, logs and the report
+  std::uint64_t seed = 1;         ///< seed of the load, the stand-in workers and the gatekeepers
 };
 
-// Plays one run; writes DIR/events.jsonl and DIR/summary.json and prints the summary.
-// Returns 0 when no rule broke and every expectation held, 1 otherwise. Throws std::runtime_error where the
-// fleet cannot be started (the program missing, no ports).
+/// Runs a scenario once, writes events.jsonl and summary.json to `options.out` and prints the summary.
+/// @return 0 if no rule was broken and every expectation was met, 1 otherwise.
+/// @throws std::runtime_error if the fleet cannot be started, for example because the program is missing or
+/// no ports are free.
 int play(const Scenario& scenario, const RunOptions& options);
 
 }  // namespace wingslip::lab
--- a/tools/lab/fleet_observers.cpp
+++ b/tools/lab/fleet_observers.cpp
@@ -1,3 +1,4 @@
+/// Monitoring of the running fleet: the store's records, operators' calls and resource usage.
 #include <spdlog/spdlog.h>
 
 #include <nlohmann/json.hpp>
@@ -9,7 +10,7 @@
 
 namespace {
 
-constexpr double kFiguresEveryS = 0.5;
+constexpr double kFigurePollPeriodS = 0.5;
 
 }  // namespace
 
@@ -23,7 +24,7 @@
     if (key != "lab/duties/roster/record" || !record.is_object()) return;
     const std::string holder = record.value("holder", "");
     if (judge_.recorded(record.value("token", std::uint64_t{0}), holder, clock_.nowMs())) {
-      // members/gN/INSTANCE names the gatekeeper behind the instance.
+      // The holder is an instance; the key members/gN/INSTANCE maps it to its gatekeeper.
       int gatekeeper = -1;
       for (const std::string& member : members)
         if (member.ends_with("/" + holder))
@@ -44,7 +45,7 @@
   };
 }
 
-void Fleet::askRosters() {
+void Fleet::queryRosters() {
   for (const Gatekeeper& gatekeeper : gatekeepers_)
     if (gatekeeper.now.pid > 0)
       askOps(io_, gatekeeper.now.ops, "roster", [this, g = gatekeeper.index](const std::string& answer) {
@@ -54,7 +55,7 @@
       });
 }
 
-void Fleet::askCopies() {
+void Fleet::queryCopies() {
   for (const Gatekeeper& gatekeeper : gatekeepers_)
     if (gatekeeper.now.pid > 0)
       askOps(io_, gatekeeper.now.ops, "replica", [this](const std::string& answer) {
@@ -62,14 +63,14 @@
       });
 }
 
-void Fleet::askFigures() {
+void Fleet::pollFigures() {
   if (runIsEnding_ || !observed_.figures.wanted()) return;
   for (const Gatekeeper& gatekeeper : gatekeepers_)
     if (gatekeeper.now.pid > 0)
       askOps(io_, gatekeeper.now.ops, "telemetry", [this, g = gatekeeper.index](const std::string& answer) {
         observed_.figures.told(g, clock_.nowMs(), answer);
       });
-  clock_.at(clock_.nowMs() / 1000 + kFiguresEveryS, [this] { askFigures(); });
+  clock_.at(clock_.nowMs() / 1000 + kFigurePollPeriodS, [this] { pollFigures(); });
 }
 
 void Fleet::logProgress() {
@@ -104,7 +105,7 @@
   return out;
 }
 
-void Fleet::measure(const Gatekeeper& gatekeeper) {
+void Fleet::recordUsage(const Gatekeeper& gatekeeper) {
   if (gatekeeper.now.pid <= 0) return;
   const ProcessUse use = useOf(gatekeeper.now.pid);
   runRecord_.mostKb = std::max(runRecord_.mostKb, use.peakKb);
--- a/tools/lab/fleet_processes.cpp
+++ b/tools/lab/fleet_processes.cpp
@@ -1,3 +1,4 @@
+/// The gatekeepers' processes: start, signals, health, exit.
 #include <signal.h>
 #include <spdlog/spdlog.h>
 #include <sys/wait.h>
@@ -16,10 +17,10 @@
 
 namespace {
 
-constexpr double kShortPauseMs = 200;        // a process that stands still for less is held to every rule
-constexpr double kFrontNoticesS = 0.3;       // after SIGTERM: until when new connections go on coming
-constexpr double kEndsAfterTermS = 0.7 + 3;  // the platform's SIGKILL, at the longest deadline counted
-constexpr double kReadyEveryS = 0.05;        // between two questions whether a new process is ready
+constexpr double kShortPauseMs = 200;       // no rule is relaxed for a process paused for up to this
+constexpr double kFrontReactionS = 0.3;     // new connections arrive for this long after SIGTERM
+constexpr double kTermTimeoutS = 0.7 + 3;   // a platform sends SIGKILL then, counted for the longest deadline
+constexpr double kReadyPollPeriodS = 0.05;  // between two readiness checks of a new process
 constexpr std::chrono::seconds kStartTimeout{15};
 constexpr std::chrono::seconds kEndTimeout{5};
 constexpr std::chrono::milliseconds kEndPoll{20};
@@ -28,7 +29,7 @@
 
 void Fleet::launch(Gatekeeper& gatekeeper) {
   gatekeeper.now = start(gatekeeper, ports_, options_.gatekeeperProgram);
-  agents_[gatekeeper.index]->gatekeeperStarts();
+  agents_[gatekeeper.index]->onGatekeeperStart();
   gatekeeper.stopped = false;
   gatekeeper.inFront = false;
   gatekeeper.shuttingDown = false;
@@ -52,7 +53,7 @@
       if (gatekeeper.old.pid > 0) ::kill(gatekeeper.old.pid, SIGTERM);
       return;
     }
-    clock_.at(clock_.nowMs() / 1000 + kReadyEveryS, [this, g, pid] { awaitReady(g, pid); });
+    clock_.at(clock_.nowMs() / 1000 + kReadyPollPeriodS, [this, g, pid] { awaitReady(g, pid); });
   });
 }
 
@@ -63,7 +64,7 @@
 
 void Fleet::pauseProcess(Gatekeeper& gatekeeper, double forMs) {
   if (gatekeeper.now.pid <= 0 || gatekeeper.stopped) return;
-  if (forMs > kShortPauseMs) stoppedForLong_.insert(gatekeeper.index);
+  if (forMs > kShortPauseMs) longStopped_.insert(gatekeeper.index);
   sendSignal(gatekeeper, SIGSTOP);
   clock_.at(clock_.nowMs() / 1000 + forMs / 1000, [this, &gatekeeper, pid = gatekeeper.now.pid] {
     if (gatekeeper.now.pid == pid && !gatekeeper.stopped) sendSignal(gatekeeper, SIGCONT);
@@ -76,13 +77,13 @@
   gatekeeper.shuttingDown = true;
   sendSignal(gatekeeper, SIGTERM);
   const pid_t pid = gatekeeper.now.pid;
-  clock_.at(clock_.nowMs() / 1000 + kFrontNoticesS, [&gatekeeper, pid] {
+  clock_.at(clock_.nowMs() / 1000 + kFrontReactionS, [&gatekeeper, pid] {
     if (gatekeeper.now.pid == pid) gatekeeper.inFront = false;
   });
-  clock_.at(clock_.nowMs() / 1000 + kEndsAfterTermS, [this, &gatekeeper, pid] {
+  clock_.at(clock_.nowMs() / 1000 + kTermTimeoutS, [this, &gatekeeper, pid] {
     if (gatekeeper.now.pid != pid || runIsEnding_) return;
-    runRecord_.crashes.push_back("gatekeeper " + std::to_string(gatekeeper.index) +
-                                 " still runs after SIGTERM and " + std::to_string(kEndsAfterTermS) + " s");
+    runRecord_.crashes.push_back("gatekeeper " + std::to_string(gatekeeper.index) + " has not exited " +
+                                 std::to_string(kTermTimeoutS) + " s after SIGTERM");
   });
 }
 
@@ -106,7 +107,7 @@
     observed_.noted.push_back({"upgrades", gatekeeper.index, clock_.nowMs()});
   else
     runRecord_.crashes.push_back("upgrade of gatekeeper " + std::to_string(gatekeeper.index) +
-                                 ": the old process ended with " + std::to_string(status));
+                                 ": the old process exited with wait status " + std::to_string(status));
 }
 
 void Fleet::reapProcess(Gatekeeper& gatekeeper) {
@@ -118,11 +119,11 @@
     judge_.down(gatekeeper.index, clock_.nowMs());
     if (status != 0)
       runRecord_.crashes.push_back("gatekeeper " + std::to_string(gatekeeper.index) +
-                                   " was told to end and ended with status " + std::to_string(status));
+                                   " exited after SIGTERM with wait status " + std::to_string(status));
   }
   if (endedByLab_.contains(gatekeeper.index) || runIsEnding_) return;
   runRecord_.crashes.push_back("gatekeeper " + std::to_string(gatekeeper.index) +
-                               " ended by itself, status " + std::to_string(status));
+                               " exited unexpectedly with wait status " + std::to_string(status));
   judge_.down(gatekeeper.index, clock_.nowMs());
 }
 
@@ -138,14 +139,14 @@
   const auto limit = Clock::now() + kStartTimeout;
   while (Clock::now() < limit) {
     io_.run_for(std::chrono::milliseconds(100));
-    if (front_.allIn()) return;
+    if (front_.allInRotation()) return;
   }
   spdlog::warn("event=not_all_ready after_s={}", kStartTimeout.count());
 }
 
 void Fleet::finish() {
   runIsEnding_ = true;
-  for (const Gatekeeper& gatekeeper : gatekeepers_) measure(gatekeeper);
+  for (const Gatekeeper& gatekeeper : gatekeepers_) recordUsage(gatekeeper);
   for (Gatekeeper& gatekeeper : gatekeepers_) {
     if (gatekeeper.stopped) sendSignal(gatekeeper, SIGCONT);
     sendSignal(gatekeeper, SIGTERM);
@@ -181,7 +182,7 @@
   judge_.down(gatekeeper.index, clock_.nowMs());
   sendSignal(gatekeeper, SIGSTOP);
   gatekeeper.stopped = true;
-  stoppedForLong_.insert(gatekeeper.index);
+  longStopped_.insert(gatekeeper.index);
 }
 
 void Fleet::continueProcess(Gatekeeper& gatekeeper) {
--- a/tools/lab/fleet_run.hpp
+++ b/tools/lab/fleet_run.hpp
@@ -1,4 +1,4 @@
-/// One run of a scenario: the fleet's processes, stand-ins and load on one event loop. Used by one thread.
+/// A run of a scenario: the fleet's processes, stand-ins and load on one event loop. Not thread-safe.
 #pragma once
 
 #include <sys/types.h>
@@ -29,26 +29,28 @@
 
 class Fleet {
  public:
-  /// Both must outlive the fleet.
+  /// Keeps references: both arguments must outlive the fleet.
   Fleet(const Scenario& scenario, const RunOptions& options);
 
-  /// Plays the scenario and writes its report.
-  /// @return 0 when no rule broke and every expectation held, 1 otherwise.
+  /// Runs the scenario to its end and writes the report.
+  /// @return 0 if no rule was broken and every expectation was met, 1 otherwise.
   int run();
 
  private:
-  // fleet.cpp: building the fleet, the run, its verdict
+  // fleet.cpp: construction of the fleet, the run and its report
   void addIdleClients();
   void scheduleIdleClients();
   void addPeerLinks();
-  /// The ports of a gatekeeper whose agent runs; adds its links to that and to the store.
+  /// Adds the gatekeeper's links to its agent, which must be running, and to the store.
+  /// @return all ports of the gatekeeper.
   GatekeeperPorts addPorts(int g);
-  /// The gatekeeper's files, and its listening socket where the lab holds it.
+  /// Prepares the gatekeeper's files, and its listening socket if the lab owns it. Starts no process.
   Gatekeeper makeGatekeeper(int g);
-  int verdict();
+  /// Collects the results, writes the report and prints it; returns the exit status, as `run` does.
+  int reportResults();
 
   // fleet_steps.cpp: faults and repairs
-  void apply(const Step& asked);
+  void apply(const Step& planned);
   void applyLinkFault(const Step& step, LinkMode mode);
   void callOperator(const Step& step);
   void checkOperatorAnswer(const Step& step, pid_t pid, const std::string& answer);
@@ -57,55 +59,61 @@
   void applyWorkerFault(const Step& step);
   void applyWorkerFault(const std::string& what, int index);
   void applyStoreFault(const std::string& what);
-  /// Of one gatekeeper's system, or of all.
+  /// Applies a system fault to the step's gatekeeper, or to all if it names none.
   void applySystemFault(const Step& step);
-  /// Whether gatekeepers can reach their agents over links in this mode.
+  /// Records for the agents whether gatekeepers can reach them over links in this mode.
   void setDiscoveryReachable(const Step& step, LinkMode mode);
+  /// The step's label in the report's plot.
   static std::string labelOf(const Step& step);
 
   // fleet_processes.cpp: the gatekeepers' processes
   void launch(Gatekeeper& gatekeeper);
-  /// A process of the same gatekeeper beside the one that runs; when it says that it is ready, the old one is
-  /// told to end.
+  /// Starts a second process of the gatekeeper beside the running one, and sends SIGTERM to the old process
+  /// when the new one reports ready.
   void upgrade(Gatekeeper& gatekeeper);
   void awaitReady(int g, pid_t pid);
-  /// Reads its configuration file again, with the step's patch.
+  /// Patches the gatekeeper's configuration file and makes the process reload it (SIGHUP).
   void reloadConfig(Gatekeeper& gatekeeper, const std::string& patch);
-  /// Held up by its machine for a moment.
+  /// Stops the process and resumes it after `forMs`, as a stall of its machine does.
   void pauseProcess(Gatekeeper& gatekeeper, double forMs);
-  /// Told to end as a platform does it: clients go on coming for a moment, and nothing is excused.
+  /// Sends SIGTERM as a platform does: the load balancer sends new connections for a short time after it, and
+  /// no request is exempt from the rules.
   void shutDownGracefully(Gatekeeper& gatekeeper);
   void sendSignal(Gatekeeper& gatekeeper, int number);
+  /// Ends the process by a signal, as a fault: requests in flight are exempt, and the exit is no crash.
   void endByLab(Gatekeeper& gatekeeper, int signalNumber);
   void stopProcess(Gatekeeper& gatekeeper);
   void continueProcess(Gatekeeper& gatekeeper);
   void restartProcess(Gatekeeper& gatekeeper);
-  /// Reaps the gatekeepers that ended; one that ended by itself, not by the lab's fault, crashed.
+  /// Reaps processes that exited. An exit that the lab did not cause is recorded as a crash.
   void reap();
   void reapOldProcess(Gatekeeper& gatekeeper);
   void reapProcess(Gatekeeper& gatekeeper);
-  /// Looks at each gatekeeper in every period: its process, and its health for the front.
+  /// Reaps exited processes and starts the load balancer's health checks, once per `kHealthEvery`.
   void checkHealth();
+  /// Runs the loop until the load balancer has all gatekeepers in rotation, or until the start timeout.
   void waitForFront();
-  /// Ends all processes and the run.
+  /// Ends all processes and stops the event loop.
   void finish();
+  /// Waits for the process to exit until `limit`, then kills it.
   static void awaitEnd(int index, Process& process, Clock::time_point limit);
 
-  // fleet_observers.cpp: what is read of the running fleet
-  /// The stand-in coordination store; notes each record that is written.
+  // fleet_observers.cpp: monitoring of the running fleet
+  /// Starts the stand-in coordination store and observes every record written to it.
   void startStore();
-  /// Whether every gatekeeper tells its operators the roster as last recorded.
-  void askRosters();
-  /// The copy of the shared state that each gatekeeper tells its operators of.
-  void askCopies();
-  /// What gatekeepers tell operators of the figures expected: asked of all of them in every period.
-  void askFigures();
-  /// One line every 10 s of a long run.
+  /// Queries every gatekeeper's operators' port for its roster and counts those equal to the last one
+  /// recorded.
+  void queryRosters();
+  /// Queries every gatekeeper's operators' port for the digest of its copy of the shared state.
+  void queryCopies();
+  /// Queries every gatekeeper's telemetry periodically for the figures that expectations refer to.
+  void pollFigures();
+  /// Logs a progress line every 10 s.
   void logProgress();
-  /// Calls that the fault library failed, in all gatekeepers.
+  /// Number of system calls that the fault library failed in all gatekeepers, by kind of call.
   std::map<std::string, std::uint64_t> failedCalls() const;
-  /// What a gatekeeper that runs has used, from /proc.
-  void measure(const Gatekeeper& gatekeeper);
+  /// Adds the resource usage of a gatekeeper's running process, from /proc, to the run's record.
+  void recordUsage(const Gatekeeper& gatekeeper);
 
   const Scenario& scenario_;
   const RunOptions& options_;
@@ -123,14 +131,14 @@
   Front front_;
   OpenLoad load_;
   RoughClients rough_;
-  std::set<int> endedByLab_;      ///< gatekeepers
-  std::set<int> stoppedForLong_;  ///< gatekeepers whose process stood still for long
-  std::set<int> diskFaults_;      ///< gatekeepers whose writes to files fail
+  std::set<int> endedByLab_;   ///< gatekeepers whose process the lab ended on purpose
+  std::set<int> longStopped_;  ///< gatekeepers that were stopped, or paused for longer than kShortPauseMs
+  std::set<int> diskFaults_;   ///< gatekeepers whose file writes fail
   RunRecord runRecord_;
   std::vector<Claim> claims_;
   std::uint64_t rosterVersion_ = 0;
-  int leader_ = 0;      ///< the last gatekeeper that claimed the leader's lock; 0 also where it is unknown
-  int roleTarget_ = 0;  ///< the gatekeeper that the last step with the role "holder" meant
+  int leader_ = 0;      ///< the last gatekeeper that claimed the duty; also 0 if unknown
+  int roleTarget_ = 0;  ///< the gatekeeper that the last step with the role "holder" resolved to
   bool runIsEnding_ = false;
 };
 
--- a/tools/lab/fleet_steps.cpp
+++ b/tools/lab/fleet_steps.cpp
@@ -1,3 +1,4 @@
+/// Applies a scenario's steps to the running fleet.
 #include <signal.h>
 #include <spdlog/spdlog.h>
 
@@ -123,9 +124,9 @@
 }
 
 void Fleet::setDiscoveryReachable(const Step& step, LinkMode mode) {
-  const bool heard = mode == LinkMode::pass || mode == LinkMode::delay || mode == LinkMode::throttle;
+  const bool reachable = mode == LinkMode::pass || mode == LinkMode::delay || mode == LinkMode::throttle;
   for (int g = 0; g < scenario_.gatekeepers; ++g)
-    if (!step.gatekeeper || *step.gatekeeper == g) agents_[g]->setHeard(heard);
+    if (!step.gatekeeper || *step.gatekeeper == g) agents_[g]->setReachable(reachable);
 }
 
 std::string Fleet::labelOf(const Step& step) {
--- a/tools/lab/front.cpp
+++ b/tools/lab/front.cpp
@@ -1,3 +1,4 @@
+/// Health checks of the load balancer in front of the gatekeepers.
 #include "front.hpp"
 
 #include <spdlog/spdlog.h>
@@ -17,11 +18,11 @@
 
 namespace {
 
-constexpr int kMissesOut = 3;  // a gatekeeper leaves the front after this many silent health checks
+constexpr int kUnhealthyThreshold = 3;  // consecutive failed checks that take a gatekeeper out of rotation
 
 }  // namespace
 
-// One call of a gatekeeper's /health/ready, on a connection of its own.
+// A single request for a gatekeeper's /health/ready on a new connection.
 class Front::HealthCheck : public std::enable_shared_from_this<HealthCheck> {
  public:
   HealthCheck(Front& front, int gatekeeper)
@@ -56,9 +57,9 @@
   void end(bool ready) {
     timer_.cancel();
     if (ready)
-      front_.hit(gatekeeper_);
+      front_.recordSuccess(gatekeeper_);
     else
-      front_.miss(gatekeeper_);
+      front_.recordFailure(gatekeeper_);
   }
 
   Front& front_;
@@ -75,21 +76,21 @@
     std::make_shared<HealthCheck>(*this, gatekeeper.index)->start(gatekeeper.port);
 }
 
-bool Front::allIn() const {
+bool Front::allInRotation() const {
   return std::all_of(gatekeepers_.begin(), gatekeepers_.end(),
                      [](const Gatekeeper& gatekeeper) { return gatekeeper.inFront; });
 }
 
-void Front::hit(int gatekeeper) {
+void Front::recordSuccess(int gatekeeper) {
   Gatekeeper& gk = gatekeepers_[gatekeeper];
   gk.misses = 0;
   if (!gk.inFront) spdlog::info("event=in_front gatekeeper={} at_ms={:.0f}", gatekeeper, clock_.nowMs());
   gk.inFront = true;
 }
 
-void Front::miss(int gatekeeper) {
+void Front::recordFailure(int gatekeeper) {
   Gatekeeper& gk = gatekeepers_[gatekeeper];
-  if (++gk.misses < kMissesOut || !gk.inFront) return;
+  if (++gk.misses < kUnhealthyThreshold || !gk.inFront) return;
   gk.inFront = false;
   spdlog::info("event=out_of_front gatekeeper={} at_ms={:.0f}", gatekeeper, clock_.nowMs());
 }
--- a/tools/lab/front.hpp
+++ b/tools/lab/front.hpp
@@ -1,4 +1,4 @@
-// The front of a fleet, as a load balancer keeps it: the gatekeepers that its health checks find ready.
+/// The load balancer in front of the gatekeepers: decides by health checks which gatekeepers are in rotation.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -11,11 +11,12 @@
 
 namespace wingslip::lab {
 
-/// The time between two health checks of one gatekeeper, and the longest that one takes.
+/// Period of the health checks of one gatekeeper, and the time-out of a check.
 constexpr auto kHealthEvery = std::chrono::milliseconds(250);
 
-/// Keeps `Gatekeeper::inFront`: in at the first answer 200, out after some misses in a row. Single-threaded,
-/// on the loop it is given. All that it is given must outlive it.
+/// Maintains `Gatekeeper::inFront`: a gatekeeper enters the rotation at the first answer 200 and leaves it
+/// after several consecutive failed checks. Runs on the given loop; not thread-safe. Keeps references: the
+/// arguments of the constructor must outlive it.
 class Front {
  public:
   Front(boost::asio::io_context& io, std::vector<Gatekeeper>& gatekeepers, const RunClock& clock)
@@ -24,13 +25,14 @@
   /// Starts one health check of each gatekeeper.
   void check();
 
-  bool allIn() const;
+  /// Whether all gatekeepers are in rotation.
+  bool allInRotation() const;
 
  private:
   class HealthCheck;
 
-  void hit(int gatekeeper);
-  void miss(int gatekeeper);
+  void recordSuccess(int gatekeeper);
+  void recordFailure(int gatekeeper);
 
   boost::asio::io_context& io_;
   std::vector<Gatekeeper>& gatekeepers_;
--- a/tools/lab/links.cpp
+++ b/tools/lab/links.cpp
@@ -1,3 +1,4 @@
+/// Creation and selection of the fleet's links.
 #include "links.hpp"
 
 #include <map>
@@ -12,29 +13,29 @@
   return found == kModes.end() ? std::nullopt : std::optional(found->second);
 }
 
-unsigned short Links::addToWorker(int gatekeeper, unsigned short worker) {
-  return add(workers_, gatekeeper, worker);
+unsigned short Links::addToWorker(int gatekeeper, unsigned short workerPort) {
+  return add(workers_, gatekeeper, workerPort);
 }
 
-unsigned short Links::addToAgent(int gatekeeper, unsigned short agent) {
-  return add(agents_, gatekeeper, agent);
+unsigned short Links::addToAgent(int gatekeeper, unsigned short agentPort) {
+  return add(agents_, gatekeeper, agentPort);
 }
 
-unsigned short Links::addToStore(int gatekeeper, unsigned short store) {
-  return add(stores_, gatekeeper, store);
+unsigned short Links::addToStore(int gatekeeper, unsigned short storePort) {
+  return add(stores_, gatekeeper, storePort);
 }
 
-void Links::addBetweenPeers(const std::vector<unsigned short>& peers) {
+void Links::addBetweenPeers(const std::vector<unsigned short>& peerPorts) {
   for (int from = 0; from < scenario_.gatekeepers; ++from)
     for (int to = 0; to < scenario_.gatekeepers; ++to)
       if (from == to)
         peers_.push_back(nullptr);
       else
-        add(peers_, from, peers[to]);
+        add(peers_, from, peerPorts[to]);
 }
 
-unsigned short Links::add(Proxies& proxies, int gatekeeper, unsigned short towards) {
-  proxies.push_back(std::make_unique<Proxy>(io_, gatekeeper, towards, origins_));
+unsigned short Links::add(Proxies& proxies, int gatekeeper, unsigned short upstreamPort) {
+  proxies.push_back(std::make_unique<Proxy>(io_, gatekeeper, upstreamPort, origins_));
   return proxies.back()->port();
 }
 
@@ -47,9 +48,9 @@
 void Links::setBetweenPeers(const Step& step, LinkMode mode) {
   for (int from = 0; from < scenario_.gatekeepers; ++from)
     for (int to = 0; to < scenario_.gatekeepers; ++to) {
-      const bool its = step.gatekeeper && (*step.gatekeeper == from || *step.gatekeeper == to);
-      const bool across = step.below > 0 && (from < step.below) != (to < step.below);
-      if (from != to && (its || across))
+      const bool isGatekeepers = step.gatekeeper && (*step.gatekeeper == from || *step.gatekeeper == to);
+      const bool crossesPartition = step.below > 0 && (from < step.below) != (to < step.below);
+      if (from != to && (isGatekeepers || crossesPartition))
         peers_[from * scenario_.gatekeepers + to]->set(mode, step.delayMs, step.bytesPerS);
     }
 }
--- a/tools/lab/links.hpp
+++ b/tools/lab/links.hpp
@@ -1,5 +1,5 @@
-// The links of a fleet, each with a fault proxy on it: from every gatekeeper to the workers, its discovery
-// agent, the coordination store and the other gatekeepers.
+/// The links of a fleet, from every gatekeeper to the workers, its discovery agent, the coordination store
+/// and the other gatekeepers. Each link goes through a fault proxy.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -13,35 +13,37 @@
 
 namespace wingslip::lab {
 
-/// The mode that a step of this name puts links into; none: it is no link fault or repair.
+/// The mode that a step of this kind sets on links; none if the step is not a link fault or repair.
 std::optional<LinkMode> linkModeOf(const std::string& step);
 
-/// Links are added in the order of the gatekeepers, those to workers also in the order of the workers. Each
-/// `add` takes the port that the link leads to and returns the port where it begins, on 127.0.0.1.
+/// Owns the fault proxies. Links must be added in the order of the gatekeepers, and those to workers in the
+/// order of the workers within a gatekeeper, since they are looked up by position. Each `addTo` function
+/// takes the upstream port and returns the proxy's listening port, both on 127.0.0.1.
 class Links {
  public:
-  /// Both must outlive it.
+  /// Keeps references: both arguments must outlive the object.
   Links(asio::io_context& io, const Scenario& scenario) : io_(io), scenario_(scenario) {}
 
-  unsigned short addToWorker(int gatekeeper, unsigned short worker);
-  unsigned short addToAgent(int gatekeeper, unsigned short agent);
-  unsigned short addToStore(int gatekeeper, unsigned short store);
+  unsigned short addToWorker(int gatekeeper, unsigned short workerPort);
+  unsigned short addToAgent(int gatekeeper, unsigned short agentPort);
+  unsigned short addToStore(int gatekeeper, unsigned short storePort);
 
-  /// Adds the links between all gatekeepers, from their ports for each other.
-  void addBetweenPeers(const std::vector<unsigned short>& peers);
-  /// Where the link from one gatekeeper to another begins.
+  /// Adds the links between all pairs of gatekeepers. `peerPorts` are the ports on which they listen for each
+  /// other, by gatekeeper.
+  void addBetweenPeers(const std::vector<unsigned short>& peerPorts);
+  /// Listening port of the proxy on the link from one gatekeeper to another.
   unsigned short toPeer(int from, int to) const { return peers_[from * scenario_.gatekeepers + to]->port(); }
 
-  /// Puts the links that the step means into this mode.
+  /// Sets the mode of the links that the step selects.
   void set(const Step& step, LinkMode mode);
 
-  /// Whose links the workers' connections come over.
+  /// Maps the proxies' upstream connections to the gatekeepers of their links.
   const LinkOf& origins() const { return origins_; }
 
  private:
   using Proxies = std::vector<std::unique_ptr<Proxy>>;
 
-  unsigned short add(Proxies& proxies, int gatekeeper, unsigned short towards);
+  unsigned short add(Proxies& proxies, int gatekeeper, unsigned short upstreamPort);
   void setBetweenPeers(const Step& step, LinkMode mode);
   void setToWorkers(const Step& step, LinkMode mode);
   void setOfGatekeepers(Proxies& proxies, const Step& step, LinkMode mode) const;
@@ -52,7 +54,7 @@
   Proxies workers_;  // [gatekeeper * workers + worker]
   Proxies agents_;   // [gatekeeper]
   Proxies stores_;   // [gatekeeper]
-  Proxies peers_;    // [from * gatekeepers + to]; none to itself
+  Proxies peers_;    // [from * gatekeepers + to]; null where from == to
 };
 
 }  // namespace wingslip::lab
--- a/tools/lab/loopback_listener.cpp
+++ b/tools/lab/loopback_listener.cpp
@@ -1,3 +1,4 @@
+/// Implementation of the loopback listeners.
 #include "loopback_listener.hpp"
 
 namespace wingslip::lab {
--- a/tools/lab/loopback_listener.hpp
+++ b/tools/lab/loopback_listener.hpp
@@ -13,14 +13,16 @@
 using tcp = asio::ip::tcp;
 using Clock = std::chrono::steady_clock;
 
-/// A listener on 127.0.0.1; port 0: any free one.
+/// Opens a listener on 127.0.0.1; port 0 selects a free ephemeral port.
+/// @throws boost::system::system_error if the port cannot be bound.
 tcp::acceptor listenAt(asio::io_context& io, unsigned short port = 0);
 
-/// Closes the connection with a reset.
+/// Closes the connection with a TCP reset.
 void reset(tcp::socket& socket);
 
-/// Which gatekeeper's link a connection to a worker came over: by the worker's port and the local port of the
-/// proxy's upstream socket. Connections to two workers may have the same local port.
+/// Maps a connection from a proxy to the gatekeeper of its link. The key is the upstream port and the local
+/// port of the proxy's upstream socket; the local port alone is not unique over connections to different
+/// workers.
 using LinkOf = std::map<std::pair<unsigned short, unsigned short>, int>;
 
 }  // namespace wingslip::lab
--- a/tools/lab/stand_in_worker.cpp
+++ b/tools/lab/stand_in_worker.cpp
@@ -1,3 +1,4 @@
+/// Request handling of the stand-in worker.
 #include "stand_in_worker.hpp"
 
 #include <boost/asio/write.hpp>
@@ -13,9 +14,10 @@
 
 namespace {
 
-constexpr double kSecondAnswerMs = 2;  // after the first
-constexpr double kMostRestMs = 400;    // before a connection that rests is closed
+constexpr double kSecondAnswerDelayMs = 2;  // after the first answer
+constexpr double kMaxIdleMs = 400;          // longest time between an answer and the close of the connection
 
+// Parses a hexadecimal request id; 0 if the text is not one.
 std::uint64_t hexId(std::string_view text) {
   std::uint64_t id = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), id, 16);
@@ -24,6 +26,7 @@
 
 }  // namespace
 
+// A client connection of the worker; serves its requests one after the other.
 class WorkerSession : public std::enable_shared_from_this<WorkerSession> {
  public:
   WorkerSession(Worker& worker, std::shared_ptr<tcp::socket> socket)
@@ -52,12 +55,12 @@
     const int gatekeeper = link == w_.links_.end() ? -1 : link->second;
     const std::string body = "lab worker " + std::to_string(w_.index_) + " answers " + idText + "\n";
     w_.judge_.attempt(id, w_.index_, gatekeeper, w_.nowMs_(), body);
-    if (w_.mode.silent) return;  // holds the connection and says nothing
+    if (w_.mode.silent) return;  // the connection stays open without an answer
     if (w_.mode.draining || w_.inFlight >= w_.s_.workerInFlight)
       return answer(http::status::service_unavailable, "declined\n", true);
     const RoughWorkers& rough = w_.s_.roughWorkers;
-    if (w_.strikes(rough.hang)) return;
-    if (w_.strikes(rough.reset)) return reset(*socket_), end();
+    if (w_.drawFault(rough.hang)) return;
+    if (w_.drawFault(rough.reset)) return reset(*socket_), end();
     ++w_.inFlight;
     std::lognormal_distribution<double> service(std::log(std::max(w_.s_.serviceMs, 0.01)), w_.s_.spread);
     double ms = service(w_.random_);
@@ -69,25 +72,26 @@
     timer_.async_wait([self = shared_from_this(), body](const Error& e) {
       --self->w_.inFlight;
       if (e) return self->end();
-      self->answerRoughly(body);
+      self->answerWithFaults(body);
     });
   }
 
-  void answerRoughly(const std::string& body) {
+  void answerWithFaults(const std::string& body) {
     const RoughWorkers& rough = w_.s_.roughWorkers;
-    if (w_.strikes(rough.error)) return answer(http::status::internal_server_error, "error\n", false);
-    if (w_.strikes(rough.broken))
-      return say("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" +
-                     body.substr(0, body.size() / 2),
-                 true);
-    if (w_.strikes(rough.unframed)) return say("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + body, false);
-    if (w_.strikes(rough.twice)) sayLater(body);
+    if (w_.drawFault(rough.error)) return answer(http::status::internal_server_error, "error\n", false);
+    if (w_.drawFault(rough.broken))
+      return writeAndClose("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" +
+                               body.substr(0, body.size() / 2),
+                           true);
+    if (w_.drawFault(rough.unframed))
+      return writeAndClose("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + body, false);
+    if (w_.drawFault(rough.twice)) writeSecondAnswer(body);
     answer(http::status::ok, body, false);
-    if (w_.strikes(rough.closes)) closeLater();
+    if (w_.drawFault(rough.closes)) closeLater();
   }
 
-  // Writes the text and ends the connection, in good order or by a reset.
-  void say(std::string text, bool byReset) {
+  // Writes the text, then closes the connection, by a reset if `byReset`.
+  void writeAndClose(std::string text, bool byReset) {
     auto out = std::make_shared<std::string>(std::move(text));
     asio::async_write(*socket_, asio::buffer(*out),
                       [self = shared_from_this(), out, byReset](const Error&, std::size_t) {
@@ -100,24 +104,24 @@
                       });
   }
 
-  // The same answer again, of which nobody has any use.
-  void sayLater(const std::string& body) {
+  // Sends a second copy of the answer after the first one; the peer has no request for it.
+  void writeSecondAnswer(const std::string& body) {
     auto text = std::make_shared<std::string>(
         "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body);
-    later(kSecondAnswerMs, [self = shared_from_this(), text] {
+    runLater(kSecondAnswerDelayMs, [self = shared_from_this(), text] {
       asio::async_write(*self->socket_, asio::buffer(*text), [self, text](const Error&, std::size_t) {});
     });
   }
 
   void closeLater() {
-    later(std::uniform_real_distribution<>(0, kMostRestMs)(w_.random_), [self = shared_from_this()] {
+    runLater(std::uniform_real_distribution<>(0, kMaxIdleMs)(w_.random_), [self = shared_from_this()] {
       Error ignored;
       self->socket_->shutdown(tcp::socket::shutdown_send, ignored);
     });
   }
 
   template <class Then>
-  void later(double ms, Then then) {
+  void runLater(double ms, Then then) {
     auto timer = std::make_shared<asio::steady_timer>(w_.io_);
     timer->expires_after(std::chrono::microseconds(static_cast<long>(ms * 1000)));
     timer->async_wait([timer, then](const Error& error) {
@@ -151,7 +155,7 @@
     : io_(io), index_(index), s_(s), judge_(judge), links_(links), nowMs_(std::move(nowMs)), random_(seed) {
   acceptor_ = std::make_unique<tcp::acceptor>(listenAt(io));
   port_ = acceptor_->local_endpoint().port();
-  startedMs_ = -1e9;  // long warm
+  startedMs_ = -1e9;  // far in the past: the worker is warm at first
   accept();
 }
 
@@ -160,7 +164,8 @@
   acceptor_->async_accept(*socket, [this, socket, acceptor = acceptor_.get()](const Error& error) {
     if (error || acceptor != acceptor_.get()) return;
     ++accepted_;
-    // The proxy acknowledges in its own time, which would hold small writes back on top of the link's delay.
+    // Without TCP_NODELAY, small writes would wait for the proxy's delayed acknowledgement, in addition to
+    // the link's delay.
     Error ignored;
     socket->set_option(tcp::no_delay(true), ignored);
     open_.insert(socket);
@@ -169,7 +174,7 @@
   });
 }
 
-bool Worker::strikes(double share) {
+bool Worker::drawFault(double share) {
   return share > 0 && std::uniform_real_distribution<>()(random_) < share;
 }
 
--- a/tools/lab/stand_in_worker.hpp
+++ b/tools/lab/stand_in_worker.hpp
@@ -1,4 +1,4 @@
-/// A stand-in worker on the lab's loop, after the protocol page.
+/// A stand-in worker on the lab's event loop, according to the protocol page.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -15,20 +15,25 @@
 namespace wingslip::lab {
 
 struct WorkerMode {
-  bool silent = false;    // takes requests, says nothing
-  bool draining = false;  // turns new ones away with Srv-Declined
+  bool silent = false;    ///< accepts requests and never answers
+  bool draining = false;  ///< declines new requests with `Srv-Declined: 1`
 };
 
-/// A stand-in worker: 200 with a body of its own for the request, after a seeded log-normal service time;
-/// past `Scenario::workerInFlight` requests or while draining, 503 with `Srv-Declined: 1`; no Req-Id, 404.
+/// A stand-in worker. Answers 200 with a body unique to the worker and the request, after a log-normal
+/// service time drawn from `seed`; 503 with `Srv-Declined: 1` beyond `Scenario::workerInFlight` concurrent
+/// requests and while draining; 404 without a Req-Id. Runs on the given loop; not thread-safe.
 class Worker {
  public:
+  /// Keeps references: `io`, `s`, `judge` and `links` must outlive the worker. `nowMs` gives the run's time.
   Worker(asio::io_context& io, int index, const Scenario& s, Judge& judge, const LinkOf& links,
          std::function<double()> nowMs, std::uint64_t seed);
   unsigned short port() const { return port_; }
-  long accepted() const { return accepted_; }  // connections since the run began
-  bool strikes(double share);                  // by chance, for a share of the exchanges
-  void restart();  // as a new process under the same address: all connections reset, cold again
+  /// Number of connections accepted since construction.
+  long accepted() const { return accepted_; }
+  /// Draws whether a fault with this share, 0 to 1, applies to the present exchange.
+  bool drawFault(double share);
+  /// Acts as a new process at the same address: resets all connections and restarts the cold start.
+  void restart();
   WorkerMode mode;
   int inFlight = 0;
 
