--- a/tools/lab/client_request.cpp
+++ b/tools/lab/client_request.cpp
@@ -1,3 +1,4 @@
+/// Builds the requests of the lab's clients.
 #include "client_request.hpp"
 
 #include <cstdio>
--- a/tools/lab/client_request.hpp
+++ b/tools/lab/client_request.hpp
@@ -1,4 +1,4 @@
-/// The requests of the lab's clients, after the protocol page.
+/// The requests of the lab's clients, according to the protocol page.
 #pragma once
 
 #include <boost/beast/http/message.hpp>
@@ -11,7 +11,7 @@
 
 using HttpRequest = boost::beast::http::request<boost::beast::http::string_body>;
 
-/// A request of this id and customer: `edit` is a keyed POST with a body, else it is a safe GET.
+/// Builds a request with this id for this customer: a keyed POST with a body if `edit`, else a safe GET.
 HttpRequest requestOf(const Scenario& scenario, std::uint64_t id, int customer, bool edit);
 
 }  // namespace wingslip::lab
--- a/tools/lab/fleet.cpp
+++ b/tools/lab/fleet.cpp
@@ -88,7 +88,7 @@
 
 int Fleet::run() {
   fs::create_directories(options_.out);
-  endLeftBehind(fs::path(options_.out) / "pids");
+  killOrphans(fs::path(options_.out) / "pids");
   clock_.restart();
   if (scenario_.store) startStore();
   for (int w = 0; w < scenario_.workers; ++w)
@@ -169,7 +169,7 @@
   if (scenario_.faultLibrary)
     gatekeeper.faults = std::make_shared<FaultFile>(out / (name + ".faults"), scenario_.system);
   if (scenario_.heldSockets) {
-    gatekeeper.held = holdSocket(gatekeeper.port);
+    gatekeeper.held = openListeningSocket(gatekeeper.port);
   }
   if (scenario_.heldSockets || scenario_.stateFolders) {
     gatekeeper.state = out / (name + ".state");
--- a/tools/lab/fleet_steps.cpp
+++ b/tools/lab/fleet_steps.cpp
@@ -101,7 +101,7 @@
 
 void Fleet::applyStoreFault(const std::string& what) {
   if (what == "store_stop") store_->stop();
-  if (what == "store_start") store_->startAgain();
+  if (what == "store_start") store_->resume();
   if (what == "store_wipe") store_->wipe();
   if (what == "store_save") store_->save();
   if (what == "store_old") store_->restore();
--- a/tools/lab/gatekeeper_config.cpp
+++ b/tools/lab/gatekeeper_config.cpp
@@ -1,3 +1,4 @@
+/// Builds and patches the gatekeepers' JSON configuration.
 #include "gatekeeper_config.hpp"
 
 #include <cstdio>
@@ -10,15 +11,15 @@
 
 namespace {
 
-// Up to this size, gatekeepers are told of all others; in larger fleets they find most by themselves, past
-// the proxies.
-constexpr int kRoutedPeers = 30;
-constexpr int kPeersToldInLargeFleet = 2;
-constexpr std::uint64_t kSeedStep = 7919;  // between the seeds of two runs' gatekeepers
+// Largest fleet in which every gatekeeper is configured with all others. In larger fleets gatekeepers
+// discover most peers by themselves and connect to them directly, without the fault proxies.
+constexpr int kMaxFullyConfiguredFleet = 30;
+constexpr int kPeersInLargeFleet = 2;      // configured peers of a gatekeeper in a larger fleet
+constexpr std::uint64_t kSeedStep = 7919;  // distance between the gatekeepers' seeds of two runs
 
 std::string gatekeeperName(int gatekeeper) { return std::string("g").append(std::to_string(gatekeeper)); }
 
-std::string local(unsigned short port) { return "127.0.0.1:" + std::to_string(port); }
+std::string loopbackAddress(unsigned short port) { return "127.0.0.1:" + std::to_string(port); }
 
 std::string seedOf(std::uint64_t runSeed, int gatekeeper) {
   char out[17];
@@ -73,10 +74,10 @@
   json peers = json::object();
   for (int i = 1; i < s.gatekeepers; ++i) {
     const int other = (gatekeeper + i) % s.gatekeepers;
-    if (i <= kPeersToldInLargeFleet || s.gatekeepers <= kRoutedPeers)
-      peers[gatekeeperName(other)] = local(ports.peers.at(other));
+    if (i <= kPeersInLargeFleet || s.gatekeepers <= kMaxFullyConfiguredFleet)
+      peers[gatekeeperName(other)] = loopbackAddress(ports.peers.at(other));
   }
-  return json{{"listen", local(ports.listenPeers)},
+  return json{{"listen", loopbackAddress(ports.listenPeers)},
               {"fleet", "lab"},
               {"peers", peers},
               {"probe_every_ms", s.probeEveryMs},
@@ -85,7 +86,7 @@
 }
 
 json coordinationOf(const Scenario& s, const GatekeeperPorts& ports) {
-  return json{{"store", local(ports.store)},
+  return json{{"store", loopbackAddress(ports.store)},
               {"prefix", "lab"},
               {"ttl_ms", s.storeTtlMs},
               {"lock_delay_ms", s.storeLockDelayMs}};
@@ -96,8 +97,8 @@
 json gatekeeperConfig(const Scenario& scenario, int gatekeeper, const GatekeeperPorts& ports,
                       const json& known, std::uint64_t seed) {
   json file{{"name", gatekeeperName(gatekeeper)},
-            {"listen", local(ports.listen)},
-            {"discovery", local(ports.discovery)},
+            {"listen", loopbackAddress(ports.listen)},
+            {"discovery", loopbackAddress(ports.discovery)},
             {"seed", seedOf(seed, gatekeeper)},
             {"limits", {{"sockets", 256}, {"memory_mb", 64}}},
             {"known", known},
@@ -112,9 +113,9 @@
   std::ifstream in(config);
   json file = json::parse(in);
   file.merge_patch(json::parse(patch));
-  const fs::path aside = config.string() + ".new";
-  std::ofstream(aside) << file.dump(1);
-  fs::rename(aside, config);
+  const fs::path temporary = config.string() + ".new";
+  std::ofstream(temporary) << file.dump(1);
+  fs::rename(temporary, config);
 }
 
 }  // namespace wingslip::lab
--- a/tools/lab/gatekeeper_config.hpp
+++ b/tools/lab/gatekeeper_config.hpp
@@ -1,4 +1,4 @@
-// The configuration files of the fleet's gatekeepers, as a scenario asks for them.
+/// Configuration files of the fleet's gatekeepers, derived from the scenario.
 #pragma once
 
 #include <cstdint>
@@ -11,21 +11,21 @@
 
 namespace wingslip::lab {
 
-/// The ports on 127.0.0.1 where one gatekeeper listens and where its links begin.
+/// The ports on 127.0.0.1 of one gatekeeper: its own listeners and the proxies of its links.
 struct GatekeeperPorts {
-  unsigned short listen = 0;            ///< its own, for clients
-  unsigned short listenPeers = 0;       ///< its own, for other gatekeepers; `[replica]` only
-  unsigned short discovery = 0;         ///< the link to its discovery agent
-  unsigned short store = 0;             ///< the link to the coordination store; `[store]` only
-  std::map<int, unsigned short> peers;  ///< the links to other gatekeepers; `[replica]` only
+  unsigned short listen = 0;            ///< listener for clients
+  unsigned short listenPeers = 0;       ///< listener for other gatekeepers; `[replica]` only
+  unsigned short discovery = 0;         ///< proxy to its discovery agent
+  unsigned short store = 0;             ///< proxy to the coordination store; `[store]` only
+  std::map<int, unsigned short> peers;  ///< proxies to other gatekeepers, by index; `[replica]` only
 };
 
-/// The whole configuration of the gatekeeper with this index, the scenario's patch included. `known` is the
-/// list of workers that it starts with, in discovery's form; `seed` is the run's.
+/// The complete configuration of the gatekeeper with this index, including the scenario's patch. `known` is
+/// its initial endpoint list in discovery's JSON format; `seed` is the run's seed.
 nlohmann::json gatekeeperConfig(const Scenario& scenario, int gatekeeper, const GatekeeperPorts& ports,
                                 const nlohmann::json& known, std::uint64_t seed);
 
-/// Applies a JSON merge patch to a configuration file, written aside and renamed.
+/// Applies a JSON merge patch to a configuration file. The file is replaced atomically by a rename.
 void patchConfig(const std::filesystem::path& config, const std::string& patch);
 
 }  // namespace wingslip::lab
--- a/tools/lab/main.cpp
+++ b/tools/lab/main.cpp
@@ -1,4 +1,5 @@
-// wingslip-lab: several gatekeepers on loopback, stand-in workers and discovery, faults between them.
+/// wingslip-lab: runs gatekeeper processes on loopback against stand-in workers, discovery and a coordination
+/// store, with fault injection between them.
 #include <spdlog/sinks/stdout_sinks.h>
 #include <spdlog/spdlog.h>
 #include <unistd.h>
@@ -15,7 +16,8 @@
 #include "soak/command.hpp"
 
 int main(int argc, char** argv) {
-  CLI::App app{"wingslip-lab: plays a scenario of faults against several gatekeeper processes on 127.0.0.1"};
+  CLI::App app{
+      "wingslip-lab: runs a fault-injection scenario against several gatekeeper processes on 127.0.0.1"};
   app.require_subcommand(1);
   std::string scenarioPath, out = "lab-out";
   int gatekeepers = 0, workers = 0;
@@ -24,21 +26,21 @@
   options.gatekeeperProgram =
       (std::filesystem::read_symlink("/proc/self/exe", ignored).parent_path() / "wingslip-gatekeeper")
           .string();
-  CLI::App* run = app.add_subcommand("run", "play SCENARIO (TOML) and judge every request");
+  CLI::App* run = app.add_subcommand("run", "run SCENARIO (TOML) and verify the outcome of every request");
   run->add_option("scenario", scenarioPath, "the scenario file")->required()->check(CLI::ExistingFile);
-  run->add_option("--gatekeepers", gatekeepers, "gatekeepers, in place of the file's")
+  run->add_option("--gatekeepers", gatekeepers, "number of gatekeepers; overrides the file's")
       ->check(CLI::Range(1, 300));
-  run->add_option("--workers", workers, "stand-in workers, in place of the file's")
+  run->add_option("--workers", workers, "number of stand-in workers; overrides the file's")
       ->check(CLI::Range(1, 1000));
-  run->add_option("--seed", options.seed, "seed of the load and the workers' times");
-  run->add_option("--out", out, "folder for configurations, logs and the report");
+  run->add_option("--seed", options.seed, "seed of the load and the workers' service times");
+  run->add_option("--out", out, "directory for configurations, logs and the report");
   run->add_option("--gatekeeper", options.gatekeeperProgram,
-                  "the program under test (default: beside this one)");
+                  "the program under test (default: wingslip-gatekeeper in this program's directory)");
   bool check = false;
-  run->add_flag("--check", check, "only read and check the scenario");
+  run->add_flag("--check", check, "validate the scenario without running it");
   std::string reportDir;
-  CLI::App* report = app.add_subcommand("report", "print the summary of an earlier run");
-  report->add_option("dir", reportDir, "the run's --out folder")->required();
+  CLI::App* report = app.add_subcommand("report", "print the summary of a completed run");
+  report->add_option("dir", reportDir, "the run's --out directory")->required();
   wingslip::lab::addDistributionCommand(app);
   wingslip::lab::addScaleCommands(app, options.gatekeeperProgram);
   wingslip::lab::addSoakCommand(app, options.gatekeeperProgram);
@@ -50,8 +52,7 @@
     if (*report) return wingslip::lab::printReport(reportDir);
     const auto scenario = wingslip::lab::readScenario(scenarioPath, gatekeepers, workers, options.seed);
     if (check)
-      return std::cout << "scenario " << scenario.name << ": well formed, " << scenario.steps.size()
-                       << " steps\n",
+      return std::cout << "scenario " << scenario.name << ": valid, " << scenario.steps.size() << " steps\n",
              0;
     options.out = out;
     return wingslip::lab::play(scenario, options);
--- a/tools/lab/process.cpp
+++ b/tools/lab/process.cpp
@@ -1,3 +1,4 @@
+/// Port blocks, process start, resource usage and calls to the operators' port.
 #include "process.hpp"
 
 #include <arpa/inet.h>
@@ -25,18 +26,21 @@
 namespace {
 
 constexpr unsigned kLowestPort = 10000;
-constexpr unsigned kMost = 300;   // gatekeepers
-constexpr unsigned kOpsEach = 3;  // processes of one gatekeeper that can be there at once, and one
-constexpr unsigned kBlock = 1 + kMost * (2 + kOpsEach);
-constexpr int kInherited = 7;  // the descriptor that BALANCER_ACCEPT_FD names
-
-// Before exec: the program loads the fault library and finds its control file.
+constexpr unsigned kMaxGatekeepers = 300;
+// Operators' ports per gatekeeper: its concurrent processes, at most 2, and a spare.
+constexpr unsigned kOpsPorts = 3;
+constexpr unsigned kBlockPorts = 1 + kMaxGatekeepers * (2 + kOpsPorts);
+constexpr int kInheritedFd = 7;  // the descriptor that BALANCER_ACCEPT_FD names
+
+// Sets the environment, between fork and exec, so that the program loads the fault library with its control
+// file.
 void preload(const Gatekeeper& gk) {
   ::setenv("LD_PRELOAD", faultLibrary().c_str(), 1);
   ::setenv(kFaultFileVariable, gk.faults->path().c_str(), 1);
-  ::setenv(kFaultSeedVariable, std::to_string(gk.index * kMost + static_cast<unsigned>(gk.starts)).c_str(),
-           1);
-  // A sanitizer's runtime wants to come first where a library is preloaded; it works behind this one as well.
+  ::setenv(kFaultSeedVariable,
+           std::to_string(gk.index * kMaxGatekeepers + static_cast<unsigned>(gk.starts)).c_str(), 1);
+  // AddressSanitizer's runtime refuses to start when another library is loaded before it; the order is
+  // harmless with this library.
   const char* options = ::getenv("ASAN_OPTIONS");
   ::setenv("ASAN_OPTIONS", (std::string(options ? options : "") + ":verify_asan_link_order=0").c_str(), 1);
 }
@@ -46,14 +50,14 @@
 Ports::Ports(asio::io_context& io) : marker_(io) {
   unsigned low = 32768;
   std::ifstream("/proc/sys/net/ipv4/ip_local_port_range") >> low;
-  const unsigned blocks = low > kLowestPort ? (low - kLowestPort) / kBlock : 0;
+  const unsigned blocks = low > kLowestPort ? (low - kLowestPort) / kBlockPorts : 0;
   if (blocks == 0) throw std::runtime_error("the ephemeral port range leaves no ports for gatekeepers");
-  const unsigned first = std::random_device()() % blocks;  // not the run's seed: labs of one seed run at once
+  const unsigned first = std::random_device()() % blocks;  // not the run's seed: concurrent labs may share it
   for (unsigned i = 0; i < blocks; ++i) {
     tcp::acceptor marker(io);
     Error error;
     const tcp::endpoint at(asio::ip::address_v4::loopback(),
-                           static_cast<unsigned short>(kLowestPort + (first + i) % blocks * kBlock));
+                           static_cast<unsigned short>(kLowestPort + (first + i) % blocks * kBlockPorts));
     marker.open(at.protocol(), error);
     if (!error) marker.bind(at, error);
     if (!error) marker.listen(1, error);
@@ -69,14 +73,14 @@
 }
 
 unsigned short Ports::peers(int gatekeeper) const {
-  return static_cast<unsigned short>(marker_.local_endpoint().port() + 1 + kMost * (1 + kOpsEach) +
+  return static_cast<unsigned short>(marker_.local_endpoint().port() + 1 + kMaxGatekeepers * (1 + kOpsPorts) +
                                      static_cast<unsigned>(gatekeeper));
 }
 
 unsigned short Ports::ops(int gatekeeper, int start) const {
-  const unsigned offset = 1 + kMost + static_cast<unsigned>(gatekeeper) * kOpsEach;
+  const unsigned offset = 1 + kMaxGatekeepers + static_cast<unsigned>(gatekeeper) * kOpsPorts;
   return static_cast<unsigned short>(marker_.local_endpoint().port() + offset +
-                                     static_cast<unsigned>(start) % kOpsEach);
+                                     static_cast<unsigned>(start) % kOpsPorts);
 }
 
 Process start(Gatekeeper& gk, const Ports& ports, const std::string& program) {
@@ -87,18 +91,18 @@
   const pid_t pid = ::fork();
   if (pid < 0) throw std::runtime_error("cannot start a gatekeeper: fork failed");
   if (pid == 0) {
-    ::prctl(PR_SET_PDEATHSIG, SIGKILL);    // nothing is left behind when the lab dies
-    if (::getppid() != lab) ::_exit(127);  // it died before that
+    ::prctl(PR_SET_PDEATHSIG, SIGKILL);    // no gatekeeper outlives the lab
+    if (::getppid() != lab) ::_exit(127);  // the lab ended before prctl took effect
     std::FILE* log = std::fopen(gk.log.c_str(), "a");
     if (log) ::dup2(::fileno(log), 2), ::dup2(::fileno(log), 1);
     unsigned firstClosed = 3;
     if (gk.held >= 0) {
-      ::dup2(gk.held, kInherited);
-      for (int fd = 3; fd < kInherited; ++fd) ::close(fd);
-      firstClosed = kInherited + 1;
-      ::setenv("BALANCER_ACCEPT_FD", std::to_string(kInherited).c_str(), 1);
+      ::dup2(gk.held, kInheritedFd);
+      for (int fd = 3; fd < kInheritedFd; ++fd) ::close(fd);
+      firstClosed = kInheritedFd + 1;
+      ::setenv("BALANCER_ACCEPT_FD", std::to_string(kInheritedFd).c_str(), 1);
     }
-    // None of the lab's sockets goes with it: the marker of its ports, proxies, workers, agents.
+    // The process must not inherit the lab's sockets: the marker of the port block, proxies, workers, agents.
     if (::close_range(firstClosed, ~0U, 0) != 0)
       for (unsigned fd = firstClosed; fd < 65536; ++fd) ::close(static_cast<int>(fd));
     if (gk.state.empty())
@@ -116,14 +120,14 @@
   return out;
 }
 
-int holdSocket(unsigned short port) {
+int openListeningSocket(unsigned short port) {
   const int fd = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
   const int on = 1;
   sockaddr_in at{};
   at.sin_family = AF_INET, at.sin_port = htons(port), at.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
   if (fd < 0 || ::setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on) != 0 ||
       ::bind(fd, reinterpret_cast<const sockaddr*>(&at), sizeof at) != 0 || ::listen(fd, 1024) != 0)
-    throw std::runtime_error("cannot hold port " + std::to_string(port));
+    throw std::runtime_error("cannot listen on 127.0.0.1 port " + std::to_string(port));
   return fd;
 }
 
@@ -137,7 +141,7 @@
   }
   for (std::error_code e; const auto& entry : std::filesystem::directory_iterator(at + "/fd", e))
     out.descriptors += !entry.is_directory();
-  // utime and stime are the 12th and 13th fields behind the name in brackets (proc(5)).
+  // utime and stime are the 12th and 13th fields after the name in parentheses (proc(5)).
   std::ifstream stat(at + "/stat");
   std::string text((std::istreambuf_iterator<char>(stat)), {});
   std::istringstream fields(text.substr(std::min(text.size(), text.rfind(')') + 1)));
@@ -149,10 +153,10 @@
   return out;
 }
 
-// The kernel keeps the first 15 bytes of a program's name.
+// The kernel truncates a process's name to 15 bytes.
 constexpr std::string_view kProcessName = "wingslip-gateke";
 
-void endLeftBehind(const std::filesystem::path& pids) {
+void killOrphans(const std::filesystem::path& pids) {
   std::ifstream in(pids);
   for (pid_t pid; in >> pid;) {
     std::ifstream comm("/proc/" + std::to_string(pid) + "/comm");
@@ -166,32 +170,33 @@
 
 void askOps(asio::io_context& io, unsigned short port, const std::string& call,
             std::function<void(const std::string&)> then) {
-  struct Asked {
-    explicit Asked(asio::io_context& loop) : socket(loop), timer(loop, std::chrono::seconds(1)) {}
+  struct Call {
+    explicit Call(asio::io_context& loop) : socket(loop), timer(loop, std::chrono::seconds(1)) {}
     tcp::socket socket;
     asio::steady_timer timer;
     std::string out, in;
   };
-  auto asked = std::make_shared<Asked>(io);
-  asked->out = call + "\n";
-  asked->timer.async_wait([asked](const Error& error) {
+  auto pending = std::make_shared<Call>(io);
+  pending->out = call + "\n";
+  pending->timer.async_wait([pending](const Error& error) {
     Error ignored;
-    if (!error) asked->socket.close(ignored);
+    if (!error) pending->socket.close(ignored);
   });
-  auto end = [asked, then = std::move(then)](const std::string& answer) {
-    asked->timer.cancel();
+  auto end = [pending, then = std::move(then)](const std::string& answer) {
+    pending->timer.cancel();
     then(answer);
   };
-  asked->socket.async_connect(
-      tcp::endpoint(asio::ip::address_v4::loopback(), port), [asked, end](const Error& error) {
+  pending->socket.async_connect(
+      tcp::endpoint(asio::ip::address_v4::loopback(), port), [pending, end](const Error& error) {
         if (error) return end("");
-        asio::async_write(asked->socket, asio::buffer(asked->out), [asked, end](const Error& e, std::size_t) {
-          if (e) return end("");
-          asio::async_read(asked->socket, asio::dynamic_buffer(asked->in, 1 << 20),
-                           [asked, end](const Error& ended, std::size_t) {
-                             end(ended == asio::error::eof ? asked->in : "");
-                           });
-        });
+        asio::async_write(pending->socket, asio::buffer(pending->out),
+                          [pending, end](const Error& e, std::size_t) {
+                            if (e) return end("");
+                            asio::async_read(pending->socket, asio::dynamic_buffer(pending->in, 1 << 20),
+                                             [pending, end](const Error& ended, std::size_t) {
+                                               end(ended == asio::error::eof ? pending->in : "");
+                                             });
+                          });
       });
 }
 
--- a/tools/lab/process.hpp
+++ b/tools/lab/process.hpp
@@ -1,4 +1,5 @@
-// The processes under test: their block of ports, their start with what they inherit, their signals and ends.
+/// The processes under test: their ports, their start with inherited descriptors and environment, and their
+/// resource usage.
 #pragma once
 
 #include <sys/types.h>
@@ -15,60 +16,68 @@
 
 namespace wingslip::lab {
 
-// A block of ports of this lab's own, and its marker, a listening socket on the block's first port held for
-// the whole run. Labs that run at once (ctest runs several) skip a block whose marker is taken, so that a
-// port of a gatekeeper that is down is not taken by another lab's, whose answers this lab's clients would
-// then get. The blocks lie below the kernel's ephemeral range, from which the lab's own listeners and
-// connections come.
+/// A block of ports reserved for this lab. The reservation is a listening socket, the marker, on the block's
+/// first port, open for the duration of the run. Concurrent labs (ctest runs several) skip a block whose
+/// marker is in use. Otherwise another lab could take the port of a gatekeeper that is down, and this lab's
+/// clients would get that lab's answers. The blocks lie below the kernel's ephemeral port range, which the
+/// lab's other listeners and connections use.
 class Ports {
  public:
-  explicit Ports(boost::asio::io_context& io);  // throws std::runtime_error where no block is free
+  /// @throws std::runtime_error if no block is free.
+  explicit Ports(boost::asio::io_context& io);
+  /// The gatekeeper's port for clients.
   unsigned short listen(int gatekeeper) const;
-  unsigned short peers(int gatekeeper) const;           // where other gatekeepers reach it
-  unsigned short ops(int gatekeeper, int start) const;  // where its `start`-th process hears operators
+  /// The gatekeeper's port for other gatekeepers.
+  unsigned short peers(int gatekeeper) const;
+  /// The port for operators of the gatekeeper's process number `start`, counted from 0.
+  unsigned short ops(int gatekeeper, int start) const;
 
  private:
   boost::asio::ip::tcp::acceptor marker_;
 };
 
 struct Process {
-  pid_t pid = 0;
-  unsigned short ops = 0;
+  pid_t pid = 0;           ///< 0: no process
+  unsigned short ops = 0;  ///< port for operators
 };
 
-// One gatekeeper: a name, a port, and one process, or two during an upgrade.
+/// A gatekeeper of the fleet: one process, or two during an upgrade, on the same port.
 struct Gatekeeper {
   int index = 0;
   unsigned short port = 0;
-  std::filesystem::path config, log, state;  // state: its $TMPDIR; empty: it has none
-  std::shared_ptr<FaultFile> faults;         // of its system; null: it runs without the fault library
-  int held = -1;                             // the clients' listening socket, where the lab holds it
-  Process now, old;                          // old: of an upgrade, until it ends
-  int starts = 0;
-  bool inFront = false, stopped = false;
-  bool shuttingDown = false;  // told to end in order, and not started again
-  int misses = 0;
+  std::filesystem::path config, log, state;  ///< state: the $TMPDIR directory; empty: none is set
+  std::shared_ptr<FaultFile> faults;         ///< control file of the fault library; null: runs without it
+  int held = -1;                          ///< descriptor of the clients' listening socket if the lab owns it
+  Process now, old;                       ///< old: the process being replaced by an upgrade, until it exits
+  int starts = 0;                         ///< number of processes started so far
+  bool inFront = false, stopped = false;  ///< in the load balancer's rotation; stopped by SIGSTOP
+  bool shuttingDown = false;              ///< SIGTERM was sent for a graceful shutdown; not restarted since
+  int misses = 0;                         ///< consecutive failed health checks
 };
 
-// What a process has used since its start.
+/// Resource usage of a process since its start.
 struct ProcessUse {
   double cpuS = 0;
   long peakKb = 0, residentKb = 0, descriptors = 0;
 };
 
-// From /proc; all zero where the process is gone.
+/// Reads the usage from /proc; all zero if the process does not exist.
 ProcessUse useOf(pid_t pid);
 
-// Starts `program` for it; the process dies with the lab. Throws std::runtime_error where fork fails.
+/// Starts `program` as a process of the gatekeeper. The kernel kills it when the lab exits.
+/// @throws std::runtime_error if fork fails.
 Process start(Gatekeeper& gatekeeper, const Ports& ports, const std::string& program);
 
-// Listens at the port on 127.0.0.1 for processes to inherit; throws std::runtime_error.
-int holdSocket(unsigned short port);
+/// Opens a listening socket on 127.0.0.1 for gatekeeper processes to inherit. The caller owns the descriptor.
+/// @throws std::runtime_error if the port cannot be bound.
+int openListeningSocket(unsigned short port);
 
-// Ends the gatekeepers that a lab killed before it could end them, by the ids it wrote to `pids`.
-void endLeftBehind(const std::filesystem::path& pids);
+/// Kills gatekeepers that an earlier lab left running because it was killed itself. `pids` is the file to
+/// which that lab wrote their process ids.
+void killOrphans(const std::filesystem::path& pids);
 
-// One call to an operators' listener; `then` gets the whole answer, or "" after 1 s or where nobody listens.
+/// Makes one call to the operators' listener on the port. `then` gets the complete answer, or "" on an error
+/// or after a time-out of 1 s.
 void askOps(boost::asio::io_context& io, unsigned short port, const std::string& call,
             std::function<void(const std::string&)> then);
 
--- a/tools/lab/run_clock.hpp
+++ b/tools/lab/run_clock.hpp
@@ -1,4 +1,4 @@
-// The time of a run: what has passed since its load began, and what is due later.
+/// The clock and the timers of a run.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -7,18 +7,20 @@
 
 namespace wingslip::lab {
 
-/// Counts from its construction, and again from 0 after `restart`. Single-threaded, on the loop it is given.
+/// Measures the time since construction or the last `restart`. Timers run on the given loop, which must
+/// outlive the clock; not thread-safe.
 class RunClock {
  public:
   explicit RunClock(boost::asio::io_context& io) : io_(io), start_(Steady::now()) {}
 
-  /// The run's time is 0 now.
+  /// Resets the time to 0. Pending timers keep their due time.
   void restart() { start_ = Steady::now(); }
 
+  /// Milliseconds since the start of the run.
   double nowMs() const;
 
-  /// Calls `what` on the loop `seconds` after the run's start.
-  void at(double seconds, std::function<void()> what);
+  /// Calls `callback` on the loop `seconds` after the start of the run.
+  void at(double seconds, std::function<void()> callback);
 
  private:
   using Steady = std::chrono::steady_clock;
--- a/tools/lab/store.cpp
+++ b/tools/lab/store.cpp
@@ -1,3 +1,4 @@
+/// HTTP server of the stand-in coordination store.
 #include "store.hpp"
 
 #include <algorithm>
@@ -18,9 +19,10 @@
 
 namespace {
 
-constexpr auto kExpiryEvery = std::chrono::milliseconds(20);  // between looks for sessions whose time is over
-constexpr std::size_t kMaxCountedSeconds = 3600;
+constexpr auto kExpiryPeriod = std::chrono::milliseconds(20);  // between checks for expired sessions
+constexpr std::size_t kMaxCountedSeconds = 3600;               // calls after this are not counted by second
 
+// Decodes percent-encoding.
 std::string unescaped(const std::string& text) {
   std::string out;
   for (std::size_t i = 0; i < text.size(); ++i) {
@@ -34,7 +36,7 @@
   return out;
 }
 
-// A duration as Go writes it, of the forms in use: "1500ms", "10s", "5m".
+// Parses a duration in Go's format, limited to the forms in use: "1500ms", "10s", "5m".
 double milliseconds(const std::string& text) {
   std::size_t end = 0;
   const double n = std::stod(text, &end);
@@ -80,14 +82,17 @@
 };
 
 Store::Store(asio::io_context& io, std::function<double()> nowMs)
-    : io_(io), nowMs_(std::move(nowMs)), acceptor_(std::make_unique<tcp::acceptor>(listenAt(io))), beat_(io) {
+    : io_(io),
+      nowMs_(std::move(nowMs)),
+      acceptor_(std::make_unique<tcp::acceptor>(listenAt(io))),
+      expiryTimer_(io) {
   port_ = acceptor_->local_endpoint().port();
-  wire();
+  registerCallbacks();
   accept();
-  beat();
+  expireSessions();
 }
 
-void Store::wire() {
+void Store::registerCallbacks() {
   state_.onChange = [this](const std::string& key) { changed(key); };
   state_.onSet = [this](const std::string& key, const std::string& value) {
     std::vector<std::string> members;
@@ -98,11 +103,11 @@
   };
 }
 
-void Store::beat() {
+void Store::expireSessions() {
   state_.expire(nowMs_());
-  beat_.expires_after(kExpiryEvery);
-  beat_.async_wait([this](const Error& error) {
-    if (!error) beat();
+  expiryTimer_.expires_after(kExpiryPeriod);
+  expiryTimer_.async_wait([this](const Error& error) {
+    if (!error) expireSessions();
   });
 }
 
@@ -130,7 +135,7 @@
 
 void Store::serve(const std::shared_ptr<Client>& client) {
   countCall();
-  if (mode_ == Mode::silent) return;  // the connection stays open, and nothing is answered
+  if (mode_ == Mode::silent) return;  // the connection stays open without an answer
   if (mode_ == Mode::errors) return answer(client, 500, "rpc error: no leader");
   const Target target = parseTarget(std::string(client->request.target()));
   const auto after = [&](const std::string& prefix) -> std::optional<std::string> {
@@ -202,29 +207,30 @@
 
 void Store::changed(const std::string& key) {
   for (auto at = waiting_.begin(); at != waiting_.end();) {
-    const bool mine = at->recurse ? key.rfind(at->key, 0) == 0 : key == at->key;
-    if (!mine) {
+    const bool watchesKey = at->recurse ? key.rfind(at->key, 0) == 0 : key == at->key;
+    if (!watchesKey) {
       ++at;
       continue;
     }
     const Waiting w = *at;
     at = waiting_.erase(at);
     w.timer->cancel();
-    asio::post(io_, [this, w] { answerRead(w.client, w.key, w.recurse); });  // after the whole change
+    asio::post(io_,
+               [this, w] { answerRead(w.client, w.key, w.recurse); });  // not before the change is complete
   }
 }
 
 void Store::answerRead(const std::shared_ptr<Client>& client, const std::string& key, bool recurse) {
   json out = json::array();
   for (const auto& [name, v] : state_.read(key, recurse)) {
-    json one{{"Key", name},
-             {"Value", wingslip::leader_election::toBase64(v.value)},
-             {"Flags", 0},
-             {"LockIndex", v.lockIndex},
-             {"CreateIndex", v.createIndex},
-             {"ModifyIndex", v.modifyIndex}};
-    if (!v.session.empty()) one["Session"] = v.session;
-    out.push_back(one);
+    json entry{{"Key", name},
+               {"Value", wingslip::leader_election::toBase64(v.value)},
+               {"Flags", 0},
+               {"LockIndex", v.lockIndex},
+               {"CreateIndex", v.createIndex},
+               {"ModifyIndex", v.modifyIndex}};
+    if (!v.session.empty()) entry["Session"] = v.session;
+    out.push_back(entry);
   }
   answer(client, out.empty() ? 404 : 200, out.empty() ? "" : out.dump(), state_.changedAt(key, recurse));
 }
@@ -263,7 +269,7 @@
   clients_.clear();
 }
 
-void Store::startAgain() {
+void Store::resume() {
   if (acceptor_->is_open()) return;
   acceptor_ = std::make_unique<tcp::acceptor>(listenAt(io_, port_));
   accept();
@@ -272,8 +278,8 @@
 void Store::wipe() {
   stop();
   state_ = StoreState();
-  wire();
-  startAgain();
+  registerCallbacks();
+  resume();
 }
 
 void Store::save() { saved_ = state_; }
@@ -281,8 +287,8 @@
 void Store::restore() {
   stop();
   state_ = saved_;
-  wire();
-  startAgain();
+  registerCallbacks();
+  resume();
 }
 
 void Store::invalidate(const std::string& name) {
--- a/tools/lab/store.hpp
+++ b/tools/lab/store.hpp
@@ -1,5 +1,5 @@
-// The stand-in coordination store on the lab's loop: Consul's HTTP API as far as it is used, with faults that
-// a scenario can order.
+/// A stand-in coordination store on the lab's event loop: the parts of Consul's HTTP API that the project
+/// uses, with faults that a scenario can inject.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -16,31 +16,45 @@
 
 namespace wingslip::lab {
 
+/// Listens on 127.0.0.1. Runs on the given loop, which must outlive it; not thread-safe.
 class Store {
  public:
-  enum class Mode { well, silent, errors, losesAnswers };  // losesAnswers: what was asked takes effect
+  /// silent: calls have no effect and no answer; errors: calls have no effect and are answered 500;
+  /// losesAnswers: calls take effect, and the connection is closed without an answer.
+  enum class Mode { well, silent, errors, losesAnswers };
 
+  /// `nowMs` gives the time in ms from which session expiry and `callsBySecond` are counted.
   Store(boost::asio::io_context& io, std::function<double()> nowMs);
   unsigned short port() const { return port_; }
 
   void set(Mode mode) { mode_ = mode; }
-  void stop();  // as a machine that is down: connections are reset and refused; time goes on for sessions
-  void startAgain();
-  void wipe();                               // from now on as after a restart without its state
-  void save();                               // the state as it is, for `restore`
-  void restore();                            // back to it, index and sessions too
-  void invalidate(const std::string& name);  // the sessions of that name, as by hand
+  /// Acts as a machine that is down: resets open connections and refuses new ones. Sessions still expire.
+  void stop();
+  /// Accepts connections again after `stop`.
+  void resume();
+  /// Acts as a restart with the loss of all state.
+  void wipe();
+  /// Saves a copy of the state for `restore`.
+  void save();
+  /// Acts as a restart from the saved state, including the index and the sessions.
+  void restore();
+  /// Ends all sessions of that name, as an operator can.
+  void invalidate(const std::string& name);
 
-  // After each compare-and-set that took effect; `members`: the registrations' keys at that moment.
+  /// Called after each compare-and-set that took effect. `members`: the keys of the registrations at that
+  /// time.
   std::function<void(const std::string& key, const std::string& value,
                      const std::vector<std::string>& members)>
       onSet;
+  /// Number of HTTP requests received, also those without an answer.
   long calls() const { return calls_; }
+  /// Number of HTTP requests received, by second of the store's time.
   const std::vector<long>& callsBySecond() const { return bySecond_; }
 
  private:
   struct Client;
   struct Target;  ///< a request's path and query
+  /// A blocking query that waits for a change or its time-out.
   struct Waiting {
     std::shared_ptr<Client> client;
     std::string key;
@@ -48,8 +62,8 @@
     std::uint64_t index;
     std::shared_ptr<boost::asio::steady_timer> timer;
   };
-  void wire();
-  void beat();
+  void registerCallbacks();
+  void expireSessions();
   void accept();
   void countCall();
   static Target parseTarget(const std::string& text);
@@ -57,12 +71,13 @@
   void createSession(const std::shared_ptr<Client>& client);
   void renewSession(const std::shared_ptr<Client>& client, const std::string& id);
   void put(const std::shared_ptr<Client>& client, const Target& target, const std::string& key);
-  /// With an index, the answer waits for a change past it.
+  /// Reads keys. With the query parameter `index`, a blocking query: the answer waits for a later change.
   void read(const std::shared_ptr<Client>& client, const Target& target, const std::string& key);
   void endWait(const std::shared_ptr<Client>& client);
   void answer(const std::shared_ptr<Client>& client, unsigned status, const std::string& body,
               std::uint64_t index = 0);
   void answerRead(const std::shared_ptr<Client>& client, const std::string& key, bool recurse);
+  /// Answers the blocking queries for the changed key.
   void changed(const std::string& key);
 
   boost::asio::io_context& io_;
@@ -71,7 +86,7 @@
   Mode mode_ = Mode::well;
   std::unique_ptr<boost::asio::ip::tcp::acceptor> acceptor_;
   unsigned short port_ = 0;
-  boost::asio::steady_timer beat_;
+  boost::asio::steady_timer expiryTimer_;
   std::set<std::shared_ptr<Client>> clients_;
   std::list<Waiting> waiting_;
   long calls_ = 0;
--- a/tools/lab/store_state.cpp
+++ b/tools/lab/store_state.cpp
@@ -1,3 +1,4 @@
+/// Sessions, locks and indexes of the stand-in store.
 #include "store_state.hpp"
 
 #include <algorithm>
@@ -6,12 +7,12 @@
 
 namespace wingslip::lab {
 namespace {
-bool matches(const std::string& key, const std::string& asked, bool recurse) {
-  return recurse ? key.rfind(asked, 0) == 0 : key == asked;
+bool matches(const std::string& key, const std::string& queried, bool recurse) {
+  return recurse ? key.rfind(queried, 0) == 0 : key == queried;
 }
 }  // namespace
 
-void StoreState::touched(const std::string& key) {
+void StoreState::recordChange(const std::string& key) {
   changed_[key] = index_;
   if (onChange) onChange(key);
 }
@@ -19,7 +20,7 @@
 void StoreState::end(double now, const std::string& session) {
   const auto found = sessions_.find(session);
   if (found == sessions_.end()) return;
-  const double shut = now + found->second.lockDelayMs;
+  const double lockDelayEnd = now + found->second.lockDelayMs;
   sessions_.erase(found);
   ++index_;
   for (auto at = values_.begin(); at != values_.end();) {
@@ -28,17 +29,17 @@
       continue;
     }
     const std::string key = at->first;
-    shutUntil_[key] = shut;
+    lockDelayUntil_[key] = lockDelayEnd;
     at = values_.erase(at);
-    touched(key);
+    recordChange(key);
   }
 }
 
 void StoreState::expire(double now) {
-  std::vector<std::string> over;
+  std::vector<std::string> expired;
   for (const auto& [id, s] : sessions_)
-    if (now >= s.renewedAt + s.ttlMs * expireAfter_) over.push_back(id);
-  for (const std::string& id : over) end(now, id);
+    if (now >= s.renewedAt + s.ttlMs * expireAfter_) expired.push_back(id);
+  for (const std::string& id : expired) end(now, id);
 }
 
 double StoreState::nextExpiry() const {
@@ -48,10 +49,11 @@
 }
 
 std::string StoreState::createSession(double now, const std::string& name, double ttlMs, double lockDelayMs) {
-  // Never given again, also by a store that came back empty or old: the real one's are random.
-  static std::uint64_t given = 0;
+  // Unique over all stores of the process, so that a wiped or restored store does not reuse an id. Consul's
+  // ids are random.
+  static std::uint64_t lastId = 0;
   char id[32];
-  std::snprintf(id, sizeof id, "session-%016llx", static_cast<unsigned long long>(++given));
+  std::snprintf(id, sizeof id, "session-%016llx", static_cast<unsigned long long>(++lastId));
   sessions_[id] = {name, ttlMs, lockDelayMs, now};
   ++index_;
   return id;
@@ -84,9 +86,9 @@
                                         const std::string& value) {
   expire(now);
   if (!sessions_.contains(session)) return std::nullopt;
-  if (const auto shut = shutUntil_.find(key); shut != shutUntil_.end()) {
-    if (now < shut->second) return false;
-    shutUntil_.erase(shut);
+  if (const auto lockDelay = lockDelayUntil_.find(key); lockDelay != lockDelayUntil_.end()) {
+    if (now < lockDelay->second) return false;
+    lockDelayUntil_.erase(lockDelay);
   }
   Value& v = values_[key];
   if (!v.session.empty() && v.session != session) return false;
@@ -94,7 +96,7 @@
   if (v.createIndex == 0) v.createIndex = index_;
   if (v.session != session) ++v.lockIndex;
   v.session = session, v.value = value, v.modifyIndex = index_;
-  touched(key);
+  recordChange(key);
   return true;
 }
 
@@ -105,7 +107,7 @@
   if (found == values_.end() || found->second.session != session) return false;
   found->second.session.clear();
   found->second.modifyIndex = ++index_;
-  touched(key);
+  recordChange(key);
   return true;
 }
 
@@ -117,7 +119,7 @@
   Value& v = values_[key];
   v.value = value, v.modifyIndex = ++index_;
   if (v.createIndex == 0) v.createIndex = index_;
-  touched(key);
+  recordChange(key);
   if (onSet) onSet(key, value);
   return true;
 }
@@ -132,9 +134,9 @@
 
 std::uint64_t StoreState::changedAt(const std::string& key, bool recurse) const {
   std::uint64_t at = 1;
-  for (auto one = changed_.lower_bound(key); one != changed_.end() && matches(one->first, key, recurse);
-       ++one)
-    at = std::max(at, one->second);
+  for (auto entry = changed_.lower_bound(key); entry != changed_.end() && matches(entry->first, key, recurse);
+       ++entry)
+    at = std::max(at, entry->second);
   return at;
 }
 
