--- a/tools/lab/fault_proxy.cpp
+++ b/tools/lab/fault_proxy.cpp
@@ -15,8 +15,8 @@
 }  // namespace
 
 // A connection over the link: the gatekeeper's socket `down` and the socket `up` to the upstream port.
-struct Proxy::Pair : std::enable_shared_from_this<Pair> {
-  Pair(Proxy& p, tcp::socket d) : proxy(p), down(std::move(d)), up(p.io_) {}
+struct Proxy::Connection : std::enable_shared_from_this<Connection> {
+  Connection(Proxy& p, tcp::socket d) : proxy(p), down(std::move(d)), up(p.io_) {}
   Proxy& proxy;
   tcp::socket down, up;
   int open = 2;              // directions whose end of stream has not been forwarded
@@ -27,7 +27,7 @@
     up.async_connect(
         tcp::endpoint(asio::ip::address_v4::loopback(), proxy.upstreamPort_),
         [self = shared_from_this()](const Error& error) {
-          if (error) return self->kill();
+          if (error) return self->resetBoth();
           Error ignored;
           self->up.set_option(tcp::no_delay(true), ignored);
           self->down.set_option(tcp::no_delay(true), ignored);
@@ -37,9 +37,9 @@
           self->pump(self->up, self->down, false);
         });
   }
-  void kill() {
+  void resetBoth() {
     reset(down), reset(up);
-    proxy.pairs_.erase(shared_from_this());
+    proxy.connections_.erase(shared_from_this());
   }
   // Forwards data from one socket to the other in chunks. The link's mode at the arrival of a chunk applies.
   void pump(tcp::socket& from, tcp::socket& to, bool towardsWorker) {
@@ -47,9 +47,9 @@
     from.async_read_some(asio::buffer(*chunk), [self = shared_from_this(), &from, &to, towardsWorker, chunk](
                                                    const Error& error, std::size_t n) {
       if (error == asio::error::eof) return self->enqueue(to, towardsWorker, "", 0);
-      if (error) return self->kill();
+      if (error) return self->resetBoth();
       const LinkMode mode = self->proxy.mode_;
-      if (mode == LinkMode::cut) return self->kill();
+      if (mode == LinkMode::cut) return self->resetBoth();
       if (mode == LinkMode::blackhole || !to.is_open() || (mode == LinkMode::oneway && !towardsWorker))
         return self->droppedData = true, self->pump(from, to, towardsWorker);
       self->enqueue(to, towardsWorker, std::string(chunk->data(), n), n);
@@ -98,13 +98,13 @@
     if (next->bytes.empty()) {
       Error ignored;
       to.shutdown(tcp::socket::shutdown_send, ignored);
-      if (--open == 0) kill();
+      if (--open == 0) resetBoth();
       return;
     }
     asio::async_write(
         to, asio::buffer(next->bytes),
         [self = shared_from_this(), this, &to, &direction, next](const Error& error, std::size_t) {
-          if (error) return kill();
+          if (error) return resetBoth();
           writeNext(to, direction);
         });
   }
@@ -112,7 +112,7 @@
   Direction upstream, downstream;
 };
 
-Proxy::Proxy(asio::io_context& io, int gatekeeper, unsigned short upstreamPort, LinkOf& links)
+Proxy::Proxy(asio::io_context& io, int gatekeeper, unsigned short upstreamPort, LinkOrigins& links)
     : io_(io),
       gatekeeper_(gatekeeper),
       upstreamPort_(upstreamPort),
@@ -127,18 +127,18 @@
     if (error) return;
     accept();
     if (mode_ == LinkMode::cut) return reset(socket);  // a restarted machine resets unknown connections too
-    auto pair = std::make_shared<Pair>(*this, std::move(socket));
-    pairs_.insert(pair);
-    pair->start();
+    auto connection = std::make_shared<Connection>(*this, std::move(socket));
+    connections_.insert(connection);
+    connection->start();
   });
 }
 
 void Proxy::set(LinkMode mode, double delayMs, double bytesPerS) {
   mode_ = mode, delayMs_ = delayMs, bytesPerS_ = bytesPerS;
-  for (const auto& pair : std::set(pairs_))
+  for (const auto& connection : std::set(connections_))
     if (mode == LinkMode::cut ||
-        (pair->droppedData && mode != LinkMode::blackhole && mode != LinkMode::oneway))
-      pair->kill();
+        (connection->droppedData && mode != LinkMode::blackhole && mode != LinkMode::oneway))
+      connection->resetBoth();
 }
 
 }  // namespace wingslip::lab
--- a/tools/lab/fault_proxy.hpp
+++ b/tools/lab/fault_proxy.hpp
@@ -20,7 +20,7 @@
 class Proxy {
  public:
   /// Registers every upstream connection in `links`. `io` and `links` must outlive the proxy.
-  Proxy(asio::io_context& io, int gatekeeper, unsigned short upstreamPort, LinkOf& links);
+  Proxy(asio::io_context& io, int gatekeeper, unsigned short upstreamPort, LinkOrigins& links);
   unsigned short port() const { return port_; }
   /// Sets the mode of open and future connections. `delay` adds `delayMs` to each chunk in each direction;
   /// `throttle` limits each direction to `bytesPerS`. A connection that has dropped data is reset when the
@@ -28,17 +28,17 @@
   void set(LinkMode mode, double delayMs = 0, double bytesPerS = 0);
 
  private:
-  struct Pair;
+  struct Connection;
   void accept();
   asio::io_context& io_;
   int gatekeeper_;
   unsigned short upstreamPort_;
-  LinkOf& links_;
+  LinkOrigins& links_;
   tcp::acceptor acceptor_;
   unsigned short port_;
   LinkMode mode_ = LinkMode::pass;
   double delayMs_ = 0, bytesPerS_ = 0;
-  std::set<std::shared_ptr<Pair>> pairs_;
+  std::set<std::shared_ptr<Connection>> connections_;
 };
 
 }  // namespace wingslip::lab
--- a/tools/lab/fleet_observers.cpp
+++ b/tools/lab/fleet_observers.cpp
@@ -80,7 +80,7 @@
     int running = 0;
     for (const Gatekeeper& gatekeeper : gatekeepers_) {
       if (gatekeeper.now.pid <= 0) continue;
-      const ProcessUse use = useOf(gatekeeper.now.pid);
+      const ProcessUse use = readProcessUse(gatekeeper.now.pid);
       all.residentKb += use.residentKb, all.descriptors += use.descriptors;
       ++running;
     }
@@ -107,7 +107,7 @@
 
 void Fleet::recordUsage(const Gatekeeper& gatekeeper) {
   if (gatekeeper.now.pid <= 0) return;
-  const ProcessUse use = useOf(gatekeeper.now.pid);
+  const ProcessUse use = readProcessUse(gatekeeper.now.pid);
   runRecord_.mostKb = std::max(runRecord_.mostKb, use.peakKb);
   runRecord_.mostDescriptors = std::max(runRecord_.mostDescriptors, use.descriptors);
   ++runRecord_.measured;
--- a/tools/lab/fleet_processes.cpp
+++ b/tools/lab/fleet_processes.cpp
@@ -33,7 +33,7 @@
   gatekeeper.stopped = false;
   gatekeeper.inFront = false;
   gatekeeper.shuttingDown = false;
-  gatekeeper.misses = 0;
+  gatekeeper.failedChecks = 0;
   std::ofstream(fs::path(options_.out) / "pids", std::ios::app) << gatekeeper.now.pid << "\n";
 }
 
@@ -131,7 +131,7 @@
   reap();
   front_.check();
   if (runIsEnding_) return;
-  auto next = std::make_shared<asio::steady_timer>(io_, kHealthEvery);
+  auto next = std::make_shared<asio::steady_timer>(io_, kHealthCheckPeriod);
   next->async_wait([this, next](const Error&) { checkHealth(); });
 }
 
--- a/tools/lab/fleet_run.hpp
+++ b/tools/lab/fleet_run.hpp
@@ -89,7 +89,7 @@
   void reap();
   void reapOldProcess(Gatekeeper& gatekeeper);
   void reapProcess(Gatekeeper& gatekeeper);
-  /// Reaps exited processes and starts the load balancer's health checks, once per `kHealthEvery`.
+  /// Reaps exited processes and starts the load balancer's health checks, once per `kHealthCheckPeriod`.
   void checkHealth();
   /// Runs the loop until the load balancer has all gatekeepers in rotation, or until the start timeout.
   void waitForFront();
--- a/tools/lab/fleet_steps.cpp
+++ b/tools/lab/fleet_steps.cpp
@@ -108,7 +108,7 @@
   if (what == "store_silent") store_->set(Store::Mode::silent);
   if (what == "store_errors") store_->set(Store::Mode::errors);
   if (what == "store_lose") store_->set(Store::Mode::losesAnswers);
-  if (what == "store_ok") store_->set(Store::Mode::well);
+  if (what == "store_ok") store_->set(Store::Mode::normal);
 }
 
 void Fleet::applySystemFault(const Step& step) {
--- a/tools/lab/front.cpp
+++ b/tools/lab/front.cpp
@@ -26,7 +26,7 @@
 class Front::HealthCheck : public std::enable_shared_from_this<HealthCheck> {
  public:
   HealthCheck(Front& front, int gatekeeper)
-      : front_(front), gatekeeper_(gatekeeper), socket_(front.io_), timer_(front.io_, kHealthEvery) {}
+      : front_(front), gatekeeper_(gatekeeper), socket_(front.io_), timer_(front.io_, kHealthCheckPeriod) {}
 
   void start(unsigned short port) {
     timer_.async_wait([self = shared_from_this()](const Error& error) {
@@ -83,14 +83,14 @@
 
 void Front::recordSuccess(int gatekeeper) {
   Gatekeeper& gk = gatekeepers_[gatekeeper];
-  gk.misses = 0;
+  gk.failedChecks = 0;
   if (!gk.inFront) spdlog::info("event=in_front gatekeeper={} at_ms={:.0f}", gatekeeper, clock_.nowMs());
   gk.inFront = true;
 }
 
 void Front::recordFailure(int gatekeeper) {
   Gatekeeper& gk = gatekeepers_[gatekeeper];
-  if (++gk.misses < kUnhealthyThreshold || !gk.inFront) return;
+  if (++gk.failedChecks < kUnhealthyThreshold || !gk.inFront) return;
   gk.inFront = false;
   spdlog::info("event=out_of_front gatekeeper={} at_ms={:.0f}", gatekeeper, clock_.nowMs());
 }
--- a/tools/lab/front.hpp
+++ b/tools/lab/front.hpp
@@ -12,7 +12,7 @@
 namespace wingslip::lab {
 
 /// Period of the health checks of one gatekeeper, and the time-out of a check.
-constexpr auto kHealthEvery = std::chrono::milliseconds(250);
+constexpr auto kHealthCheckPeriod = std::chrono::milliseconds(250);
 
 /// Maintains `Gatekeeper::inFront`: a gatekeeper enters the rotation at the first answer 200 and leaves it
 /// after several consecutive failed checks. Runs on the given loop; not thread-safe. Keeps references: the
--- a/tools/lab/links.hpp
+++ b/tools/lab/links.hpp
@@ -38,7 +38,7 @@
   void set(const Step& step, LinkMode mode);
 
   /// Maps the proxies' upstream connections to the gatekeepers of their links.
-  const LinkOf& origins() const { return origins_; }
+  const LinkOrigins& origins() const { return origins_; }
 
  private:
   using Proxies = std::vector<std::unique_ptr<Proxy>>;
@@ -50,7 +50,7 @@
 
   asio::io_context& io_;
   const Scenario& scenario_;
-  LinkOf origins_;
+  LinkOrigins origins_;
   Proxies workers_;  // [gatekeeper * workers + worker]
   Proxies agents_;   // [gatekeeper]
   Proxies stores_;   // [gatekeeper]
--- a/tools/lab/loopback_listener.hpp
+++ b/tools/lab/loopback_listener.hpp
@@ -23,6 +23,6 @@
 /// Maps a connection from a proxy to the gatekeeper of its link. The key is the upstream port and the local
 /// port of the proxy's upstream socket; the local port alone is not unique over connections to different
 /// workers.
-using LinkOf = std::map<std::pair<unsigned short, unsigned short>, int>;
+using LinkOrigins = std::map<std::pair<unsigned short, unsigned short>, int>;
 
 }  // namespace wingslip::lab
--- a/tools/lab/process.cpp
+++ b/tools/lab/process.cpp
@@ -131,7 +131,7 @@
   return fd;
 }
 
-ProcessUse useOf(pid_t pid) {
+ProcessUse readProcessUse(pid_t pid) {
   ProcessUse out;
   const std::string at = "/proc/" + std::to_string(pid);
   std::ifstream status(at + "/status");
--- a/tools/lab/process.hpp
+++ b/tools/lab/process.hpp
@@ -52,7 +52,7 @@
   int starts = 0;                         ///< number of processes started so far
   bool inFront = false, stopped = false;  ///< in the load balancer's rotation; stopped by SIGSTOP
   bool shuttingDown = false;              ///< SIGTERM was sent for a graceful shutdown; not restarted since
-  int misses = 0;                         ///< consecutive failed health checks
+  int failedChecks = 0;                   ///< consecutive failed health checks
 };
 
 /// Resource usage of a process since its start.
@@ -62,7 +62,7 @@
 };
 
 /// Reads the usage from /proc; all zero if the process does not exist.
-ProcessUse useOf(pid_t pid);
+ProcessUse readProcessUse(pid_t pid);
 
 /// Starts `program` as a process of the gatekeeper. The kernel kills it when the lab exits.
 /// @throws std::runtime_error if fork fails.
--- a/tools/lab/stand_in_worker.cpp
+++ b/tools/lab/stand_in_worker.cpp
@@ -150,7 +150,7 @@
   http::request<http::string_body> request_;
 };
 
-Worker::Worker(asio::io_context& io, int index, const Scenario& s, Judge& judge, const LinkOf& links,
+Worker::Worker(asio::io_context& io, int index, const Scenario& s, Judge& judge, const LinkOrigins& links,
                std::function<double()> nowMs, std::uint64_t seed)
     : io_(io), index_(index), s_(s), judge_(judge), links_(links), nowMs_(std::move(nowMs)), random_(seed) {
   acceptor_ = std::make_unique<tcp::acceptor>(listenAt(io));
--- a/tools/lab/stand_in_worker.hpp
+++ b/tools/lab/stand_in_worker.hpp
@@ -25,7 +25,7 @@
 class Worker {
  public:
   /// Keeps references: `io`, `s`, `judge` and `links` must outlive the worker. `nowMs` gives the run's time.
-  Worker(asio::io_context& io, int index, const Scenario& s, Judge& judge, const LinkOf& links,
+  Worker(asio::io_context& io, int index, const Scenario& s, Judge& judge, const LinkOrigins& links,
          std::function<double()> nowMs, std::uint64_t seed);
   unsigned short port() const { return port_; }
   /// Number of connections accepted since construction.
@@ -44,7 +44,7 @@
   int index_;
   const Scenario& s_;
   Judge& judge_;
-  const LinkOf& links_;
+  const LinkOrigins& links_;
   std::function<double()> nowMs_;
   std::mt19937_64 random_;
   std::unique_ptr<tcp::acceptor> acceptor_;
--- a/tools/lab/store.hpp
+++ b/tools/lab/store.hpp
@@ -21,7 +21,7 @@
  public:
   /// silent: calls have no effect and no answer; errors: calls have no effect and are answered 500;
   /// losesAnswers: calls take effect, and the connection is closed without an answer.
-  enum class Mode { well, silent, errors, losesAnswers };
+  enum class Mode { normal, silent, errors, losesAnswers };
 
   /// `nowMs` gives the time in ms from which session expiry and `callsBySecond` are counted.
   Store(boost::asio::io_context& io, std::function<double()> nowMs);
@@ -83,7 +83,7 @@
   boost::asio::io_context& io_;
   std::function<double()> nowMs_;
   StoreState state_, saved_;
-  Mode mode_ = Mode::well;
+  Mode mode_ = Mode::normal;
   std::unique_ptr<boost::asio::ip::tcp::acceptor> acceptor_;
   unsigned short port_ = 0;
   boost::asio::steady_timer expiryTimer_;
