--- a/tools/lab/discovery_agent.cpp
+++ b/tools/lab/discovery_agent.cpp
@@ -15,8 +15,7 @@
 
 namespace {
 
-constexpr auto kHeartbeatPeriod =
-    std::chrono::seconds(2);             // PROTOCOL: an empty line every 2 s without changes
+constexpr auto kHeartbeatPeriod = std::chrono::seconds(2);  // PROTOCOL: empty line while nothing changes
 constexpr double kSilentWatchMs = 6000;  // STANDING: a gatekeeper must have noticed a silent watch by then
 constexpr double kNever = 1e9;           // ms, later than the end of any run
 
--- a/tools/lab/fleet.cpp
+++ b/tools/lab/fleet.cpp
@@ -25,7 +25,7 @@
 constexpr int kDescriptorsPerConnection = 3;  // the proxy's two sockets and the worker's
 constexpr int kOtherDescriptors = 500;        // of the lab, beside links, connections and clients
 constexpr double kThrottledMs = 300;          // longest delay of a request by a throttled link
-constexpr std::uint64_t kRoughSeed = 0x2545f4914f6cdd1dULL;  // makes the misbehaving clients' seed differ
+constexpr std::uint64_t kRoughSeed = 0x2545f4914f6cdd1dULL;  // XORed with the run's seed
 constexpr std::uint64_t kIdleSeedStep = 104729;  // distance between the idle clients' seeds of two runs
 
 // Estimates the lab's own descriptors: a listener for each link, three descriptors for each connection
--- a/tools/lab/scenario.hpp
+++ b/tools/lab/scenario.hpp
@@ -17,17 +17,15 @@
   using std::runtime_error::runtime_error;
 };
 
-/// One scheduled fault or repair. The kind of step, `what`, decides which target fields are set:
+/// A scheduled fault or repair. The kind of step, `what`, decides which target fields are set:
 /// - gatekeeper faults (kill, stop, cont, pause, term, finish, restart, upgrade, hup) set `gatekeeper`. Both
-///   `term` and `finish` send SIGTERM: `term` exempts the requests in flight from the rules, `finish`
-///   doesn't;
-/// - link faults (cut, blackhole, oneway, delay, throttle, heal) set `worker`, `zone` or `link`, and
-/// optionally
+///   `term` and `finish` send SIGTERM; only `term` exempts the requests in flight from the rules;
+/// - link faults (cut, blackhole, oneway, delay, throttle, heal) set `worker`, `zone` or `link`, and may set
 ///   `gatekeeper` (default: all gatekeepers);
 /// - worker faults (drain, silent, revive, restart_worker) set `worker` or `zone`;
 /// - agent faults (agent_down, agent_up, watch_end, watch_silent, discovery_crowded, discovery_ok) and
 ///   `invalidate`, which ends the gatekeeper's store sessions, set `gatekeeper`;
-/// - system faults (calls, clock_step, disk) optionally set `gatekeeper` (default: all gatekeepers);
+/// - system faults (calls, clock_step, disk) may set `gatekeeper` (default: all gatekeepers);
 /// - store faults (store_stop, store_start, store_wipe, store_save, store_old, store_silent, store_errors,
 ///   store_lose, store_ok) have no target.
 struct Step {
