--- a/tools/lab/fleet_steps.cpp
+++ b/tools/lab/fleet_steps.cpp
@@ -1,3 +1,4 @@
+/// Applies a scenario's steps to the running fleet.
 #include <signal.h>
 #include <spdlog/spdlog.h>
 
@@ -100,14 +101,14 @@
 
 void Fleet::applyStoreFault(const std::string& what) {
   if (what == "store_stop") store_->stop();
-  if (what == "store_start") store_->startAgain();
+  if (what == "store_start") store_->resume();
   if (what == "store_wipe") store_->wipe();
   if (what == "store_save") store_->save();
   if (what == "store_old") store_->restore();
   if (what == "store_silent") store_->set(Store::Mode::silent);
   if (what == "store_errors") store_->set(Store::Mode::errors);
   if (what == "store_lose") store_->set(Store::Mode::losesAnswers);
-  if (what == "store_ok") store_->set(Store::Mode::well);
+  if (what == "store_ok") store_->set(Store::Mode::normal);
 }
 
 void Fleet::applySystemFault(const Step& step) {
@@ -123,9 +124,9 @@
 }
 
 void Fleet::setDiscoveryReachable(const Step& step, LinkMode mode) {
-  const bool heard = mode == LinkMode::pass || mode == LinkMode::delay || mode == LinkMode::throttle;
+  const bool reachable = mode == LinkMode::pass || mode == LinkMode::delay || mode == LinkMode::throttle;
   for (int g = 0; g < scenario_.gatekeepers; ++g)
-    if (!step.gatekeeper || *step.gatekeeper == g) agents_[g]->setHeard(heard);
+    if (!step.gatekeeper || *step.gatekeeper == g) agents_[g]->setReachable(reachable);
 }
 
 std::string Fleet::labelOf(const Step& step) {
