--- a/tools/lab/soak/command.cpp
+++ b/tools/lab/soak/command.cpp
@@ -27,9 +27,10 @@
 
 namespace {
 
-/// Of one run with its processes, in megabytes: what several at once are bounded by.
+/// Memory estimates in megabytes, of one run without its gatekeepers and of one gatekeeper; they limit the
+/// number of parallel runs.
 constexpr double kRunMb = 60, kGatekeeperMb = 12;
-constexpr int kMostProcesses = 400;
+constexpr int kMaxProcesses = 400;
 constexpr int kSetupFailed = 3;
 
 struct SoakOptions {
@@ -40,16 +41,16 @@
   bool shrink = true;
   std::string out = "lab-soak";
   std::string gatekeeperProgram;
-  std::uint64_t playSeed = 0;        // one run in this process
-  std::vector<std::size_t> without;  // troubles taken out of it
+  std::uint64_t playSeed = 0;        // run only this seed, in this process; 0: run all seeds
+  std::vector<std::size_t> without;  // indices of faults to omit with playSeed
 };
 
-/// The end of one run.
+/// The result of one run.
 struct SoakResult {
   std::uint64_t seed = 0;
   bool passed = false;
-  std::map<std::string, long> brokenByRule;
-  std::vector<std::string> broken;
+  std::map<std::string, long> violationsByRule;
+  std::vector<std::string> violations;
   long requests = 0, served = 0;
 };
 
@@ -59,31 +60,32 @@
   return out;
 }
 
-/// The call that plays one run again.
-std::vector<std::string> callOf(const SoakOptions& o, std::uint64_t seed,
-                                const std::set<std::size_t>& without, const std::string& out) {
+/// The command-line arguments that run one seed.
+std::vector<std::string> commandFor(const SoakOptions& options, std::uint64_t seed,
+                                    const std::set<std::size_t>& without, const std::string& out) {
   std::vector<std::string> call{"soak",
                                 "--play",
                                 std::to_string(seed),
                                 "--gatekeepers",
-                                std::to_string(o.size.gatekeepers),
+                                std::to_string(options.size.gatekeepers),
                                 "--workers",
-                                std::to_string(o.size.workers),
+                                std::to_string(options.size.workers),
                                 "--seconds",
-                                std::to_string(o.size.seconds),
+                                std::to_string(options.size.seconds),
                                 "--rate",
-                                std::to_string(o.size.rate),
+                                std::to_string(options.size.rate),
                                 "--rough-clients",
-                                std::to_string(o.size.roughClients),
+                                std::to_string(options.size.misbehavingClients),
                                 "--gatekeeper",
-                                o.gatekeeperProgram,
+                                options.gatekeeperProgram,
                                 "--out",
                                 out};
   if (!without.empty()) call.insert(call.end(), {"--without", listOf(without)});
   return call;
 }
 
-/// Starts this program with the call, its output in `out`/run.log; it dies with this process.
+/// Starts this program with the arguments `call` and its output in `out`/run.log. The kernel kills it when
+/// this process exits.
 pid_t startRun(const std::vector<std::string>& call, const fs::path& out) {
   fs::create_directories(out);
   const pid_t parent = ::getpid();
@@ -94,7 +96,7 @@
   const int log = ::open((out / "run.log").c_str(), O_WRONLY | O_CREAT | O_TRUNC, 0600);
   if (log >= 0) ::dup2(log, 1), ::dup2(log, 2);
   std::vector<char*> arguments{const_cast<char*>("wingslip-lab")};
-  for (const std::string& one : call) arguments.push_back(const_cast<char*>(one.c_str()));
+  for (const std::string& argument : call) arguments.push_back(const_cast<char*>(argument.c_str()));
   arguments.push_back(nullptr);
   ::execv("/proc/self/exe", arguments.data());
   ::_exit(127);
@@ -106,25 +108,26 @@
   std::ifstream in(out / "summary.json");
   const json summary = in ? json::parse(in, nullptr, false) : json();
   if (!summary.is_object()) {
-    result.brokenByRule["not_played"] = 1;
-    result.broken.push_back("the run ended with status " + std::to_string(status) + " and no report");
+    result.violationsByRule["not_played"] = 1;
+    result.violations.push_back("the run exited with status " + std::to_string(status) +
+                                " and without a report");
     return result;
   }
   result.passed = status == 0;
-  result.brokenByRule = summary.value("broken_by_rule", std::map<std::string, long>{});
-  result.broken = summary["broken"].get<std::vector<std::string>>();
+  result.violationsByRule = summary.value("broken_by_rule", std::map<std::string, long>{});
+  result.violations = summary["broken"].get<std::vector<std::string>>();
   for (const auto& [fate, n] : summary["fates"].items()) result.requests += n.get<long>();
   result.served = summary["fates"]["served"].get<long>();
   return result;
 }
 
-/// Plays runs, several at once, and waits for each.
+/// Executes runs, several in parallel, and waits for each.
 class Runs {
  public:
-  explicit Runs(const SoakOptions& options) : o_(options) {}
+  explicit Runs(const SoakOptions& options) : options_(options) {}
 
   SoakResult playOne(std::uint64_t seed, const std::set<std::size_t>& without, const fs::path& out) {
-    const pid_t pid = startRun(callOf(o_, seed, without, out.string()), out);
+    const pid_t pid = startRun(commandFor(options_, seed, without, out.string()), out);
     int status = kSetupFailed;
     if (pid > 0) ::waitpid(pid, &status, 0);
     return resultOf(seed, status, out);
@@ -133,11 +136,11 @@
   std::vector<SoakResult> playAll() {
     std::vector<SoakResult> results;
     std::map<pid_t, std::uint64_t> running;
-    std::uint64_t next = o_.firstSeed;
-    const std::uint64_t end = o_.firstSeed + static_cast<std::uint64_t>(o_.seeds);
+    std::uint64_t next = options_.firstSeed;
+    const std::uint64_t end = options_.firstSeed + static_cast<std::uint64_t>(options_.seeds);
     while (next < end || !running.empty()) {
-      while (next < end && static_cast<int>(running.size()) < o_.atOnce) {
-        const pid_t pid = startRun(callOf(o_, next, {}, folderOf(next).string()), folderOf(next));
+      while (next < end && static_cast<int>(running.size()) < options_.atOnce) {
+        const pid_t pid = startRun(commandFor(options_, next, {}, folderOf(next).string()), folderOf(next));
         if (pid > 0) running[pid] = next++;
       }
       int status = 0;
@@ -150,28 +153,31 @@
     return results;
   }
 
-  fs::path folderOf(std::uint64_t seed) const { return fs::path(o_.out) / ("seed-" + std::to_string(seed)); }
+  fs::path folderOf(std::uint64_t seed) const {
+    return fs::path(options_.out) / ("seed-" + std::to_string(seed));
+  }
 
-  /// Takes troubles out one by one for as long as the run still fails.
+  /// Removes faults one by one while the run still fails without them; returns the indices of those removed.
   std::set<std::size_t> shrink(std::uint64_t seed) {
-    const SoakPlan plan = soakPlan(o_.size, seed);
+    const SoakPlan plan = soakPlan(options_.size, seed);
     std::set<std::size_t> without;
-    for (std::size_t i = 0; i < plan.troubles.size(); ++i) {
+    for (std::size_t i = 0; i < plan.faults.size(); ++i) {
       std::set<std::size_t> trial = without;
       trial.insert(i);
-      if (!playOne(seed, trial, fs::path(o_.out) / "shrink").passed) without = trial;
+      if (!playOne(seed, trial, fs::path(options_.out) / "shrink").passed) without = trial;
     }
     return without;
   }
 
-  void explain(std::uint64_t seed) {
+  void printMinimalFailure(std::uint64_t seed) {
     const std::set<std::size_t> without = shrink(seed);
-    const SoakPlan plan = soakPlan(o_.size, seed);
+    const SoakPlan plan = soakPlan(options_.size, seed);
     std::cout << "seed " << seed << " fails with:\n";
-    for (std::size_t i = 0; i < plan.troubles.size(); ++i)
-      if (!without.contains(i)) std::cout << "  " << plan.troubles[i].name << "\n";
-    std::cout << "again: wingslip-lab";
-    for (const std::string& word : callOf(o_, seed, without, o_.out + "/again")) std::cout << " " << word;
+    for (std::size_t i = 0; i < plan.faults.size(); ++i)
+      if (!without.contains(i)) std::cout << "  " << plan.faults[i].name << "\n";
+    std::cout << "reproduce with: wingslip-lab";
+    for (const std::string& word : commandFor(options_, seed, without, options_.out + "/again"))
+      std::cout << " " << word;
     std::cout << std::endl;
   }
 
@@ -179,45 +185,46 @@
   static void print(const SoakResult& r) {
     std::cout << "seed " << r.seed << ": " << (r.passed ? "passed" : "FAILED") << ", " << r.served << " of "
               << r.requests << " served";
-    for (const auto& [rule, n] : r.brokenByRule) std::cout << ", " << rule << " " << n;
+    for (const auto& [rule, n] : r.violationsByRule) std::cout << ", " << rule << " " << n;
     std::cout << "\n";
-    for (std::size_t i = 0; i < std::min<std::size_t>(3, r.broken.size()); ++i)
-      std::cout << "  " << r.broken[i] << "\n";
+    for (std::size_t i = 0; i < std::min<std::size_t>(3, r.violations.size()); ++i)
+      std::cout << "  " << r.violations[i] << "\n";
     std::cout.flush();
   }
 
-  const SoakOptions& o_;
+  const SoakOptions& options_;
 };
 
-/// Throws std::runtime_error in one plain sentence where the runs would take too much of the machine.
-void checkSize(const SoakOptions& o) {
-  const double mb = o.atOnce * (kRunMb + kGatekeeperMb * o.size.gatekeepers);
+/// @throws std::runtime_error if the runs would need too much memory or too many processes.
+void checkSize(const SoakOptions& options) {
+  const double mb = options.atOnce * (kRunMb + kGatekeeperMb * options.size.gatekeepers);
   const double machineMb =
       static_cast<double>(::sysconf(_SC_PHYS_PAGES)) * static_cast<double>(::sysconf(_SC_PAGESIZE)) / 1e6;
   if (mb > machineMb / 2)
-    throw std::runtime_error("these runs may take " + std::to_string(static_cast<long>(mb)) +
-                             " MB, over half of this machine's memory: lower --at-once or --gatekeepers");
-  if (o.atOnce * (o.size.gatekeepers + 1) > kMostProcesses)
-    throw std::runtime_error("these runs take over " + std::to_string(kMostProcesses) +
+    throw std::runtime_error(
+        "these runs may need " + std::to_string(static_cast<long>(mb)) +
+        " MB, more than half of this machine's memory: lower --at-once or --gatekeepers");
+  if (options.atOnce * (options.size.gatekeepers + 1) > kMaxProcesses)
+    throw std::runtime_error("these runs need more than " + std::to_string(kMaxProcesses) +
                              " processes: lower --at-once or --gatekeepers");
 }
 
-int playHere(const SoakOptions& o) {
-  const SoakPlan plan = soakPlan(o.size, o.playSeed);
-  for (std::size_t i = 0; i < plan.troubles.size(); ++i)
-    spdlog::info("event=trouble number={} name=\"{}\" at_s={:.2f}", i, plan.troubles[i].name,
-                 plan.troubles[i].steps.empty() ? 0 : plan.troubles[i].steps.front().atS);
+int playOneSeed(const SoakOptions& options) {
+  const SoakPlan plan = soakPlan(options.size, options.playSeed);
+  for (std::size_t i = 0; i < plan.faults.size(); ++i)
+    spdlog::info("event=trouble number={} name=\"{}\" at_s={:.2f}", i, plan.faults[i].name,
+                 plan.faults[i].steps.empty() ? 0 : plan.faults[i].steps.front().atS);
   RunOptions run;
-  run.gatekeeperProgram = o.gatekeeperProgram;
-  run.out = o.out;
-  run.seed = o.playSeed;
-  return play(plan.scenario({o.without.begin(), o.without.end()}), run);
+  run.gatekeeperProgram = options.gatekeeperProgram;
+  run.out = options.out;
+  run.seed = options.playSeed;
+  return play(plan.scenario({options.without.begin(), options.without.end()}), run);
 }
 
-int soak(const SoakOptions& o) {
-  if (o.playSeed > 0) return playHere(o);
-  checkSize(o);
-  Runs runs(o);
+int runSoak(const SoakOptions& options) {
+  if (options.playSeed > 0) return playOneSeed(options);
+  checkSize(options);
+  Runs runs(options);
   const std::vector<SoakResult> results = runs.playAll();
   std::map<std::string, long> byRule, seedsByRule;
   std::vector<std::uint64_t> failed;
@@ -225,48 +232,51 @@
   for (const SoakResult& r : results) {
     requests += r.requests, served += r.served;
     if (!r.passed) failed.push_back(r.seed);
-    for (const auto& [rule, n] : r.brokenByRule) byRule[rule] += n, ++seedsByRule[rule];
+    for (const auto& [rule, n] : r.violationsByRule) byRule[rule] += n, ++seedsByRule[rule];
   }
   std::sort(failed.begin(), failed.end());
   std::cout << "seeds " << results.size() << ", failed " << failed.size() << ", requests " << requests
             << ", served " << served << "\n";
   for (const auto& [rule, n] : byRule)
     std::cout << "rule " << rule << ": " << n << " times on " << seedsByRule[rule] << " seeds\n";
-  if (o.shrink && !failed.empty()) runs.explain(failed.front());
+  if (options.shrink && !failed.empty()) runs.printMinimalFailure(failed.front());
   return failed.empty() ? 0 : 1;
 }
 
 }  // namespace
 
 void addSoakCommand(CLI::App& app, const std::string& gatekeeperProgram) {
-  const auto o = std::make_shared<SoakOptions>();
-  o->gatekeeperProgram = gatekeeperProgram;
+  const auto options = std::make_shared<SoakOptions>();
+  options->gatekeeperProgram = gatekeeperProgram;
   CLI::App* command =
-      app.add_subcommand("soak", "play seeds of overlapping troubles against fleets, and judge them");
-  command->add_option("--first-seed", o->firstSeed, "the first seed")->check(CLI::Range(1, 1000000000));
-  command->add_option("--seeds", o->seeds, "how many")->check(CLI::Range(1, 100000));
-  command->add_option("--seconds", o->size.seconds, "of load, each")->check(CLI::Range(10.0, 3600.0));
-  command->add_option("--gatekeepers", o->size.gatekeepers, "in one fleet")->check(CLI::Range(2, 100));
-  command->add_option("--workers", o->size.workers, "stand-in workers of one fleet")
+      app.add_subcommand("soak", "run seeds of overlapping faults against fleets and verify the results");
+  command->add_option("--first-seed", options->firstSeed, "the first seed")->check(CLI::Range(1, 1000000000));
+  command->add_option("--seeds", options->seeds, "number of seeds")->check(CLI::Range(1, 100000));
+  command->add_option("--seconds", options->size.seconds, "seconds of load in each run")
+      ->check(CLI::Range(10.0, 3600.0));
+  command->add_option("--gatekeepers", options->size.gatekeepers, "gatekeepers in one fleet")
+      ->check(CLI::Range(2, 100));
+  command->add_option("--workers", options->size.workers, "stand-in workers of one fleet")
       ->check(CLI::Range(4, 640));
-  command->add_option("--rate", o->size.rate, "requests a second over one fleet")
+  command->add_option("--rate", options->size.rate, "requests per second over one fleet")
       ->check(CLI::Range(1.0, 5000.0));
-  command->add_option("--rough-clients", o->size.roughClients, "clients that misbehave, in one fleet")
+  command->add_option("--rough-clients", options->size.misbehavingClients, "misbehaving clients of one fleet")
       ->check(CLI::Range(1, 2000));
-  command->add_option("--at-once", o->atOnce, "fleets at the same time")->check(CLI::Range(1, 16));
-  command->add_flag("--shrink,!--no-shrink", o->shrink, "make the first failing seed smaller");
-  command->add_option("--out", o->out, "folder for logs and reports");
-  command->add_option("--gatekeeper", o->gatekeeperProgram,
-                      "the program under test (default: beside this one)");
-  command->add_option("--play", o->playSeed, "play this one seed here");
-  command->add_option("--without", o->without, "with --play: troubles to leave out, by number")
+  command->add_option("--at-once", options->atOnce, "fleets in parallel")->check(CLI::Range(1, 16));
+  command->add_flag("--shrink,!--no-shrink", options->shrink,
+                    "reduce the first failing seed to the faults that are needed to fail");
+  command->add_option("--out", options->out, "directory for logs and reports");
+  command->add_option("--gatekeeper", options->gatekeeperProgram,
+                      "the program under test (default: in the directory of this program)");
+  command->add_option("--play", options->playSeed, "run only this seed, in this process");
+  command->add_option("--without", options->without, "with --play: indices of faults to omit")
       ->delimiter(',');
-  command->callback([o] {
+  command->callback([options] {
     spdlog::set_default_logger(spdlog::stderr_logger_mt("lab"));
     spdlog::set_pattern("%Y-%m-%dT%H:%M:%S.%e level=%l %v");
     int code = kSetupFailed;
     try {
-      code = soak(*o);
+      code = runSoak(*options);
     } catch (const std::exception& error) {
       std::cerr << "wingslip-lab: " << error.what() << "\n";
     }
--- a/tools/lab/soak/command.hpp
+++ b/tools/lab/soak/command.hpp
@@ -1,5 +1,5 @@
-/// `wingslip-lab soak`: many seeds of overlapping troubles, several fleets at once, judged by the rules and
-/// the gatekeepers' own invariants.
+/// The command `wingslip-lab soak`: runs many seeds of overlapping faults, several fleets in parallel, and
+/// checks the rules and the gatekeepers' own invariants.
 #pragma once
 
 #include <CLI/CLI.hpp>
@@ -7,7 +7,7 @@
 
 namespace wingslip::lab {
 
-/// Adds the command. `gatekeeperProgram`: the program under test unless the command names another.
+/// Adds the command to `app`. `gatekeeperProgram`: the default program under test.
 void addSoakCommand(CLI::App& app, const std::string& gatekeeperProgram);
 
 }  // namespace wingslip::lab
--- a/tools/lab/soak/plan.cpp
+++ b/tools/lab/soak/plan.cpp
@@ -10,115 +10,130 @@
 namespace {
 
 constexpr double kHourMs = 3600 * 1000;
-constexpr double kFirstAtS = 2;               // the fleet serves before the first trouble
-constexpr double kTroubleWithinS = 1;         // of one episode: between the beginnings of its troubles
-constexpr double kMoreEpisodesEveryS = 30;    // of a longer run: one episode more
-constexpr double kLastBeforeEndS = 6;         // so that each trouble ends within the run
-constexpr double kRestartAfterFinishS = 4.2;  // a process that ends in order has ended by then
+constexpr double kFirstFaultAtS = 2;            // the fleet serves requests before the first fault
+constexpr double kFaultSpreadS = 1;             // the faults of one episode start within this time
+constexpr double kSecondsPerExtraEpisode = 30;  // a longer run has one more episode for each such period
+constexpr double kNoEpisodeBeforeEndS = 6;  // no episode starts later, so that each fault ends within the run
+constexpr double kRestartAfterTerminateS = 4.2;  // a process that terminates gracefully has exited by then
 constexpr double kDelayMs = 300;
 
-/// Draws troubles. A gatekeeper's process and a worker have one trouble of their own each at most.
-class Draw {
+/// Generates random faults. Each gatekeeper process and each worker is the target of at most one exclusive
+/// fault.
+class FaultGenerator {
  public:
-  Draw(const SoakSize& size, const Scenario& base, std::uint64_t seed)
+  FaultGenerator(const SoakSize& size, const Scenario& base, std::uint64_t seed)
       : size_(size), base_(base), random_(seed) {}
 
   double between(double least, double most) { return std::uniform_real_distribution<>(least, most)(random_); }
   bool chance(double share) { return between(0, 1) < share; }
   std::size_t below(std::size_t n) { return random_() % n; }
 
-  Trouble trouble(double atS) {
-    using Maker = Trouble (Draw::*)(double);
-    static constexpr Maker kMakers[] = {
-        &Draw::kill,         &Draw::finish,       &Draw::finish,       &Draw::pauses, &Draw::longStop,
-        &Draw::reloads,      &Draw::upgrade,      &Draw::upgrade,      &Draw::calls,  &Draw::calls,
-        &Draw::calls,        &Draw::clockSteps,   &Draw::disk,         &Draw::byHand, &Draw::discoveryDown,
-        &Draw::watchEnds,    &Draw::watchSilent,  &Draw::crowdedCalls, &Draw::drain,  &Draw::drain,
-        &Draw::silentWorker, &Draw::workerStarts, &Draw::link,         &Draw::link,
+  InjectedFault next(double atS) {
+    using FaultMethod = InjectedFault (FaultGenerator::*)(double);
+    static constexpr FaultMethod kFaults[] = {
+        &FaultGenerator::kill,          &FaultGenerator::terminate,
+        &FaultGenerator::terminate,     &FaultGenerator::shortPauses,
+        &FaultGenerator::suspend,       &FaultGenerator::reloads,
+        &FaultGenerator::upgrade,       &FaultGenerator::upgrade,
+        &FaultGenerator::failingCalls,  &FaultGenerator::failingCalls,
+        &FaultGenerator::failingCalls,  &FaultGenerator::clockSteps,
+        &FaultGenerator::disk,          &FaultGenerator::operatorExclusion,
+        &FaultGenerator::discoveryDown, &FaultGenerator::watchEnds,
+        &FaultGenerator::watchSilent,   &FaultGenerator::rejectedDiscoveryCalls,
+        &FaultGenerator::drain,         &FaultGenerator::drain,
+        &FaultGenerator::silentWorker,  &FaultGenerator::workerRestarts,
+        &FaultGenerator::link,          &FaultGenerator::link,
     };
-    return (this->*kMakers[below(std::size(kMakers))])(atS);
+    return (this->*kFaults[below(std::size(kFaults))])(atS);
   }
 
  private:
-  Step on(int gatekeeper, double atS, const char* what) const {
+  Step gatekeeperStep(int gatekeeper, double atS, const char* what) const {
     Step out;
     out.atS = atS;
     out.what = what;
     out.gatekeeper = gatekeeper;
     return out;
   }
-  Step onWorker(int worker, double atS, const char* what) const {
+  Step workerStep(int worker, double atS, const char* what) const {
     Step out;
     out.atS = atS;
     out.what = what;
     out.worker = worker;
     return out;
   }
-  /// One whose process has no trouble yet.
-  int freeGatekeeper() {
+  /// A gatekeeper whose process has no fault yet; any gatekeeper if all have one.
+  int unusedGatekeeper() {
     int out = 0;
     do {
       out = static_cast<int>(below(size_.gatekeepers));
-    } while (!processes_.insert(out).second &&
-             processes_.size() < static_cast<std::size_t>(size_.gatekeepers));
+    } while (!usedGatekeepers_.insert(out).second &&
+             usedGatekeepers_.size() < static_cast<std::size_t>(size_.gatekeepers));
     return out;
   }
-  int freeWorker() {
+  /// A worker that has no fault yet; any worker if all have one.
+  int unusedWorker() {
     int out = 0;
     do {
       out = static_cast<int>(below(size_.workers));
-    } while (!workers_.insert(out).second && workers_.size() < static_cast<std::size_t>(size_.workers));
+    } while (!usedWorkers_.insert(out).second &&
+             usedWorkers_.size() < static_cast<std::size_t>(size_.workers));
     return out;
   }
-  static std::string named(const char* kind, int target) {
+  static std::string faultName(const char* kind, int target) {
     return std::string(kind) + " " + std::to_string(target);
   }
 
-  Trouble kill(double atS) {
-    const int g = freeGatekeeper();
-    return {named("kill gatekeeper", g), {on(g, atS, "kill"), on(g, atS + between(0.5, 3), "restart")}};
+  InjectedFault kill(double atS) {
+    const int g = unusedGatekeeper();
+    return {faultName("kill gatekeeper", g),
+            {gatekeeperStep(g, atS, "kill"), gatekeeperStep(g, atS + between(0.5, 3), "restart")}};
   }
 
-  Trouble finish(double atS) {
-    const int g = freeGatekeeper();
-    return {named("end gatekeeper", g), {on(g, atS, "finish"), on(g, atS + kRestartAfterFinishS, "restart")}};
+  InjectedFault terminate(double atS) {
+    const int g = unusedGatekeeper();
+    return {faultName("terminate gatekeeper", g),
+            {gatekeeperStep(g, atS, "finish"), gatekeeperStep(g, atS + kRestartAfterTerminateS, "restart")}};
   }
 
-  /// Held up for as long as a machine may hold a process up without an excuse.
-  Trouble pauses(double atS) {
+  /// Pauses no longer than those that a machine may impose on a process, for which the verifier grants no
+  /// exemption.
+  InjectedFault shortPauses(double atS) {
     const int g = static_cast<int>(below(size_.gatekeepers));
-    Trouble out{named("short pauses of gatekeeper", g), {}};
+    InjectedFault out{faultName("short pauses of gatekeeper", g), {}};
     for (int i = 0; i < 6; ++i) {
-      Step step = on(g, atS + 0.5 * i, "pause");
+      Step step = gatekeeperStep(g, atS + 0.5 * i, "pause");
       step.forMs = between(30, 150);
       out.steps.push_back(step);
     }
     return out;
   }
 
-  Trouble longStop(double atS) {
-    const int g = freeGatekeeper();
-    return {named("stop gatekeeper", g), {on(g, atS, "stop"), on(g, atS + between(0.5, 3), "cont")}};
+  InjectedFault suspend(double atS) {
+    const int g = unusedGatekeeper();
+    return {faultName("suspend gatekeeper", g),
+            {gatekeeperStep(g, atS, "stop"), gatekeeperStep(g, atS + between(0.5, 3), "cont")}};
   }
 
-  Trouble reloads(double atS) {
+  InjectedFault reloads(double atS) {
     const int g = static_cast<int>(below(size_.gatekeepers));
-    Step first = on(g, atS, "hup"), second = on(g, atS + between(0.01, 0.9), "hup");
+    Step first = gatekeeperStep(g, atS, "hup"), second = gatekeeperStep(g, atS + between(0.01, 0.9), "hup");
     first.patch = R"({"settings": {"permissions": {"attemptsCap": 2}}})";
     second.patch = R"({"settings": {"permissions": {"attemptsCap": 3}}})";
-    return {named("two reloads of gatekeeper", g), {first, second}};
+    return {faultName("two reloads of gatekeeper", g), {first, second}};
   }
 
-  Trouble upgrade(double atS) {
-    if (!base_.heldSockets) return finish(atS);
-    const int g = freeGatekeeper();
-    return {named("upgrade gatekeeper", g), {on(g, atS, "upgrade")}};
+  InjectedFault upgrade(double atS) {
+    if (!base_.heldSockets) return terminate(atS);
+    const int g = unusedGatekeeper();
+    return {faultName("upgrade gatekeeper", g), {gatekeeperStep(g, atS, "upgrade")}};
   }
 
-  /// One kind of call fails for a while, at one gatekeeper or at all.
-  Trouble calls(double atS) {
+  /// One kind of system call fails for a limited time, at one gatekeeper or at all.
+  InjectedFault failingCalls(double atS) {
     auto kind = static_cast<CallFault>(below(kCallFaults));
-    // Its victims are clients that have aborted by themselves, which the judge cannot tell from others.
+    // The targets look like clients that aborted on their own, which the verifier cannot distinguish from
+    // others.
     if (kind == CallFault::aborted) kind = CallFault::interrupted;
     Step begin, end;
     if (chance(0.5)) begin.gatekeeper = static_cast<int>(below(size_.gatekeepers));
@@ -127,17 +142,17 @@
     end = begin;
     end.atS = atS + (kind == CallFault::accept_full ? between(0.2, 0.8) : between(1, 4));
     end.share = 0;
-    return {std::string("calls fail: ") + kCallFaultNames[static_cast<std::size_t>(kind)] +
-                (begin.gatekeeper ? named(" at gatekeeper", *begin.gatekeeper) : " everywhere"),
+    return {std::string("system calls fail: ") + kCallFaultNames[static_cast<std::size_t>(kind)] +
+                (begin.gatekeeper ? faultName(" at gatekeeper", *begin.gatekeeper) : " at all gatekeepers"),
             {begin, end}};
   }
 
-  Trouble clockSteps(double atS) {
+  InjectedFault clockSteps(double atS) {
     constexpr double kSteps[] = {2000, -2000, kHourMs, -kHourMs};
     Step step;
     if (chance(0.5)) step.gatekeeper = static_cast<int>(below(size_.gatekeepers));
     step.atS = atS, step.what = "clock_step", step.stepMs = kSteps[below(std::size(kSteps))];
-    Trouble out{"wall clock " + std::to_string(static_cast<long>(step.stepMs)) + " ms", {step}};
+    InjectedFault out{"wall clock " + std::to_string(static_cast<long>(step.stepMs)) + " ms", {step}};
     if (chance(0.5)) {
       step.atS += between(0.5, 3);
       step.stepMs = -step.stepMs;
@@ -146,102 +161,105 @@
     return out;
   }
 
-  /// The state folder fails while an operator calls, and the process may be killed under it.
-  Trouble disk(double atS) {
-    const int g = freeGatekeeper(), w = freeWorker();
-    Step fails = on(g, atS, "disk"), well = on(g, atS + 2.5, "disk");
-    fails.diskError = chance(0.5) ? ENOSPC : EIO;
-    Step out = on(g, atS + 0.4, "exclude"), again = on(g, atS + 3.2, "exclude"),
-         in = on(g, atS + 5, "include");
-    for (Step* step : {&out, &again, &in}) step->worker = w;
-    return {named("disk of gatekeeper", g),
-            {fails, out, well, again, on(g, atS + 3.6, "kill"), on(g, atS + 3.9, "restart"), in}};
+  /// Writes to the state directory fail while an operator changes exclusions; later the process is killed.
+  InjectedFault disk(double atS) {
+    const int g = unusedGatekeeper(), w = unusedWorker();
+    Step diskFails = gatekeeperStep(g, atS, "disk"), recovers = gatekeeperStep(g, atS + 2.5, "disk");
+    diskFails.diskError = chance(0.5) ? ENOSPC : EIO;
+    Step exclude = gatekeeperStep(g, atS + 0.4, "exclude"),
+         excludeAgain = gatekeeperStep(g, atS + 3.2, "exclude"),
+         include = gatekeeperStep(g, atS + 5, "include");
+    for (Step* step : {&exclude, &excludeAgain, &include}) step->worker = w;
+    return {faultName("disk of gatekeeper", g),
+            {diskFails, exclude, recovers, excludeAgain, gatekeeperStep(g, atS + 3.6, "kill"),
+             gatekeeperStep(g, atS + 3.9, "restart"), include}};
   }
 
-  Trouble byHand(double atS) {
-    const int g = static_cast<int>(below(size_.gatekeepers)), w = freeWorker();
-    Step out = on(g, atS, "exclude"), in = on(g, atS + between(1, 4), "include");
-    out.worker = in.worker = w;
-    return {named("exclude worker", w), {out, in}};
+  InjectedFault operatorExclusion(double atS) {
+    const int g = static_cast<int>(below(size_.gatekeepers)), w = unusedWorker();
+    Step exclude = gatekeeperStep(g, atS, "exclude"),
+         include = gatekeeperStep(g, atS + between(1, 4), "include");
+    exclude.worker = include.worker = w;
+    return {faultName("exclude worker", w), {exclude, include}};
   }
 
-  Trouble discoveryDown(double atS) {
-    Trouble out{"discovery down", {}};
+  InjectedFault discoveryDown(double atS) {
+    InjectedFault out{"discovery down", {}};
     const double until = atS + between(0.3, 5);
     for (int g = 0; g < size_.gatekeepers; ++g) {
-      out.steps.push_back(on(g, atS, "agent_down"));
-      out.steps.push_back(on(g, until, "agent_up"));
+      out.steps.push_back(gatekeeperStep(g, atS, "agent_down"));
+      out.steps.push_back(gatekeeperStep(g, until, "agent_up"));
     }
     return out;
   }
 
-  Trouble watchEnds(double atS) {
-    Trouble out{"watches end", {}};
-    for (int g = 0; g < size_.gatekeepers; ++g) out.steps.push_back(on(g, atS, "watch_end"));
+  InjectedFault watchEnds(double atS) {
+    InjectedFault out{"watches end", {}};
+    for (int g = 0; g < size_.gatekeepers; ++g) out.steps.push_back(gatekeeperStep(g, atS, "watch_end"));
     return out;
   }
 
-  Trouble watchSilent(double atS) {
-    Trouble out{"watches fall silent", {}};
-    for (int g = 0; g < size_.gatekeepers; ++g) out.steps.push_back(on(g, atS, "watch_silent"));
+  InjectedFault watchSilent(double atS) {
+    InjectedFault out{"watches go silent", {}};
+    for (int g = 0; g < size_.gatekeepers; ++g) out.steps.push_back(gatekeeperStep(g, atS, "watch_silent"));
     return out;
   }
 
-  Trouble crowdedCalls(double atS) {
-    Trouble out{"discovery turns calls away", {}};
+  InjectedFault rejectedDiscoveryCalls(double atS) {
+    InjectedFault out{"discovery rejects calls", {}};
     const double until = atS + between(0.5, 3);
     for (int g = 0; g < size_.gatekeepers; ++g) {
-      out.steps.push_back(on(g, atS, "discovery_crowded"));
-      out.steps.push_back(on(g, atS, "watch_end"));
-      out.steps.push_back(on(g, until, "discovery_ok"));
+      out.steps.push_back(gatekeeperStep(g, atS, "discovery_crowded"));
+      out.steps.push_back(gatekeeperStep(g, atS, "watch_end"));
+      out.steps.push_back(gatekeeperStep(g, until, "discovery_ok"));
     }
     return out;
   }
 
-  Trouble drain(double atS) {
-    Trouble out{"workers drain", {}};
+  InjectedFault drain(double atS) {
+    InjectedFault out{"workers drain", {}};
     for (int i = 0; i < 1 + size_.workers / 8; ++i) {
-      const int w = freeWorker();
-      out.steps.push_back(onWorker(w, atS, "drain"));
-      out.steps.push_back(onWorker(w, atS + between(3, 5), "revive"));
+      const int w = unusedWorker();
+      out.steps.push_back(workerStep(w, atS, "drain"));
+      out.steps.push_back(workerStep(w, atS + between(3, 5), "revive"));
     }
     return out;
   }
 
-  Trouble silentWorker(double atS) {
-    const int w = freeWorker();
-    return {named("silent worker", w),
-            {onWorker(w, atS, "silent"), onWorker(w, atS + between(1, 4), "revive")}};
+  InjectedFault silentWorker(double atS) {
+    const int w = unusedWorker();
+    return {faultName("silent worker", w),
+            {workerStep(w, atS, "silent"), workerStep(w, atS + between(1, 4), "revive")}};
   }
 
-  Trouble workerStarts(double atS) {
-    Trouble out{"workers start anew", {}};
+  InjectedFault workerRestarts(double atS) {
+    InjectedFault out{"workers restart", {}};
     for (int i = 0; i < 1 + size_.workers / 5; ++i)
-      out.steps.push_back(onWorker(freeWorker(), atS + between(0, 1), "restart_worker"));
+      out.steps.push_back(workerStep(unusedWorker(), atS + between(0, 1), "restart_worker"));
     return out;
   }
 
-  Trouble link(double atS) {
+  InjectedFault link(double atS) {
     constexpr const char* kModes[] = {"cut", "blackhole", "oneway", "delay", "throttle"};
     const char* mode = kModes[below(std::size(kModes))];
     const bool toDiscovery = chance(0.3);
     const int target = static_cast<int>(below(toDiscovery ? size_.gatekeepers : size_.workers));
-    Step begin = toDiscovery ? on(target, atS, mode) : onWorker(target, atS, mode);
+    Step begin = toDiscovery ? gatekeeperStep(target, atS, mode) : workerStep(target, atS, mode);
     if (toDiscovery) begin.link = "discovery";
     begin.delayMs = kDelayMs;
     begin.bytesPerS = 4000;
     Step end = begin;
     end.atS = atS + between(0.5, 3.5);
     end.what = "heal";
-    return {std::string(mode) +
-                (toDiscovery ? named(" to discovery of gatekeeper", target) : named(" to worker", target)),
+    return {std::string(mode) + (toDiscovery ? faultName(" to discovery of gatekeeper", target)
+                                             : faultName(" to worker", target)),
             {begin, end}};
   }
 
   const SoakSize& size_;
   const Scenario& base_;
   std::mt19937_64 random_;
-  std::set<int> processes_, workers_;
+  std::set<int> usedGatekeepers_, usedWorkers_;
 };
 
 Scenario baseOf(const SoakSize& size, std::uint64_t seed) {
@@ -259,7 +277,7 @@
   out.coldS = 1;
   out.heldSockets = chance(0.4);
   out.stateFolders = out.faultLibrary = out.clientsMayWait = true;
-  out.rough = {size.roughClients, 150, 0.15, 0.1, 0.03, 0.1, 0.03};
+  out.rough = {size.misbehavingClients, 150, 0.15, 0.1, 0.03, 0.1, 0.03};
   if (chance(0.5)) out.roughWorkers = {0.02, 0.02, 0.01, 0.01, 0.003, 0.01, 0.1};
   if (chance(0.3)) {
     out.idle.each = 150;
@@ -274,9 +292,9 @@
 
 Scenario SoakPlan::scenario(const std::set<std::size_t>& without) const {
   Scenario out = base;
-  for (std::size_t i = 0; i < troubles.size(); ++i)
+  for (std::size_t i = 0; i < faults.size(); ++i)
     if (!without.contains(i))
-      out.steps.insert(out.steps.end(), troubles[i].steps.begin(), troubles[i].steps.end());
+      out.steps.insert(out.steps.end(), faults[i].steps.begin(), faults[i].steps.end());
   for (Step& step : out.steps) step.atS = std::min(step.atS, out.lengthS);
   std::stable_sort(out.steps.begin(), out.steps.end(),
                    [](const Step& a, const Step& b) { return a.atS < b.atS; });
@@ -286,19 +304,19 @@
 SoakPlan soakPlan(const SoakSize& size, std::uint64_t seed) {
   SoakPlan out;
   out.base = baseOf(size, seed);
-  Draw draw(size, out.base, seed ^ 0x5851f42d4c957f2dULL);
-  const double last = size.seconds - kLastBeforeEndS;
-  const double first = draw.chance(0.3) ? size.seconds / 2 : kFirstAtS;
+  FaultGenerator generator(size, out.base, seed ^ 0x5851f42d4c957f2dULL);
+  const double last = size.seconds - kNoEpisodeBeforeEndS;
+  const double first = generator.chance(0.3) ? size.seconds / 2 : kFirstFaultAtS;
   const std::size_t episodes =
-      2 + draw.below(2) + static_cast<std::size_t>(size.seconds / kMoreEpisodesEveryS);
+      2 + generator.below(2) + static_cast<std::size_t>(size.seconds / kSecondsPerExtraEpisode);
   for (std::size_t i = 0; i < episodes; ++i) {
-    const double atS = draw.between(std::min(first, last - 1), last);
-    for (std::size_t left = 2 + draw.below(2); left > 0; --left)
-      out.troubles.push_back(draw.trouble(atS + draw.between(0, kTroubleWithinS)));
+    const double atS = generator.between(std::min(first, last - 1), last);
+    for (std::size_t remaining = 2 + generator.below(2); remaining > 0; --remaining)
+      out.faults.push_back(generator.next(atS + generator.between(0, kFaultSpreadS)));
   }
-  // Over a slow link a second answer comes later than any gatekeeper waits for one.
-  for (const Trouble& trouble : out.troubles)
-    for (const Step& step : trouble.steps)
+  // Over a throttled link a duplicate answer arrives after the time for which a gatekeeper waits for one.
+  for (const InjectedFault& fault : out.faults)
+    for (const Step& step : fault.steps)
       if (step.what == "throttle") out.base.roughWorkers.twice = 0;
   return out;
 }
--- a/tools/lab/soak/plan.hpp
+++ b/tools/lab/soak/plan.hpp
@@ -1,4 +1,4 @@
-/// What a soak run plays: a fleet and troubles that overlap in time, drawn from a seed.
+/// The plan of a soak run: a fleet, and faults that overlap in time, generated from a seed.
 #pragma once
 
 #include <cstdint>
@@ -14,29 +14,29 @@
 struct SoakSize {
   int gatekeepers = 20;
   int workers = 30;
-  double seconds = 20;
-  double rate = 200;      ///< requests a second over the fleet
-  int roughClients = 60;  ///< beside them
+  double seconds = 20;          ///< duration of the load
+  double rate = 200;            ///< requests per second of the open-loop load, over the fleet
+  int misbehavingClients = 60;  ///< in addition to the open-loop load
 };
 
-/// One trouble with its end.
-struct Trouble {
+/// A fault with the steps that start and end it.
+struct InjectedFault {
   std::string name;  ///< its kind and its target
   std::vector<Step> steps;
 };
 
-/// A run of one seed.
+/// The plan for one seed.
 struct SoakPlan {
-  Scenario base;  ///< without its steps
-  std::vector<Trouble> troubles;
+  Scenario base;  ///< the scenario without the steps of the faults
+  std::vector<InjectedFault> faults;
 
-  /// The scenario of this plan without the troubles of these numbers.
+  /// The scenario with all faults except those whose indices are in `without`; its steps are sorted by time.
   Scenario scenario(const std::set<std::size_t>& without) const;
 };
 
-/// The same for the same seed and size: two or three episodes, more in a run past half a minute, in each of
-/// which two or three troubles begin within a second of each other. On some seeds all is quiet for the first
-/// half.
+/// Generates the plan, which is the same for the same seed and size. A plan has two or three episodes, and
+/// more in a run longer than half a minute. In each episode two or three faults start within a second of each
+/// other. On some seeds the first half of the run has no faults.
 SoakPlan soakPlan(const SoakSize& size, std::uint64_t seed);
 
 }  // namespace wingslip::lab
