--- a/tools/lab/faults/fault_control.hpp
+++ b/tools/lab/faults/fault_control.hpp
@@ -1,7 +1,8 @@
-/// What the lab tells the preloaded fault library of one gatekeeper: a file that both sides map.
+/// The control file of the preloaded fault library of one gatekeeper, which the lab and the library both map.
 ///
-/// The lab writes, the library reads at each call; `injected` goes the other way. Every field is a lock-free
-/// atomic, so that a value written in one process is seen whole in the other.
+/// The lab writes it, and the library reads it at each system call; the library writes only the counters
+/// `injected` and `diskFailed`. Every field is a lock-free atomic, so that neither process reads a partly
+/// written value.
 #pragma once
 
 #include <array>
@@ -11,12 +12,12 @@
 
 namespace wingslip::lab {
 
-/// The kinds of failing call. Linux documents each of them; none of them ends the process.
+/// The kinds of system call failure. Linux documents each of them, and none of them terminates the process.
 enum class CallFault : std::uint8_t {
   interrupted,     ///< EINTR from a read, a write or a wait
-  short_transfer,  ///< a read or a write takes fewer bytes than it could
+  short_transfer,  ///< a read or a write transfers fewer bytes than it could
   accept,          ///< accept fails: ECONNABORTED, EINTR, ENFILE, ENOBUFS, EPROTO, ENETUNREACH
-  accept_full,     ///< accept fails with EMFILE or ENFILE alone
+  accept_full,     ///< accept fails with EMFILE or ENFILE only
   socket,          ///< socket fails: ENFILE, ENOBUFS, ENOMEM
   connect,         ///< connect fails: EADDRNOTAVAIL, ENETUNREACH, ECONNREFUSED, ETIMEDOUT
   broken,          ///< a connection to a peer breaks: a read or a write fails with ETIMEDOUT or EHOSTUNREACH
@@ -30,21 +31,23 @@
     "interrupted", "short", "accept", "accept_full", "socket", "connect", "broken", "memory", "aborted"};
 
 constexpr std::uint32_t kFaultControlVersion = 1;
-constexpr std::uint32_t kCertain = 1000000;  // a share of one
+constexpr std::uint32_t kCertain = 1000000;  // a share of 1, in parts per million
 
-/// The mapped file.
+/// The layout of the mapped file.
 struct FaultControl {
   std::atomic<std::uint32_t> version;
-  std::array<std::atomic<std::uint32_t>, kCallFaults> sharePerMillion;  // of the calls of that kind that fail
-  std::atomic<std::int64_t> wallOffsetMs;  // added to every reading of the wall clock
-  std::atomic<std::int32_t> diskError;     // errno of writes, syncs and renames of files; 0: they succeed
-  std::array<std::atomic<std::uint64_t>, kCallFaults> injected;  // calls failed so far
-  std::atomic<std::uint64_t> diskFailed;
+  std::array<std::atomic<std::uint32_t>, kCallFaults> sharePerMillion;  // share of calls that fail, by kind
+  std::atomic<std::int64_t> wallOffsetMs;  // added to each reading of the wall clock
+  /// The errno for writes, syncs and renames of files, and for reads if EIO; 0: they succeed.
+  std::atomic<std::int32_t> diskError;
+  std::array<std::atomic<std::uint64_t>, kCallFaults> injected;  // calls failed so far, by kind
+  std::atomic<std::uint64_t> diskFailed;                         // calls failed with diskError so far
 };
 static_assert(std::atomic<std::uint64_t>::is_always_lock_free &&
               std::atomic<std::int64_t>::is_always_lock_free);
 
-/// The environment of a process that loads the library: the file's path, and the seed of its choices.
+/// Environment variables of a process that loads the library: the path of the control file, and the random
+/// seed.
 constexpr const char* kFaultFileVariable = "WINGSLIP_FAULTS";
 constexpr const char* kFaultSeedVariable = "WINGSLIP_FAULT_SEED";
 
--- a/tools/lab/faults/fault_library.cpp
+++ b/tools/lab/faults/fault_library.cpp
@@ -1,8 +1,9 @@
-/// Loaded into a process under test (LD_PRELOAD): lets system calls fail as Linux documents, steps the wall
-/// clock and fails writes to files, as the mapped FaultControl says. Without a control file it does nothing.
+/// Loaded into a process under test with LD_PRELOAD. Makes system calls fail as Linux documents, steps the
+/// wall clock and fails writes to files, as the mapped FaultControl specifies. Without a control file it does
+/// nothing.
 ///
-/// Only calls of descriptors that the fault makes sense for are touched: transfers on sockets and pipes, and
-/// files past the standard streams. The process's log goes to standard error and is left alone.
+/// Only calls on descriptors to which a fault applies are affected: transfers on sockets and pipes, and files
+/// other than the standard streams. The log of the process on standard error is not affected.
 #include <dlfcn.h>
 #include <errno.h>
 #include <fcntl.h>
@@ -31,43 +32,45 @@
 using wingslip::lab::CallFault;
 using wingslip::lab::FaultControl;
 
-constexpr int kMostDescriptors = 65536;
+constexpr int kMaxDescriptors = 65536;
 constexpr std::int64_t kNsPerMs = 1000000, kNsPerS = 1000000000, kMsPerS = 1000, kUsPerMs = 1000;
 
-FaultControl* control = nullptr;
-std::uint64_t state = 0x9e3779b97f4a7c15ULL;
-std::array<bool, kMostDescriptors> connected{};  // by this process: the only ones that may be broken
+FaultControl* faultControl = nullptr;
+std::uint64_t randomState = 0x9e3779b97f4a7c15ULL;
+/// Descriptors connected by this process; only these connections may be broken.
+std::array<bool, kMaxDescriptors> outgoingConnection{};
 
-/// The next definition of the symbol, the C library's.
+/// The next definition of the symbol in the search order, which is that of the C library.
 template <class Function>
-Function* next(const char* name) {
+Function* realFunction(const char* name) {
   return reinterpret_cast<Function*>(::dlsym(RTLD_NEXT, name));
 }
 
-/// xorshift64*: the choices of one process repeat with its seed.
-std::uint64_t draw() {
-  state ^= state >> 12, state ^= state << 25, state ^= state >> 27;
-  return state * 0x2545f4914f6cdd1dULL;
+/// xorshift64* generator; the same seed gives the same choices in a process.
+std::uint64_t nextRandom() {
+  randomState ^= randomState >> 12, randomState ^= randomState << 25, randomState ^= randomState >> 27;
+  return randomState * 0x2545f4914f6cdd1dULL;
 }
 
-bool strikes(CallFault kind) {
-  if (!control) return false;
+bool shouldFail(CallFault kind) {
+  if (!faultControl) return false;
   const auto index = static_cast<std::size_t>(kind);
-  const std::uint32_t share = control->sharePerMillion[index].load(std::memory_order_relaxed);
-  if (share == 0 || draw() % wingslip::lab::kCertain >= share) return false;
-  control->injected[index].fetch_add(1, std::memory_order_relaxed);
+  const std::uint32_t share = faultControl->sharePerMillion[index].load(std::memory_order_relaxed);
+  if (share == 0 || nextRandom() % wingslip::lab::kCertain >= share) return false;
+  faultControl->injected[index].fetch_add(1, std::memory_order_relaxed);
   return true;
 }
 
-int oneOf(std::initializer_list<int> errors) { return errors.begin()[draw() % errors.size()]; }
+int randomErrno(std::initializer_list<int> errors) { return errors.begin()[nextRandom() % errors.size()]; }
 
 template <class T>
-T failed(int error) {
+T failWith(int error) {
   errno = error;
   return static_cast<T>(-1);
 }
 
-/// Whether it is a file below $TMPDIR, where the process keeps what outlives it.
+/// Whether the descriptor is a file or directory below $TMPDIR, where the process stores its persistent
+/// state.
 bool isStateFile(int descriptor) {
   struct stat info {};
   if (descriptor <= STDERR_FILENO || ::fstat(descriptor, &info) != 0) return false;
@@ -80,38 +83,40 @@
   return std::strncmp(path.data(), folder, std::strlen(folder)) == 0;
 }
 
-int diskError() { return control ? control->diskError.load(std::memory_order_relaxed) : 0; }
+int diskError() { return faultControl ? faultControl->diskError.load(std::memory_order_relaxed) : 0; }
 
-int diskFails() {
+int countDiskFailure() {
   const int error = diskError();
-  if (error != 0) control->diskFailed.fetch_add(1, std::memory_order_relaxed);
+  if (error != 0) faultControl->diskFailed.fetch_add(1, std::memory_order_relaxed);
   return error;
 }
 
-bool breaksConnection(int descriptor) {
-  if (descriptor < 0 || descriptor >= kMostDescriptors || !connected[static_cast<std::size_t>(descriptor)])
+bool breakConnection(int descriptor) {
+  if (descriptor < 0 || descriptor >= kMaxDescriptors ||
+      !outgoingConnection[static_cast<std::size_t>(descriptor)])
     return false;
-  if (!strikes(CallFault::broken)) return false;
+  if (!shouldFail(CallFault::broken)) return false;
   ::shutdown(descriptor, SHUT_RDWR);
   return true;
 }
 
-/// The error with which a transfer fails; 0: it goes on.
+/// The errno with which a transfer fails; 0 if it is executed.
 int transferError(int descriptor) {
-  if (strikes(CallFault::interrupted)) return EINTR;
-  if (strikes(CallFault::memory)) return oneOf({ENOBUFS, ENOMEM});
-  if (breaksConnection(descriptor)) return oneOf({ETIMEDOUT, EHOSTUNREACH});
+  if (shouldFail(CallFault::interrupted)) return EINTR;
+  if (shouldFail(CallFault::memory)) return randomErrno({ENOBUFS, ENOMEM});
+  if (breakConnection(descriptor)) return randomErrno({ETIMEDOUT, EHOSTUNREACH});
   return 0;
 }
 
-/// How much of a transfer goes through.
-std::size_t lengthOf(std::size_t asked) {
-  if (asked < 2 || !strikes(CallFault::short_transfer)) return asked;
-  return 1 + draw() % (asked - 1);
+/// The number of bytes to transfer, at most `requested`.
+std::size_t transferLength(std::size_t requested) {
+  if (requested < 2 || !shouldFail(CallFault::short_transfer)) return requested;
+  return 1 + nextRandom() % (requested - 1);
 }
 
-/// The message with its buffers cut to `most` bytes; `parts` holds them.
-msghdr cutTo(const msghdr* message, std::size_t most, std::array<iovec, 64>& parts) {
+/// A copy of the message limited to `most` bytes. `parts` stores its buffer descriptors and must outlive the
+/// copy.
+msghdr truncated(const msghdr* message, std::size_t most, std::array<iovec, 64>& parts) {
   msghdr out = *message;
   std::size_t count = 0;
   for (; count < std::min<std::size_t>(message->msg_iovlen, parts.size()) && most > 0; ++count) {
@@ -130,29 +135,32 @@
   return out;
 }
 
-/// The accepted connection, or none where its peer aborts it while it waits in the queue.
-int abortedOr(int accepted) {
-  if (accepted < 0 || !strikes(CallFault::aborted)) return accepted;
+/// Returns the accepted connection, or fails with ECONNABORTED as if the peer had aborted it in the accept
+/// queue.
+int maybeAborted(int accepted) {
+  if (accepted < 0 || !shouldFail(CallFault::aborted)) return accepted;
   const linger reset{1, 0};
   ::setsockopt(accepted, SOL_SOCKET, SO_LINGER, &reset, sizeof reset);
-  next<int(int)>("close")(accepted);
-  return failed<int>(ECONNABORTED);
+  realFunction<int(int)>("close")(accepted);
+  return failWith<int>(ECONNABORTED);
 }
 
-std::int64_t wallOffsetMs() { return control ? control->wallOffsetMs.load(std::memory_order_relaxed) : 0; }
+std::int64_t wallOffsetMs() {
+  return faultControl ? faultControl->wallOffsetMs.load(std::memory_order_relaxed) : 0;
+}
 
 __attribute__((constructor)) void mapControl() {
   if (const char* seed = std::getenv(wingslip::lab::kFaultSeedVariable))
-    state ^= std::strtoull(seed, nullptr, 10) * 0xbf58476d1ce4e5b9ULL + 1;
+    randomState ^= std::strtoull(seed, nullptr, 10) * 0xbf58476d1ce4e5b9ULL + 1;
   const char* path = std::getenv(wingslip::lab::kFaultFileVariable);
   if (!path) return;
   const int file = ::open(path, O_RDWR | O_CLOEXEC);
   if (file < 0) return;
   void* at = ::mmap(nullptr, sizeof(FaultControl), PROT_READ | PROT_WRITE, MAP_SHARED, file, 0);
-  next<int(int)>("close")(file);
+  realFunction<int(int)>("close")(file);
   if (at == MAP_FAILED) return;
   auto* mapped = static_cast<FaultControl*>(at);
-  if (mapped->version.load() == wingslip::lab::kFaultControlVersion) control = mapped;
+  if (mapped->version.load() == wingslip::lab::kFaultControlVersion) faultControl = mapped;
 }
 
 }  // namespace
@@ -160,120 +168,120 @@
 extern "C" {
 
 ssize_t recv(int descriptor, void* to, size_t length, int flags) {
-  static const auto real = next<ssize_t(int, void*, size_t, int)>("recv");
-  if (const int error = transferError(descriptor)) return failed<ssize_t>(error);
-  return real(descriptor, to, lengthOf(length), flags);
+  static const auto real = realFunction<ssize_t(int, void*, size_t, int)>("recv");
+  if (const int error = transferError(descriptor)) return failWith<ssize_t>(error);
+  return real(descriptor, to, transferLength(length), flags);
 }
 
 ssize_t recvmsg(int descriptor, msghdr* message, int flags) {
-  static const auto real = next<ssize_t(int, msghdr*, int)>("recvmsg");
-  if (const int error = transferError(descriptor)) return failed<ssize_t>(error);
-  const std::size_t asked = bytesOf(message), length = lengthOf(asked);
-  if (length == asked) return real(descriptor, message, flags);
+  static const auto real = realFunction<ssize_t(int, msghdr*, int)>("recvmsg");
+  if (const int error = transferError(descriptor)) return failWith<ssize_t>(error);
+  const std::size_t requested = bytesOf(message), length = transferLength(requested);
+  if (length == requested) return real(descriptor, message, flags);
   std::array<iovec, 64> parts;
-  msghdr cut = cutTo(message, length, parts);
-  return real(descriptor, &cut, flags);
+  msghdr shortened = truncated(message, length, parts);
+  return real(descriptor, &shortened, flags);
 }
 
 ssize_t send(int descriptor, const void* from, size_t length, int flags) {
-  static const auto real = next<ssize_t(int, const void*, size_t, int)>("send");
-  if (const int error = transferError(descriptor)) return failed<ssize_t>(error);
-  return real(descriptor, from, lengthOf(length), flags);
+  static const auto real = realFunction<ssize_t(int, const void*, size_t, int)>("send");
+  if (const int error = transferError(descriptor)) return failWith<ssize_t>(error);
+  return real(descriptor, from, transferLength(length), flags);
 }
 
 ssize_t sendmsg(int descriptor, const msghdr* message, int flags) {
-  static const auto real = next<ssize_t(int, const msghdr*, int)>("sendmsg");
-  if (const int error = transferError(descriptor)) return failed<ssize_t>(error);
-  const std::size_t asked = bytesOf(message), length = lengthOf(asked);
-  if (length == asked) return real(descriptor, message, flags);
+  static const auto real = realFunction<ssize_t(int, const msghdr*, int)>("sendmsg");
+  if (const int error = transferError(descriptor)) return failWith<ssize_t>(error);
+  const std::size_t requested = bytesOf(message), length = transferLength(requested);
+  if (length == requested) return real(descriptor, message, flags);
   std::array<iovec, 64> parts;
-  const msghdr cut = cutTo(message, length, parts);
-  return real(descriptor, &cut, flags);
+  const msghdr shortened = truncated(message, length, parts);
+  return real(descriptor, &shortened, flags);
 }
 
 ssize_t read(int descriptor, void* to, size_t length) {
-  static const auto real = next<ssize_t(int, void*, size_t)>("read");
-  if (strikes(CallFault::interrupted)) return failed<ssize_t>(EINTR);
-  if (diskError() == EIO && isStateFile(descriptor)) return failed<ssize_t>(diskFails());
+  static const auto real = realFunction<ssize_t(int, void*, size_t)>("read");
+  if (shouldFail(CallFault::interrupted)) return failWith<ssize_t>(EINTR);
+  if (diskError() == EIO && isStateFile(descriptor)) return failWith<ssize_t>(countDiskFailure());
   return real(descriptor, to, length);
 }
 
 ssize_t write(int descriptor, const void* from, size_t length) {
-  static const auto real = next<ssize_t(int, const void*, size_t)>("write");
+  static const auto real = realFunction<ssize_t(int, const void*, size_t)>("write");
   if (descriptor <= STDERR_FILENO) return real(descriptor, from, length);
-  if (strikes(CallFault::interrupted)) return failed<ssize_t>(EINTR);
-  if (diskError() == 0 || !isStateFile(descriptor)) return real(descriptor, from, lengthOf(length));
-  const int error = diskFails();
-  // Half of what fits is written before the disk is full.
-  if (length > 1 && draw() % 2 == 0) return real(descriptor, from, length / 2);
-  return failed<ssize_t>(error);
+  if (shouldFail(CallFault::interrupted)) return failWith<ssize_t>(EINTR);
+  if (diskError() == 0 || !isStateFile(descriptor)) return real(descriptor, from, transferLength(length));
+  const int error = countDiskFailure();
+  // In half of the cases, half of the bytes are written as if the disk then became full.
+  if (length > 1 && nextRandom() % 2 == 0) return real(descriptor, from, length / 2);
+  return failWith<ssize_t>(error);
 }
 
 int fsync(int descriptor) {
-  static const auto real = next<int(int)>("fsync");
-  if (strikes(CallFault::interrupted)) return failed<int>(EINTR);
-  if (diskError() != 0 && isStateFile(descriptor)) return failed<int>(diskFails());
+  static const auto real = realFunction<int(int)>("fsync");
+  if (shouldFail(CallFault::interrupted)) return failWith<int>(EINTR);
+  if (diskError() != 0 && isStateFile(descriptor)) return failWith<int>(countDiskFailure());
   return real(descriptor);
 }
 
 int rename(const char* from, const char* to) {
-  static const auto real = next<int(const char*, const char*)>("rename");
-  if (diskError() != 0) return failed<int>(diskFails());
+  static const auto real = realFunction<int(const char*, const char*)>("rename");
+  if (diskError() != 0) return failWith<int>(countDiskFailure());
   return real(from, to);
 }
 
 int epoll_wait(int descriptor, epoll_event* events, int most, int timeout) {
-  static const auto real = next<int(int, epoll_event*, int, int)>("epoll_wait");
-  if (strikes(CallFault::interrupted)) return failed<int>(EINTR);
+  static const auto real = realFunction<int(int, epoll_event*, int, int)>("epoll_wait");
+  if (shouldFail(CallFault::interrupted)) return failWith<int>(EINTR);
   return real(descriptor, events, most, timeout);
 }
 
 int poll(pollfd* descriptors, nfds_t count, int timeout) {
-  static const auto real = next<int(pollfd*, nfds_t, int)>("poll");
-  if (strikes(CallFault::interrupted)) return failed<int>(EINTR);
+  static const auto real = realFunction<int(pollfd*, nfds_t, int)>("poll");
+  if (shouldFail(CallFault::interrupted)) return failWith<int>(EINTR);
   return real(descriptors, count, timeout);
 }
 
 int accept(int descriptor, sockaddr* address, socklen_t* length) {
-  static const auto real = next<int(int, sockaddr*, socklen_t*)>("accept");
-  if (strikes(CallFault::accept_full)) return failed<int>(oneOf({EMFILE, ENFILE}));
-  if (strikes(CallFault::accept))
-    return failed<int>(oneOf({ECONNABORTED, EINTR, ENFILE, ENOBUFS, EPROTO, ENETUNREACH}));
-  return abortedOr(real(descriptor, address, length));
+  static const auto real = realFunction<int(int, sockaddr*, socklen_t*)>("accept");
+  if (shouldFail(CallFault::accept_full)) return failWith<int>(randomErrno({EMFILE, ENFILE}));
+  if (shouldFail(CallFault::accept))
+    return failWith<int>(randomErrno({ECONNABORTED, EINTR, ENFILE, ENOBUFS, EPROTO, ENETUNREACH}));
+  return maybeAborted(real(descriptor, address, length));
 }
 
 int accept4(int descriptor, sockaddr* address, socklen_t* length, int flags) {
-  static const auto real = next<int(int, sockaddr*, socklen_t*, int)>("accept4");
-  if (strikes(CallFault::accept_full)) return failed<int>(oneOf({EMFILE, ENFILE}));
-  if (strikes(CallFault::accept))
-    return failed<int>(oneOf({ECONNABORTED, EINTR, ENFILE, ENOBUFS, EPROTO, ENETUNREACH}));
-  return abortedOr(real(descriptor, address, length, flags));
+  static const auto real = realFunction<int(int, sockaddr*, socklen_t*, int)>("accept4");
+  if (shouldFail(CallFault::accept_full)) return failWith<int>(randomErrno({EMFILE, ENFILE}));
+  if (shouldFail(CallFault::accept))
+    return failWith<int>(randomErrno({ECONNABORTED, EINTR, ENFILE, ENOBUFS, EPROTO, ENETUNREACH}));
+  return maybeAborted(real(descriptor, address, length, flags));
 }
 
 int socket(int domain, int type, int protocol) {
-  static const auto real = next<int(int, int, int)>("socket");
-  if (strikes(CallFault::socket)) return failed<int>(oneOf({ENFILE, ENOBUFS, ENOMEM}));
+  static const auto real = realFunction<int(int, int, int)>("socket");
+  if (shouldFail(CallFault::socket)) return failWith<int>(randomErrno({ENFILE, ENOBUFS, ENOMEM}));
   return real(domain, type, protocol);
 }
 
 int connect(int descriptor, const sockaddr* address, socklen_t length) {
-  static const auto real = next<int(int, const sockaddr*, socklen_t)>("connect");
-  if (strikes(CallFault::connect))
-    return failed<int>(oneOf({EADDRNOTAVAIL, ENETUNREACH, ECONNREFUSED, ETIMEDOUT}));
-  if (descriptor >= 0 && descriptor < kMostDescriptors)
-    connected[static_cast<std::size_t>(descriptor)] = true;
+  static const auto real = realFunction<int(int, const sockaddr*, socklen_t)>("connect");
+  if (shouldFail(CallFault::connect))
+    return failWith<int>(randomErrno({EADDRNOTAVAIL, ENETUNREACH, ECONNREFUSED, ETIMEDOUT}));
+  if (descriptor >= 0 && descriptor < kMaxDescriptors)
+    outgoingConnection[static_cast<std::size_t>(descriptor)] = true;
   return real(descriptor, address, length);
 }
 
 int close(int descriptor) {
-  static const auto real = next<int(int)>("close");
-  if (descriptor >= 0 && descriptor < kMostDescriptors)
-    connected[static_cast<std::size_t>(descriptor)] = false;
+  static const auto real = realFunction<int(int)>("close");
+  if (descriptor >= 0 && descriptor < kMaxDescriptors)
+    outgoingConnection[static_cast<std::size_t>(descriptor)] = false;
   return real(descriptor);
 }
 
 int clock_gettime(clockid_t clock, timespec* out) noexcept {
-  static const auto real = next<int(clockid_t, timespec*)>("clock_gettime");
+  static const auto real = realFunction<int(clockid_t, timespec*)>("clock_gettime");
   const int result = real(clock, out);
   if (result != 0 || (clock != CLOCK_REALTIME && clock != CLOCK_REALTIME_COARSE)) return result;
   const std::int64_t ns = out->tv_sec * kNsPerS + out->tv_nsec + wallOffsetMs() * kNsPerMs;
@@ -283,7 +291,7 @@
 }
 
 int gettimeofday(timeval* out, void* zone) noexcept {
-  static const auto real = next<int(timeval*, void*)>("gettimeofday");
+  static const auto real = realFunction<int(timeval*, void*)>("gettimeofday");
   const int result = real(out, zone);
   if (result != 0) return result;
   const std::int64_t us = out->tv_sec * kMsPerS * kUsPerMs + out->tv_usec + wallOffsetMs() * kUsPerMs;
--- a/tools/lab/faults/system_faults.cpp
+++ b/tools/lab/faults/system_faults.cpp
@@ -28,7 +28,7 @@
 FaultFile::FaultFile(const fs::path& path, const SystemFaults& first) : path_(path) {
   const int file = ::open(path.c_str(), O_RDWR | O_CREAT | O_TRUNC | O_CLOEXEC, 0600);
   if (file < 0 || ::ftruncate(file, sizeof(FaultControl)) != 0)
-    throw std::runtime_error("cannot make the fault file " + path.string());
+    throw std::runtime_error("cannot create the fault file " + path.string());
   void* at = ::mmap(nullptr, sizeof(FaultControl), PROT_READ | PROT_WRITE, MAP_SHARED, file, 0);
   ::close(file);
   if (at == MAP_FAILED) throw std::runtime_error("cannot map the fault file " + path.string());
