--- a/tools/lab/expectations.cpp
+++ b/tools/lab/expectations.cpp
@@ -17,7 +17,7 @@
 std::string unmetLine(const Expect& expect, std::optional<long> count) {
   return "line " + std::to_string(expect.line) + ": " + expect.fate +
          (expect.figure.empty() ? "" : " " + expect.figure) + " " +
-         (count ? std::to_string(*count) : "not told") + " not within " +
+         (count ? std::to_string(*count) : "not reported") + " not within " +
          std::to_string(expect.min.value_or(0)) + ".." + (expect.max ? std::to_string(*expect.max) : "any");
 }
 
@@ -35,10 +35,10 @@
   std::optional<long> most;
   for (int g = 0; g < scenario_.gatekeepers; ++g) {
     if (expect.gatekeeper && *expect.gatekeeper != g) continue;
-    const std::optional<long> told =
+    const std::optional<long> maximum =
         observations_.figures.most(expect.figure, g, expect.afterS * kMsPerS, expect.beforeS * kMsPerS);
-    if (!told) return std::nullopt;
-    most = std::max(most.value_or(*told), *told);
+    if (!maximum) return std::nullopt;
+    most = std::max(most.value_or(*maximum), *maximum);
   }
   return most;
 }
@@ -52,7 +52,7 @@
   return out;
 }
 
-// None where nobody told it.
+// None if a gatekeeper did not report the figure.
 std::optional<long> Expectations::count(const Expect& expect) const {
   const double afterMs = expect.afterS * kMsPerS, beforeMs = expect.beforeS * kMsPerS;
   if (expect.fate == "figure") return figure(expect);
@@ -60,14 +60,15 @@
   if (expect.fate == "idle_closed") return idleClients(expect.gatekeeper).closed;
   if (expect.fate == "idle_refused") return idleClients(expect.gatekeeper).refused;
   if (expect.fate == "attempts") return attempts(expect);
-  if (const auto fate = fateOf(expect.fate)) return judge_.count(*fate, expect.gatekeeper, afterMs, beforeMs);
+  if (const auto outcome = requestOutcomeOf(expect.fate))
+    return verifier_.count(*outcome, expect.gatekeeper, afterMs, beforeMs);
   if (expect.fate == "copies_equal") return mostEqualCopies();
   if (expect.fate.rfind(kRosterPrefix, 0) == 0 && expect.fate != kRosterAgreed)
     return namesInRoster(expect.fate.substr(kRosterPrefix.size()), beforeMs);
   return noted(expect);
 }
 
-// Of one gatekeeper, or of all.
+// The counts of one gatekeeper, or the sum over all.
 IdleClientCounts Expectations::idleClients(std::optional<int> gatekeeper) const {
   IdleClientCounts out;
   for (const auto& [g, counts] : observations_.idleClients) {
@@ -80,11 +81,11 @@
 }
 
 long Expectations::attempts(const Expect& expect) const {
-  const auto meant = [&](int worker) {
+  const auto matches = [&](int worker) {
     return expect.worker ? worker == *expect.worker
                          : scenario_.zones[scenario_.zoneOf(worker)] == *expect.zone;
   };
-  return judge_.attempts(meant, expect.afterS * kMsPerS, expect.beforeS * kMsPerS);
+  return verifier_.attempts(matches, expect.afterS * kMsPerS, expect.beforeS * kMsPerS);
 }
 
 long Expectations::mostEqualCopies() const {
@@ -93,7 +94,7 @@
   return most;
 }
 
-// In the last roster recorded before that time.
+// The number of names in `state` in the last roster recorded before `beforeMs`.
 long Expectations::namesInRoster(const std::string& state, double beforeMs) const {
   long out = 0;
   for (const RecordedRoster& roster : observations_.rosters) {
@@ -105,10 +106,11 @@
 
 long Expectations::noted(const Expect& expect) const {
   const double afterMs = expect.afterS * kMsPerS, beforeMs = expect.beforeS * kMsPerS;
-  return std::count_if(observations_.noted.begin(), observations_.noted.end(), [&](const Noted& noted) {
-    return noted.what == expect.fate && (!expect.gatekeeper || *expect.gatekeeper == noted.gatekeeper) &&
-           noted.atMs >= afterMs && noted.atMs < beforeMs;
-  });
+  return std::count_if(
+      observations_.noted.begin(), observations_.noted.end(), [&](const ObservedEvent& noted) {
+        return noted.what == expect.fate && (!expect.gatekeeper || *expect.gatekeeper == noted.gatekeeper) &&
+               noted.atMs >= afterMs && noted.atMs < beforeMs;
+      });
 }
 
 }  // namespace wingslip::lab
--- a/tools/lab/expectations.hpp
+++ b/tools/lab/expectations.hpp
@@ -1,5 +1,5 @@
-// Whether a run reached the counts that its scenario expects. Reads no clock and no socket: times are
-// milliseconds from the start of the load, given by the caller.
+// Checks the counts of a run against the expectations of its scenario. Reads no clock and no socket: times
+// are milliseconds from the start of the load, given by the caller.
 #pragma once
 
 #include <map>
@@ -14,39 +14,39 @@
 
 namespace wingslip::lab {
 
-/// Something that expectations count, at a gatekeeper.
-struct Noted {
+/// An event at a gatekeeper that expectations count.
+struct ObservedEvent {
   std::string what;  ///< "claims", "upgrades" or "roster_agreed"
   int gatekeeper = 0;
   double atMs = 0;
 };
 
-/// A roster as it was recorded: names by state.
+/// A recorded roster: the number of names in each state.
 struct RecordedRoster {
   double atMs = 0;
   std::map<std::string, long> namesByState;
 };
 
-/// What expectations count beside the fates of requests.
+/// The observations that expectations count, other than the outcomes of requests.
 struct Observations {
-  std::vector<Noted> noted;
-  std::vector<RecordedRoster> rosters;          ///< in order of time
-  std::map<std::string, long> copies;           ///< of the shared state at the end: gatekeepers that hold it
+  std::vector<ObservedEvent> noted;
+  std::vector<RecordedRoster> rosters;  ///< in order of time
+  std::map<std::string, long> copies;  ///< number of gatekeepers by their copy of the shared state at the end
   std::map<int, IdleClientCounts> idleClients;  ///< by gatekeeper
   Figures figures;
 };
 
-/// The scenario's expectations of one run.
+/// Evaluates the expectations of a scenario for one run.
 class Expectations {
  public:
-  /// All three must outlive it.
-  Expectations(const Scenario& scenario, const Judge& judge, const Observations& observations)
-      : scenario_(scenario), judge_(judge), observations_(observations) {}
+  /// All arguments must outlive it.
+  Expectations(const Scenario& scenario, const Judge& verifier, const Observations& observations)
+      : scenario_(scenario), verifier_(verifier), observations_(observations) {}
 
-  /// The largest value of a figure; none where a gatekeeper that it is expected of did not tell it.
+  /// The maximum of a figure over the gatekeepers of the expectation; none if one of them did not report it.
   std::optional<long> figure(const Expect& expect) const;
 
-  /// One line for each expectation that does not hold.
+  /// One line of text for each expectation that is not met.
   std::vector<std::string> unmet() const;
 
  private:
@@ -58,11 +58,11 @@
   long noted(const Expect& expect) const;
 
   const Scenario& scenario_;
-  const Judge& judge_;
+  const Judge& verifier_;
   const Observations& observations_;
 };
 
-/// The names of the figures that the scenario's expectations ask for, each once.
+/// The names of the figures in the scenario's expectations, without duplicates.
 std::vector<std::string> expectedFigures(const Scenario& scenario);
 
 }  // namespace wingslip::lab
--- a/tools/lab/figures.cpp
+++ b/tools/lab/figures.cpp
@@ -31,17 +31,17 @@
   const std::map<std::string, long> figures = readFigures(telemetry);
   for (const std::string& name : names_) {
     const auto found = figures.find(name);
-    if (found != figures.end()) values_.push_back({gatekeeper, atMs, name, found->second});
+    if (found != figures.end()) samples_.push_back({gatekeeper, atMs, name, found->second});
   }
 }
 
 std::optional<long> Figures::most(const std::string& name, int gatekeeper, double afterMs,
                                   double beforeMs) const {
   std::optional<long> out;
-  for (const Value& told : values_) {
-    const bool meant = told.gatekeeper == gatekeeper && told.name == name;
-    if (meant && told.atMs >= afterMs && told.atMs < beforeMs)
-      out = std::max(out.value_or(told.value), told.value);
+  for (const Sample& sample : samples_) {
+    const bool matches = sample.gatekeeper == gatekeeper && sample.name == name;
+    if (matches && sample.atMs >= afterMs && sample.atMs < beforeMs)
+      out = std::max(out.value_or(sample.value), sample.value);
   }
   return out;
 }
--- a/tools/lab/figures.hpp
+++ b/tools/lab/figures.hpp
@@ -1,5 +1,5 @@
-// The figures that gatekeepers tell their operators during a run, as an expectation asks for them. Pure:
-// times are milliseconds from the start of the load, given by the caller.
+// Samples of the figures that gatekeepers report in their telemetry during a run, for expectations. Reads no
+// clock: times are milliseconds from the start of the load, given by the caller.
 #pragma once
 
 #include <map>
@@ -9,32 +9,32 @@
 
 namespace wingslip::lab {
 
-/// Figures by name, without the prefix "svc.". Lines of `telemetry` that are no figure are passed over.
+/// Parses figures by name, without the prefix "svc.". Other lines of `telemetry` are ignored.
 std::map<std::string, long> readFigures(const std::string& telemetry);
 
-/// What gatekeepers told of some figures, and when.
+/// The samples of selected figures, with gatekeeper and time.
 class Figures {
  public:
-  /// Only the figures of these names are kept.
+  /// `names`: the figures to record; others are ignored.
   explicit Figures(std::vector<std::string> names) : names_(std::move(names)) {}
 
   bool wanted() const { return !names_.empty(); }
 
-  /// An answer of `gatekeeper` to a call for its telemetry.
+  /// Records the figures of a telemetry answer of `gatekeeper`.
   void told(int gatekeeper, double atMs, const std::string& telemetry);
 
-  /// The largest value that `gatekeeper` told within [afterMs, beforeMs); none where it told none.
+  /// The maximum that `gatekeeper` reported within [afterMs, beforeMs); none without a sample.
   std::optional<long> most(const std::string& name, int gatekeeper, double afterMs, double beforeMs) const;
 
  private:
-  struct Value {
+  struct Sample {
     int gatekeeper;
     double atMs;
     std::string name;
     long value;
   };
   std::vector<std::string> names_;
-  std::vector<Value> values_;  // one a name, gatekeeper and call
+  std::vector<Sample> samples_;  // one for each name, gatekeeper and telemetry call
 };
 
 }  // namespace wingslip::lab
--- a/tools/lab/idle_clients.cpp
+++ b/tools/lab/idle_clients.cpp
@@ -16,11 +16,11 @@
 
 namespace {
 
-constexpr auto kConnectEvery = std::chrono::milliseconds(5);
-// The gatekeeper answers it by itself, so that idle clients take nothing of the workers.
+constexpr auto kConnectPeriod = std::chrono::milliseconds(5);
+// The gatekeeper answers this path itself, so that idle clients put no load on the workers.
 constexpr std::string_view kWholeRequest = "GET /health/ready HTTP/1.1\r\nHost: backend.local\r\n\r\n";
 constexpr std::string_view kPartOfRequest = "GET /look HTTP/1.1\r\nHost: backend.local\r\n";
-constexpr std::string_view kAnswered = "HTTP/1.1 200";
+constexpr std::string_view kStatus200 = "HTTP/1.1 200";
 constexpr std::size_t kReadBytes = 512;
 
 }  // namespace
@@ -28,9 +28,10 @@
 /// One connection of one client, from the attempt to connect to the end.
 class IdleClients::Connection : public std::enable_shared_from_this<Connection> {
  public:
-  Connection(IdleClients& clients, Sends sends) : clients_(clients), sends_(sends), socket_(clients.io_) {}
+  Connection(IdleClients& clients, Payload payload)
+      : clients_(clients), payload_(payload), socket_(clients.io_) {}
 
-  Sends sends() const { return sends_; }
+  Payload payload() const { return payload_; }
 
   void start() {
     const tcp::endpoint gatekeeper(asio::ip::address_v4::loopback(), clients_.port_);
@@ -43,7 +44,7 @@
     });
   }
 
-  /// Closes it from this side: it counts as closed by nobody.
+  /// Closes the connection from the client's side, which is not counted in IdleClientCounts::closed.
   void close() {
     closedHere_ = true;
     Error ignored;
@@ -57,27 +58,28 @@
   }
 
   void send() {
-    if (sends_ == Sends::nothing) return;
-    const std::string_view text = sends_ == Sends::wholeRequest ? kWholeRequest : kPartOfRequest;
-    // An error is the read's to tell.
+    if (payload_ == Payload::nothing) return;
+    const std::string_view text = payload_ == Payload::wholeRequest ? kWholeRequest : kPartOfRequest;
+    // The pending read reports any error of the connection.
     asio::async_write(socket_, asio::buffer(text), [self = shared_from_this()](const Error&, std::size_t) {});
   }
 
   void read() {
-    socket_.async_read_some(asio::buffer(piece_),
+    socket_.async_read_some(asio::buffer(readBuffer_),
                             [self = shared_from_this()](const Error& error, std::size_t size) {
                               if (self->closedHere_) return;
                               if (error) return self->closedByGatekeeper();
-                              self->check(size);
+                              self->checkStatus(size);
                               self->read();
                             });
   }
 
-  // Looks at the status line of an answer to a whole request.
-  void check(std::size_t size) {
-    if (sends_ != Sends::wholeRequest || begin_.size() >= kAnswered.size()) return;
-    begin_.append(piece_.data(), std::min(size, kAnswered.size() - begin_.size()));
-    if (begin_.size() == kAnswered.size() && begin_ != kAnswered) ++clients_.counts_.refused;
+  // Checks the status line of the answer to a complete request.
+  void checkStatus(std::size_t size) {
+    if (payload_ != Payload::wholeRequest || statusLineStart_.size() >= kStatus200.size()) return;
+    statusLineStart_.append(readBuffer_.data(), std::min(size, kStatus200.size() - statusLineStart_.size()));
+    if (statusLineStart_.size() == kStatus200.size() && statusLineStart_ != kStatus200)
+      ++clients_.counts_.refused;
   }
 
   void closedByGatekeeper() {
@@ -86,10 +88,10 @@
   }
 
   IdleClients& clients_;
-  const Sends sends_;
+  const Payload payload_;
   tcp::socket socket_;
-  std::array<char, kReadBytes> piece_{};
-  std::string begin_;  // the answer's first bytes
+  std::array<char, kReadBytes> readBuffer_{};
+  std::string statusLineStart_;  // the first bytes of the answer
   bool closedHere_ = false;
 };
 
@@ -99,12 +101,12 @@
   std::uniform_real_distribution<double> share;
   for (int client = 0; client < load_.each; ++client) {
     const double drawn = share(random);
-    Sends sends = Sends::nothing;
+    Payload payload = Payload::nothing;
     if (drawn < load_.requestShare)
-      sends = Sends::wholeRequest;
+      payload = Payload::wholeRequest;
     else if (drawn < load_.requestShare + load_.partShare)
-      sends = Sends::partOfRequest;
-    waiting_.push_back(sends);
+      payload = Payload::partOfRequest;
+    waiting_.push_back(payload);
   }
 }
 
@@ -123,7 +125,7 @@
 }
 
 void IdleClients::connectLater() {
-  timer_.expires_after(kConnectEvery);
+  timer_.expires_after(kConnectPeriod);
   timer_.async_wait([this](const Error& error) {
     if (error || !running_) return;
     connectWaiting();
@@ -131,27 +133,27 @@
   });
 }
 
-// What the rate allowed in a period and nobody used is not kept for later periods.
+// Connections that the rate permitted in a period and that were not made do not carry over to later periods.
 void IdleClients::connectWaiting() {
-  const double inPeriod = load_.connectsPerS * std::chrono::duration<double>(kConnectEvery).count();
-  allowed_ = std::min(allowed_ + inPeriod, std::max(1.0, inPeriod));
-  while (allowed_ >= 1 && !waiting_.empty()) {
-    allowed_ -= 1;
-    const Sends sends = waiting_.front();
+  const double tokensPerPeriod = load_.connectsPerS * std::chrono::duration<double>(kConnectPeriod).count();
+  connectTokens_ = std::min(connectTokens_ + tokensPerPeriod, std::max(1.0, tokensPerPeriod));
+  while (connectTokens_ >= 1 && !waiting_.empty()) {
+    connectTokens_ -= 1;
+    const Payload payload = waiting_.front();
     waiting_.pop_front();
-    connect(sends);
+    connect(payload);
   }
 }
 
-void IdleClients::connect(Sends sends) {
-  const auto connection = std::make_shared<Connection>(*this, sends);
+void IdleClients::connect(Payload payload) {
+  const auto connection = std::make_shared<Connection>(*this, payload);
   connections_.insert(connection);
   connection->start();
 }
 
 void IdleClients::ended(const std::shared_ptr<Connection>& connection) {
   if (connections_.erase(connection) == 0) return;
-  waiting_.push_back(connection->sends());
+  waiting_.push_back(connection->payload());
 }
 
 }  // namespace wingslip::lab
--- a/tools/lab/idle_clients.hpp
+++ b/tools/lab/idle_clients.hpp
@@ -1,5 +1,6 @@
-// A load of idle clients: each connects to a gatekeeper, sends nothing, one request or part of one, and rests
-// until the gatekeeper closes the connection; then it connects again as soon as the load's rate allows.
+// A load of idle clients: each connects to a gatekeeper, sends nothing, one request or part of one, and stays
+// idle until the gatekeeper closes the connection; then it reconnects as soon as the connection rate of the
+// load permits.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -13,45 +14,45 @@
 
 namespace wingslip::lab {
 
-/// What has happened to the idle clients of one gatekeeper so far.
+/// Counts of the idle clients of one gatekeeper since the start.
 struct IdleClientCounts {
   long opened = 0;   ///< connections established
-  long closed = 0;   ///< of these, closed or reset by the gatekeeper
-  long refused = 0;  ///< attempts to connect that failed, and whole requests not answered 200
+  long closed = 0;   ///< established connections closed or reset by the gatekeeper
+  long refused = 0;  ///< failed connection attempts, and complete requests not answered with 200
 };
 
-/// The idle clients of one gatekeeper. Single-threaded, on the loop it is given; it must be destroyed before
-/// the loop.
+/// The idle clients of one gatekeeper. Single-threaded, on the event loop `io`, which must outlive it.
 class IdleClients {
  public:
-  /// `port` is the gatekeeper's on 127.0.0.1. Which clients send a request or part of one comes from `seed`.
+  /// `port`: of the gatekeeper on 127.0.0.1. `seed` determines which clients send a request or part of one.
   IdleClients(boost::asio::io_context& io, unsigned short port, const IdleLoad& load, std::uint64_t seed);
   ~IdleClients();
   IdleClients(const IdleClients&) = delete;
   IdleClients& operator=(const IdleClients&) = delete;
 
-  /// From here on all clients connect, at `IdleLoad::connectsPerS` at most.
+  /// Starts to connect all clients, at most `IdleLoad::connectsPerS` a second.
   void start();
-  /// Closes all connections; no client connects again.
+  /// Closes all connections; no client reconnects.
   void stop();
+  /// The counts so far.
   const IdleClientCounts& counts() const { return counts_; }
 
  private:
-  enum class Sends { nothing, wholeRequest, partOfRequest };
+  enum class Payload { nothing, wholeRequest, partOfRequest };
   class Connection;
 
   void connectLater();
   void connectWaiting();
-  void connect(Sends sends);
+  void connect(Payload payload);
   void ended(const std::shared_ptr<Connection>& connection);
 
   boost::asio::io_context& io_;
   const unsigned short port_;
   const IdleLoad load_;
   boost::asio::steady_timer timer_;
-  std::deque<Sends> waiting_;  // clients without a connection, the next to connect first
+  std::deque<Payload> waiting_;  // clients without a connection, in the order of connecting
   std::set<std::shared_ptr<Connection>> connections_;
-  double allowed_ = 0;  // connections that the rate allows now
+  double connectTokens_ = 0;  // connections that the rate limit permits now
   bool running_ = false;
   IdleClientCounts counts_;
 };
--- a/tools/lab/judge.cpp
+++ b/tools/lab/judge.cpp
@@ -5,197 +5,208 @@
 
 namespace wingslip::lab {
 namespace {
-constexpr double kDrainSlackMs = 2000;  // the developers' page: nothing new later than 2 s after told
-constexpr double kAnswerSlackMs =
-    500;  // PROTOCOL: up to half a second after its time earns nothing, later lost
-constexpr double kLeftSlackMs = 100 + 100;  // 0.1 s by the rule, and the way through the lab's proxies
-constexpr std::size_t kBrokenKept = 100;
+/// Developers' page: no new attempt later than 2 s after the report that the worker drains.
+constexpr double kDrainSlackMs = 2000;
+/// PROTOCOL: an answer up to half a second after the deadline has no value, a later one counts as lost.
+constexpr double kAnswerSlackMs = 500;
+/// 0.1 s permitted by the rules on exclusions and on clients that disconnect, and 0.1 s for the path through
+/// the lab's proxies.
+constexpr double kAttemptSlackMs = 100 + 100;
+constexpr std::size_t kMaxReportedViolations = 100;
 }  // namespace
 
 namespace {
-constexpr std::array<std::pair<Fate, const char*>, 10> kNames{{{Fate::open, "open"},
-                                                               {Fate::served, "served"},
-                                                               {Fate::refused, "refused"},
-                                                               {Fate::failed, "failed"},
-                                                               {Fate::closed, "closed"},
-                                                               {Fate::unreachable, "unreachable"},
-                                                               {Fate::lost, "lost"},
-                                                               {Fate::wrong, "wrong"},
-                                                               {Fate::crossed, "crossed"},
-                                                               {Fate::left, "left"}}};
+constexpr std::array<std::pair<RequestOutcome, const char*>, 10> kOutcomeNames{
+    {{RequestOutcome::pending, "open"},
+     {RequestOutcome::served, "served"},
+     {RequestOutcome::refused, "refused"},
+     {RequestOutcome::failed, "failed"},
+     {RequestOutcome::closed, "closed"},
+     {RequestOutcome::unreachable, "unreachable"},
+     {RequestOutcome::timedOut, "lost"},
+     {RequestOutcome::wrongBody, "wrong"},
+     {RequestOutcome::closedUndelivered, "crossed"},
+     {RequestOutcome::clientLeft, "left"}}};
 constexpr std::array<const char*, kRules> kRuleNames{
     "answered_twice", "wrong_body",  "late",         "unanswered",        "crossed_run", "past_cap",
     "to_leaving",     "to_excluded", "after_client", "peer_left_hanging", "fencing"};
 }  // namespace
 
-const char* nameOf(Fate fate) {
-  for (const auto& [one, name] : kNames)
-    if (one == fate) return name;
+const char* nameOf(RequestOutcome outcome) {
+  for (const auto& [known, name] : kOutcomeNames)
+    if (known == outcome) return name;
   return "?";
 }
 
-std::optional<Fate> fateOf(const std::string& name) {
-  for (const auto& [fate, text] : kNames)
-    if (name == text) return fate;
+std::optional<RequestOutcome> requestOutcomeOf(const std::string& name) {
+  for (const auto& [outcome, text] : kOutcomeNames)
+    if (name == text) return outcome;
   return std::nullopt;
 }
 
 const char* nameOf(Rule rule) { return kRuleNames[static_cast<std::size_t>(rule)]; }
 
-void Judge::breaks(Rule rule, std::string what) {
-  ++brokenCount_;
-  ++brokenByRule_[nameOf(rule)];
-  if (broken_.size() < kBrokenKept) broken_.push_back(std::move(what));
+void Judge::recordViolation(Rule rule, std::string text) {
+  ++violationCount_;
+  ++violationsByRule_[nameOf(rule)];
+  if (violations_.size() < kMaxReportedViolations) violations_.push_back(std::move(text));
 }
 
 void Judge::sent(std::uint64_t id, int gatekeeper, double atMs, double deadlineMs) {
-  requests_[id] = Request{id, gatekeeper, atMs, deadlineMs, 0, Fate::open, 0, false};
+  requests_[id] = Request{id, gatekeeper, atMs, deadlineMs, 0, RequestOutcome::pending, 0, false};
 }
 
 void Judge::answered(std::uint64_t id, double atMs, int status, const std::string& body) {
   const auto found = requests_.find(id);
-  if (found == requests_.end()) return breaks(Rule::answered_twice, "an answer for a request never sent");
+  if (found == requests_.end())
+    return recordViolation(Rule::answered_twice, "an answer to a request that was never sent");
   Request& r = found->second;
-  if (r.fate != Fate::open)
-    return breaks(Rule::answered_twice, "request " + std::to_string(id) + " answered twice");
+  if (r.outcome != RequestOutcome::pending)
+    return recordViolation(Rule::answered_twice, "request " + std::to_string(id) + " answered twice");
   r.endMs = atMs, r.status = status;
   if (status == 200) {
-    const auto made = bodies_.find(id);
-    const bool fromWorker = made != bodies_.end() &&
+    const auto made = workerBodies_.find(id);
+    const bool fromWorker = made != workerBodies_.end() &&
                             std::find(made->second.begin(), made->second.end(), body) != made->second.end();
-    r.fate = fromWorker ? Fate::served : Fate::wrong;
+    r.outcome = fromWorker ? RequestOutcome::served : RequestOutcome::wrongBody;
     if (!fromWorker)
-      breaks(Rule::wrong_body, "request " + std::to_string(id) +
-                                   ": a 200 with a body no worker made for it: " + body.substr(0, 80) +
-                                   (made == bodies_.end() ? " (no attempt came to a worker)" : ""));
+      recordViolation(Rule::wrong_body,
+                      "request " + std::to_string(id) +
+                          ": a 200 with a body that no worker produced for it: " + body.substr(0, 80) +
+                          (made == workerBodies_.end() ? " (no worker received an attempt)" : ""));
   } else {
-    r.fate = status == 429 || status == 503 ? Fate::refused : Fate::failed;
+    r.outcome = status == 429 || status == 503 ? RequestOutcome::refused : RequestOutcome::failed;
   }
-  const bool excused = lateExcused_ && wasDown(r.gatekeeper, r.sentMs, atMs);
-  if (atMs > r.sentMs + r.deadlineMs + kAnswerSlackMs && !excused)
-    breaks(Rule::late, "request " + std::to_string(id) + " answered " + std::to_string(atMs - r.sentMs) +
-                           " ms after it was sent");
+  const bool exempt = lateExemptWhileDown_ && wasDown(r.gatekeeper, r.sentMs, atMs);
+  if (atMs > r.sentMs + r.deadlineMs + kAnswerSlackMs && !exempt)
+    recordViolation(Rule::late, "request " + std::to_string(id) + " answered " +
+                                    std::to_string(atMs - r.sentMs) + " ms after it was sent");
 }
 
-void Judge::ended(std::uint64_t id, double atMs, Fate fate) {
+void Judge::ended(std::uint64_t id, double atMs, RequestOutcome outcome) {
   const auto found = requests_.find(id);
-  if (found == requests_.end() || found->second.fate != Fate::open) return;
+  if (found == requests_.end() || found->second.outcome != RequestOutcome::pending) return;
   Request& r = found->second;
-  r.fate = fate, r.endMs = atMs;
-  r.excused = wasDown(r.gatekeeper, r.sentMs, atMs);
-  // A close or a silence of a gatekeeper that ran all along is a request taken and lost. One never
-  // connected was never taken.
-  if ((fate == Fate::closed || fate == Fate::lost) && !r.excused)
-    breaks(Rule::unanswered, "request " + std::to_string(id) + " at gatekeeper " +
-                                 std::to_string(r.gatekeeper) + " " + nameOf(fate) + " with no answer");
+  r.outcome = outcome, r.endMs = atMs;
+  r.exempt = wasDown(r.gatekeeper, r.sentMs, atMs);
+  // A gatekeeper that ran throughout and closed the connection or did not answer has accepted and lost the
+  // request. A request whose connection was never established was not accepted.
+  if ((outcome == RequestOutcome::closed || outcome == RequestOutcome::timedOut) && !r.exempt)
+    recordViolation(Rule::unanswered, "request " + std::to_string(id) + " at gatekeeper " +
+                                          std::to_string(r.gatekeeper) + " " + nameOf(outcome) +
+                                          " without an answer");
 }
 
 void Judge::attempt(std::uint64_t id, int worker, int gatekeeper, double atMs, const std::string& body) {
-  bodies_[id].push_back(body);
+  workerBodies_[id].push_back(body);
   attemptLog_.emplace_back(worker, atMs);
-  if (++attempts_[id] > attemptsCap_)
-    breaks(Rule::past_cap, "request " + std::to_string(id) + ": attempt " + std::to_string(attempts_[id]) +
-                               " of a cap of " + std::to_string(attemptsCap_));
-  const auto told = drained_.find({gatekeeper, worker});
-  if (told != drained_.end() && atMs > told->second + kDrainSlackMs + linkDelayMs_)
-    breaks(Rule::to_leaving, "gatekeeper " + std::to_string(gatekeeper) + " sent request " +
-                                 std::to_string(id) + " to worker " + std::to_string(worker) + " " +
-                                 std::to_string(atMs - told->second) + " ms after it was told it drains");
-  const auto excluded = excluded_.find({gatekeeper, worker});
-  if (excluded != excluded_.end() && atMs > excluded->second + kLeftSlackMs + linkDelayMs_)
-    breaks(Rule::to_excluded, "gatekeeper " + std::to_string(gatekeeper) + " sent request " +
-                                  std::to_string(id) + " to worker " + std::to_string(worker) +
-                                  ", excluded by hand " + std::to_string(atMs - excluded->second) +
-                                  " ms before");
-  const auto left = leftAt_.find(id);
-  if (left != leftAt_.end() && atMs > left->second + kLeftSlackMs + linkDelayMs_)
-    breaks(Rule::after_client, "gatekeeper " + std::to_string(gatekeeper) + " sent request " +
-                                   std::to_string(id) + " " + std::to_string(atMs - left->second) +
-                                   " ms after its client had gone");
-}
-
-void Judge::crossed(std::uint64_t id, double atMs) {
+  if (++attemptCounts_[id] > attemptsCap_)
+    recordViolation(Rule::past_cap, "request " + std::to_string(id) + ": attempt " +
+                                        std::to_string(attemptCounts_[id]) + " exceeds the cap of " +
+                                        std::to_string(attemptsCap_));
+  const auto reported = drainingSinceMs_.find({gatekeeper, worker});
+  if (reported != drainingSinceMs_.end() && atMs > reported->second + kDrainSlackMs + linkDelayMs_)
+    recordViolation(Rule::to_leaving, "gatekeeper " + std::to_string(gatekeeper) + " sent request " +
+                                          std::to_string(id) + " to worker " + std::to_string(worker) + " " +
+                                          std::to_string(atMs - reported->second) +
+                                          " ms after the report that the worker drains");
+  const auto excluded = excludedSinceMs_.find({gatekeeper, worker});
+  if (excluded != excludedSinceMs_.end() && atMs > excluded->second + kAttemptSlackMs + linkDelayMs_)
+    recordViolation(Rule::to_excluded, "gatekeeper " + std::to_string(gatekeeper) + " sent request " +
+                                           std::to_string(id) + " to worker " + std::to_string(worker) +
+                                           ", excluded by an operator " +
+                                           std::to_string(atMs - excluded->second) + " ms before");
+  const auto leftAt = clientLeftAtMs_.find(id);
+  if (leftAt != clientLeftAtMs_.end() && atMs > leftAt->second + kAttemptSlackMs + linkDelayMs_)
+    recordViolation(Rule::after_client, "gatekeeper " + std::to_string(gatekeeper) + " sent request " +
+                                            std::to_string(id) + " " + std::to_string(atMs - leftAt->second) +
+                                            " ms after its client disconnected");
+}
+
+void Judge::closedUndelivered(std::uint64_t id, double atMs) {
   const auto found = requests_.find(id);
-  if (found == requests_.end() || found->second.fate != Fate::open) return;
+  if (found == requests_.end() || found->second.outcome != RequestOutcome::pending) return;
   Request& r = found->second;
-  r.fate = Fate::crossed, r.endMs = atMs;
-  r.excused = wasDown(r.gatekeeper, r.sentMs, atMs);
-  if (attempts_.contains(id) && !r.excused)
-    breaks(Rule::crossed_run, "request " + std::to_string(id) + " at gatekeeper " +
-                                  std::to_string(r.gatekeeper) +
-                                  ": a worker had it, and its connection was closed with no answer");
+  r.outcome = RequestOutcome::closedUndelivered, r.endMs = atMs;
+  r.exempt = wasDown(r.gatekeeper, r.sentMs, atMs);
+  if (attemptCounts_.contains(id) && !r.exempt)
+    recordViolation(Rule::crossed_run,
+                    "request " + std::to_string(id) + " at gatekeeper " + std::to_string(r.gatekeeper) +
+                        ": its connection was closed without an answer although a worker had received it");
 }
 
-void Judge::left(std::uint64_t id, double atMs) {
+void Judge::clientLeft(std::uint64_t id, double atMs) {
   const auto found = requests_.find(id);
-  if (found == requests_.end() || found->second.fate != Fate::open) return;
-  found->second.fate = Fate::left, found->second.endMs = atMs;
-  leftAt_[id] = atMs;
+  if (found == requests_.end() || found->second.outcome != RequestOutcome::pending) return;
+  found->second.outcome = RequestOutcome::clientLeft, found->second.endMs = atMs;
+  clientLeftAtMs_[id] = atMs;
 }
 
-void Judge::leftHanging(int gatekeeper, double sinceMs, double atMs) {
+void Judge::peerUnanswered(int gatekeeper, double sinceMs, double atMs) {
   if (wasDown(gatekeeper, sinceMs, atMs)) return;
-  breaks(Rule::peer_left_hanging, "gatekeeper " + std::to_string(gatekeeper) +
-                                      " left a peer without an error or a close for " +
-                                      std::to_string(atMs - sinceMs) + " ms");
+  recordViolation(Rule::peer_left_hanging, "gatekeeper " + std::to_string(gatekeeper) +
+                                               " sent a peer neither an error nor a close for " +
+                                               std::to_string(atMs - sinceMs) + " ms");
 }
 
 void Judge::excluded(int gatekeeper, int worker, double atMs) {
-  excluded_.try_emplace({gatekeeper, worker}, atMs);
+  excludedSinceMs_.try_emplace({gatekeeper, worker}, atMs);
 }
-void Judge::included(int gatekeeper, int worker) { excluded_.erase({gatekeeper, worker}); }
+void Judge::included(int gatekeeper, int worker) { excludedSinceMs_.erase({gatekeeper, worker}); }
 
 void Judge::drainTold(int gatekeeper, int worker, double atMs) {
-  drained_.try_emplace({gatekeeper, worker}, atMs);
+  drainingSinceMs_.try_emplace({gatekeeper, worker}, atMs);
 }
-void Judge::drainUndone(int gatekeeper, int worker) { drained_.erase({gatekeeper, worker}); }
+void Judge::drainUndone(int gatekeeper, int worker) { drainingSinceMs_.erase({gatekeeper, worker}); }
 
 bool Judge::recorded(std::uint64_t token, const std::string& holder, double atMs) {
-  if (token < token_)
-    breaks(Rule::fencing, "an act under token " + std::to_string(token) + " took effect at " +
-                              std::to_string(atMs) + " ms, after token " + std::to_string(token_));
-  if (token == token_ && holder != holder_)
-    breaks(Rule::fencing,
-           "token " + std::to_string(token) + " has two holders: " + holder_ + " and " + holder);
-  if (token <= token_) return false;
-  token_ = token, holder_ = holder;
+  if (token < highestToken_)
+    recordViolation(Rule::fencing, "a write under token " + std::to_string(token) + " took effect at " +
+                                       std::to_string(atMs) + " ms, after token " +
+                                       std::to_string(highestToken_));
+  if (token == highestToken_ && holder != highestTokenHolder_)
+    recordViolation(Rule::fencing, "token " + std::to_string(token) +
+                                       " has two holders: " + highestTokenHolder_ + " and " + holder);
+  if (token <= highestToken_) return false;
+  highestToken_ = token, highestTokenHolder_ = holder;
   return true;
 }
 
 void Judge::down(int gatekeeper, double fromMs) {
-  auto& spans = downs_[gatekeeper];
+  auto& spans = downIntervals_[gatekeeper];
   if (spans.empty() || spans.back().second < fromMs) spans.emplace_back(fromMs, 1e18);
 }
 
 void Judge::up(int gatekeeper, double atMs) {
-  auto& spans = downs_[gatekeeper];
+  auto& spans = downIntervals_[gatekeeper];
   if (!spans.empty() && spans.back().second > atMs) spans.back().second = atMs;
 }
 
 bool Judge::wasDown(int gatekeeper, double fromMs, double toMs) const {
-  const auto found = downs_.find(gatekeeper);
-  if (found == downs_.end()) return false;
+  const auto found = downIntervals_.find(gatekeeper);
+  if (found == downIntervals_.end()) return false;
   return std::any_of(found->second.begin(), found->second.end(),
                      [&](const auto& span) { return span.first <= toMs && span.second >= fromMs; });
 }
 
 void Judge::close(double atMs) {
   for (auto& [id, r] : requests_)
-    if (r.fate == Fate::open) ended(id, atMs, Fate::lost);
+    if (r.outcome == RequestOutcome::pending) ended(id, atMs, RequestOutcome::timedOut);
 }
 
-long Judge::count(Fate fate, std::optional<int> gatekeeper, double afterMs, double beforeMs) const {
+long Judge::count(RequestOutcome outcome, std::optional<int> gatekeeper, double afterMs,
+                  double beforeMs) const {
   return std::count_if(requests_.begin(), requests_.end(), [&](const auto& item) {
     const Request& r = item.second;
-    return r.fate == fate && (!gatekeeper || r.gatekeeper == *gatekeeper) && r.sentMs >= afterMs &&
+    return r.outcome == outcome && (!gatekeeper || r.gatekeeper == *gatekeeper) && r.sentMs >= afterMs &&
            r.sentMs < beforeMs;
   });
 }
 
-std::vector<double> Judge::servedTimes() const {
+std::vector<double> Judge::servedLatenciesMs() const {
   std::vector<double> out;
   for (const auto& [id, r] : requests_)
-    if (r.fate == Fate::served) out.push_back(r.endMs - r.sentMs);
+    if (r.outcome == RequestOutcome::served) out.push_back(r.endMs - r.sentMs);
   return out;
 }
 
--- a/tools/lab/judge.hpp
+++ b/tools/lab/judge.hpp
@@ -1,5 +1,6 @@
-// The lab's judge: every request's fate and the rules of the developers' page, from events. Pure: times are
-// milliseconds from the start of the load, given by the caller; nothing here reads a clock or a socket.
+// Run verification: determines the outcome of every request from the events of a run and checks the rules of
+// the developers' page. Reads no clock and no socket: times are milliseconds from the start of the load,
+// given by the caller.
 #pragma once
 
 #include <cstddef>
@@ -14,114 +15,150 @@
 
 namespace wingslip::lab {
 
-/// crossed: sent on a connection that the gatekeeper was just ending, and heard by nobody; left: its client
-/// went.
-enum class Fate { open, served, refused, failed, closed, unreachable, lost, wrong, crossed, left };
-const char* nameOf(Fate fate);
-std::optional<Fate> fateOf(const std::string& name);  // the name as in nameOf; none: no such fate
+/// How a request ended, as its client saw it.
+enum class RequestOutcome {
+  pending,            ///< no outcome yet
+  served,             ///< answered 200 with a body that a worker produced for it
+  refused,            ///< answered 429 or 503
+  failed,             ///< answered with any other status
+  closed,             ///< the connection was closed before a complete answer
+  unreachable,        ///< the client could not connect or could not write the request
+  timedOut,           ///< the client stopped waiting without an answer
+  wrongBody,          ///< answered 200 with a body that no worker produced for it
+  closedUndelivered,  ///< sent while the gatekeeper was closing the connection, and not read by it
+  clientLeft          ///< the client closed the connection before the answer
+};
+/// The name of an outcome in scenario and result files.
+const char* nameOf(RequestOutcome outcome);
+/// The inverse of nameOf; none for an unknown name.
+std::optional<RequestOutcome> requestOutcomeOf(const std::string& name);
 
+/// One request of a client. Times are milliseconds from the start of the load; the deadline counts from
+/// sentMs.
 struct Request {
   std::uint64_t id = 0;
   int gatekeeper = 0;
   double sentMs = 0, deadlineMs = 0, endMs = 0;
-  Fate fate = Fate::open;
+  RequestOutcome outcome = RequestOutcome::pending;
   int status = 0;
-  bool excused = false;  // its gatekeeper was down, stopped or ending while it was out
+  bool exempt = false;  // its gatekeeper was down, stopped or terminating while it was in flight
 };
 
-/// The rules that the judge holds, as its counts name them.
+/// The rules that are checked. Each enumerator is spelled as in the result files.
 enum class Rule : std::uint8_t {
-  answered_twice,     ///< or an answer for a request never sent
-  wrong_body,         ///< a 200 that no worker made for the request
-  late,               ///< answered after its time and the slack
-  unanswered,         ///< taken and closed, or silent
-  crossed_run,        ///< closed without an answer although a worker had it
-  past_cap,           ///< more attempts than the settings grant
-  to_leaving,         ///< an attempt at a worker that drains or is gone
-  to_excluded,        ///< an attempt at a worker that is excluded by hand
-  after_client,       ///< an attempt for a client that had gone
-  peer_left_hanging,  ///< a half request or nonsense neither answered nor closed
-  fencing,            ///< an act under an old token
+  answered_twice,     ///< a second answer to a request, or an answer to a request never sent
+  wrong_body,         ///< a 200 whose body no worker produced for the request
+  late,               ///< answered later than the deadline plus the permitted slack
+  unanswered,         ///< accepted, then closed or timed out without an answer
+  crossed_run,        ///< closed without an answer although a worker had received it
+  past_cap,           ///< more attempts than the settings permit
+  to_leaving,         ///< an attempt sent to a worker that is draining or removed
+  to_excluded,        ///< an attempt sent to a worker that an operator has excluded
+  after_client,       ///< an attempt for a client that had disconnected
+  peer_left_hanging,  ///< an incomplete or malformed request neither answered nor closed
+  fencing,            ///< a write under an outdated fencing token
 };
 constexpr std::size_t kRules = static_cast<std::size_t>(Rule::fencing) + 1;
+/// The name of a rule in the result files.
 const char* nameOf(Rule rule);
 
+/// Collects the events of one run and records the violations of the rules. Not thread-safe.
 class Judge {
  public:
-  // attemptsCap: the settings' `permissions.attemptsCap`; a worker that sees one id more often breaks a rule.
+  /// `attemptsCap`: the value of `permissions.attemptsCap` in the settings. More attempts than that for one
+  /// request are a violation.
   explicit Judge(int attemptsCap) : attemptsCap_(attemptsCap) {}
 
-  // Client side.
+  // Events seen by clients.
+  /// The complete request was sent to `gatekeeper`; `deadlineMs` counts from `atMs`.
   void sent(std::uint64_t id, int gatekeeper, double atMs, double deadlineMs);
+  /// A complete answer to the request was received.
   void answered(std::uint64_t id, double atMs, int status, const std::string& body);
-  void ended(std::uint64_t id, double atMs, Fate fate);  // closed, unreachable or lost (the client gave up)
-  /// Its connection, which had been used before, was closed with nothing said to it: it breaks a rule if a
-  /// worker has seen it, else the close crossed it.
-  void crossed(std::uint64_t id, double atMs);
-  /// Its client has closed the connection: no attempt begins later than kLeftSlackMs after.
-  void left(std::uint64_t id, double atMs);
-  /// A peer that said half a request, or nonsense, has got neither an answer nor a close since `sinceMs`.
-  void leftHanging(int gatekeeper, double sinceMs, double atMs);
+  /// The request ended without an answer: `outcome` is closed, unreachable or timedOut.
+  void ended(std::uint64_t id, double atMs, RequestOutcome outcome);
+  /// A reused connection was closed without an answer to the request. This is a violation if a worker has
+  /// received the request; otherwise the gatekeeper closed the connection before it read the request.
+  void closedUndelivered(std::uint64_t id, double atMs);
+  /// The client has closed the connection. An attempt that starts more than kAttemptSlackMs later is a
+  /// violation.
+  void clientLeft(std::uint64_t id, double atMs);
+  /// A client that sent an incomplete or malformed request at `sinceMs` has received neither an answer nor a
+  /// close.
+  void peerUnanswered(int gatekeeper, double sinceMs, double atMs);
 
-  // Worker side: an attempt has come whole to `worker` through `gatekeeper`'s link; `body` is what it will
-  // answer with a 200, if it does.
+  /// `worker` has received a complete attempt over the link of `gatekeeper`. `body` is the body of its answer
+  /// if it answers 200.
   void attempt(std::uint64_t id, int worker, int gatekeeper, double atMs, const std::string& body);
-  // The agent of `gatekeeper` has written that `worker` drains or is gone (the first time counts).
+  /// The discovery agent of `gatekeeper` has reported `worker` as draining or removed. Only the first report
+  /// counts.
   void drainTold(int gatekeeper, int worker, double atMs);
+  /// Discards the report: the agent has reported `worker` as ready, or `gatekeeper` starts a new process that
+  /// has not received the report.
   void drainUndone(int gatekeeper, int worker);
-  /// `gatekeeper` excludes the worker by hand from `atMs` on, and no longer.
+  /// An operator has excluded `worker` at `gatekeeper` from `atMs` on; included() ends the exclusion.
   void excluded(int gatekeeper, int worker, double atMs);
   void included(int gatekeeper, int worker);
-  /// How much later than it was written an attempt may come to its worker, where links are slow.
+  /// Sets by how many milliseconds slow links may delay the arrival of an attempt at its worker.
   void linksDelay(double ms) { linkDelayMs_ = ms; }
-  /// Whether an answer past its time is excused where its gatekeeper was stopped meanwhile.
-  void lateIsExcusedWhileDown(bool excused) { lateExcused_ = excused; }
-  // A process fault of a gatekeeper (kill, stop, term) from `fromMs`, until `toMs` (it serves again).
+  /// Sets whether a late answer is exempt if its gatekeeper was stopped while the request was in flight.
+  void lateIsExcusedWhileDown(bool exempt) { lateExemptWhileDown_ = exempt; }
+  /// A process fault (kill, stop, term) of `gatekeeper` starts at `fromMs`; up() marks the time at which it
+  /// serves again.
   void down(int gatekeeper, double fromMs);
   void up(int gatekeeper, double atMs);
 
-  // A duty's record was written under `token` by `holder`: tokens only rise, and each has one holder.
-  // True: the first write under this token.
+  /// `holder` has written the record of a duty under `token`. Tokens only increase, and each has one holder.
+  /// Returns true for the first write under this token.
   bool recorded(std::uint64_t token, const std::string& holder, double atMs);
 
-  // Requests still open at the end are lost. Then: the counts of fates and the broken rules.
+  /// Ends the run: pending requests become timedOut. The counts and violations below are final after this
+  /// call.
   void close(double atMs);
-  long count(Fate fate, std::optional<int> gatekeeper = {}, double afterMs = 0, double beforeMs = 1e18) const;
-  const std::vector<std::string>& broken() const { return broken_; }
-  long brokenCount() const { return brokenCount_; }
-  /// How often each rule was broken; those that held are left out.
-  const std::map<std::string, long>& brokenByRule() const { return brokenByRule_; }
+  /// The number of requests with this outcome that were sent within [afterMs, beforeMs), at one gatekeeper or
+  /// at all.
+  long count(RequestOutcome outcome, std::optional<int> gatekeeper = {}, double afterMs = 0,
+             double beforeMs = 1e18) const;
+  /// Texts of the first violations, in the order of their detection.
+  const std::vector<std::string>& broken() const { return violations_; }
+  /// The number of all violations, including those without a text.
+  long violationCount() const { return violationCount_; }
+  /// The number of violations by rule; rules without a violation are omitted.
+  const std::map<std::string, long>& violationsByRule() const { return violationsByRule_; }
+  /// All requests by id.
   const std::unordered_map<std::uint64_t, Request>& requests() const { return requests_; }
-  // Milliseconds from sending to the end, of the served ones: for quantiles.
-  std::vector<double> servedTimes() const;
-  // Attempts that came whole to a worker for which `of` holds, within [afterMs, beforeMs).
-  template <typename Of>
-  long attempts(Of of, double afterMs, double beforeMs) const {
+  /// Milliseconds from sending to the answer, for each served request, unsorted.
+  std::vector<double> servedLatenciesMs() const;
+  /// The number of complete attempts received within [afterMs, beforeMs) by workers for which `of` returns
+  /// true.
+  template <typename Predicate>
+  long attempts(Predicate countsWorker, double afterMs, double beforeMs) const {
     long n = 0;
-    for (const auto& [worker, atMs] : attemptLog_) n += of(worker) && atMs >= afterMs && atMs < beforeMs;
+    for (const auto& [worker, atMs] : attemptLog_)
+      n += countsWorker(worker) && atMs >= afterMs && atMs < beforeMs;
     return n;
   }
 
  private:
-  void breaks(Rule rule, std::string what);
+  void recordViolation(Rule rule, std::string text);
   bool wasDown(int gatekeeper, double fromMs, double toMs) const;
 
   int attemptsCap_;
   std::unordered_map<std::uint64_t, Request> requests_;
-  std::unordered_map<std::uint64_t, std::vector<std::string>> bodies_;
-  std::unordered_map<std::uint64_t, int> attempts_;
-  std::vector<std::pair<int, double>> attemptLog_;  // worker, at: at most attemptsCap a request
-  std::map<std::pair<int, int>, double> drained_;   // (gatekeeper, worker) -> told at
-  std::map<int, std::vector<std::pair<double, double>>> downs_;
-  std::uint64_t token_ = 0;  // the highest recorded, and its holder
-  std::string holder_;
-  std::vector<std::string> broken_;  // the first 100
-  long brokenCount_ = 0;
-  std::map<std::string, long> brokenByRule_;
-  std::unordered_map<std::uint64_t, double> leftAt_;
-  std::map<std::pair<int, int>, double> excluded_;  // (gatekeeper, worker) -> since
+  std::unordered_map<std::uint64_t, std::vector<std::string>> workerBodies_;
+  std::unordered_map<std::uint64_t, int> attemptCounts_;
+  std::vector<std::pair<int, double>>
+      attemptLog_;  // (worker, received at); at most attemptsCap for a request that breaks no rule
+  std::map<std::pair<int, int>, double> drainingSinceMs_;  // (gatekeeper, worker) -> reported at
+  std::map<int, std::vector<std::pair<double, double>>> downIntervals_;
+  std::uint64_t highestToken_ = 0;  // among the recorded tokens
+  std::string highestTokenHolder_;
+  std::vector<std::string> violations_;  // texts of the first 100
+  long violationCount_ = 0;
+  std::map<std::string, long> violationsByRule_;
+  std::unordered_map<std::uint64_t, double> clientLeftAtMs_;
+  std::map<std::pair<int, int>, double> excludedSinceMs_;  // (gatekeeper, worker) -> excluded at
   double linkDelayMs_ = 0;
-  bool lateExcused_ = false;
+  bool lateExemptWhileDown_ = false;
 };
 
 }  // namespace wingslip::lab
--- a/tools/lab/open_load.cpp
+++ b/tools/lab/open_load.cpp
@@ -19,12 +19,12 @@
 
 namespace {
 
-constexpr double kNever = 1e9;       // seconds, past the end of any load
-constexpr double kPatienceMs = 600;  // past its deadline a client still waits for the answer
+constexpr double kNoArrivalS = 1e9;     // a gap longer than any load
+constexpr double kAnswerGraceMs = 600;  // a client waits this long for the answer after the deadline
 
 }  // namespace
 
-// One request on a connection of its own, until its answer, its failure or the end of the client's patience.
+// One request on its own connection, until it is answered, fails or times out.
 class OpenLoad::Exchange : public std::enable_shared_from_this<Exchange> {
  public:
   Exchange(OpenLoad& load, std::uint64_t id, HttpRequest request)
@@ -32,13 +32,13 @@
 
   void start(unsigned short port) {
     timer_.expires_after(
-        std::chrono::milliseconds(static_cast<long>(load_.scenario_.deadlineMs + kPatienceMs)));
+        std::chrono::milliseconds(static_cast<long>(load_.scenario_.deadlineMs + kAnswerGraceMs)));
     timer_.async_wait([self = shared_from_this()](const Error& error) {
-      if (!error) self->end(Fate::lost);
+      if (!error) self->end(RequestOutcome::timedOut);
     });
     socket_.async_connect(tcp::endpoint(asio::ip::address_v4::loopback(), port),
                           [self = shared_from_this()](const Error& error) {
-                            if (error) return self->end(Fate::unreachable);
+                            if (error) return self->end(RequestOutcome::unreachable);
                             self->write();
                           });
   }
@@ -46,28 +46,29 @@
  private:
   void write() {
     http::async_write(socket_, request_, [self = shared_from_this()](const Error& error, std::size_t) {
-      if (error) return self->end(Fate::unreachable);
+      if (error) return self->end(RequestOutcome::unreachable);
       self->read();
     });
   }
 
   void read() {
     http::async_read(socket_, buffer_, reply_, [self = shared_from_this()](const Error& error, std::size_t) {
-      self->end(error ? Fate::closed : Fate::open);
+      self->end(error ? RequestOutcome::closed : RequestOutcome::pending);
     });
   }
 
-  // open: answered, the judge decides.
-  void end(Fate fate) {
+  // `pending` means that an answer was read; the verifier derives the outcome from it.
+  void end(RequestOutcome outcome) {
     if (std::exchange(done_, true)) return;
     --load_.inFlight_;
     timer_.cancel();
     Error ignored;
     socket_.close(ignored);
-    if (fate == Fate::open)
-      load_.judge_.answered(id_, load_.clock_.nowMs(), static_cast<int>(reply_.result_int()), reply_.body());
+    if (outcome == RequestOutcome::pending)
+      load_.verifier_.answered(id_, load_.clock_.nowMs(), static_cast<int>(reply_.result_int()),
+                               reply_.body());
     else
-      load_.judge_.ended(id_, load_.clock_.nowMs(), fate);
+      load_.verifier_.ended(id_, load_.clock_.nowMs(), outcome);
   }
 
   OpenLoad& load_;
@@ -81,12 +82,17 @@
 };
 
 OpenLoad::OpenLoad(asio::io_context& io, const Scenario& scenario, const std::vector<Gatekeeper>& gatekeepers,
-                   RunClock& clock, Judge& judge, std::uint64_t seed)
-    : io_(io), scenario_(scenario), gatekeepers_(gatekeepers), clock_(clock), judge_(judge), random_(seed) {}
+                   RunClock& clock, Judge& verifier, std::uint64_t seed)
+    : io_(io),
+      scenario_(scenario),
+      gatekeepers_(gatekeepers),
+      clock_(clock),
+      verifier_(verifier),
+      random_(seed) {}
 
 void OpenLoad::arrive() {
   std::exponential_distribution<double> gap(scenario_.rate);
-  nextS_ += scenario_.rate > 0 ? gap(random_) : kNever;
+  nextS_ += scenario_.rate > 0 ? gap(random_) : kNoArrivalS;
   if (nextS_ >= scenario_.lengthS) return;
   clock_.at(nextS_, [this] {
     send();
@@ -94,7 +100,7 @@
   });
 }
 
-std::vector<int> OpenLoad::front() const {
+std::vector<int> OpenLoad::gatekeepersInFront() const {
   std::vector<int> out;
   for (const Gatekeeper& gatekeeper : gatekeepers_)
     if (gatekeeper.inFront) out.push_back(gatekeeper.index);
@@ -102,13 +108,14 @@
 }
 
 void OpenLoad::send() {
-  const std::vector<int> able = front();
-  if (able.empty() || inFlight_ >= scenario_.mostInFlight) return void(++notSent_);
-  const int gatekeeper = able[std::uniform_int_distribution<std::size_t>(0, able.size() - 1)(random_)];
+  const std::vector<int> candidates = gatekeepersInFront();
+  if (candidates.empty() || inFlight_ >= scenario_.mostInFlight) return void(++notSent_);
+  const int gatekeeper =
+      candidates[std::uniform_int_distribution<std::size_t>(0, candidates.size() - 1)(random_)];
   const int customer = std::uniform_int_distribution<int>(1, scenario_.customers)(random_);
   const bool edit = std::uniform_real_distribution<double>()(random_) < scenario_.editShare;
   const std::uint64_t id = random_() >> 1 | 1;
-  judge_.sent(id, gatekeeper, clock_.nowMs(), scenario_.deadlineMs);
+  verifier_.sent(id, gatekeeper, clock_.nowMs(), scenario_.deadlineMs);
   ++inFlight_;
   std::make_shared<Exchange>(*this, id, requestOf(scenario_, id, customer, edit))
       ->start(gatekeepers_[gatekeeper].port);
--- a/tools/lab/open_load.hpp
+++ b/tools/lab/open_load.hpp
@@ -1,5 +1,5 @@
-// The open-loop load of a run: clients that arrive at random, whatever became of those before them, each with
-// one request to one gatekeeper of the front.
+// The open-loop load of a run: clients arrive at random times, independent of the outcome of earlier
+// requests, and each sends one request to one of the gatekeepers that receive client traffic.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -15,33 +15,35 @@
 
 namespace wingslip::lab {
 
-/// Poisson arrivals at the scenario's rate. Single-threaded, on the loop it is given. All that it is given
-/// must outlive it.
+/// Poisson arrivals at the scenario's rate. Single-threaded, on the event loop `io`. All constructor
+/// arguments passed by reference must outlive it.
 class OpenLoad {
  public:
-  /// `seed`: of the times, the gatekeepers picked, the customers and the requests' ids.
+  /// `seed` determines the arrival times, the choice of gatekeepers and customers, and the ids of requests.
   OpenLoad(boost::asio::io_context& io, const Scenario& scenario, const std::vector<Gatekeeper>& gatekeepers,
-           RunClock& clock, Judge& judge, std::uint64_t seed);
+           RunClock& clock, Judge& verifier, std::uint64_t seed);
 
-  /// Schedules the next arrival, and with it those after it until the end of the load.
+  /// Schedules the next arrival; each arrival schedules the one after it until the end of the load.
   void arrive();
 
+  /// The number of requests sent and not yet ended.
   int inFlight() const { return inFlight_; }
 
-  /// Arrivals that found no gatekeeper in the front, or too many requests in flight.
+  /// The number of arrivals not sent because no gatekeeper received client traffic or too many requests were
+  /// in flight.
   long notSent() const { return notSent_; }
 
  private:
   class Exchange;
 
   void send();
-  std::vector<int> front() const;
+  std::vector<int> gatekeepersInFront() const;
 
   boost::asio::io_context& io_;
   const Scenario& scenario_;
   const std::vector<Gatekeeper>& gatekeepers_;
   RunClock& clock_;
-  Judge& judge_;
+  Judge& verifier_;
   std::mt19937_64 random_;
   double nextS_ = 0;
   int inFlight_ = 0;
--- a/tools/lab/plot.cpp
+++ b/tools/lab/plot.cpp
@@ -18,14 +18,14 @@
 constexpr std::array<Band, 4> kBands{
     {{"served", "#4c9f70"}, {"refused", "#e0a030"}, {"failed", "#c0392b"}, {"no answer", "#555555"}}};
 
-std::size_t bandOf(Fate fate) {
-  switch (fate) {
-    case Fate::served:
+std::size_t bandOf(RequestOutcome outcome) {
+  switch (outcome) {
+    case RequestOutcome::served:
       return 0;
-    case Fate::refused:
+    case RequestOutcome::refused:
       return 1;
-    case Fate::failed:
-    case Fate::wrong:
+    case RequestOutcome::failed:
+    case RequestOutcome::wrongBody:
       return 2;
     default:
       return 3;
@@ -61,9 +61,10 @@
     out_ << "<line x1=\"" << x1 << "\" y1=\"" << y1 << "\" x2=\"" << x2 << "\" y2=\"" << y2 << "\" stroke=\""
          << stroke << "\" stroke-dasharray=\"" << dash << "\"/>\n";
   }
-  void text(double x, double y, const std::string& what, const char* anchor = "start", double turn = 0) {
+  void text(double x, double y, const std::string& what, const char* anchor = "start",
+            double rotationDeg = 0) {
     out_ << "<text x=\"" << x << "\" y=\"" << y << "\" text-anchor=\"" << anchor << "\" transform=\"rotate("
-         << turn << " " << x << " " << y << ")\">" << escaped(what) << "</text>\n";
+         << rotationDeg << " " << x << " " << y << ")\">" << escaped(what) << "</text>\n";
   }
   std::string end() { return out_.str() + "</svg>\n"; }
 
@@ -71,13 +72,14 @@
   std::ostringstream out_;
 };
 
-using Counts = std::vector<std::array<long, kBands.size()>>;  // by second
+using Counts = std::vector<std::array<long, kBands.size()>>;  // by the second of sending
 
 Counts countsOf(const std::vector<Request>& requests, double lengthS, int gatekeeper) {
   Counts out(static_cast<std::size_t>(std::max(1.0, std::ceil(lengthS))));
   for (const Request& r : requests) {
     const auto second = static_cast<std::size_t>(std::max(0.0, r.sentMs / 1000));
-    if ((gatekeeper < 0 || r.gatekeeper == gatekeeper) && second < out.size()) ++out[second][bandOf(r.fate)];
+    if ((gatekeeper < 0 || r.gatekeeper == gatekeeper) && second < out.size())
+      ++out[second][bandOf(r.outcome)];
   }
   return out;
 }
@@ -109,7 +111,7 @@
 }  // namespace
 
 std::string plotSvg(const Plot& plot, const std::vector<Request>& requests) {
-  const int panels = 1 + (plot.gatekeepers > 1 ? std::min(plot.gatekeepers, kPanels) : 0);
+  const int panels = 1 + (plot.gatekeepers > 1 ? std::min(plot.gatekeepers, kMaxGatekeeperPanels) : 0);
   const double height = kTop + panels * (kPanelHeight + kGap) + 20;
   Drawing d(kLeft + kWidth + 30, height);
   d.text(kLeft, 18, plot.title + ": requests a second by the second they were sent");
--- a/tools/lab/plot.hpp
+++ b/tools/lab/plot.hpp
@@ -1,5 +1,5 @@
-// The plot of a run: requests a second by fate, in all and at each gatekeeper, with the faults drawn on it.
-// Pure: events in, SVG text out.
+// The plot of a run: requests per second by outcome, in total and for each gatekeeper, with marks for the
+// faults. No input or output: converts events to SVG text.
 #pragma once
 
 #include <string>
@@ -9,20 +9,22 @@
 
 namespace wingslip::lab {
 
+/// A fault that is marked in the plot.
 struct PlotMark {
   double atS = 0;     // seconds from the start of the load
-  std::string label;  // what was done, to whom
+  std::string label;  // the fault and its target
 };
 
+/// The parts of a plot other than the requests.
 struct Plot {
   std::string title;
-  double lengthS = 1;
-  int gatekeepers = 1;          // panels: all of them, then one each for the first `kPanels`
+  double lengthS = 1;   // duration of the load
+  int gatekeepers = 1;  // one panel for all of them, then one for each of the first `kMaxGatekeeperPanels`
   std::vector<PlotMark> marks;  // faults, in order of time
 };
-constexpr int kPanels = 6;
+constexpr int kMaxGatekeeperPanels = 6;
 
-// An SVG document of the requests by the second in which they were sent (requests a second).
+/// Returns an SVG document with the number of requests by the second in which they were sent.
 std::string plotSvg(const Plot& plot, const std::vector<Request>& requests);
 
 }  // namespace wingslip::lab
--- a/tools/lab/probe.hpp
+++ b/tools/lab/probe.hpp
@@ -1,4 +1,4 @@
-// What a scale case reads of its own process: processor time and memory.
+// Measurements of the calling process for scale cases: processor time and memory.
 #pragma once
 
 #include <malloc.h>
@@ -12,15 +12,15 @@
 
 namespace wingslip::lab {
 
-// Seconds of processor time that this process has used, all threads.
+// Processor time of this process in seconds, over all threads.
 inline double processorSeconds() {
   timespec now{};
   ::clock_gettime(CLOCK_PROCESS_CPUTIME_ID, &now);
   return static_cast<double>(now.tv_sec) + static_cast<double>(now.tv_nsec) * 1e-9;
 }
 
-// The least processor time in seconds of `repeats` calls. The machine is shared: more than the least is other
-// processes' doing.
+// The minimum processor time in seconds over `repeats` calls. Other processes share the machine, so any
+// excess over the minimum is attributed to them.
 template <class Call>
 double leastProcessor(int repeats, Call call) {
   double least = std::numeric_limits<double>::infinity();
@@ -32,13 +32,13 @@
   return least;
 }
 
-// Bytes that the allocator has handed out and not had back; 0 under a sanitizer's allocator.
+// Bytes allocated and not yet freed; 0 under a sanitizer's allocator.
 inline double heapBytes() {
   const struct mallinfo2 info = ::mallinfo2();
   return static_cast<double>(info.uordblks) + static_cast<double>(info.hblkhd);
 }
 
-// A line of /proc/PID/status in bytes, such as VmHWM (the most that was resident); 0 where it is missing.
+// A field of /proc/PID/status in bytes, such as VmHWM (peak resident size); 0 if the field is missing.
 inline double statusBytes(const std::string& process, const std::string& name) {
   std::ifstream in("/proc/" + process + "/status");
   for (std::string word; in >> word;) {
@@ -48,7 +48,7 @@
   return 0;
 }
 
-// From now on VmHWM counts anew.
+// Resets the peak resident size (VmHWM) of this process to its present size.
 inline void resetPeak() { std::ofstream("/proc/self/clear_refs") << 5; }
 
 }  // namespace wingslip::lab
--- a/tools/lab/random_faults.cpp
+++ b/tools/lab/random_faults.cpp
@@ -16,7 +16,7 @@
 constexpr double kDelayMs = 300;
 constexpr double kThrottleBytesPerS = 2000;
 
-/// What undoes each fault.
+/// The step that repairs each fault.
 const std::map<std::string, std::string> kRepairs{
     {"kill", "restart"},   {"term", "restart"},  {"stop", "cont"},          {"cut", "heal"},
     {"blackhole", "heal"}, {"oneway", "heal"},   {"delay", "heal"},         {"drain", "revive"},
@@ -42,7 +42,7 @@
   for (const toml::node& fault : *faults) {
     const std::optional<std::string> name = fault.value<std::string>();
     if (!name || !kRepairs.contains(*name))
-      reader.fail(fault.source(), "no random fault " + name.value_or("?") +
+      reader.fail(fault.source(), "unknown random fault " + name.value_or("?") +
                                       " (one of kill, term, stop, cut, blackhole, oneway, delay, throttle, "
                                       "drain, silent, agent_down)");
     out.faults.push_back(*name);
@@ -50,11 +50,11 @@
   return out;
 }
 
-/// A gatekeeper or a worker.
+/// The gatekeeper or worker on which a fault acts.
 struct Target {
   bool isGatekeeper = false;
   int index = 0;
-  // NOLINTNEXTLINE(modernize-use-nullptr): clang-tidy 14 takes the 0 of a comparison's result for a pointer
+  // NOLINTNEXTLINE(modernize-use-nullptr): clang-tidy 14 mistakes the 0 of a comparison result for a pointer
   auto operator<=>(const Target&) const = default;
 };
 
--- a/tools/lab/random_faults.hpp
+++ b/tools/lab/random_faults.hpp
@@ -1,4 +1,4 @@
-/// Faults at random times, drawn from a seed.
+/// Generates faults at random times from a seed.
 #pragma once
 
 #include <toml++/toml.h>
@@ -10,9 +10,10 @@
 
 namespace wingslip::lab {
 
-/// Reads `[random]`, where there is one, and adds its faults, each with its repair, to the scenario's steps,
-/// which come out sorted by time. No target is in two of these faults at once.
-/// @throws BadScenario for the first fault of the table.
+/// Reads the optional table `[random]` and adds the faults that it describes to the steps of the scenario,
+/// each with the step that repairs it. Afterwards the steps are sorted by time. These faults never overlap on
+/// one target.
+/// @throws BadScenario for the first error in the table.
 void addRandomFaults(const TableReader& reader, const toml::table& file, std::uint64_t seed,
                      Scenario& scenario);
 
--- a/tools/lab/rough_clients.cpp
+++ b/tools/lab/rough_clients.cpp
@@ -22,14 +22,15 @@
 
 namespace {
 
-constexpr double kPatienceMs = 600;  // past its deadline a client still waits for the answer
-/// A peer that stops in the middle of a request is owed an error or a close within 3 s; the rest is for a
-/// busy machine.
-constexpr double kStoppedMs = 3000 + 500;
-constexpr std::size_t kPipelined = 3;
-constexpr double kSlowPieceMs = 40;
-constexpr std::size_t kSlowPieces = 8;
-constexpr double kMostRequestsKept = 12;  // on one connection, by chance
+constexpr double kAnswerGraceMs = 600;  // a client waits this long for the answer after the deadline
+/// The gatekeeper must answer a stalled request with an error or close the connection within 3 s; 500 ms are
+/// added for scheduling delays on a busy machine.
+constexpr double kErrorOrCloseWithinMs = 3000 + 500;
+constexpr std::size_t kPipelinedRequests = 3;
+constexpr double kSlowPieceIntervalMs = 40;
+constexpr std::size_t kSlowWritePieces = 8;
+/// After each exchange a client closes its connection with the reciprocal of this as probability.
+constexpr double kMeanExchangesPerConnection = 12;
 
 std::string textOf(const HttpRequest& request) {
   std::ostringstream out;
@@ -39,35 +40,37 @@
 
 }  // namespace
 
-/// One client: a connection at a time.
+/// One client, with one connection at a time.
 class RoughClients::Client : public std::enable_shared_from_this<Client> {
   template <class Handler>
   auto guard(Handler handler) {
-    return [self = shared_from_this(), round = round_, handler](const Error& error, std::size_t n = 0) {
-      if (round == self->round_) handler(error, n);
+    return [self = shared_from_this(), exchangeNumber = exchangeNumber_, handler](const Error& error,
+                                                                                  std::size_t n = 0) {
+      if (exchangeNumber == self->exchangeNumber_) handler(error, n);
     };
   }
 
  public:
-  explicit Client(RoughClients& all) : all_(all), random_(all.random_()), socket_(all.io_), timer_(all.io_) {}
+  explicit Client(RoughClients& parent)
+      : parent_(parent), random_(parent.random_()), socket_(parent.io_), timer_(parent.io_) {}
 
-  void think() {
-    wait(std::exponential_distribution<double>(1 / all_.scenario_.rough.thinkMs)(random_),
-         [this] { open() ? exchange() : connect(); });
+  void scheduleExchange() {
+    wait(std::exponential_distribution<double>(1 / parent_.scenario_.rough.thinkMs)(random_),
+         [this] { connected() ? exchange() : connect(); });
   }
 
   void stop() {
-    ++round_;
+    ++exchangeNumber_;
     timer_.cancel();
     close();
   }
 
  private:
-  enum class Act { plain, leave, pipeline, stop, slow, malformed };
+  enum class Behaviour { plain, disconnect, pipeline, stall, slow, malformed };
 
-  bool over() const { return all_.clock_.nowMs() / 1000 >= all_.scenario_.lengthS; }
-  bool open() const { return socket_.is_open(); }
-  double chance() { return std::uniform_real_distribution<>()(random_); }
+  bool loadEnded() const { return parent_.clock_.nowMs() / 1000 >= parent_.scenario_.lengthS; }
+  bool connected() const { return socket_.is_open(); }
+  double uniform() { return std::uniform_real_distribution<>()(random_); }
 
   void wait(double ms, std::function<void()> then) {
     timer_.expires_after(std::chrono::microseconds(static_cast<long>(ms * 1000)));
@@ -80,31 +83,31 @@
     Error ignored;
     socket_.close(ignored);
     buffer_.clear();
-    used_ = 0;
+    answersReceived_ = 0;
   }
 
-  /// Goes on with the next exchange, on this connection or another.
-  void next() {
-    ++round_;
-    if (chance() * kMostRequestsKept < 1) close();
-    think();
+  /// Schedules the next exchange, on this connection or a new one.
+  void finishExchange() {
+    ++exchangeNumber_;
+    if (uniform() * kMeanExchangesPerConnection < 1) close();
+    scheduleExchange();
   }
 
   void endConnection() {
-    ++round_;
+    ++exchangeNumber_;
     close();
-    think();
+    scheduleExchange();
   }
 
   void connect() {
-    if (over()) return;
-    std::vector<int> able;
-    for (const Gatekeeper& gatekeeper : all_.gatekeepers_)
-      if (gatekeeper.inFront) able.push_back(gatekeeper.index);
-    if (able.empty()) return think();
-    gatekeeper_ = able[random_() % able.size()];
+    if (loadEnded()) return;
+    std::vector<int> candidates;
+    for (const Gatekeeper& gatekeeper : parent_.gatekeepers_)
+      if (gatekeeper.inFront) candidates.push_back(gatekeeper.index);
+    if (candidates.empty()) return scheduleExchange();
+    gatekeeper_ = candidates[random_() % candidates.size()];
     socket_.async_connect(
-        tcp::endpoint(asio::ip::address_v4::loopback(), all_.gatekeepers_[gatekeeper_].port),
+        tcp::endpoint(asio::ip::address_v4::loopback(), parent_.gatekeepers_[gatekeeper_].port),
         guard([this](const Error& error, std::size_t) {
           if (error) return endConnection();
           socket_.set_option(tcp::no_delay(true));
@@ -112,83 +115,85 @@
         }));
   }
 
-  Act pick() {
-    const RoughLoad& rough = all_.scenario_.rough;
-    double at = chance();
-    for (const auto& [act, share] :
-         {std::pair{Act::leave, rough.leave}, std::pair{Act::pipeline, rough.pipeline},
-          std::pair{Act::stop, rough.stop}, std::pair{Act::slow, rough.slow},
-          std::pair{Act::malformed, rough.malformed}})
-      if ((at -= share) < 0) return act;
-    return Act::plain;
+  Behaviour chooseBehaviour() {
+    const RoughLoad& rough = parent_.scenario_.rough;
+    double drawn = uniform();
+    for (const auto& [behaviour, share] :
+         {std::pair{Behaviour::disconnect, rough.leave}, std::pair{Behaviour::pipeline, rough.pipeline},
+          std::pair{Behaviour::stall, rough.stop}, std::pair{Behaviour::slow, rough.slow},
+          std::pair{Behaviour::malformed, rough.malformed}})
+      if ((drawn -= share) < 0) return behaviour;
+    return Behaviour::plain;
   }
 
-  std::string ask() {
+  std::string newRequest() {
     const std::uint64_t id = random_() >> 1 | 1;
-    const bool edit = chance() < all_.scenario_.editShare;
-    waiting_.push_back(id);
-    return textOf(
-        requestOf(all_.scenario_, id, 1 + static_cast<int>(random_() % all_.scenario_.customers), edit));
+    const bool edit = uniform() < parent_.scenario_.editShare;
+    pending_.push_back(id);
+    return textOf(requestOf(parent_.scenario_, id,
+                            1 + static_cast<int>(random_() % parent_.scenario_.customers), edit));
   }
 
-  /// The requests that wait have been written whole now.
-  void noteSent() {
-    double turn = 0;  // one behind another: the next is read when the one before is answered
-    for (const std::uint64_t id : waiting_)
-      all_.judge_.sent(id, gatekeeper_, all_.clock_.nowMs(), all_.scenario_.deadlineMs * ++turn);
+  /// Records all pending requests as sent now.
+  void recordSent() {
+    double position = 0;  // in the pipeline: a request is read only after the one before it is answered
+    for (const std::uint64_t id : pending_)
+      parent_.verifier_.sent(id, gatekeeper_, parent_.clock_.nowMs(),
+                             parent_.scenario_.deadlineMs * ++position);
   }
 
   void exchange() {
-    if (over()) return close();
-    ++round_;
-    waiting_.clear();
+    if (loadEnded()) return close();
+    ++exchangeNumber_;
+    pending_.clear();
     out_.clear();
-    switch (pick()) {
-      case Act::plain:
-        out_ = ask();
+    switch (chooseBehaviour()) {
+      case Behaviour::plain:
+        out_ = newRequest();
         return send([this] { awaitAnswers(); });
-      case Act::pipeline:
-        for (std::size_t i = 0; i < kPipelined; ++i) out_ += ask();
+      case Behaviour::pipeline:
+        for (std::size_t i = 0; i < kPipelinedRequests; ++i) out_ += newRequest();
         return send([this] { awaitAnswers(); });
-      case Act::leave:
-        out_ = ask();
-        return chance() < 0.2 ? leaveInTheMiddle() : send([this] { leaveLater(); });
-      case Act::stop:
-        return stopInTheMiddle();
-      case Act::slow:
-        out_ = ask();
+      case Behaviour::disconnect:
+        out_ = newRequest();
+        return uniform() < 0.2 ? disconnectMidRequest() : send([this] { disconnectLater(); });
+      case Behaviour::stall:
+        return stallMidRequest();
+      case Behaviour::slow:
+        out_ = newRequest();
         return sendSlowly();
-      case Act::malformed:
-        return sendNonsense();
+      case Behaviour::malformed:
+        return sendMalformed();
     }
   }
 
   void send(const std::function<void()>& then) {
-    noteSent();
+    recordSent();
     asio::async_write(socket_, asio::buffer(out_), guard([this, then](const Error& error, std::size_t) {
-                        if (error) return broken();
+                        if (error) return connectionBroken();
                         then();
                       }));
   }
 
   void sendSlowly() {
-    const std::size_t piece = std::max<std::size_t>(1, out_.size() / kSlowPieces);
-    // Its time counts from the last byte; the judge's clock begins with the last piece.
+    const std::size_t piece = std::max<std::size_t>(1, out_.size() / kSlowWritePieces);
+    // The deadline counts from the last byte, so the request is recorded as sent with the last piece.
     if (out_.size() <= piece) return send([this] { awaitAnswers(); });
     asio::async_write(socket_, asio::buffer(out_.data(), piece),
                       guard([this, piece](const Error& error, std::size_t) {
-                        if (error) return unsent();
+                        if (error) return requestIncomplete();
                         out_.erase(0, piece);
-                        wait(kSlowPieceMs, [this] { sendSlowly(); });
+                        wait(kSlowPieceIntervalMs, [this] { sendSlowly(); });
                       }));
   }
 
-  /// Closed before the request was whole: nothing is owed for it.
-  void unsent() { endConnection(); }
+  /// The connection ended before the request was complete; no answer is required.
+  void requestIncomplete() { endConnection(); }
 
   void awaitAnswers() {
-    wait(all_.scenario_.deadlineMs * static_cast<double>(waiting_.size()) + kPatienceMs, [this] {
-      for (const std::uint64_t id : waiting_) all_.judge_.ended(id, all_.clock_.nowMs(), Fate::lost);
+    wait(parent_.scenario_.deadlineMs * static_cast<double>(pending_.size()) + kAnswerGraceMs, [this] {
+      for (const std::uint64_t id : pending_)
+        parent_.verifier_.ended(id, parent_.clock_.nowMs(), RequestOutcome::timedOut);
       endConnection();
     });
     readAnswer();
@@ -197,112 +202,119 @@
   void readAnswer() {
     reply_.emplace();
     http::async_read(socket_, buffer_, *reply_, guard([this](const Error& error, std::size_t n) {
-                       if (error) return broken(n > 0);
+                       if (error) return connectionBroken(n > 0);
                        answered();
                      }));
   }
 
   void answered() {
-    ++used_;
-    all_.judge_.answered(waiting_.front(), all_.clock_.nowMs(), static_cast<int>(reply_->get().result_int()),
-                         reply_->get().body());
-    waiting_.pop_front();
+    ++answersReceived_;
+    parent_.verifier_.answered(pending_.front(), parent_.clock_.nowMs(),
+                               static_cast<int>(reply_->get().result_int()), reply_->get().body());
+    pending_.pop_front();
     const bool last = !reply_->get().keep_alive();
-    if (last) dropRest();
-    if (waiting_.empty()) {
+    if (last) dropPipelined();
+    if (pending_.empty()) {
       timer_.cancel();
-      return last ? endConnection() : next();
+      return last ? endConnection() : finishExchange();
     }
     readAnswer();
   }
 
-  /// What was sent behind a request whose answer says that the connection ends was not heard.
-  void dropRest() {
-    for (const std::uint64_t id : waiting_) all_.judge_.crossed(id, all_.clock_.nowMs());
-    waiting_.clear();
+  /// The gatekeeper does not read requests pipelined behind one whose answer announces the close of the
+  /// connection.
+  void dropPipelined() {
+    for (const std::uint64_t id : pending_) parent_.verifier_.closedUndelivered(id, parent_.clock_.nowMs());
+    pending_.clear();
   }
 
-  /// The connection ended with no whole answer. On one that has been used the close may have crossed the
-  /// request; the judge knows whether a worker has seen it.
-  void broken(bool begun = false) {
-    const double now = all_.clock_.nowMs();
+  /// The connection ended before a complete answer. On a reused connection the gatekeeper may have closed it
+  /// before it read the request; the verifier knows whether a worker has received the request.
+  void connectionBroken(bool answerStarted = false) {
+    const double now = parent_.clock_.nowMs();
     bool first = true;
-    for (const std::uint64_t id : waiting_) {
-      const bool crossing = (used_ > 0 || !first) && !begun;
-      crossing ? all_.judge_.crossed(id, now) : all_.judge_.ended(id, now, Fate::closed);
+    for (const std::uint64_t id : pending_) {
+      const bool undelivered = (answersReceived_ > 0 || !first) && !answerStarted;
+      undelivered ? parent_.verifier_.closedUndelivered(id, now)
+                  : parent_.verifier_.ended(id, now, RequestOutcome::closed);
       first = false;
     }
     endConnection();
   }
 
-  void leaveLater() {
-    wait(chance() * all_.scenario_.serviceMs * 2, [this] { leave(); });
+  void disconnectLater() {
+    wait(uniform() * parent_.scenario_.serviceMs * 2, [this] { disconnect(); });
   }
 
-  void leave() {
-    for (const std::uint64_t id : waiting_) all_.judge_.left(id, all_.clock_.nowMs());
+  void disconnect() {
+    for (const std::uint64_t id : pending_) parent_.verifier_.clientLeft(id, parent_.clock_.nowMs());
     Error ignored;
-    if (chance() < 0.5) socket_.set_option(asio::socket_base::linger(true, 0), ignored);
+    if (uniform() < 0.5) socket_.set_option(asio::socket_base::linger(true, 0), ignored);
     endConnection();
   }
 
-  void leaveInTheMiddle() {
+  void disconnectMidRequest() {
     out_.resize(1 + random_() % (out_.size() - 1));
-    waiting_.clear();
+    pending_.clear();
     asio::async_write(socket_, asio::buffer(out_),
-                      guard([this](const Error&, std::size_t) { leaveLater(); }));
+                      guard([this](const Error&, std::size_t) { disconnectLater(); }));
   }
 
-  /// Stops and stays.
-  void stopInTheMiddle() {
-    out_ = ask();
+  /// Sends part of a request and keeps the connection open.
+  void stallMidRequest() {
+    out_ = newRequest();
     out_.resize(1 + random_() % (out_.size() - 2));
-    waiting_.clear();
-    sendAndAwaitEnd();
+    pending_.clear();
+    sendAndAwaitErrorOrClose();
   }
 
-  void sendNonsense() {
+  void sendMalformed() {
     out_ = "NONSENSE " + std::to_string(random_()) + "\r\n\r\n";
-    sendAndAwaitEnd();
+    sendAndAwaitErrorOrClose();
   }
 
-  /// What is no request: an error or a close is owed within kStoppedMs.
-  void sendAndAwaitEnd() {
-    const double since = all_.clock_.nowMs();
-    asio::async_write(socket_, asio::buffer(out_), guard([this, since](const Error& error, std::size_t) {
-                        if (error) return unsent();
-                        wait(kStoppedMs, [this, since] {
-                          all_.judge_.leftHanging(gatekeeper_, since, all_.clock_.nowMs());
+  /// Sends an incomplete or malformed request; an error or a close must follow within kErrorOrCloseWithinMs.
+  void sendAndAwaitErrorOrClose() {
+    const double sinceMs = parent_.clock_.nowMs();
+    asio::async_write(socket_, asio::buffer(out_), guard([this, sinceMs](const Error& error, std::size_t) {
+                        if (error) return requestIncomplete();
+                        wait(kErrorOrCloseWithinMs, [this, sinceMs] {
+                          parent_.verifier_.peerUnanswered(gatekeeper_, sinceMs, parent_.clock_.nowMs());
                           endConnection();
                         });
-                        awaitEnd();
+                        awaitErrorOrClose();
                       }));
   }
 
-  /// Any answer or close will do.
-  void awaitEnd() {
-    socket_.async_read_some(asio::buffer(piece_),
+  /// Accepts any answer or close.
+  void awaitErrorOrClose() {
+    socket_.async_read_some(asio::buffer(readBuffer_),
                             guard([this](const Error&, std::size_t) { endConnection(); }));
   }
 
-  RoughClients& all_;
+  RoughClients& parent_;
   std::mt19937_64 random_;
   tcp::socket socket_;
   asio::steady_timer timer_;
   beast::flat_buffer buffer_;
   std::optional<http::response_parser<http::string_body>> reply_;
-  std::array<char, 4096> piece_{};
+  std::array<char, 4096> readBuffer_{};
   std::string out_;
-  std::deque<std::uint64_t> waiting_;  // requests without an answer, in the order of sending
+  std::deque<std::uint64_t> pending_;  // ids of unanswered requests, in the order of sending
   int gatekeeper_ = 0;
-  unsigned used_ = 0;   // answers on this connection
-  unsigned round_ = 0;  // a handler of an earlier exchange finds nothing to do
+  unsigned answersReceived_ = 0;  // answers on this connection
+  unsigned exchangeNumber_ = 0;   // handlers of an earlier exchange are ignored
 };
 
 RoughClients::RoughClients(asio::io_context& io, const Scenario& scenario,
-                           const std::vector<Gatekeeper>& gatekeepers, RunClock& clock, Judge& judge,
+                           const std::vector<Gatekeeper>& gatekeepers, RunClock& clock, Judge& verifier,
                            std::uint64_t seed)
-    : io_(io), scenario_(scenario), gatekeepers_(gatekeepers), clock_(clock), judge_(judge), random_(seed) {}
+    : io_(io),
+      scenario_(scenario),
+      gatekeepers_(gatekeepers),
+      clock_(clock),
+      verifier_(verifier),
+      random_(seed) {}
 
 RoughClients::~RoughClients() {
   for (const auto& client : clients_) client->stop();
@@ -311,7 +323,7 @@
 void RoughClients::start() {
   for (int i = 0; i < scenario_.rough.clients; ++i) {
     clients_.push_back(std::make_shared<Client>(*this));
-    clients_.back()->think();
+    clients_.back()->scheduleExchange();
   }
 }
 
--- a/tools/lab/rough_clients.hpp
+++ b/tools/lab/rough_clients.hpp
@@ -1,5 +1,5 @@
-/// Clients that keep their connections and behave as real ones do at their worst: they leave at any point of
-/// a request, send several at once, stop in the middle, write slowly, or send what is no request.
+/// Misbehaving clients on persistent connections. They disconnect at any point of a request, pipeline
+/// requests, stall in the middle of a request, write slowly or send malformed requests.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -15,14 +15,16 @@
 
 namespace wingslip::lab {
 
-/// Single-threaded, on the loop it is given. All that it is given must outlive it.
+/// The misbehaving clients of one run. Single-threaded, on the event loop `io`. All constructor arguments
+/// passed by reference must outlive it; `seed` determines every random choice.
 class RoughClients {
  public:
   RoughClients(boost::asio::io_context& io, const Scenario& scenario,
-               const std::vector<Gatekeeper>& gatekeepers, RunClock& clock, Judge& judge, std::uint64_t seed);
+               const std::vector<Gatekeeper>& gatekeepers, RunClock& clock, Judge& verifier,
+               std::uint64_t seed);
   ~RoughClients();
 
-  /// Each client goes on from exchange to exchange until the end of the load.
+  /// Starts all clients. Each repeats exchanges until the end of the load.
   void start();
 
  private:
@@ -33,7 +35,7 @@
   const Scenario& scenario_;
   const std::vector<Gatekeeper>& gatekeepers_;
   RunClock& clock_;
-  Judge& judge_;
+  Judge& verifier_;
   std::mt19937_64 random_;
   std::vector<std::shared_ptr<Client>> clients_;
 };
--- a/tools/lab/run_report.cpp
+++ b/tools/lab/run_report.cpp
@@ -16,30 +16,26 @@
 
 constexpr double kServedQuantiles[] = {0.5, 0.9, 0.99};
 
-void writeEvents(const fs::path& file, const Judge& judge) {
+void writeEvents(const fs::path& file, const Judge& verifier) {
   std::ofstream events(file);
-  for (const auto& [id, r] : judge.requests())
-    events << json{{"id", id},
-                   {"gatekeeper", r.gatekeeper},
-                   {"sent_ms", r.sentMs},
-                   {"end_ms", r.endMs},
-                   {"fate", nameOf(r.fate)},
-                   {"status", r.status},
-                   {"excused", r.excused}}
+  for (const auto& [id, r] : verifier.requests())
+    events << json{{"id", id},           {"gatekeeper", r.gatekeeper}, {"sent_ms", r.sentMs},
+                   {"end_ms", r.endMs},  {"fate", nameOf(r.outcome)},  {"status", r.status},
+                   {"excused", r.exempt}}
                   .dump()
            << "\n";
 }
 
-void writePlot(const fs::path& file, const Scenario& s, const Judge& judge,
+void writePlot(const fs::path& file, const Scenario& s, const Judge& verifier,
                const std::vector<PlotMark>& marks) {
   std::vector<Request> all;
-  all.reserve(judge.requests().size());
-  for (const auto& [id, r] : judge.requests()) all.push_back(r);
+  all.reserve(verifier.requests().size());
+  for (const auto& [id, r] : verifier.requests()) all.push_back(r);
   std::ofstream(file) << plotSvg({s.name, s.lengthS, s.gatekeepers, marks}, all);
 }
 
-// What the lab itself has used so far.
-json labUse() {
+// Processor time (s) and peak memory (kB) of the lab's own process so far.
+json labResourceUse() {
   rusage self{};
   ::getrusage(RUSAGE_SELF, &self);
   return json{{"cpu_s", self.ru_utime.tv_sec + self.ru_stime.tv_sec +
@@ -47,16 +43,18 @@
               {"most_kb", self.ru_maxrss}};
 }
 
-json fateCounts(const Judge& judge) {
+json outcomeCounts(const Judge& verifier) {
   json out;
-  for (Fate f : {Fate::served, Fate::refused, Fate::failed, Fate::closed, Fate::unreachable, Fate::lost,
-                 Fate::wrong, Fate::crossed, Fate::left})
-    out[nameOf(f)] = judge.count(f);
+  for (RequestOutcome outcome :
+       {RequestOutcome::served, RequestOutcome::refused, RequestOutcome::failed, RequestOutcome::closed,
+        RequestOutcome::unreachable, RequestOutcome::timedOut, RequestOutcome::wrongBody,
+        RequestOutcome::closedUndelivered, RequestOutcome::clientLeft})
+    out[nameOf(outcome)] = verifier.count(outcome);
   return out;
 }
 
-json servedQuantiles(const Judge& judge) {
-  std::vector<double> times = judge.servedTimes();
+json servedQuantiles(const Judge& verifier) {
+  std::vector<double> times = verifier.servedLatenciesMs();
   std::sort(times.begin(), times.end());
   json out;
   for (const double q : kServedQuantiles)
@@ -65,9 +63,9 @@
   return out;
 }
 
-json stepsJson(const std::vector<StepDone>& steps) {
+json stepsJson(const std::vector<ExecutedStep>& steps) {
   json out = json::array();
-  for (const StepDone& step : steps)
+  for (const ExecutedStep& step : steps)
     out.push_back({{"at_s", step.atS}, {"do", step.what}, {"line", step.line}});
   return out;
 }
@@ -94,24 +92,24 @@
   return out;
 }
 
-json figuresJson(const std::vector<FigureMost>& figures) {
+json figuresJson(const std::vector<FigureMaximum>& figures) {
   json out = json::array();
-  for (const FigureMost& f : figures)
+  for (const FigureMaximum& f : figures)
     out.push_back({{"line", f.line}, {"name", f.name}, {"most", f.most ? json(*f.most) : json()}});
   return out;
 }
 
-json summaryOf(const Scenario& s, const Judge& judge, const RunRecord& record) {
+json summaryOf(const Scenario& s, const Judge& verifier, const RunRecord& record) {
   json out{{"scenario", s.name},
            {"seed", record.seed},
            {"gatekeepers", s.gatekeepers},
            {"workers", s.workers},
            {"faults", stepsJson(record.steps)},
            {"not_sent", record.notSent},
-           {"lab", labUse()},
+           {"lab", labResourceUse()},
            {"gatekeeper_most", {{"kb", record.mostKb}, {"descriptors", record.mostDescriptors}}},
-           {"fates", fateCounts(judge)},
-           {"served_ms", servedQuantiles(judge)},
+           {"fates", outcomeCounts(verifier)},
+           {"served_ms", servedQuantiles(verifier)},
            {"unmet", record.unmet}};
   if (record.measured > 0) {
     const double n = record.measured;
@@ -125,16 +123,16 @@
   if (record.store) out["store"] = storeJson(*record.store);
   if (!record.idleClients.empty()) out["idle_clients"] = idleClientsJson(record.idleClients);
   if (!record.figures.empty()) out["figures"] = figuresJson(record.figures);
-  std::map<std::string, long> byRule = judge.brokenByRule();
+  std::map<std::string, long> byRule = verifier.violationsByRule();
   if (!record.crashes.empty()) byRule["process"] = static_cast<long>(record.crashes.size());
   if (!record.invariants.empty()) byRule["invariant"] = static_cast<long>(record.invariants.size());
   out["broken_by_rule"] = byRule;
-  std::vector<std::string> broken = judge.broken();
+  std::vector<std::string> broken = verifier.broken();
   broken.insert(broken.end(), record.invariants.begin(), record.invariants.end());
   broken.insert(broken.end(), record.crashes.begin(), record.crashes.end());
   out["broken"] = broken;
   const long brokenCount =
-      judge.brokenCount() + static_cast<long>(record.crashes.size() + record.invariants.size());
+      verifier.violationCount() + static_cast<long>(record.crashes.size() + record.invariants.size());
   out["broken_count"] = brokenCount;
   out["verdict"] = brokenCount == 0 && record.unmet.empty() ? "passed" : "failed";
   return out;
@@ -142,10 +140,11 @@
 
 }  // namespace
 
-void writeReport(const fs::path& out, const Scenario& scenario, const Judge& judge, const RunRecord& record) {
-  writeEvents(out / "events.jsonl", judge);
-  writePlot(out / "plot.svg", scenario, judge, record.marks);
-  std::ofstream(out / "summary.json") << summaryOf(scenario, judge, record).dump(1) << "\n";
+void writeReport(const fs::path& out, const Scenario& scenario, const Judge& verifier,
+                 const RunRecord& record) {
+  writeEvents(out / "events.jsonl", verifier);
+  writePlot(out / "plot.svg", scenario, verifier, record.marks);
+  std::ofstream(out / "summary.json") << summaryOf(scenario, verifier, record).dump(1) << "\n";
 }
 
 int printReport(const fs::path& out) {
@@ -155,7 +154,7 @@
   std::cout << "scenario " << s["scenario"].get<std::string>() << ", seed " << s["seed"] << ", "
             << s["gatekeepers"] << " gatekeepers, " << s["workers"] << " workers\n";
   std::cout << "fates:";
-  for (const auto& [fate, n] : s["fates"].items()) std::cout << " " << fate << "=" << n;
+  for (const auto& [outcome, n] : s["fates"].items()) std::cout << " " << outcome << "=" << n;
   std::cout << "\nserved ms: p50=" << s["served_ms"]["p50"] << " p90=" << s["served_ms"]["p90"]
             << " p99=" << s["served_ms"]["p99"] << "\nlab: " << s["lab"]["cpu_s"] << " s of CPU, "
             << s["lab"]["most_kb"] << " kB; a gatekeeper at most " << s["gatekeeper_most"]["kb"] << " kB, "
--- a/tools/lab/run_report.hpp
+++ b/tools/lab/run_report.hpp
@@ -1,4 +1,4 @@
-// The report of a run: its files events.jsonl, plot.svg and summary.json, and the summary as it is printed.
+// The report of a run: the files events.jsonl, plot.svg and summary.json, and the printed summary.
 #pragma once
 
 #include <cstdint>
@@ -16,61 +16,62 @@
 
 namespace wingslip::lab {
 
-/// A step as it was carried out.
-struct StepDone {
-  double atS = 0;
-  std::string what;
-  int line = 0;  ///< in the scenario's file
+/// A step that was executed.
+struct ExecutedStep {
+  double atS = 0;    ///< seconds from the start of the load
+  std::string what;  ///< the step as named in scenario files
+  int line = 0;      ///< in the scenario's file
 };
 
 /// The first record of the duty under a new token.
 struct Claim {
-  double atMs = 0;
+  double atMs = 0;  ///< milliseconds from the start of the load
   int gatekeeper = 0;
   std::uint64_t token = 0;
 };
 
-/// What the coordination store had to do.
+/// The load on the coordination store during the run.
 struct StoreUse {
   long calls = 0;
   std::vector<long> callsBySecond;
   std::vector<Claim> claims;
 };
 
-/// The largest value of a figure that an expectation asks for; none: not told.
-struct FigureMost {
+/// The maximum of a figure for one expectation; none if it was not reported.
+struct FigureMaximum {
   int line = 0;  ///< of the expectation in the scenario's file
   std::string name;
   std::optional<long> most;
 };
 
-/// What a run has to report beside the judge's part.
+/// The data of a run's report other than the verifier's results.
 struct RunRecord {
   std::uint64_t seed = 1;
-  long notSent = 0;  ///< requests for which no gatekeeper was in the front, or too many were in flight
-  long mostKb = 0;   ///< peak memory of a gatekeeper
-  ProcessUse all;    ///< of all gatekeepers that ran at the end, added up
-  int measured = 0;  ///< how many these are
-  long workerConnections = 0;                        ///< made to workers by all gatekeepers
-  long listBytes = 0;                                ///< said by all discovery agents
-  long mostDescriptors = 0;                          ///< open descriptors of a gatekeeper at the end
-  std::map<std::string, std::uint64_t> failedCalls;  ///< by the fault library in all gatekeepers, by kind
-  std::vector<StepDone> steps;
+  long notSent = 0;  ///< requests not sent: no gatekeeper received client traffic, or too many were in flight
+  long mostKb = 0;   ///< largest peak memory of a gatekeeper, kB
+  ProcessUse all;    ///< sum over all gatekeepers that were running at the end
+  int measured = 0;  ///< number of gatekeepers in `all`
+  long workerConnections = 0;  ///< made to workers by all gatekeepers
+  long listBytes = 0;          ///< sent by all discovery agents
+  long mostDescriptors = 0;    ///< largest number of open descriptors of a gatekeeper at the end
+  /// Calls failed by the fault library in all gatekeepers, by kind.
+  std::map<std::string, std::uint64_t> failedCalls;
+  std::vector<ExecutedStep> steps;
   std::vector<PlotMark> marks;
   std::optional<StoreUse> store;
   std::map<int, IdleClientCounts> idleClients;  ///< by gatekeeper
-  std::vector<FigureMost> figures;
-  std::vector<std::string> crashes;     ///< broken rules that the judge does not see
-  std::vector<std::string> invariants;  ///< what gatekeepers' logs say of invariants that were broken
-  std::vector<std::string> unmet;       ///< expectations that do not hold
+  std::vector<FigureMaximum> figures;
+  std::vector<std::string> crashes;     ///< violations that the verifier cannot observe
+  std::vector<std::string> invariants;  ///< invariant violations from the logs of gatekeepers
+  std::vector<std::string> unmet;       ///< expectations that were not met
 };
 
-/// Writes the report's files into the folder `out`.
-void writeReport(const std::filesystem::path& out, const Scenario& scenario, const Judge& judge,
+/// Writes the report files into the directory `out`.
+void writeReport(const std::filesystem::path& out, const Scenario& scenario, const Judge& verifier,
                  const RunRecord& record);
 
-/// Prints the summary of a run from `out`/summary.json. Returns 0 when no rule broke and every expectation
-/// held, 1 otherwise. Throws std::runtime_error where there is no summary.
+/// Prints the summary of a run from `out`/summary.json. Returns 0 if there is no violation and every
+/// expectation is met, 1 otherwise. Throws std::runtime_error if there is no summary.
 int printReport(const std::filesystem::path& out);
 
 }  // namespace wingslip::lab
