--- a/tools/lab/faults/fault_control.hpp
+++ b/tools/lab/faults/fault_control.hpp
@@ -31,7 +31,7 @@
     "interrupted", "short", "accept", "accept_full", "socket", "connect", "broken", "memory", "aborted"};
 
 constexpr std::uint32_t kFaultControlVersion = 1;
-constexpr std::uint32_t kCertain = 1000000;  // a share of 1, in parts per million
+constexpr std::uint32_t kPartsPerMillion = 1000000;  // sharePerMillion at which every call fails
 
 /// The layout of the mapped file.
 struct FaultControl {
--- a/tools/lab/faults/fault_library.cpp
+++ b/tools/lab/faults/fault_library.cpp
@@ -56,7 +56,7 @@
   if (!faultControl) return false;
   const auto index = static_cast<std::size_t>(kind);
   const std::uint32_t share = faultControl->sharePerMillion[index].load(std::memory_order_relaxed);
-  if (share == 0 || nextRandom() % wingslip::lab::kCertain >= share) return false;
+  if (share == 0 || nextRandom() % wingslip::lab::kPartsPerMillion >= share) return false;
   faultControl->injected[index].fetch_add(1, std::memory_order_relaxed);
   return true;
 }
--- a/tools/lab/faults/system_faults.cpp
+++ b/tools/lab/faults/system_faults.cpp
@@ -42,7 +42,7 @@
 
 void FaultFile::setShare(CallFault kind, double share) {
   control_->sharePerMillion[static_cast<std::size_t>(kind)] =
-      static_cast<std::uint32_t>(std::lround(share * kCertain));
+      static_cast<std::uint32_t>(std::lround(share * kPartsPerMillion));
 }
 
 void FaultFile::stepWallClock(double byMs) { control_->wallOffsetMs += std::llround(byMs); }
--- a/tools/lab/soak/command.cpp
+++ b/tools/lab/soak/command.cpp
@@ -54,7 +54,7 @@
   long requests = 0, served = 0;
 };
 
-std::string listOf(const std::set<std::size_t>& numbers) {
+std::string commaSeparated(const std::set<std::size_t>& numbers) {
   std::string out;
   for (const std::size_t n : numbers) out += (out.empty() ? "" : ",") + std::to_string(n);
   return out;
@@ -80,7 +80,7 @@
                                 options.gatekeeperProgram,
                                 "--out",
                                 out};
-  if (!without.empty()) call.insert(call.end(), {"--without", listOf(without)});
+  if (!without.empty()) call.insert(call.end(), {"--without", commaSeparated(without)});
   return call;
 }
 
@@ -102,7 +102,7 @@
   ::_exit(127);
 }
 
-SoakResult resultOf(std::uint64_t seed, int status, const fs::path& out) {
+SoakResult readResult(std::uint64_t seed, int status, const fs::path& out) {
   SoakResult result;
   result.seed = seed;
   std::ifstream in(out / "summary.json");
@@ -122,15 +122,15 @@
 }
 
 /// Executes runs, several in parallel, and waits for each.
-class Runs {
+class RunScheduler {
  public:
-  explicit Runs(const SoakOptions& options) : options_(options) {}
+  explicit RunScheduler(const SoakOptions& options) : options_(options) {}
 
   SoakResult playOne(std::uint64_t seed, const std::set<std::size_t>& without, const fs::path& out) {
     const pid_t pid = startRun(commandFor(options_, seed, without, out.string()), out);
     int status = kSetupFailed;
     if (pid > 0) ::waitpid(pid, &status, 0);
-    return resultOf(seed, status, out);
+    return readResult(seed, status, out);
   }
 
   std::vector<SoakResult> playAll() {
@@ -140,20 +140,21 @@
     const std::uint64_t end = options_.firstSeed + static_cast<std::uint64_t>(options_.seeds);
     while (next < end || !running.empty()) {
       while (next < end && static_cast<int>(running.size()) < options_.atOnce) {
-        const pid_t pid = startRun(commandFor(options_, next, {}, folderOf(next).string()), folderOf(next));
+        const pid_t pid =
+            startRun(commandFor(options_, next, {}, directoryOf(next).string()), directoryOf(next));
         if (pid > 0) running[pid] = next++;
       }
       int status = 0;
       const pid_t pid = ::waitpid(-1, &status, 0);
       if (pid <= 0 || !running.contains(pid)) continue;
-      results.push_back(resultOf(running[pid], status, folderOf(running[pid])));
+      results.push_back(readResult(running[pid], status, directoryOf(running[pid])));
       running.erase(pid);
       print(results.back());
     }
     return results;
   }
 
-  fs::path folderOf(std::uint64_t seed) const {
+  fs::path directoryOf(std::uint64_t seed) const {
     return fs::path(options_.out) / ("seed-" + std::to_string(seed));
   }
 
@@ -224,7 +225,7 @@
 int runSoak(const SoakOptions& options) {
   if (options.playSeed > 0) return playOneSeed(options);
   checkSize(options);
-  Runs runs(options);
+  RunScheduler runs(options);
   const std::vector<SoakResult> results = runs.playAll();
   std::map<std::string, long> byRule, seedsByRule;
   std::vector<std::uint64_t> failed;
