--- a/tests/capacity_test.cpp
+++ b/tests/capacity_test.cpp
@@ -14,11 +14,11 @@
 namespace wingslip::lab {
 namespace {
 
-// What `read` throws as BadMeasurements; "" where it throws nothing.
+// What `read` throws as InvalidMeasurements; "" where it throws nothing.
 std::string complaintOf(const std::function<void()>& read) {
   try {
     read();
-  } catch (const BadMeasurements& error) {
+  } catch (const InvalidMeasurements& error) {
     return error.what();
   }
   return "";
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -48,11 +48,11 @@
   return out;
 }
 
-// What `read` throws as BadMeasurements; "" where it throws nothing.
+// What `read` throws as InvalidMeasurements; "" where it throws nothing.
 std::string complaintOf(const std::function<void()>& read) {
   try {
     read();
-  } catch (const BadMeasurements& error) {
+  } catch (const InvalidMeasurements& error) {
     return error.what();
   }
   return "";
@@ -103,10 +103,10 @@
 }
 
 TEST(Fit, TurnsDownWhatIsNoSample) {
-  EXPECT_THROW(bestFit({}), BadSamples);
-  EXPECT_THROW(bestFit({{0, 1}}), BadSamples);
-  EXPECT_THROW(bestFit({{1, -1}}), BadSamples);
-  EXPECT_THROW(bestFit({{1, std::nan("")}}), BadSamples);
+  EXPECT_THROW(bestFit({}), InvalidSamples);
+  EXPECT_THROW(bestFit({{0, 1}}), InvalidSamples);
+  EXPECT_THROW(bestFit({{1, -1}}), InvalidSamples);
+  EXPECT_THROW(bestFit({{1, std::nan("")}}), InvalidSamples);
 }
 
 TEST(Measurements, AreReadAsTheyWereWritten) {
@@ -159,7 +159,7 @@
   out.form = ScaleForm::check;
   out.caseSeconds = 60;
   out.totalSeconds = 600;
-  out.memoryBytes = mostMemoryBytes();
+  out.memoryBytes = maxMemoryBytes();
   out.processes = 4;
   out.out = folderFor("run");
   return out;
@@ -270,7 +270,7 @@
   for (const Series& series : seriesOf(shortForm(""))) {
     const std::string& name = series.first.mechanism;
     const bool isCap = name.size() > 4 && name.substr(name.size() - 4) == "_cap";
-    EXPECT_GE(series.samples.size(), isCap ? 1 : kLeastSamples) << name << ", " << series.first.figure;
+    EXPECT_GE(series.samples.size(), isCap ? 1 : kMinSamples) << name << ", " << series.first.figure;
   }
 }
 
--- a/tests/scale_test_set.hpp
+++ b/tests/scale_test_set.hpp
@@ -72,8 +72,8 @@
     addLinear(set, "watch", figure, "calls/s", "gatekeepers", 1e-5);
   for (const char* figure : {"idle_processor", "resident", "peak"})
     addLinear(set, "process", figure, "B", workers, 1e-6);
-  addOne(set, "process", "taken", kYes, workers, 5000, 1);
-  addOne(set, "process", "taken", kYes, workers, 10000, 0);
+  addOne(set, "process", "taken", kBooleanUnit, workers, 5000, 1);
+  addOne(set, "process", "taken", kBooleanUnit, workers, 10000, 0);
   return set;
 }
 
--- a/tools/lab/capacity.cpp
+++ b/tools/lab/capacity.cpp
@@ -213,7 +213,7 @@
          "largest measured "
          "one times the fit's growth from there. The residual is relative; `(poor)`: it is above 0.5. "
          "`(few)`: measured at fewer than "
-      << kLeastSamples
+      << kMinSamples
       << " sizes, so the shape is a guess. Figures named `..._cap` are where a mechanism ends, with no value "
          "at the target.\n\n";
   out << "| mechanism | figure | run | sizes | shape | value = offset + slope | residual | value at the "
@@ -224,7 +224,7 @@
     out << "| " << first.mechanism << " | " << first.figure << " | " << nameOf(first.kind) << " | "
         << series.samples.size() << ": " << plain(series.samples.front().size) << " to "
         << plain(series.samples.back().size) << " " << first.varies << " | " << nameOf(series.fit.shape)
-        << (series.samples.size() < kLeastSamples && !isCap ? " (few)" : "")
+        << (series.samples.size() < kMinSamples && !isCap ? " (few)" : "")
         << (series.fit.residual > kPoorResidual ? " (poor)" : "") << " | "
         << growthText(series.fit, first.unit) << " | " << plain(series.fit.residual) << " | ";
     const Sample& largest = series.samples.back();
@@ -281,8 +281,8 @@
   const auto begin = page.find(kCapacityBegin);
   const auto end = page.find(kCapacityEnd);
   if (begin == std::string::npos || end == std::string::npos || end < begin)
-    throw BadMeasurements(std::string("the page has no markers `") + kCapacityBegin + "` and `" +
-                          kCapacityEnd + "` in this order");
+    throw InvalidMeasurements(std::string("the page has no markers `") + kCapacityBegin + "` and `" +
+                              kCapacityEnd + "` in this order");
   const auto from = begin + std::string(kCapacityBegin).size();
   return page.substr(0, from) + "\n\n" + text + "\n" + page.substr(end);
 }
@@ -290,7 +290,7 @@
 void writeCapacity(const std::filesystem::path& folder, const std::filesystem::path& page) {
   const std::string text = capacityText(readSet(folder));
   std::ifstream in(page);
-  if (!in) throw BadMeasurements(page.string() + ": cannot be read");
+  if (!in) throw InvalidMeasurements(page.string() + ": cannot be read");
   const std::string before(std::istreambuf_iterator<char>(in), {});
   const std::string after = withCapacity(before, text);
   std::ofstream out(page, std::ios::trunc);
--- a/tools/lab/capacity_model.cpp
+++ b/tools/lab/capacity_model.cpp
@@ -39,7 +39,7 @@
     const Sample most = samplesOf(set_, mechanism, figure).back();
     return most.value < most.size ? most.value : kNoLimit;
   }
-  // The largest size at which a `kYes` figure is 1, where it is 0 at a larger one; else no limit.
+  // The largest size at which a `kBooleanUnit` figure is 1, where it is 0 at a larger one; else no limit.
   double largestYes(const std::string& mechanism, const std::string& figure) const {
     double yes = 0;
     for (const Sample& sample : samplesOf(set_, mechanism, figure)) {
--- a/tools/lab/capacity_model.hpp
+++ b/tools/lab/capacity_model.hpp
@@ -84,7 +84,7 @@
   std::function<Need(const Day&)> need;
 };
 
-// Throws BadMeasurements where a figure that a row needs was not measured.
+// Throws InvalidMeasurements where a figure that a row needs was not measured.
 std::vector<Row> allRows(const MeasurementSet& set);
 
 // A row without a mechanism, and the day on which it needs most.
--- a/tools/lab/event_queue.hpp
+++ b/tools/lab/event_queue.hpp
@@ -1,4 +1,4 @@
-/// The events of a simulation in virtual time, for the lab and the tests.
+/// Event queue of a simulation in virtual time, used by the lab and the tests.
 #pragma once
 
 #include <algorithm>
@@ -11,20 +11,23 @@
 
 namespace wingslip::lab {
 
-// Hands out actions in the order of their times, those of the same time in the order in which they were
-// added, and keeps the virtual clock.
+/// A queue of timed actions with a virtual clock. Actions run in order of their times; actions with equal
+/// times run in the order of insertion.
 class EventQueue {
  public:
   using Time = double;  // ms
   using Action = std::function<void()>;
 
+  /// The virtual time, in ms since the start of the simulation.
   Time now() const { return now_; }
 
-  // Adds an action at `time`, or at once if that has passed.
-  void at(Time time, Action action) { events_.push({std::max(time, now_), ++added_, std::move(action)}); }
+  /// Schedules an action at `time` (ms), or at the current virtual time if `time` has passed.
+  void at(Time time, Action action) {
+    events_.push({std::max(time, now_), ++insertedCount_, std::move(action)});
+  }
 
-  // Takes the next action that is due by `until` and sets the clock to its time. If there is none, sets the
-  // clock to `until`.
+  /// Removes and returns the next action due by `until` (ms) and advances the clock to its time. Returns
+  /// nothing and advances the clock to `until` if no action is due by then.
   std::optional<Action> next(Time until) {
     if (events_.empty() || events_.top().time > until) {
       now_ = until;
@@ -39,7 +42,7 @@
  private:
   struct Event {
     Time time;
-    std::uint64_t order;
+    std::uint64_t order;  // of insertion; breaks ties between equal times
     Action action;
     bool operator<(const Event& other) const {
       return time != other.time ? time > other.time : order > other.order;
@@ -47,7 +50,7 @@
   };
 
   Time now_ = 0;
-  std::uint64_t added_ = 0;
+  std::uint64_t insertedCount_ = 0;
   std::priority_queue<Event> events_;
 };
 
--- a/tools/lab/fit.cpp
+++ b/tools/lab/fit.cpp
@@ -7,10 +7,12 @@
 namespace wingslip::lab {
 namespace {
 
-// A simpler shape is taken while its residual is at most this many times the best one's and this much above.
-constexpr double kClearlyWorseTimes = 1.5;
-constexpr double kClearlyWorseBy = 0.05;
-constexpr double kLeastValue = 1e-12;  // below it a value weighs no more: it is 0 for every figure
+// A simpler shape is preferred if its residual is at most the smallest residual times the factor, or at most
+// the smallest residual plus the margin, whichever bound is larger.
+constexpr double kResidualFactor = 1.5;
+constexpr double kResidualMargin = 0.05;
+constexpr double kMinValue =
+    1e-12;  // lower bound of a value in weights and logarithms; smaller values count as 0
 
 double termOf(Shape shape, double size) {
   switch (shape) {
@@ -29,20 +31,21 @@
 }
 
 double weightOf(const Sample& sample) {
-  const double value = std::max(sample.value, kLeastValue);
+  const double value = std::max(sample.value, kMinValue);
   return 1 / (value * value);
 }
 
-void check(const std::vector<Sample>& samples) {
-  if (samples.empty()) throw BadSamples("no samples to fit");
+void validate(const std::vector<Sample>& samples) {
+  if (samples.empty()) throw InvalidSamples("no samples to fit");
   for (const Sample& sample : samples) {
-    if (!(sample.size >= 1) || !std::isfinite(sample.size)) throw BadSamples("a sample's size is below 1");
+    if (!(sample.size >= 1) || !std::isfinite(sample.size))
+      throw InvalidSamples("a sample's size is below 1 or not finite");
     if (!(sample.value >= 0) || !std::isfinite(sample.value))
-      throw BadSamples("a sample's value is negative or no number");
+      throw InvalidSamples("a sample's value is negative or not finite");
   }
 }
 
-// Sums of the normal equations of the two coefficients.
+// Weighted sums of the normal equations for offset and slope.
 struct Sums {
   double weight = 0, term = 0, termSquared = 0, value = 0, termValue = 0;
 };
@@ -91,15 +94,15 @@
 double Fit::at(double size) const { return offset + slope * termOf(shape, size); }
 
 Fit fitShape(const std::vector<Sample>& samples, Shape shape) {
-  check(samples);
+  validate(samples);
   const Sums sums = sumsOf(samples, shape);
   const double determinant = sums.weight * sums.termSquared - sums.term * sums.term;
   Fit out;
   out.shape = shape;
   out.offset = sums.value / sums.weight;
-  // One size alone, or the constant shape, decides no slope.
-  const bool slopeKnown = determinant > 1e-9 * sums.weight * sums.termSquared;
-  if (slopeKnown) {
+  // The slope is undetermined for a single size and for the constant shape.
+  const bool slopeDetermined = determinant > 1e-9 * sums.weight * sums.termSquared;
+  if (slopeDetermined) {
     out.offset = (sums.value * sums.termSquared - sums.term * sums.termValue) / determinant;
     out.slope = (sums.weight * sums.termValue - sums.term * sums.value) / determinant;
     if (out.slope < 0) {
@@ -115,30 +118,30 @@
 }
 
 double valueAt(const std::vector<Sample>& samples, const Fit& fit, double size) {
-  check(samples);
+  validate(samples);
   const Sample& largest = samples.back();
   if (size < samples.front().size) return fit.at(size);
   if (size > largest.size) {
-    const double from = fit.at(largest.size);
-    return from > 0 ? largest.value * fit.at(size) / from : largest.value;
+    const double fitAtLargest = fit.at(largest.size);
+    return fitAtLargest > 0 ? largest.value * fit.at(size) / fitAtLargest : largest.value;
   }
   const auto above =
       std::find_if(samples.begin(), samples.end(), [&](const Sample& sample) { return sample.size >= size; });
   if (above->size == size || above == samples.begin()) return above->value;
   const auto below = std::prev(above);
-  const double share = std::log(size / below->size) / std::log(above->size / below->size);
-  const double low = std::log(std::max(below->value, kLeastValue));
-  const double high = std::log(std::max(above->value, kLeastValue));
-  return std::exp(low + share * (high - low));
+  const double fraction = std::log(size / below->size) / std::log(above->size / below->size);
+  const double low = std::log(std::max(below->value, kMinValue));
+  const double high = std::log(std::max(above->value, kMinValue));
+  return std::exp(low + fraction * (high - low));
 }
 
 Fit bestFit(const std::vector<Sample>& samples) {
   std::vector<Fit> fits;
   fits.reserve(std::size(kShapes));
   for (const Shape shape : kShapes) fits.push_back(fitShape(samples, shape));
-  double least = fits.front().residual;
-  for (const Fit& fit : fits) least = std::min(least, fit.residual);
-  const double bound = std::max(least * kClearlyWorseTimes, least + kClearlyWorseBy);
+  double smallestResidual = fits.front().residual;
+  for (const Fit& fit : fits) smallestResidual = std::min(smallestResidual, fit.residual);
+  const double bound = std::max(smallestResidual * kResidualFactor, smallestResidual + kResidualMargin);
   return *std::find_if(fits.begin(), fits.end(), [&](const Fit& fit) { return fit.residual <= bound; });
 }
 
--- a/tools/lab/fit.hpp
+++ b/tools/lab/fit.hpp
@@ -1,5 +1,5 @@
-// Least-squares fits of measured figures on the shapes of growth: constant, log n (what gossip tells of a
-// change), n, n log n, n². Pure.
+/// Least-squares fits of measured figures to the shapes of growth: constant, log n (as the messages that
+/// gossip sends for a change), n, n log n, n². Pure functions.
 #pragma once
 
 #include <array>
@@ -9,42 +9,48 @@
 
 namespace wingslip::lab {
 
-enum class Shape { constant, logarithmic, linear, linearithmic, quadratic };  // the simplest first
+/// The shapes of growth, in order of increasing complexity.
+enum class Shape { constant, logarithmic, linear, linearithmic, quadratic };
 constexpr std::array<Shape, 5> kShapes{Shape::constant, Shape::logarithmic, Shape::linear,
                                        Shape::linearithmic, Shape::quadratic};
+/// Returns the name of a shape:
 const char* nameOf(Shape shape);  // "constant", "log n", "n", "n log n", "n^2"
 
-// A figure at one size. `value` is in the figure's unit and at least 0.
+/// The value of a figure at one size. `value` is in the figure's unit and at least 0; `size` is at least 1.
 struct Sample {
   double size = 0, value = 0;
 };
 
-// value = offset + slope * f(size). `residual` is the root mean square of the errors relative to the measured
-// values: 0.1 stands for ten in a hundred.
+/// A fitted curve: value = offset + slope * f(size). `residual` is the root mean square of the errors
+/// relative to the measured values: 0.1 means 10 %.
 struct Fit {
   Shape shape = Shape::constant;
   double offset = 0, slope = 0, residual = 0;
+  /// Returns the fitted value at `size`, in the unit of the figure.
   double at(double size) const;
 };
 
-struct BadSamples : std::runtime_error {
+/// Thrown when samples cannot be fitted.
+struct InvalidSamples : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-// The fit of one shape, weighted by 1/value² so that small sizes count as much as large ones; neither offset
-// nor slope is below 0. Throws BadSamples on no samples, a size below 1 or a value that is negative or not
-// finite.
+/// Fits one shape. Samples are weighted by 1/value² so that small sizes count as much as large ones; neither
+/// offset nor slope is below 0. Throws InvalidSamples if there are no samples, a size is below 1 or not
+/// finite, or a value is negative or not finite.
 Fit fitShape(const std::vector<Sample>& samples, Shape shape);
 
-// The simplest shape whose residual is not clearly worse than the best one's. With fewer than
-// `kLeastSamples` sizes it is a guess, and the caller should say so.
-constexpr std::size_t kLeastSamples = 4;
+/// The number of sizes below which the shape of a fit is unreliable.
+constexpr std::size_t kMinSamples = 4;
+/// Fits every shape and returns the simplest whose residual is not clearly worse than the smallest residual.
+/// With fewer than `kMinSamples` sizes the shape is a guess, and callers should report it as such. Throws
+/// InvalidSamples as `fitShape` does.
 Fit bestFit(const std::vector<Sample>& samples);
 
-// The value at `size`: between measured sizes along the straight line through the two neighbours on
-// logarithmic axes; beyond the largest, its value times the growth of the fit from there, so that a fit that
-// is poor at the large end does not belittle what was measured; below the smallest, the fit. `samples` by
-// rising size.
+/// Estimates the value at `size`. Between measured sizes it interpolates linearly on logarithmic axes. Beyond
+/// the largest size it scales the largest sample by the growth of the fit from there, so that a fit that is
+/// poor at large sizes does not understate the measured value. Below the smallest size it returns the fitted
+/// value. `samples` must be sorted by ascending size. Throws InvalidSamples as `fitShape` does.
 double valueAt(const std::vector<Sample>& samples, const Fit& fit, double size);
 
 }  // namespace wingslip::lab
--- a/tools/lab/growth_command.cpp
+++ b/tools/lab/growth_command.cpp
@@ -26,13 +26,13 @@
 struct GrowthOptions {
   int gatekeepers = 40, workers = 26, times = 16;
   double seconds = 40;
-  double rateEach = 6;  ///< requests a second of one gatekeeper
+  double rateEach = 6;  ///< requests per second at each gatekeeper
   std::string out = "lab-growth";
   std::string gatekeeperProgram;
 };
 
-/// One row of the table: at most `factor` times the usual figure, `plus`, and `perThousand` for each thousand
-/// workers (STANDING, "More than these days").
+/// One row of the table. The figure may be at most `factor` times the figure of the baseline run, plus
+/// `plus`, plus `perThousand` for each thousand workers (STANDING, "More than these days").
 struct Bound {
   const char* name;
   const char* key;
@@ -45,10 +45,10 @@
     {"connections made to workers", "worker_connections", 2.5, 40, 0},
     {"bytes of lists", "list_bytes", 2, 64 * 1024, 500 * 1024},
 };
-constexpr double kServedShare = 0.85;
+constexpr double kServedShare = 0.85;  // smallest share of served requests, relative to the baseline run
 
-/// The same traffic at each gatekeeper; the workers together can do the same, however many they are. One in
-/// eight drains and comes back, so that lists change.
+/// The scenario with `times` times as many workers. The traffic at each gatekeeper and the total capacity of
+/// the workers stay the same. One worker in eight drains and returns, so that the lists change.
 Scenario scenarioOf(const GrowthOptions& o, int times) {
   Scenario s;
   s.name = "growth";
@@ -71,7 +71,7 @@
   return s;
 }
 
-json playOnce(const GrowthOptions& o, int times) {
+json runScenario(const GrowthOptions& o, int times) {
   RunOptions run;
   run.gatekeeperProgram = o.gatekeeperProgram;
   run.out = (fs::path(o.out) / ("times-" + std::to_string(times))).string();
@@ -82,31 +82,32 @@
 
 double servedShare(const json& summary) {
   long all = 0;
-  for (const auto& [fate, n] : summary["fates"].items()) all += n.get<long>();
+  for (const auto& [outcome, n] : summary["fates"].items()) all += n.get<long>();
   return all > 0 ? summary["fates"]["served"].get<double>() / static_cast<double>(all) : 0;
 }
 
-int growth(const GrowthOptions& o) {
-  const json usual = playOnce(o, 1), grown = playOnce(o, o.times);
+int runGrowth(const GrowthOptions& o) {
+  const json baseline = runScenario(o, 1), enlarged = runScenario(o, o.times);
   const double thousands = static_cast<double>(o.workers) * o.times / kPerThousand;
-  bool holds = true;
+  bool allWithin = true;
   std::cout << "\n| of one gatekeeper in the mean | " << o.workers << " workers | " << o.workers * o.times
             << " workers | at most | |\n| --- | --- | --- | --- | --- |\n"
             << std::fixed;
-  const auto row = [&](const std::string& name, double before, double then, double bound, bool good) {
+  const auto row = [&](const std::string& name, double before, double after, double bound, bool within) {
     const int digits = std::abs(bound) < 10 ? 3 : 0;
-    holds = holds && good;
-    std::cout << std::setprecision(digits) << "| " << name << " | " << before << " | " << then << " | "
-              << bound << " | " << (good ? "holds" : "PAST IT") << " |\n";
+    allWithin = allWithin && within;
+    std::cout << std::setprecision(digits) << "| " << name << " | " << before << " | " << after << " | "
+              << bound << " | " << (within ? "holds" : "PAST IT") << " |\n";
   };
   for (const Bound& b : kBounds) {
-    const double before = usual["each"][b.key].get<double>(), then = grown["each"][b.key].get<double>();
-    const double most = b.factor * before + b.plus + b.perThousand * thousands;
-    row(b.name, before, then, most, then <= most);
+    const double before = baseline["each"][b.key].get<double>(),
+                 after = enlarged["each"][b.key].get<double>();
+    const double limit = b.factor * before + b.plus + b.perThousand * thousands;
+    row(b.name, before, after, limit, after <= limit);
   }
-  const double before = servedShare(usual), then = servedShare(grown);
-  row("share served (at least)", before, then, kServedShare * before, then >= kServedShare * before);
-  return holds ? 0 : 1;
+  const double before = servedShare(baseline), after = servedShare(enlarged);
+  row("share served (at least)", before, after, kServedShare * before, after >= kServedShare * before);
+  return allWithin ? 0 : 1;
 }
 
 }  // namespace
@@ -129,7 +130,7 @@
     spdlog::set_default_logger(spdlog::stderr_logger_mt("lab"));
     int code = kSetupFailed;
     try {
-      code = growth(*o);
+      code = runGrowth(*o);
     } catch (const std::exception& error) {
       std::cerr << "wingslip-lab: " << error.what() << "\n";
     }
--- a/tools/lab/growth_command.hpp
+++ b/tools/lab/growth_command.hpp
@@ -1,5 +1,5 @@
-/// `wingslip-lab growth`: what a gatekeeper needs where the fleet's list of workers grows, against the
-/// bounds.
+/// `wingslip-lab growth`: measures the resources of a gatekeeper as the fleet's list of workers grows and
+/// compares them with the bounds.
 #pragma once
 
 #include <CLI/CLI.hpp>
@@ -7,7 +7,7 @@
 
 namespace wingslip::lab {
 
-/// Adds the command. `gatekeeperProgram`: the program under test unless the command names another.
+/// Registers the subcommand. `gatekeeperProgram` is the default path of the program under test.
 void addGrowthCommand(CLI::App& app, const std::string& gatekeeperProgram);
 
 }  // namespace wingslip::lab
--- a/tools/lab/hollow_replica.hpp
+++ b/tools/lab/hollow_replica.hpp
@@ -1,5 +1,6 @@
-// Hollow members of the shared state: many `Replica` cores in one process and in virtual time, with the real
-// message codec between them and no requests. Nothing is lost or late: it shows the load of a calm fleet.
+/// Simulated members of the replicated state: many `Replica` cores in one process and in virtual time, with
+/// the real message codec between them and no client requests. No message is lost or late, so the simulation
+/// shows the load of a fleet without faults.
 #pragma once
 
 #include <cstdint>
@@ -14,42 +15,52 @@
 
 namespace wingslip::lab {
 
-class HollowReplicas {
+/// A fleet of simulated members. It owns the members and their virtual clock.
+class SimulatedReplicas {
  public:
+  /// Total traffic of all members since the start.
   struct Traffic {
-    std::uint64_t messages = 0;  // requests and answers
-    std::uint64_t bytes = 0;     // of their bodies
+    std::uint64_t messages = 0;  // requests and responses
+    std::uint64_t bytes = 0;     // encoded size of the messages
   };
 
-  // All members know each other, and hold the same `rows`, from the start.
-  HollowReplicas(std::size_t members, std::size_t rows, std::uint64_t seed);
-  ~HollowReplicas();
+  /// Starts `members` members, which all know each other and have the same `rows` rows from the start. `seed`
+  /// determines delays and the choices of the cores.
+  SimulatedReplicas(std::size_t members, std::size_t rows, std::uint64_t seed);
+  ~SimulatedReplicas();
 
+  /// Advances the virtual time.
   void run(wingslip::replication::Time milliseconds);
-  // Member 0 writes a row that nobody has.
+  /// Member 0 writes a new row.
   void writeRow();
-  // Runs until every member has the last row written; returns the time in ms, or `most` where that ends it.
-  wingslip::replication::Time runUntilEverywhere(wingslip::replication::Time most);
-  // A new process of the last member, with what the one before left on disk.
-  void restartLast();
+  /// Runs until every member has the last row written or `maxDuration` (ms) has passed; returns the virtual
+  /// time taken, in ms.
+  wingslip::replication::Time runUntilReplicated(wingslip::replication::Time maxDuration);
+  /// Restarts the last member as a new process with the stored state of its predecessor.
+  void restartLastMember();
 
+  /// The number of members.
   std::size_t size() const { return members_.size(); }
   const Traffic& traffic() const { return traffic_; }
-  std::size_t leastAlive() const;  // members that the least knowing one thinks alive, itself not counted
-  std::size_t rowsHeld() const;    // by member 0
+  /// The smallest number of other members that any member considers alive.
+  std::size_t minAliveCount() const;
+  /// The number of rows of member 0.
+  std::size_t rowCount() const;
 
  private:
   using Time = wingslip::replication::Time;
   struct Member;
-  void at(Time when, std::function<void()> what);
-  void carry(Member& from, const wingslip::replication::OutgoingRequest& request);
-  Time delay();
+  void schedule(Time time, std::function<void()> action);
+  // Encodes a request, delivers it after a delayMs and returns the response to its sender after another.
+  void deliver(Member& from, const wingslip::replication::OutgoingRequest& request);
+  Time delayMs();
 
   std::mt19937_64 random_;
   EventQueue events_;
   std::vector<std::unique_ptr<Member>> members_;
   Traffic traffic_;
-  std::size_t heard_ = 0, written_ = 0;  // heard_: members that have the last row written
+  // receivedCount_: members that have the last row written; writtenCount_: rows written so far.
+  std::size_t receivedCount_ = 0, writtenCount_ = 0;
 };
 
 }  // namespace wingslip::lab
--- a/tools/lab/measurement.cpp
+++ b/tools/lab/measurement.cpp
@@ -13,18 +13,18 @@
 using nlohmann::json;
 namespace fs = std::filesystem;
 
-std::optional<RunKind> kindOf(const std::string& name) {
-  for (const RunKind kind : {RunKind::core, RunKind::hollow, RunKind::real})
+std::optional<RunKind> kindFromName(const std::string& name) {
+  for (const RunKind kind : {RunKind::core, RunKind::simulated, RunKind::real})
     if (name == nameOf(kind)) return kind;
   return std::nullopt;
 }
 
-json lineOf(const Measurement& m) {
+json toJson(const Measurement& m) {
   return {{"mechanism", m.mechanism}, {"figure", m.figure}, {"unit", m.unit},  {"varies", m.varies},
           {"kind", nameOf(m.kind)},   {"size", m.size},     {"value", m.value}};
 }
 
-Measurement measurementOf(const json& line) {
+Measurement measurementFromJson(const json& line) {
   Measurement out;
   out.mechanism = line.at("mechanism").get<std::string>();
   out.figure = line.at("figure").get<std::string>();
@@ -32,36 +32,37 @@
   out.varies = line.at("varies").get<std::string>();
   out.size = line.at("size").get<double>();
   out.value = line.at("value").get<double>();
-  const auto kind = kindOf(line.at("kind").get<std::string>());
-  if (!kind) throw BadMeasurements("unknown kind");
+  const auto kind = kindFromName(line.at("kind").get<std::string>());
+  if (!kind) throw InvalidMeasurements("unknown kind");
   out.kind = *kind;
-  if (!(out.size >= 1)) throw BadMeasurements("size is below 1");
-  if (!(out.value >= 0)) throw BadMeasurements("value is below 0");
+  if (!(out.size >= 1)) throw InvalidMeasurements("size is below 1");
+  if (!(out.value >= 0)) throw InvalidMeasurements("value is below 0");
   return out;
 }
 
-std::ofstream opened(const fs::path& path) {
+std::ofstream openForWriting(const fs::path& path) {
   std::ofstream out(path);
   if (!out) throw std::runtime_error("cannot write " + path.string());
   return out;
 }
 
-std::ifstream openedToRead(const fs::path& path) {
+std::ifstream openForReading(const fs::path& path) {
   std::ifstream in(path);
-  if (!in) throw BadMeasurements(path.string() + ": cannot be read; `wingslip-lab scale --out` writes it");
+  if (!in)
+    throw InvalidMeasurements(path.string() + ": cannot be read; `wingslip-lab scale --out` writes it");
   return in;
 }
 
-void forEachLine(const fs::path& path, const std::function<void(const json&)>& take) {
-  std::ifstream in = openedToRead(path);
+void forEachLine(const fs::path& path, const std::function<void(const json&)>& consume) {
+  std::ifstream in = openForReading(path);
   std::string line;
-  for (int number = 1; std::getline(in, line); ++number) {
+  for (int lineNumber = 1; std::getline(in, line); ++lineNumber) {
     try {
-      take(json::parse(line));
+      consume(json::parse(line));
     } catch (const json::exception& error) {
-      throw BadMeasurements(path.string() + ":" + std::to_string(number) + ": " + error.what());
-    } catch (const BadMeasurements& error) {
-      throw BadMeasurements(path.string() + ":" + std::to_string(number) + ": " + error.what());
+      throw InvalidMeasurements(path.string() + ":" + std::to_string(lineNumber) + ": " + error.what());
+    } catch (const InvalidMeasurements& error) {
+      throw InvalidMeasurements(path.string() + ":" + std::to_string(lineNumber) + ": " + error.what());
     }
   }
 }
@@ -72,7 +73,7 @@
   switch (kind) {
     case RunKind::core:
       return "core";
-    case RunKind::hollow:
+    case RunKind::simulated:
       return "hollow";
     case RunKind::real:
       return "real";
@@ -82,24 +83,24 @@
 
 void writeSet(const fs::path& folder, const MeasurementSet& set) {
   fs::create_directories(folder);
-  std::ofstream measurements = opened(folder / kMeasurementsFile);
-  for (const Measurement& m : set.measurements) measurements << lineOf(m).dump() << "\n";
-  std::ofstream notes = opened(folder / kNotesFile);
+  std::ofstream measurements = openForWriting(folder / kMeasurementsFile);
+  for (const Measurement& m : set.measurements) measurements << toJson(m).dump() << "\n";
+  std::ofstream notes = openForWriting(folder / kNotesFile);
   for (const Note& note : set.notes)
     notes << json{{"mechanism", note.mechanism}, {"text", note.text}}.dump() << "\n";
-  opened(folder / kRunFile) << json{{"form", set.form}}.dump() << "\n";
+  openForWriting(folder / kRunFile) << json{{"form", set.form}}.dump() << "\n";
 }
 
 MeasurementSet readSet(const fs::path& folder) {
   MeasurementSet out;
   forEachLine(folder / kRunFile, [&](const json& line) { out.form = line.at("form").get<std::string>(); });
   forEachLine(folder / kMeasurementsFile,
-              [&](const json& line) { out.measurements.push_back(measurementOf(line)); });
+              [&](const json& line) { out.measurements.push_back(measurementFromJson(line)); });
   forEachLine(folder / kNotesFile, [&](const json& line) {
     out.notes.push_back({line.at("mechanism").get<std::string>(), line.at("text").get<std::string>()});
   });
   if (out.measurements.empty())
-    throw BadMeasurements((folder / kMeasurementsFile).string() + ": holds no measurement");
+    throw InvalidMeasurements((folder / kMeasurementsFile).string() + ": holds no measurement");
   return out;
 }
 
@@ -108,7 +109,7 @@
   std::vector<Sample> out;
   for (const Measurement& m : set.measurements)
     if (m.mechanism == mechanism && m.figure == figure) out.push_back({m.size, m.value});
-  if (out.empty()) throw BadMeasurements("no measurement of " + mechanism + ", " + figure);
+  if (out.empty()) throw InvalidMeasurements("no measurement of " + mechanism + ", " + figure);
   std::sort(out.begin(), out.end(), [](const Sample& a, const Sample& b) { return a.size < b.size; });
   return out;
 }
@@ -119,7 +120,7 @@
     const bool known = std::any_of(out.begin(), out.end(), [&](const Series& series) {
       return series.first.mechanism == m.mechanism && series.first.figure == m.figure;
     });
-    if (known || m.unit == kYes) continue;
+    if (known || m.unit == kBooleanUnit) continue;
     Series series;
     series.first = m;
     series.samples = samplesOf(set, m.mechanism, m.figure);
--- a/tools/lab/measurement.hpp
+++ b/tools/lab/measurement.hpp
@@ -1,5 +1,6 @@
-// What `wingslip-lab scale` measures, and its files: `measurements.jsonl` (a line a figure and size) and
-// `notes.jsonl` (a line for each series that ended early, and why).
+/// The measurements of `wingslip-lab scale` and their files: `measurements.jsonl` (one line per figure and
+/// size), `notes.jsonl` (one line per series that ended early, with the reason) and `run.json` (the form of
+/// the run).
 #pragma once
 
 #include <filesystem>
@@ -11,32 +12,38 @@
 
 namespace wingslip::lab {
 
-// How a figure was had: the core called directly or in virtual time; many real cores and codecs in one
-// process without requests; real gatekeeper processes on loopback.
-enum class RunKind { core, hollow, real };
+/// How a figure was measured: `core`, the core called directly or in virtual time; `simulated` ("hollow" in
+/// files), many real cores and codecs in one process without requests; `real`, gatekeeper processes on
+/// loopback.
+enum class RunKind { core, simulated, real };
+/// Returns the name of a kind as written to files: "core", "hollow" or "real".
 const char* nameOf(RunKind kind);
 
-// One figure of a mechanism at one size. Units are SI: seconds, bytes, messages, a second.
+/// One figure of a mechanism at one size. Units are based on seconds, bytes and messages; rates are per
+/// second.
 struct Measurement {
   std::string mechanism;  // such as "choice"
   std::string figure;     // such as "processor"
   std::string unit;       // such as "s"
-  std::string varies;     // what the size counts, such as "workers listed"
+  std::string varies;     // the items that the size counts, such as "workers listed"
   RunKind kind = RunKind::core;
   double size = 0, value = 0;
 };
 
+/// The reason why the series of a mechanism was not run or ended early.
 struct Note {
   std::string mechanism, text;
 };
 
+/// The results of one scale run.
 struct MeasurementSet {
   std::string form;  // "quick", "full" or "check"
   std::vector<Measurement> measurements;
   std::vector<Note> notes;
 };
 
-struct BadMeasurements : std::runtime_error {
+/// Thrown on measurement files that cannot be read, and where required measurements are missing.
+struct InvalidMeasurements : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
@@ -44,24 +51,27 @@
 constexpr const char* kNotesFile = "notes.jsonl";
 constexpr const char* kRunFile = "run.json";
 
-// Writes the three files into `folder`, which is made. Throws std::runtime_error where it cannot.
+/// Writes the three files into `folder`, creating it if needed. Throws std::runtime_error if a file cannot be
+/// written.
 void writeSet(const std::filesystem::path& folder, const MeasurementSet& set);
-// Throws BadMeasurements with the file and the line on a missing file, a line that is no JSON, a missing
-// field, a wrong type or a value that is negative.
+/// Reads the three files of `folder`. Throws InvalidMeasurements, with the file and line, on a missing file,
+/// a line that is not JSON, a missing field, a wrong type, an unknown kind, a size below 1 or a negative
+/// value.
 MeasurementSet readSet(const std::filesystem::path& folder);
 
-// The samples of one figure, by rising size. Throws BadMeasurements where there are none.
+/// The samples of one figure, sorted by ascending size. Throws InvalidMeasurements if there are none.
 std::vector<Sample> samplesOf(const MeasurementSet& set, const std::string& mechanism,
                               const std::string& figure);
 
-// One figure over all its sizes, with its fit.
+/// One figure at all its sizes, with its fit.
 struct Series {
-  Measurement first;  // names, unit and kind; its size and value are those of the smallest size
+  Measurement first;  // names, unit and kind; a run measures in ascending order, so this is the smallest size
   std::vector<Sample> samples;
   Fit fit;
 };
-// All figures but those of the unit `kYes` (1 yes, 0 no), which have no shape.
-constexpr const char* kYes = "yes";
+/// The unit of boolean figures: 1 is yes, 0 is no.
+constexpr const char* kBooleanUnit = "yes";
+/// All figures with their fits, except boolean ones, which have no shape of growth.
 std::vector<Series> seriesOf(const MeasurementSet& set);
 
 }  // namespace wingslip::lab
--- a/tools/lab/scale.cpp
+++ b/tools/lab/scale.cpp
@@ -263,7 +263,7 @@
   return "";
 }
 
-std::uint64_t mostMemoryBytes() {
+std::uint64_t maxMemoryBytes() {
   return static_cast<std::uint64_t>(::sysconf(_SC_PHYS_PAGES)) *
          static_cast<std::uint64_t>(::sysconf(_SC_PAGESIZE)) / 2;
 }
--- a/tools/lab/scale.hpp
+++ b/tools/lab/scale.hpp
@@ -49,8 +49,8 @@
 };
 
 // The bounds no option goes past: half of the machine's memory, and 200 processes.
-std::uint64_t mostMemoryBytes();
-constexpr unsigned kMostProcesses = 200;
+std::uint64_t maxMemoryBytes();
+constexpr unsigned kMaxProcesses = 200;
 
 // Runs the cases one after the other. A series ends with a note where the next size would not fit its time,
 // where a size is past the memory bound, and where the case throws.
--- a/tools/lab/scale_cases_election.cpp
+++ b/tools/lab/scale_cases_election.cpp
@@ -47,7 +47,7 @@
 std::vector<ScaleCase> electionCases() {
   return {{"duties",
            "candidates",
-           RunKind::hollow,
+           RunKind::simulated,
            {4, 8, 16, 32},
            {16, 32, 64, 128},
            {16, 32, 64, 128, 256, 512},
--- a/tools/lab/scale_cases_process.cpp
+++ b/tools/lab/scale_cases_process.cpp
@@ -164,7 +164,7 @@
   RealGatekeeper gatekeeper(io, ports, 0, file, limits);
   const double text = static_cast<double>(agent.listJson(true, {}).size());
   const bool taken = gatekeeper.reaches("hosts_listed", static_cast<double>(workers), kListWithin);
-  if (!taken) return {{"taken", kYes, 0}, {"text", "B", text}};
+  if (!taken) return {{"taken", kBooleanUnit, 0}, {"text", "B", text}};
   const double listProcessor = gatekeeper.processor();
   io.run_for(kIdle);
   const double idle = (gatekeeper.processor() - listProcessor) / secondsOf(kIdle);
@@ -174,7 +174,7 @@
     io.run_for(kBetweenChanges);
   }
   const double changes = gatekeeper.processor() - before - idle * secondsOf(kBetweenChanges) * kChanges;
-  return {{"taken", kYes, 1},
+  return {{"taken", kBooleanUnit, 1},
           {"text", "B", text},
           {"resident", "B", gatekeeper.resident()},
           {"peak", "B", gatekeeper.peak()},
@@ -184,9 +184,9 @@
 }
 
 // Hollow members with the real driver on sockets, on this process's loop.
-class HollowNodes {
+class SimulatedNodes {
  public:
-  HollowNodes(boost::asio::io_context& io, const Ports& ports, unsigned first, std::size_t count)
+  SimulatedNodes(boost::asio::io_context& io, const Ports& ports, unsigned first, std::size_t count)
       : pressure_(io, shares(), {}) {
     for (std::size_t i = 0; i < count; ++i) add(io, ports, first + static_cast<unsigned>(i), first);
     for (const auto& node : nodes_) node->start();
@@ -214,11 +214,11 @@
   std::vector<std::unique_ptr<wingslip::replication::ReplicaNode>> nodes_;
 };
 
-std::vector<Figure> measureProcessAmongHollow(std::size_t members, const CaseLimits& limits) {
+std::vector<Figure> measureProcessAmongSimulated(std::size_t members, const CaseLimits& limits) {
   if (limits.processes < kRealMembers + 1) throw std::runtime_error("needs more processes than it may start");
   boost::asio::io_context io;
   const Ports ports(io);
-  const HollowNodes hollow(io, ports, kRealMembers, members - kRealMembers);
+  const SimulatedNodes hollow(io, ports, kRealMembers, members - kRealMembers);
   const std::string peer = loopbackAt(ports.peers(kRealMembers));
   std::vector<std::unique_ptr<RealGatekeeper>> real;
   for (unsigned i = 0; i < kRealMembers; ++i) {
@@ -265,7 +265,7 @@
        {4},
        {8, 16},
        {16, 32, 64, 128},
-       measureProcessAmongHollow,
+       measureProcessAmongSimulated,
        kMostlyWaiting,
        kBudgetShare},
   };
--- a/tools/lab/scale_cases_replica.cpp
+++ b/tools/lab/scale_cases_replica.cpp
@@ -27,8 +27,8 @@
 };
 
 template <class Stretch>
-Cost costOf(const HollowReplicas& fleet, Stretch stretch) {
-  const HollowReplicas::Traffic before = fleet.traffic();
+Cost costOf(const SimulatedReplicas& fleet, Stretch stretch) {
+  const SimulatedReplicas::Traffic before = fleet.traffic();
   const double start = processorSeconds();
   stretch();
   const double members = static_cast<double>(fleet.size());
@@ -49,7 +49,7 @@
   return out;
 }
 
-Cost idleASecond(HollowReplicas& fleet) {
+Cost idleASecond(SimulatedReplicas& fleet) {
   Cost out = costOf(fleet, [&] { fleet.run(kIdleMs); });
   out.messages /= kIdleMs / 1000;
   out.bytes /= kIdleMs / 1000;
@@ -59,23 +59,23 @@
 
 std::vector<Figure> measureMembership(std::size_t members, const CaseLimits&) {
   const double heapBefore = heapBytes();
-  HollowReplicas fleet(members, 0, kSeed);
+  SimulatedReplicas fleet(members, 0, kSeed);
   const double held = std::max(0.0, heapBytes() - heapBefore) / static_cast<double>(members);
   fleet.run(kSettleMs);
   const Cost idle = idleASecond(fleet);
   double spreadMs = 0;
   const Cost row = costOf(fleet, [&] {
     fleet.writeRow();
-    spreadMs = fleet.runUntilEverywhere(kEverywhereMs);
+    spreadMs = fleet.runUntilReplicated(kEverywhereMs);
     fleet.run(kAftermathMs);
   });
   const Cost rowAlone = beyondIdle(row, idle, spreadMs + kAftermathMs);
   const Cost restart = costOf(fleet, [&] {
-    fleet.restartLast();
+    fleet.restartLastMember();
     fleet.run(kAftermathMs);
   });
   const Cost restartAlone = beyondIdle(restart, idle, kAftermathMs);
-  return {{"alive", "members", static_cast<double>(fleet.leastAlive() + 1)},
+  return {{"alive", "members", static_cast<double>(fleet.minAliveCount() + 1)},
           {"held", "B", held},
           {"messages", "messages/s", idle.messages},
           {"bytes", "B/s", idle.bytes},
@@ -91,25 +91,25 @@
 
 // More members than a table takes: how many the least knowing one has.
 std::vector<Figure> measureMemberCap(std::size_t members, const CaseLimits&) {
-  const HollowReplicas fleet(members, 0, kSeed);
-  return {{"alive", "members", static_cast<double>(fleet.leastAlive() + 1)}};
+  const SimulatedReplicas fleet(members, 0, kSeed);
+  return {{"alive", "members", static_cast<double>(fleet.minAliveCount() + 1)}};
 }
 
 std::vector<Figure> measureRows(std::size_t rows, const CaseLimits&) {
   const double heapBefore = heapBytes();
-  HollowReplicas fleet(kFewMembers, rows, kSeed);
+  SimulatedReplicas fleet(kFewMembers, rows, kSeed);
   const double held = std::max(0.0, heapBytes() - heapBefore) / kFewMembers;
   fleet.run(kSettleMs);
   const Cost idle = idleASecond(fleet);
-  return {{"rows", "rows", static_cast<double>(fleet.rowsHeld())},
+  return {{"rows", "rows", static_cast<double>(fleet.rowCount())},
           {"held", "B", held},
           {"bytes", "B/s", idle.bytes},
           {"processor", "s/s", idle.processor}};
 }
 
 std::vector<Figure> measureRowCap(std::size_t rows, const CaseLimits&) {
-  const HollowReplicas fleet(1, rows, kSeed);
-  return {{"rows", "rows", static_cast<double>(fleet.rowsHeld())}};
+  const SimulatedReplicas fleet(1, rows, kSeed);
+  return {{"rows", "rows", static_cast<double>(fleet.rowCount())}};
 }
 
 }  // namespace
@@ -118,7 +118,7 @@
   return {
       {"membership",
        "members",
-       RunKind::hollow,
+       RunKind::simulated,
        {16, 32, 64, 128},
        {32, 64, 128, 256},
        {64, 128, 256, 512, 1000},
@@ -127,21 +127,21 @@
        kBudgetShare},
       {"member_cap",
        "members",
-       RunKind::hollow,
+       RunKind::simulated,
        {Membership::kMaxMembers + 8},
        {Membership::kMaxMembers + 100},
        {Membership::kMaxMembers + 100},
        measureMemberCap},
       {"rows",
        "rows",
-       RunKind::hollow,
+       RunKind::simulated,
        {32, 64, 128, 256},
        {256, 512, 1024, 2048},
        {256, 512, 1024, 2048, 4096},
        measureRows},
       {"row_cap",
        "rows",
-       RunKind::hollow,
+       RunKind::simulated,
        {ReplicatedTable::kMaxRows + 10},
        {ReplicatedTable::kMaxRows + 100},
        {ReplicatedTable::kMaxRows + 100},
--- a/tools/lab/scale_command.cpp
+++ b/tools/lab/scale_command.cpp
@@ -77,7 +77,7 @@
               << std::setprecision(4) << std::setw(12) << one.fit.slope << std::setw(10) << one.fit.residual
               << std::setw(10) << one.samples.back().size << std::setw(13) << one.samples.back().value << "  "
               << one.first.unit;
-    if (one.samples.size() < kLeastSamples) std::cout << "  (" << one.samples.size() << " sizes only)";
+    if (one.samples.size() < kMinSamples) std::cout << "  (" << one.samples.size() << " sizes only)";
     std::cout << "\n";
   }
 }
@@ -89,7 +89,7 @@
   for (const std::string& name : options.only) {
     const bool known =
         std::any_of(cases.begin(), cases.end(), [&](const ScaleCase& one) { return one.mechanism == name; });
-    if (!known) throw BadMeasurements("no mechanism is called " + name);
+    if (!known) throw InvalidMeasurements("no mechanism is called " + name);
   }
   const auto start = std::chrono::steady_clock::now();
   const MeasurementSet set = runScale(cases, options);
@@ -109,7 +109,7 @@
   int code = 0;
   try {
     run();
-  } catch (const BadMeasurements& error) {
+  } catch (const InvalidMeasurements& error) {
     std::cerr << "wingslip-lab: " << error.what() << "\n";
     code = kBadInput;
   } catch (const std::exception& error) {
@@ -122,7 +122,7 @@
 void addScale(CLI::App& app, const std::string& gatekeeperProgram) {
   auto given = std::make_shared<ScaleArguments>();
   given->gatekeeperProgram = gatekeeperProgram;
-  given->memoryMb = static_cast<double>(mostMemoryBytes()) / kMegabyte;
+  given->memoryMb = static_cast<double>(maxMemoryBytes()) / kMegabyte;
   CLI::App* scale = app.add_subcommand("scale", "measure how each mechanism grows (full: under 6 minutes)");
   scale->add_flag("--quick", given->quick, "fewer and smaller sizes (under 2 minutes)");
   scale->add_flag("--check", given->check, "the smallest sizes, for the project's own tests");
@@ -134,7 +134,7 @@
   scale->add_option("--memory-mb", given->memoryMb, "most memory of one run, at most half of the machine's")
       ->check(CLI::Range(64.0, given->memoryMb));
   scale->add_option("--processes", given->processes, "most processes at once")
-      ->check(CLI::Range(1U, kMostProcesses));
+      ->check(CLI::Range(1U, kMaxProcesses));
   scale->add_option("--only", given->only, "only these mechanisms");
   scale->callback([given] { runGuarded([&] { runScaleCommand(*given); }); });
 }
--- a/tools/lab/simulated_candidates.cpp
+++ b/tools/lab/simulated_candidates.cpp
@@ -22,10 +22,10 @@
 
 namespace {
 
-// The configuration's own values.
+// The defaults of the configuration.
 constexpr double kTtlMs = 10000;
 constexpr double kLockDelayMs = 1000;
-// One way.
+// One-way delay between a candidate and the store.
 constexpr double kMinDelayMs = 0.2;
 constexpr double kMaxDelayMs = 2;
 constexpr const char* kTask = "roster";
@@ -79,7 +79,7 @@
   SimulatedCandidates& fleet;
   bool crashed = false;
   std::uint64_t lastTimer = 0;
-  std::set<std::uint64_t> unanswered;  // calls
+  std::set<std::uint64_t> unanswered;  // ids of calls without a reply yet
   std::unique_ptr<LeaderElection> election;
 };
 
@@ -112,7 +112,7 @@
   ++traffic_.calls;
   traffic_.bytes += bytesOf(call);
   from.unanswered.insert(call.id);
-  // Exactly one reply: the answer, or a failure at its time.
+  // Each call gets exactly one reply: the store's reply, or a failure at the time-out.
   at(events_.now() + call.timeoutMs, [this, &from, id = call.id] { reply(from, id, {}); });
   at(events_.now() + delayMs(), [this, &from, call] { arrive(from, call); });
 }
@@ -143,7 +143,7 @@
       break;
     case StoreOperation::acquire: {
       const std::optional<bool> acquired = store_.acquire(events_.now(), call.key, call.session, call.value);
-      if (!acquired) return;  // an error at the store: the call fails at its time
+      if (!acquired) return;  // the store reports an error: the call fails at its time-out
       reply.succeeded = *acquired;
       break;
     }
--- a/tools/lab/simulated_candidates.hpp
+++ b/tools/lab/simulated_candidates.hpp
@@ -1,5 +1,5 @@
-/// Candidates for one leader task before the stand-in coordination store, in virtual time: the real state
-/// machine, no faults. It counts the calls at the store.
+/// Candidates for one leader task in virtual time, on the stand-in coordination store: the real leader
+/// election state machine without faults. The simulation counts the calls to the store.
 #pragma once
 
 #include <cstdint>
@@ -15,21 +15,25 @@
 
 namespace wingslip::lab {
 
+/// A fleet of simulated candidates. It owns the candidates, the store and the virtual clock.
 class SimulatedCandidates {
  public:
+  /// Total traffic between all candidates and the store since the start.
   struct Traffic {
     std::uint64_t calls = 0;
-    std::uint64_t bytes = 0;  ///< of keys and values in calls and answers
+    std::uint64_t bytes = 0;  ///< of keys, values and sessions in calls and replies
   };
 
+  /// Starts `candidates` candidates. `seed` determines delays and the choices of the election.
   SimulatedCandidates(std::size_t candidates, std::uint64_t seed);
   ~SimulatedCandidates();
 
+  /// Advances the virtual time.
   void run(wingslip::leader_election::Time durationMs);
-  /// The leader's process is gone without a word. False: none leads.
+  /// Crashes the leader without a resignation. Returns false if there is no leader.
   bool crashLeader();
 
-  std::size_t leaders() const;
+  std::size_t leaders() const;     ///< candidates that currently lead
   std::size_t registered() const;  ///< registrations at the store
   std::size_t registeredBytes() const;
   const Traffic& traffic() const { return traffic_; }
