--- a/tools/lab/growth_command.cpp
+++ b/tools/lab/growth_command.cpp
@@ -115,13 +115,14 @@
 void addGrowthCommand(CLI::App& app, const std::string& gatekeeperProgram) {
   const auto o = std::make_shared<GrowthOptions>();
   o->gatekeeperProgram = gatekeeperProgram;
-  CLI::App* command =
-      app.add_subcommand("growth", "what a gatekeeper needs with more workers, against the bounds");
-  command->add_option("--gatekeepers", o->gatekeepers, "in the fleet")->check(CLI::Range(2, 300));
-  command->add_option("--workers", o->workers, "at the usual size")->check(CLI::Range(4, 200));
-  command->add_option("--times", o->times, "as many workers, then")->check(CLI::Range(2, 16));
-  command->add_option("--seconds", o->seconds, "of load, each")->check(CLI::Range(8.0, 600.0));
-  command->add_option("--rate", o->rateEach, "requests a second at each gatekeeper")
+  CLI::App* command = app.add_subcommand(
+      "growth", "measure the resources of a gatekeeper as the number of workers grows, against bounds");
+  command->add_option("--gatekeepers", o->gatekeepers, "gatekeepers in the fleet")->check(CLI::Range(2, 300));
+  command->add_option("--workers", o->workers, "workers in the baseline run")->check(CLI::Range(4, 200));
+  command->add_option("--times", o->times, "factor by which the second run has more workers")
+      ->check(CLI::Range(2, 16));
+  command->add_option("--seconds", o->seconds, "seconds of load in each run")->check(CLI::Range(8.0, 600.0));
+  command->add_option("--rate", o->rateEach, "requests per second at each gatekeeper")
       ->check(CLI::Range(0.1, 1000.0));
   command->add_option("--out", o->out, "folder for logs and reports");
   command->add_option("--gatekeeper", o->gatekeeperProgram,
--- a/tools/lab/scale.hpp
+++ b/tools/lab/scale.hpp
@@ -1,5 +1,6 @@
-// The runner of `wingslip-lab scale`: measures each mechanism at rising sizes, each size in a child process
-// of its own, so that its memory and processor time stand alone and its bounds hold.
+/// The runner of `wingslip-lab scale`: measures each mechanism at ascending sizes. Each size runs in a
+/// separate child process, so that its memory and processor time are measured alone and its limits can be
+/// enforced.
 #pragma once
 
 #include <cstdint>
@@ -12,51 +13,57 @@
 
 namespace wingslip::lab {
 
+/// One measured value, such as "processor" in "s".
 struct Figure {
   std::string name, unit;
   double value = 0;
 };
 
-// What a case may use at one size.
+/// The resources that a case may use at one size.
 struct CaseLimits {
   std::string gatekeeperProgram;  // path of the gatekeeper program
-  unsigned processes = 1;         // that it may start
-  std::filesystem::path dir;      // a folder of its own
+  unsigned processes = 1;         // largest number of processes it may start
+  std::filesystem::path dir;      // folder used by this case and size only
 };
 
-// One mechanism. `measure` runs in a child process; what it throws ends the series with a note.
+/// The measurement of one mechanism. `measure` runs in a child process; an exception from it ends the series
+/// with a note.
 struct ScaleCase {
   std::string mechanism, varies;
   RunKind kind = RunKind::core;
-  std::vector<std::size_t> checkSizes, quickSizes, fullSizes;  // rising
+  std::vector<std::size_t> checkSizes, quickSizes, fullSizes;  // ascending
   std::function<std::vector<Figure>(std::size_t size, const CaseLimits& limits)> measure;
-  double growth = 2;       // its time is taken to grow by this power of the size; 0: it is mostly waiting
-  double budgetShare = 1;  // of the time of one mechanism
+  double growth = 2;       // assumed exponent of its run time over the size; 0: it mostly waits
+  double budgetShare = 1;  // its time budget, in multiples of ScaleOptions::caseSeconds
 };
 
+/// The extent of a run: `check` for the project's tests, `quick` and `full` for measurements.
 enum class ScaleForm { check, quick, full };
 const char* nameOf(ScaleForm form);
 
+/// The options of one run.
 struct ScaleOptions {
   ScaleForm form = ScaleForm::quick;
-  double totalSeconds = 0;        // of the run, wall time
-  double caseSeconds = 0;         // of one mechanism at all its sizes, wall time
-  std::uint64_t memoryBytes = 0;  // of one child process and what it starts
-  unsigned processes = 0;
-  std::string gatekeeperProgram;  // empty: cases that need real gatekeepers are left out with a note
-  std::filesystem::path out;
+  double totalSeconds = 0;        // budget of the whole run, wall time
+  double caseSeconds = 0;         // budget of one mechanism at all its sizes, wall time
+  std::uint64_t memoryBytes = 0;  // limit of one child process and the processes it starts
+  unsigned processes = 0;         // limit of processes that one case starts
+  std::string gatekeeperProgram;  // empty: cases with real gatekeepers are skipped with a note
+  std::filesystem::path out;      // folder for logs of the cases
   std::vector<std::string> only;  // mechanisms; empty: all
 };
 
-// The bounds no option goes past: half of the machine's memory, and 200 processes.
+/// The largest memory limit that the options accept, in bytes: half of the machine's memory.
 std::uint64_t maxMemoryBytes();
+/// The largest process limit that the options accept.
 constexpr unsigned kMaxProcesses = 200;
 
-// Runs the cases one after the other. A series ends with a note where the next size would not fit its time,
-// where a size is past the memory bound, and where the case throws.
+/// Runs the cases one after the other. A series ends with a note if the next size is projected to exceed its
+/// time budget, if a size exceeds its time budget or the memory limit, or if the case throws. Throws
+/// std::runtime_error if a child process cannot be started.
 MeasurementSet runScale(const std::vector<ScaleCase>& cases, const ScaleOptions& options);
 
-// Every mechanism that needs no gatekeeper process.
+/// The cases of all mechanisms that need no gatekeeper process.
 std::vector<ScaleCase> allScaleCases();
 
 }  // namespace wingslip::lab
--- a/tools/lab/scale_cases.cpp
+++ b/tools/lab/scale_cases.cpp
@@ -7,8 +7,8 @@
 std::vector<ScaleCase> allScaleCases() {
   std::vector<ScaleCase> out;
   for (auto cases : {decisionCases, readingCases, replicaCases, electionCases, watchCases}) {
-    std::vector<ScaleCase> some = cases();
-    std::move(some.begin(), some.end(), std::back_inserter(out));
+    std::vector<ScaleCase> group = cases();
+    std::move(group.begin(), group.end(), std::back_inserter(out));
   }
   return out;
 }
--- a/tools/lab/scale_cases.hpp
+++ b/tools/lab/scale_cases.hpp
@@ -1,4 +1,4 @@
-// The cases of `wingslip-lab scale`, by what they call.
+/// The cases of `wingslip-lab scale`, grouped by the component under test.
 #pragma once
 
 #include <string>
@@ -9,25 +9,26 @@
 
 namespace wingslip::lab {
 
-std::vector<ScaleCase> decisionCases();  // the module called directly: choice, lists, settings, customers
-std::vector<ScaleCase> readingCases();   // texts: lists of workers, configuration files
-std::vector<ScaleCase> replicaCases();   // hollow members of the shared state
-std::vector<ScaleCase> electionCases();  // candidates before the stand-in coordination store
-std::vector<ScaleCase> watchCases();     // watches before one discovery
+std::vector<ScaleCase>
+decisionCases();  // decision module called directly: choice of workers, lists, settings, customers
+std::vector<ScaleCase> readingCases();   // parsing of worker lists and configuration files
+std::vector<ScaleCase> replicaCases();   // simulated members of the replicated state
+std::vector<ScaleCase> electionCases();  // candidates on the stand-in coordination store
+std::vector<ScaleCase> watchCases();     // watches on one discovery
 std::vector<ScaleCase> processCases();   // gatekeeper processes on loopback
 
-// What several cases are run on.
-constexpr unsigned kTargetGatekeepers = 8400;
+/// Sizes and inputs shared by several cases.
+constexpr unsigned kTargetGatekeepers = 8400;  // in the target fleet
 constexpr unsigned kZones = 18;
-// `count` ready workers over all zones.
+/// Returns `count` ready workers, spread over all zones.
 std::vector<decision::Endpoint> workersFor(std::size_t count);
-// Settings of a gatekeeper in a fleet of the target's size with this many classes.
+/// Returns the settings of a gatekeeper in a fleet of the target size, with `classes` request classes.
 decision::Settings settingsWith(std::size_t classes);
-// The id of a worker, of the usual length.
+/// Returns the id of a worker, of the usual length.
 std::string workerName(std::size_t index);
-// A list of workers as discovery tells it, with ids and addresses of the usual length.
+/// Returns a worker list in the format of discovery, with ids and addresses of the usual length.
 std::string listText(std::size_t workers);
-// A configuration file with this many classes and no addresses that anything listens at.
+/// Returns a configuration file with `classes` request classes, whose addresses have no listener.
 std::string configurationText(std::size_t classes);
 
 }  // namespace wingslip::lab
--- a/tools/lab/scale_cases_decision.cpp
+++ b/tools/lab/scale_cases_decision.cpp
@@ -1,4 +1,4 @@
-// Scale cases of the decision module, called directly.
+/// Scale cases of the decision module, called directly.
 #include <algorithm>
 #include <memory>
 #include <optional>
@@ -17,24 +17,24 @@
 using decision::WorkerPhase;
 
 constexpr int kRepeats = 5;
-constexpr double kLeastTimedS = 0.02;  // a call shorter than this is repeated and divided
+constexpr double kMinTimedSeconds = 0.02;  // shorter calls are repeated and the time is divided by the count
 constexpr std::uint64_t kSalt = 7;
-constexpr Time kStart = 1e6;          // ms; workers that started at 0 are warm by then
-constexpr Time kDeadline = 3000;      // ms
-constexpr Time kBetweenRequests = 6;  // ms: 167 a second
-constexpr Time kAnswerTime = 20;      // ms
-constexpr unsigned kSpread = 32;      // gatekeepers that a customer's requests come through
-constexpr double kLeastSent = 0.5;    // of the requests; fewer: it measures refusals
-constexpr int kChoices = 500;         // requests of one measurement
-constexpr std::size_t kSetsOfCustomers = 1000;
+constexpr Time kStartMs = 1e6;  // slow start of workers that started at 0 has ended by then
+constexpr Time kDeadlineMs = 3000;
+constexpr Time kRequestIntervalMs = 6;  // 167 requests per second
+constexpr Time kLatencyMs = 20;
+constexpr unsigned kGatekeepersPerCustomer = 32;  // gatekeepers that receive the requests of one customer
+constexpr double kMinSentFraction = 0.5;  // with a smaller fraction sent, the run would measure refusals
+constexpr int kRequestsPerRound = 500;    // requests in one round of measurement
+constexpr std::size_t kCustomers = 1000;
 
-// Carries nothing out; keeps the last attempt.
-class Sink : public decision::Actions {
+// Performs no action; records the last attempt.
+class ActionRecorder : public decision::Actions {
  public:
   void startAttempt(decision::RequestId id, decision::WorkerId worker, Time) override {
-    sentId = id;
-    sentWorker = worker;
-    ++sends;
+    lastSentId = id;
+    lastSentWorker = worker;
+    ++attemptCount;
   }
   void reject(decision::RequestId, Time) override {}
   void fail(decision::RequestId) override {}
@@ -42,116 +42,118 @@
   void pollEndpoints() override {}
   void log(const std::string&) override {}
 
-  decision::RequestId sentId = 0;
-  decision::WorkerId sentWorker = 0;
-  long sends = 0;
+  decision::RequestId lastSentId = 0;
+  decision::WorkerId lastSentWorker = 0;
+  long attemptCount = 0;
 };
 
-// One module with its sink and clock.
-class Module {
+// A gateway with its recorded actions and its clock.
+class GatewayHarness {
  public:
-  explicit Module(std::size_t classes = 3) : gateway(settingsWith(classes), kSalt, kStart, sink) {}
+  explicit GatewayHarness(std::size_t classes = 3)
+      : gateway(settingsWith(classes), kSalt, kStartMs, recorder) {}
 
-  // Asks for one request. False: it was sent nowhere.
-  bool ask(decision::CustomerId customer) {
-    now += kBetweenRequests;
+  // Submits one request. Returns false if no attempt was started.
+  bool submitRequest(decision::CustomerId customer) {
+    now += kRequestIntervalMs;
     decision::Request request;
-    request.id = ++last;
+    request.id = ++lastRequestId;
     request.classIndex = 0;
     request.customer = customer;
-    request.expiresAt = now + kDeadline;
-    request.customerGateways = kSpread;
+    request.expiresAt = now + kDeadlineMs;
+    request.customerGateways = kGatekeepersPerCustomer;
     gateway.onRequest(now, request);
-    return sink.sentId == last;
+    return recorder.lastSentId == lastRequestId;
   }
 
-  // The last request's answer, a good one.
-  void answer() {
+  // Delivers a successful answer to the last request.
+  void receiveAnswer() {
     decision::AttemptOutcome outcome;
-    outcome.id = last;
+    outcome.id = lastRequestId;
     outcome.result = decision::AttemptResult::ok;
-    outcome.worker = sink.sentWorker;
-    outcome.latencyMs = kAnswerTime;
+    outcome.worker = recorder.lastSentWorker;
+    outcome.latencyMs = kLatencyMs;
     outcome.requestFinished = true;
     gateway.onAttemptOutcome(now, outcome);
   }
 
-  Time now = kStart;
-  decision::RequestId last = 0;
-  Sink sink;
+  Time now = kStartMs;
+  decision::RequestId lastRequestId = 0;
+  ActionRecorder recorder;
   Gateway gateway;
 };
 
-// Processor time of some requests' choices of a worker, and of taking in their answers.
+// Processor time of choosing workers for the requests of one round and of processing their answers.
 struct ServedRound {
   int sent = 0;
-  double choice = 0, answer = 0;  // seconds a request that was sent
+  double choice = 0, answer = 0;  // seconds per request that was sent
 };
 
-ServedRound serveRound(Module& module) {
+ServedRound serveRound(GatewayHarness& harness) {
   ServedRound out;
-  for (int i = 0; i < kChoices; ++i) {
+  for (int i = 0; i < kRequestsPerRound; ++i) {
     const double start = processorSeconds();
-    const bool sent = module.ask(1 + module.last % kSetsOfCustomers);
-    const double between = processorSeconds();
+    const bool sent = harness.submitRequest(1 + harness.lastRequestId % kCustomers);
+    const double choiceEnd = processorSeconds();
     if (!sent) continue;
-    module.answer();
+    harness.receiveAnswer();
     ++out.sent;
-    out.choice += between - start;
-    out.answer += processorSeconds() - between;
+    out.choice += choiceEnd - start;
+    out.answer += processorSeconds() - choiceEnd;
   }
-  if (out.sent < kLeastSent * kChoices) throw std::runtime_error("many requests found no worker");
+  if (out.sent < kMinSentFraction * kRequestsPerRound)
+    throw std::runtime_error("many requests found no worker");
   out.choice /= out.sent;
   out.answer /= out.sent;
   return out;
 }
 
 std::vector<Figure> measureChoice(std::size_t workers, const CaseLimits&) {
-  Module module;
-  module.gateway.onEndpoints(module.now, EndpointUpdate::snapshot, workersFor(workers));
-  ServedRound least = serveRound(module);
+  GatewayHarness harness;
+  harness.gateway.onEndpoints(harness.now, EndpointUpdate::snapshot, workersFor(workers));
+  ServedRound best = serveRound(harness);
   for (int i = 1; i < kRepeats; ++i) {
-    const ServedRound round = serveRound(module);
-    least.choice = std::min(least.choice, round.choice);
-    least.answer = std::min(least.answer, round.answer);
+    const ServedRound round = serveRound(harness);
+    best.choice = std::min(best.choice, round.choice);
+    best.answer = std::min(best.answer, round.answer);
   }
-  return {{"processor", "s", least.choice}, {"answer_processor", "s", least.answer}};
+  return {{"processor", "s", best.choice}, {"answer_processor", "s", best.answer}};
 }
 
 std::vector<Figure> measureOneChange(std::size_t workers, const CaseLimits&) {
-  Module module;
+  GatewayHarness harness;
   std::vector<Endpoint> list = workersFor(workers);
-  module.gateway.onEndpoints(module.now, EndpointUpdate::snapshot, list);
-  std::size_t at = 0;
+  harness.gateway.onEndpoints(harness.now, EndpointUpdate::snapshot, list);
+  std::size_t nextIndex = 0;
   const auto change = [&] {
-    Endpoint& member = list[at++ % list.size()];
+    Endpoint& member = list[nextIndex++ % list.size()];
     member.phase = member.phase == WorkerPhase::ready ? WorkerPhase::draining : WorkerPhase::ready;
-    module.now += 1;
-    module.gateway.onEndpoints(module.now, EndpointUpdate::delta, {member});
+    harness.now += 1;
+    harness.gateway.onEndpoints(harness.now, EndpointUpdate::delta, {member});
   };
-  const double once = std::max(leastProcessor(1, change), 1e-9);
-  const int each = static_cast<int>(std::clamp(kLeastTimedS / once, 1.0, 1000.0));
+  const double singleCallSeconds = std::max(leastProcessor(1, change), 1e-9);
+  const int repeats = static_cast<int>(std::clamp(kMinTimedSeconds / singleCallSeconds, 1.0, 1000.0));
   const double seconds = leastProcessor(kRepeats, [&] {
-    for (int i = 0; i < each; ++i) change();
+    for (int i = 0; i < repeats; ++i) change();
   });
-  return {{"processor", "s", seconds / each}};
+  return {{"processor", "s", seconds / repeats}};
 }
 
-// A zone's part of the list leaves in one message, and comes back in another.
+// Removes the workers of one zone in one message and adds them again in another.
 std::vector<Figure> measureZoneChange(std::size_t workers, const CaseLimits&) {
-  Module module;
-  module.gateway.onEndpoints(module.now, EndpointUpdate::snapshot, workersFor(workers));
+  GatewayHarness harness;
+  harness.gateway.onEndpoints(harness.now, EndpointUpdate::snapshot, workersFor(workers));
   std::vector<Endpoint> zone;
   for (const Endpoint& member : workersFor(workers))
     if (member.zone == 0) zone.push_back(member);
-  const auto tell = [&](WorkerPhase phase) {
+  const auto setPhase = [&](WorkerPhase phase) {
     for (Endpoint& member : zone) member.phase = phase;
-    module.now += 1;
-    module.gateway.onEndpoints(module.now, EndpointUpdate::delta, zone);
+    harness.now += 1;
+    harness.gateway.onEndpoints(harness.now, EndpointUpdate::delta, zone);
   };
   const double seconds = leastProcessor(2, [&] {
-    tell(WorkerPhase::removed);
-    tell(WorkerPhase::ready);
+    setPhase(WorkerPhase::removed);
+    setPhase(WorkerPhase::ready);
   });
   return {{"processor", "s", seconds}};
 }
@@ -160,10 +162,10 @@
   const std::vector<Endpoint> list = workersFor(workers);
   double seconds = 0, held = 0;
   for (int i = 0; i < 2; ++i) {
-    Module module;
+    GatewayHarness harness;
     const double heapBefore = heapBytes();
     const double start = processorSeconds();
-    module.gateway.onEndpoints(module.now, EndpointUpdate::snapshot, list);
+    harness.gateway.onEndpoints(harness.now, EndpointUpdate::snapshot, list);
     const double took = processorSeconds() - start;
     held = heapBytes() - heapBefore;
     seconds = i == 0 ? took : std::min(seconds, took);
@@ -172,29 +174,29 @@
 }
 
 std::vector<Figure> measureSettings(std::size_t classes, const CaseLimits&) {
-  Module module(classes);
+  GatewayHarness harness(classes);
   decision::Settings changed = settingsWith(classes);
   const double seconds = leastProcessor(2, [&] {
     changed.classes.back().priorityWeight += 1;
-    module.now += 1;
-    module.gateway.onSettings(module.now, changed);
+    harness.now += 1;
+    harness.gateway.onSettings(harness.now, changed);
   });
   return {{"processor", "s", seconds}};
 }
 
 std::vector<Figure> measureCustomers(std::size_t customers, const CaseLimits&) {
   constexpr std::size_t kWorkers = 100;
-  Module module;
-  module.gateway.onEndpoints(module.now, EndpointUpdate::snapshot, workersFor(kWorkers));
+  GatewayHarness harness;
+  harness.gateway.onEndpoints(harness.now, EndpointUpdate::snapshot, workersFor(kWorkers));
   const double heapBefore = heapBytes();
   for (std::size_t c = 1; c <= customers; ++c)
-    if (module.ask(c)) module.answer();
+    if (harness.submitRequest(c)) harness.receiveAnswer();
   const double held = heapBytes() - heapBefore;
   return {{"held", "B", std::max(held, 0.0)},
-          {"rows", "rows", static_cast<double>(module.gateway.trackedCustomers())}};
+          {"rows", "rows", static_cast<double>(harness.gateway.trackedCustomers())}};
 }
 
-// Far more customers than it holds: how many rows stay.
+// Submits requests of more customers than the table's capacity; the figure is the number of rows in it.
 std::vector<Figure> measureCustomerCap(std::size_t customers, const CaseLimits& limits) {
   return {{"rows", "rows", measureCustomers(customers, limits).back().value}};
 }
@@ -222,12 +224,12 @@
   out.overloadMultiple = 2;
   out.overloadWindowMs = 1000;
   for (std::size_t i = 0; i < classes; ++i) {
-    decision::ClassSettings one;
-    one.name = "class" + std::to_string(i);
-    one.latencyObjectiveMs = 1000;
-    one.deadlineMs = kDeadline;
-    one.idempotency = decision::Idempotency::idempotent;
-    out.classes.push_back(one);
+    decision::ClassSettings requestClass;
+    requestClass.name = "class" + std::to_string(i);
+    requestClass.latencyObjectiveMs = 1000;
+    requestClass.deadlineMs = kDeadlineMs;
+    requestClass.idempotency = decision::Idempotency::idempotent;
+    out.classes.push_back(requestClass);
   }
   decision::PlanSettings plan;
   plan.name = "plan";
@@ -240,7 +242,8 @@
 std::vector<ScaleCase> decisionCases() {
   using Sizes = std::vector<std::size_t>;
   const Sizes listCheck{50, 100, 200, 400};
-  const Sizes choiceCheck{500, 1000, 1500, 2000};  // with fewer the gatekeeper's own limit refuses many
+  // With fewer workers the gatekeeper's own limit refuses many requests.
+  const Sizes choiceCheck{500, 1000, 1500, 2000};
   const Sizes listQuick{500, 1000, 2000, 4000, 8000};
   const Sizes listFull{500, 1000, 2000, 5000, 10000, 20000, 40000, 86000};
   const Sizes classFull{250, 500, 1000, 2000, 4000, 8000, 16000, 32000, 64000};
--- a/tools/lab/scale_cases_election.cpp
+++ b/tools/lab/scale_cases_election.cpp
@@ -1,5 +1,5 @@
-/// Scale cases of the leader election, on simulated candidates before the stand-in coordination store in
-/// virtual time.
+/// Scale cases of the leader election: simulated candidates on the stand-in coordination store in virtual
+/// time.
 #include <stdexcept>
 
 #include "scale_cases.hpp"
@@ -9,15 +9,15 @@
 namespace {
 
 constexpr std::uint64_t kSeed = 1;
-constexpr double kSettleEachMs = 40;   // a candidate: first calls are spread over 20 ms each
-constexpr double kSettleMs = 60000;    // and what the first leader needs
-constexpr double kIdleMs = 60000;      // two waits of a read
-constexpr double kTakeOverMs = 60000;  // most from a leader's crash to the next leader
+constexpr double kSettleMsPerCandidate = 40;  // first calls are spread over 20 ms per candidate
+constexpr double kSettleMs = 60000;           // additional time until the first leader is elected
+constexpr double kIdleMs = 60000;             // covers two blocking reads
+constexpr double kMaxTakeOverMs = 60000;      // limit from a leader's crash to the election of the next
 constexpr double kStepMs = 100;
 
 std::vector<Figure> measureElection(std::size_t candidates, const CaseLimits&) {
   SimulatedCandidates fleet(candidates, kSeed);
-  fleet.run(kSettleMs + kSettleEachMs * static_cast<double>(candidates));
+  fleet.run(kSettleMs + kSettleMsPerCandidate * static_cast<double>(candidates));
   if (fleet.leaders() != 1) throw std::runtime_error("not one candidate holds the duty");
   const SimulatedCandidates::Traffic before = fleet.traffic();
   fleet.run(kIdleMs);
@@ -26,7 +26,7 @@
   const double registeredBytes = static_cast<double>(fleet.registeredBytes());
   fleet.crashLeader();
   double takeOverMs = 0;
-  while (fleet.leaders() == 0 && takeOverMs < kTakeOverMs) {
+  while (fleet.leaders() == 0 && takeOverMs < kMaxTakeOverMs) {
     fleet.run(kStepMs);
     takeOverMs += kStepMs;
   }
--- a/tools/lab/scale_cases_process.cpp
+++ b/tools/lab/scale_cases_process.cpp
@@ -1,5 +1,5 @@
-// Scale cases of real gatekeeper processes on loopback: one with a list of workers pushed to it, and some
-// among hollow members of the shared state.
+/// Scale cases of real gatekeeper processes on loopback: one that receives a list of workers from discovery,
+/// and two among simulated members of the replicated state.
 #include <signal.h>
 #include <sys/wait.h>
 
@@ -32,19 +32,19 @@
 using std::chrono::milliseconds;
 namespace fs = std::filesystem;
 
-constexpr milliseconds kListWithin{4000};    // from the start until the list is taken, or is not
-constexpr milliseconds kReadyWithin{20000};  // until a process knows all members
-constexpr milliseconds kAskEvery{100};
-constexpr milliseconds kIdle{2000};
-constexpr milliseconds kBetweenChanges{40};
+constexpr milliseconds kListTimeout{4000};    // limit until a started process has accepted the list
+constexpr milliseconds kReadyTimeout{20000};  // limit until a process knows all members
+constexpr milliseconds kPollInterval{100};
+constexpr milliseconds kIdleTime{2000};
+constexpr milliseconds kChangeInterval{40};
 constexpr int kChanges = 25;
-constexpr milliseconds kMembersSettle{10000};  // until the members' start is no news any more
-constexpr milliseconds kMembersIdle{4000};
+constexpr milliseconds kMembersSettleTime{10000};  // until the members' start is no longer gossiped
+constexpr milliseconds kMembersIdleTime{4000};
 constexpr unsigned kRealMembers = 2;
-constexpr double kMemoryMb = 256;  // the operators' limit of a gatekeeper
+constexpr double kMemoryMb = 256;  // the operators' memory limit of a gatekeeper
 constexpr int kClasses = 3;
-constexpr double kMostlyWaiting = 0;
-constexpr double kBudgetShare = 8;  // of the time of one mechanism: these wait
+constexpr double kMostlyWaiting = 0;  // exponent of run time: these cases mostly wait
+constexpr double kBudgetShare = 8;    // in budgets of one mechanism, because these cases mostly wait
 
 std::string loopbackAt(unsigned short port) {
   std::string out = "127.0.0.1:";
@@ -58,22 +58,22 @@
   return out;
 }
 
-// The process's own and its kernel's time, in seconds.
-double processorOf(pid_t pid) {
+// User and kernel processor time of a process, in seconds.
+double processorSecondsOf(pid_t pid) {
   double nanoseconds = 0;
   std::ifstream("/proc/" + std::to_string(pid) + "/schedstat") >> nanoseconds;
   return nanoseconds * 1e-9;
 }
 
-// A figure `svc.NAME` of an answer to `telemetry`; nothing: it is not there.
-std::optional<double> figureOf(const std::string& telemetry, const std::string& name) {
+// The metric `svc.NAME` in a response to the `telemetry` command, or nothing if it is absent.
+std::optional<double> metricOf(const std::string& telemetry, const std::string& name) {
   const std::string key = "svc." + name + ":";
   const auto at = telemetry.find(key);
   if (at == std::string::npos) return std::nullopt;
   return std::stod(telemetry.substr(at + key.size()));
 }
 
-// A gatekeeper process for as long as this lives.
+// A gatekeeper process, killed on destruction.
 class RealGatekeeper {
  public:
   RealGatekeeper(boost::asio::io_context& io, const Ports& ports, unsigned index, json file,
@@ -107,20 +107,21 @@
     while (!answered) io_.run_one();
     return out;
   }
-  // Asks until `name` is `value`; false: it is not within `within`.
-  bool reaches(const std::string& name, double value, milliseconds within) {
-    const auto until = Clock::now() + within;
+  // Polls until the metric `name` has `value`. Returns false after `timeout`. Throws std::runtime_error if
+  // the process exits.
+  bool waitForMetric(const std::string& name, double value, milliseconds timeout) {
+    const auto until = Clock::now() + timeout;
     while (Clock::now() < until) {
       if (::waitpid(gatekeeper_.now.pid, nullptr, WNOHANG) != 0)
         throw std::runtime_error("the gatekeeper ended by itself; see " + gatekeeper_.log.string());
-      if (figureOf(telemetry(), name) == value) return true;
-      io_.run_for(kAskEvery);
+      if (metricOf(telemetry(), name) == value) return true;
+      io_.run_for(kPollInterval);
     }
     return false;
   }
-  double processor() const { return processorOf(gatekeeper_.now.pid); }
-  double resident() const { return statusBytes(std::to_string(gatekeeper_.now.pid), "VmRSS"); }
-  double peak() const { return statusBytes(std::to_string(gatekeeper_.now.pid), "VmHWM"); }
+  double processorSeconds() const { return processorSecondsOf(gatekeeper_.now.pid); }
+  double residentBytes() const { return statusBytes(std::to_string(gatekeeper_.now.pid), "VmRSS"); }
+  double peakBytes() const { return statusBytes(std::to_string(gatekeeper_.now.pid), "VmHWM"); }
 
  private:
   boost::asio::io_context& io_;
@@ -135,7 +136,7 @@
 
 double secondsOf(milliseconds span) { return std::chrono::duration<double>(span).count(); }
 
-// An address of its own within 127.0.0.0/8, at a port where nobody listens.
+// A distinct address within 127.0.0.0/8, at a port without a listener.
 std::string loopbackAddress(std::size_t index) {
   std::ostringstream out;
   out << "127." << 1 + index / 65536 << "." << index / 256 % 256 << "." << index % 256 << ":9";
@@ -156,61 +157,63 @@
   boost::asio::io_context io;
   const Ports ports(io);
   Judge judge(1);
-  const auto began = Clock::now();
+  const auto startedAt = Clock::now();
   Agent agent(io, 0, entriesFor(workers), judge,
-              [&] { return std::chrono::duration<double, std::milli>(Clock::now() - began).count(); });
+              [&] { return std::chrono::duration<double, std::milli>(Clock::now() - startedAt).count(); });
   json file = baseConfiguration();
   file["discovery"] = loopbackAt(agent.port());
   RealGatekeeper gatekeeper(io, ports, 0, file, limits);
   const double text = static_cast<double>(agent.listJson(true, {}).size());
-  const bool taken = gatekeeper.reaches("hosts_listed", static_cast<double>(workers), kListWithin);
-  if (!taken) return {{"taken", kBooleanUnit, 0}, {"text", "B", text}};
-  const double listProcessor = gatekeeper.processor();
-  io.run_for(kIdle);
-  const double idle = (gatekeeper.processor() - listProcessor) / secondsOf(kIdle);
-  const double before = gatekeeper.processor();
+  const bool accepted = gatekeeper.waitForMetric("hosts_listed", static_cast<double>(workers), kListTimeout);
+  if (!accepted) return {{"taken", kBooleanUnit, 0}, {"text", "B", text}};
+  const double listProcessor = gatekeeper.processorSeconds();
+  io.run_for(kIdleTime);
+  const double idle = (gatekeeper.processorSeconds() - listProcessor) / secondsOf(kIdleTime);
+  const double before = gatekeeper.processorSeconds();
   for (int i = 0; i < kChanges; ++i) {
     agent.change(static_cast<std::size_t>(i) % workers, i % 2 == 0 ? "Terminating" : "Ready", 0);
-    io.run_for(kBetweenChanges);
+    io.run_for(kChangeInterval);
   }
-  const double changes = gatekeeper.processor() - before - idle * secondsOf(kBetweenChanges) * kChanges;
+  const double changes =
+      gatekeeper.processorSeconds() - before - idle * secondsOf(kChangeInterval) * kChanges;
   return {{"taken", kBooleanUnit, 1},
           {"text", "B", text},
-          {"resident", "B", gatekeeper.resident()},
-          {"peak", "B", gatekeeper.peak()},
+          {"resident", "B", gatekeeper.residentBytes()},
+          {"peak", "B", gatekeeper.peakBytes()},
           {"list_processor", "s", listProcessor},
           {"idle_processor", "s/s", idle},
           {"change_processor", "s", std::max(0.0, changes / kChanges)}};
 }
 
-// Hollow members with the real driver on sockets, on this process's loop.
+// Simulated members on sockets: the real network driver, run on this process's event loop.
 class SimulatedNodes {
  public:
   SimulatedNodes(boost::asio::io_context& io, const Ports& ports, unsigned first, std::size_t count)
-      : pressure_(io, shares(), {}) {
+      : overloadManager_(io, memoryShares(), {}) {
     for (std::size_t i = 0; i < count; ++i) add(io, ports, first + static_cast<unsigned>(i), first);
     for (const auto& node : nodes_) node->start();
   }
 
  private:
-  static wingslip::MemoryBudget::Shares shares() {
+  static wingslip::MemoryBudget::Shares memoryShares() {
     wingslip::MemoryBudget::Shares out;
     out.total = std::size_t{256} << 20;
     return out;
   }
   void add(boost::asio::io_context& io, const Ports& ports, unsigned index, unsigned first) {
     const std::string address = loopbackAt(ports.peers(static_cast<int>(index)));
-    wingslip::Replication where;
-    where.listen = wingslip::parseEndpoint(address);
-    where.advertise = address;
-    where.fleet = "scale";
-    if (index > first) where.peers[gatekeeperName(first)] = loopbackAt(ports.peers(static_cast<int>(first)));
+    wingslip::Replication settings;
+    settings.listen = wingslip::parseEndpoint(address);
+    settings.advertise = address;
+    settings.fleet = "scale";
+    if (index > first)
+      settings.peers[gatekeeperName(first)] = loopbackAt(ports.peers(static_cast<int>(first)));
     nodes_.push_back(std::make_unique<wingslip::replication::ReplicaNode>(
-        io, where, gatekeeperName(index), "", index + 1, pressure_,
+        io, settings, gatekeeperName(index), "", index + 1, overloadManager_,
         [](const wingslip::replication::Row&) {}));
   }
 
-  wingslip::OverloadManager pressure_;
+  wingslip::OverloadManager overloadManager_;
   std::vector<std::unique_ptr<wingslip::replication::ReplicaNode>> nodes_;
 };
 
@@ -218,7 +221,7 @@
   if (limits.processes < kRealMembers + 1) throw std::runtime_error("needs more processes than it may start");
   boost::asio::io_context io;
   const Ports ports(io);
-  const SimulatedNodes hollow(io, ports, kRealMembers, members - kRealMembers);
+  const SimulatedNodes simulated(io, ports, kRealMembers, members - kRealMembers);
   const std::string peer = loopbackAt(ports.peers(kRealMembers));
   std::vector<std::unique_ptr<RealGatekeeper>> real;
   for (unsigned i = 0; i < kRealMembers; ++i) {
@@ -228,22 +231,22 @@
                        {"peers", {{gatekeeperName(kRealMembers), peer}}}};
     real.push_back(std::make_unique<RealGatekeeper>(io, ports, i, file, limits));
   }
-  RealGatekeeper& seen = *real.front();
-  if (!seen.reaches("replica.members_alive", static_cast<double>(members - 1), kReadyWithin))
+  RealGatekeeper& observed = *real.front();
+  if (!observed.waitForMetric("replica.members_alive", static_cast<double>(members - 1), kReadyTimeout))
     throw std::runtime_error("the members do not all know each other");
-  io.run_for(kMembersSettle);
-  const std::string before = seen.telemetry();
-  const double processorBefore = seen.processor();
-  io.run_for(kMembersIdle);
-  const std::string after = seen.telemetry();
-  const double seconds = secondsOf(kMembersIdle);
+  io.run_for(kMembersSettleTime);
+  const std::string before = observed.telemetry();
+  const double processorBefore = observed.processorSeconds();
+  io.run_for(kMembersIdleTime);
+  const std::string after = observed.telemetry();
+  const double seconds = secondsOf(kMembersIdleTime);
   const auto rate = [&](const char* name) {
-    return (figureOf(after, name).value_or(0) - figureOf(before, name).value_or(0)) / seconds;
+    return (metricOf(after, name).value_or(0) - metricOf(before, name).value_or(0)) / seconds;
   };
   return {{"messages", "messages/s", rate("replica.sent") + rate("replica.received")},
           {"bytes", "B/s", rate("replica.bytes_out")},
-          {"processor", "s/s", (seen.processor() - processorBefore) / seconds},
-          {"resident", "B", seen.resident()}};
+          {"processor", "s/s", (observed.processorSeconds() - processorBefore) / seconds},
+          {"resident", "B", observed.residentBytes()}};
 }
 
 }  // namespace
--- a/tools/lab/scale_cases_reading.cpp
+++ b/tools/lab/scale_cases_reading.cpp
@@ -1,4 +1,4 @@
-// Scale cases of the texts that a gatekeeper reads: lists of workers and configuration files.
+/// Scale cases of parsing: lists of workers and configuration files.
 #include <nlohmann/json.hpp>
 #include <stdexcept>
 
@@ -14,12 +14,12 @@
 using nlohmann::json;
 
 constexpr int kRepeats = 3;
-constexpr std::size_t kWorkersAService = 34;  // in the target, on the mean
-constexpr std::size_t kFirstName = 10000000;  // so that all names have one length
+constexpr std::size_t kWorkersPerService = 34;        // mean in the target
+constexpr std::size_t kFirstWorkerNumber = 10000000;  // large, so that all worker names have the same length
 
-// The extra memory that is resident while `call` runs, in bytes.
+// Returns how much peak resident memory grows while `call` runs, in bytes.
 template <class Call>
-double peakOf(Call call) {
+double peakBytesDuring(Call call) {
   resetPeak();
   const double before = statusBytes("self", "VmHWM");
   call();
@@ -40,25 +40,26 @@
 
 std::vector<Figure> measureListText(std::size_t workers, const CaseLimits&) {
   const std::string text = listText(workers);
-  const double peak = peakOf([&] { wingslip::parseEndpointList(text); });
-  const double seconds = leastProcessor(kRepeats, [&] { wingslip::parseEndpointList(text); });
-  const double cut = leastProcessor(kRepeats, [&] {
+  const double peak = peakBytesDuring([&] { wingslip::parseEndpointList(text); });
+  const double parseSeconds = leastProcessor(kRepeats, [&] { wingslip::parseEndpointList(text); });
+  const double framingSeconds = leastProcessor(kRepeats, [&] {
     wingslip::JsonObjectFramer framer;
     framer.next(text);
   });
   return {{"text", "B", static_cast<double>(text.size())},
           {"peak", "B", peak},
-          {"processor", "s", seconds + cut}};
+          {"processor", "s", parseSeconds + framingSeconds}};
 }
 
 std::vector<Figure> measureConfiguration(std::size_t classes, const CaseLimits&) {
   const std::string text = configurationText(classes);
-  const double peak = peakOf([&] { wingslip::parseConfig(text); });
-  const double seconds = leastProcessor(kRepeats, [&] { wingslip::parseConfig(text); });
-  return {{"text", "B", static_cast<double>(text.size())}, {"peak", "B", peak}, {"processor", "s", seconds}};
+  const double peak = peakBytesDuring([&] { wingslip::parseConfig(text); });
+  const double parseSeconds = leastProcessor(kRepeats, [&] { wingslip::parseConfig(text); });
+  return {
+      {"text", "B", static_cast<double>(text.size())}, {"peak", "B", peak}, {"processor", "s", parseSeconds}};
 }
 
-bool isRead(std::size_t classes) {
+bool isAccepted(std::size_t classes) {
   try {
     wingslip::parseConfig(configurationText(classes));
     return true;
@@ -67,24 +68,25 @@
   }
 }
 
-// The most classes that a configuration may have, looked for up to `most`.
-std::vector<Figure> measureClassCap(std::size_t most, const CaseLimits&) {
-  std::size_t read = 0, turnedDown = 1;
-  while (turnedDown <= most && isRead(turnedDown)) {
-    read = turnedDown;
-    turnedDown *= 2;
+// Finds the largest number of classes that a configuration may have, up to `maxClasses`.
+std::vector<Figure> measureClassCap(std::size_t maxClasses, const CaseLimits&) {
+  std::size_t accepted = 0, rejected = 1;
+  while (rejected <= maxClasses && isAccepted(rejected)) {
+    accepted = rejected;
+    rejected *= 2;
   }
-  while (turnedDown <= most && turnedDown - read > 1) {
-    const std::size_t middle = read + (turnedDown - read) / 2;
-    (isRead(middle) ? read : turnedDown) = middle;
+  while (rejected <= maxClasses && rejected - accepted > 1) {
+    const std::size_t middle = accepted + (rejected - accepted) / 2;
+    (isAccepted(middle) ? accepted : rejected) = middle;
   }
-  return {{"classes", "classes", static_cast<double>(read)}};
+  return {{"classes", "classes", static_cast<double>(accepted)}};
 }
 
 }  // namespace
 
 std::string workerName(std::size_t index) {
-  return "svc" + std::to_string(index / kWorkersAService) + "-" + std::to_string(kFirstName + index);
+  return "svc" + std::to_string(index / kWorkersPerService) + "-" +
+         std::to_string(kFirstWorkerNumber + index);
 }
 
 std::string listText(std::size_t workers) {
--- a/tools/lab/scale_cases_replica.cpp
+++ b/tools/lab/scale_cases_replica.cpp
@@ -1,4 +1,4 @@
-// Scale cases of the shared state, on hollow members in virtual time.
+/// Scale cases of the replicated state: simulated members in virtual time.
 #include <algorithm>
 #include <stdexcept>
 
@@ -13,24 +13,24 @@
 using wingslip::replication::ReplicatedTable;
 
 constexpr std::uint64_t kSeed = 1;
-constexpr double kSettleMs = 8000;  // until what the start made new has been told
-constexpr double kIdleMs = 20000;   // of the idle measurement: two repairs of each member
-constexpr double kEverywhereMs = 30000;
-constexpr double kAftermathMs = 10000;  // until a change is no news any more
-constexpr double kGrowth = 2;           // of the time: members that each look through all members
-constexpr double kBudgetShare = 2;      // of the time of one mechanism
-constexpr std::size_t kFewMembers = 8;  // that hold many rows
+constexpr double kSettleMs = 8000;  // until the updates of the start are no longer gossiped
+constexpr double kIdleMs = 20000;   // idle measurement; covers two repairs of each member
+constexpr double kMaxSpreadMs = 30000;
+constexpr double kGossipMs = 10000;     // until a change is no longer gossiped
+constexpr double kGrowth = 2;           // exponent of run time: each member iterates over all members
+constexpr double kBudgetShare = 2;      // in time budgets of one mechanism
+constexpr std::size_t kFewMembers = 8;  // members in the runs with many rows
 
-// What a stretch of virtual time costs each member.
+// Mean cost per member over a period of virtual time; `processor` in seconds.
 struct Cost {
   double messages = 0, bytes = 0, processor = 0;
 };
 
-template <class Stretch>
-Cost costOf(const SimulatedReplicas& fleet, Stretch stretch) {
+template <class Action>
+Cost costOf(const SimulatedReplicas& fleet, Action action) {
   const SimulatedReplicas::Traffic before = fleet.traffic();
   const double start = processorSeconds();
-  stretch();
+  action();
   const double members = static_cast<double>(fleet.size());
   Cost out;
   out.processor = (processorSeconds() - start) / members;
@@ -39,17 +39,17 @@
   return out;
 }
 
-// What is left of `cost` without what the same time costs an idle member.
-Cost beyondIdle(const Cost& cost, const Cost& idleASecond, double milliseconds) {
+// `cost` less the idle cost of the same period, at least 0.
+Cost withoutIdle(const Cost& cost, const Cost& idleCostPerSecond, double milliseconds) {
   const double seconds = milliseconds / 1000;
   Cost out;
-  out.messages = std::max(0.0, cost.messages - idleASecond.messages * seconds);
-  out.bytes = std::max(0.0, cost.bytes - idleASecond.bytes * seconds);
-  out.processor = std::max(0.0, cost.processor - idleASecond.processor * seconds);
+  out.messages = std::max(0.0, cost.messages - idleCostPerSecond.messages * seconds);
+  out.bytes = std::max(0.0, cost.bytes - idleCostPerSecond.bytes * seconds);
+  out.processor = std::max(0.0, cost.processor - idleCostPerSecond.processor * seconds);
   return out;
 }
 
-Cost idleASecond(SimulatedReplicas& fleet) {
+Cost idleCostPerSecond(SimulatedReplicas& fleet) {
   Cost out = costOf(fleet, [&] { fleet.run(kIdleMs); });
   out.messages /= kIdleMs / 1000;
   out.bytes /= kIdleMs / 1000;
@@ -62,34 +62,35 @@
   SimulatedReplicas fleet(members, 0, kSeed);
   const double held = std::max(0.0, heapBytes() - heapBefore) / static_cast<double>(members);
   fleet.run(kSettleMs);
-  const Cost idle = idleASecond(fleet);
+  const Cost idle = idleCostPerSecond(fleet);
   double spreadMs = 0;
-  const Cost row = costOf(fleet, [&] {
+  const Cost rowCost = costOf(fleet, [&] {
     fleet.writeRow();
-    spreadMs = fleet.runUntilReplicated(kEverywhereMs);
-    fleet.run(kAftermathMs);
+    spreadMs = fleet.runUntilReplicated(kMaxSpreadMs);
+    fleet.run(kGossipMs);
   });
-  const Cost rowAlone = beyondIdle(row, idle, spreadMs + kAftermathMs);
-  const Cost restart = costOf(fleet, [&] {
+  const Cost rowNetCost = withoutIdle(rowCost, idle, spreadMs + kGossipMs);
+  const Cost restartCost = costOf(fleet, [&] {
     fleet.restartLastMember();
-    fleet.run(kAftermathMs);
+    fleet.run(kGossipMs);
   });
-  const Cost restartAlone = beyondIdle(restart, idle, kAftermathMs);
+  const Cost restartNetCost = withoutIdle(restartCost, idle, kGossipMs);
   return {{"alive", "members", static_cast<double>(fleet.minAliveCount() + 1)},
           {"held", "B", held},
           {"messages", "messages/s", idle.messages},
           {"bytes", "B/s", idle.bytes},
           {"processor", "s/s", idle.processor},
           {"row_spread", "s", spreadMs / 1000},
-          {"row_messages", "messages", rowAlone.messages},
-          {"row_bytes", "B", rowAlone.bytes},
-          {"row_processor", "s", rowAlone.processor},
-          {"restart_messages", "messages", restartAlone.messages},
-          {"restart_bytes", "B", restartAlone.bytes},
-          {"restart_processor", "s", restartAlone.processor}};
+          {"row_messages", "messages", rowNetCost.messages},
+          {"row_bytes", "B", rowNetCost.bytes},
+          {"row_processor", "s", rowNetCost.processor},
+          {"restart_messages", "messages", restartNetCost.messages},
+          {"restart_bytes", "B", restartNetCost.bytes},
+          {"restart_processor", "s", restartNetCost.processor}};
 }
 
-// More members than a table takes: how many the least knowing one has.
+// Starts more members than the member table's capacity; the figure is the smallest number that a member
+// knows.
 std::vector<Figure> measureMemberCap(std::size_t members, const CaseLimits&) {
   const SimulatedReplicas fleet(members, 0, kSeed);
   return {{"alive", "members", static_cast<double>(fleet.minAliveCount() + 1)}};
@@ -100,7 +101,7 @@
   SimulatedReplicas fleet(kFewMembers, rows, kSeed);
   const double held = std::max(0.0, heapBytes() - heapBefore) / kFewMembers;
   fleet.run(kSettleMs);
-  const Cost idle = idleASecond(fleet);
+  const Cost idle = idleCostPerSecond(fleet);
   return {{"rows", "rows", static_cast<double>(fleet.rowCount())},
           {"held", "B", held},
           {"bytes", "B/s", idle.bytes},
--- a/tools/lab/scale_cases_watch.cpp
+++ b/tools/lab/scale_cases_watch.cpp
@@ -1,4 +1,4 @@
-// Scale cases of the watch on the list of workers: its core in virtual time.
+/// Scale cases of the watch on the list of workers: its core in virtual time.
 #include <vector>
 
 #include "endpoint_watch/endpoint_watch.hpp"
@@ -10,34 +10,34 @@
 
 using wingslip::EndpointWatch;
 
-constexpr double kStopWithinMs = 2000;
+constexpr double kStopSendingWithinMs = 2000;
 constexpr double kOutageMs = 60000;
-constexpr double kAnswerMs = 5;  // until discovery turns a call away
+constexpr double kRejectionDelayMs = 5;  // from a call until discovery rejects it
 
-// Calls that one watch makes while discovery turns each of them away.
-std::uint64_t callsTurnedAway(unsigned gatekeepers, std::uint64_t seed) {
-  EndpointWatch watch(EndpointWatch::limitsFor(kStopWithinMs, gatekeepers), seed);
+// Counts the calls of one watch during an outage in which discovery rejects each of them.
+std::uint64_t callsWhileRejected(unsigned gatekeepers, std::uint64_t seed) {
+  EndpointWatch watch(EndpointWatch::limitsFor(kStopSendingWithinMs, gatekeepers), seed);
   double now = 0;
-  EndpointWatch::Action act = watch.start(now);
+  EndpointWatch::Action action = watch.start(now);
   while (now < kOutageMs) {
-    if (act == EndpointWatch::Action::connect) {
-      now += kAnswerMs;
+    if (action == EndpointWatch::Action::connect) {
+      now += kRejectionDelayMs;
       watch.onConnected(now);
-      act = watch.onRejected(now);
+      action = watch.onRejected(now);
     } else {
       now = watch.nextCheckAt();
-      act = watch.checkTime(now);
+      action = watch.checkTime(now);
     }
   }
   return watch.connectCount();
 }
 
-// A discovery of all gatekeepers' own that has no room for any of them.
-std::vector<Figure> measureTurnedAway(std::size_t gatekeepers, const CaseLimits&) {
+// One discovery shared by all gatekeepers, without capacity for any of them.
+std::vector<Figure> measureRejectedCalls(std::size_t gatekeepers, const CaseLimits&) {
   double calls = 0;
   const double start = processorSeconds();
   for (std::size_t i = 0; i < gatekeepers; ++i)
-    calls += static_cast<double>(callsTurnedAway(static_cast<unsigned>(gatekeepers), i + 1));
+    calls += static_cast<double>(callsWhileRejected(static_cast<unsigned>(gatekeepers), i + 1));
   const double seconds = kOutageMs / 1000;
   return {{"calls", "calls/s", calls / seconds},
           {"calls_each", "calls/s", calls / seconds / static_cast<double>(gatekeepers)},
@@ -53,7 +53,7 @@
            {500, 1000, 2000, 4000},
            {500, 1000, 2000, 4000, 8400},
            {500, 1000, 2000, 4000, 8400},
-           measureTurnedAway}};
+           measureRejectedCalls}};
 }
 
 }  // namespace wingslip::lab
--- a/tools/lab/scale_command.cpp
+++ b/tools/lab/scale_command.cpp
@@ -23,23 +23,23 @@
 constexpr double kMegabyte = 1e6;
 constexpr double kQuickCaseSeconds = 6, kFullCaseSeconds = 30;
 constexpr double kQuickTotalSeconds = 110, kFullTotalSeconds = 340;
-constexpr double kCheckCaseSeconds = 60, kCheckTotalSeconds = 280;  // also under a sanitizer
+constexpr double kCheckCaseSeconds = 60, kCheckTotalSeconds = 280;  // sufficient under a sanitizer, too
 constexpr int kBadInput = 2, kCannotRun = 3;
 
 struct ScaleArguments {
   std::string gatekeeperProgram, out = "scale-out";
   bool quick = false, check = false;
-  double caseSeconds = 0;  // 0: the form's own
+  double caseSeconds = 0;  // 0: default of the form
   double memoryMb = 0;
   unsigned processes = 16;
   std::vector<std::string> only;
 };
 
-struct FormTime {
+struct TimeBudget {
   double caseSeconds, totalSeconds;
 };
 
-FormTime timeOf(ScaleForm form) {
+TimeBudget timeBudgetOf(ScaleForm form) {
   switch (form) {
     case ScaleForm::check:
       return {kCheckCaseSeconds, kCheckTotalSeconds};
@@ -51,18 +51,19 @@
   return {kFullCaseSeconds, kFullTotalSeconds};
 }
 
-ScaleOptions optionsOf(const ScaleArguments& given) {
+ScaleOptions optionsOf(const ScaleArguments& arguments) {
   ScaleOptions out;
-  out.form = given.check ? ScaleForm::check : given.quick ? ScaleForm::quick : ScaleForm::full;
-  const FormTime time = timeOf(out.form);
+  out.form = arguments.check ? ScaleForm::check : arguments.quick ? ScaleForm::quick : ScaleForm::full;
+  const TimeBudget time = timeBudgetOf(out.form);
   out.caseSeconds = time.caseSeconds;
   out.totalSeconds = time.totalSeconds;
-  if (given.caseSeconds > 0) out.caseSeconds = given.caseSeconds;
-  out.memoryBytes = static_cast<std::uint64_t>(given.memoryMb * kMegabyte);
-  out.processes = given.processes;
-  if (std::filesystem::exists(given.gatekeeperProgram)) out.gatekeeperProgram = given.gatekeeperProgram;
-  out.out = given.out;
-  out.only = given.only;
+  if (arguments.caseSeconds > 0) out.caseSeconds = arguments.caseSeconds;
+  out.memoryBytes = static_cast<std::uint64_t>(arguments.memoryMb * kMegabyte);
+  out.processes = arguments.processes;
+  if (std::filesystem::exists(arguments.gatekeeperProgram))
+    out.gatekeeperProgram = arguments.gatekeeperProgram;
+  out.out = arguments.out;
+  out.only = arguments.only;
   return out;
 }
 
@@ -71,25 +72,25 @@
             << "kind" << std::setw(9) << "shape" << std::right << std::setw(12) << "slope" << std::setw(10)
             << "residual" << std::setw(10) << "largest" << std::setw(13) << "value there"
             << "  unit\n";
-  for (const Series& one : series) {
-    std::cout << std::left << std::setw(16) << one.first.mechanism << std::setw(20) << one.first.figure
-              << std::setw(8) << nameOf(one.first.kind) << std::setw(9) << nameOf(one.fit.shape) << std::right
-              << std::setprecision(4) << std::setw(12) << one.fit.slope << std::setw(10) << one.fit.residual
-              << std::setw(10) << one.samples.back().size << std::setw(13) << one.samples.back().value << "  "
-              << one.first.unit;
-    if (one.samples.size() < kMinSamples) std::cout << "  (" << one.samples.size() << " sizes only)";
+  for (const Series& entry : series) {
+    std::cout << std::left << std::setw(16) << entry.first.mechanism << std::setw(20) << entry.first.figure
+              << std::setw(8) << nameOf(entry.first.kind) << std::setw(9) << nameOf(entry.fit.shape)
+              << std::right << std::setprecision(4) << std::setw(12) << entry.fit.slope << std::setw(10)
+              << entry.fit.residual << std::setw(10) << entry.samples.back().size << std::setw(13)
+              << entry.samples.back().value << "  " << entry.first.unit;
+    if (entry.samples.size() < kMinSamples) std::cout << "  (" << entry.samples.size() << " sizes only)";
     std::cout << "\n";
   }
 }
 
-void runScaleCommand(const ScaleArguments& given) {
-  const ScaleOptions options = optionsOf(given);
+void runScaleCommand(const ScaleArguments& arguments) {
+  const ScaleOptions options = optionsOf(arguments);
   std::vector<ScaleCase> cases = allScaleCases();
-  for (ScaleCase& one : processCases()) cases.push_back(std::move(one));
+  for (ScaleCase& entry : processCases()) cases.push_back(std::move(entry));
   for (const std::string& name : options.only) {
-    const bool known =
-        std::any_of(cases.begin(), cases.end(), [&](const ScaleCase& one) { return one.mechanism == name; });
-    if (!known) throw InvalidMeasurements("no mechanism is called " + name);
+    const bool isKnown = std::any_of(cases.begin(), cases.end(),
+                                     [&](const ScaleCase& entry) { return entry.mechanism == name; });
+    if (!isKnown) throw InvalidMeasurements("no mechanism is called " + name);
   }
   const auto start = std::chrono::steady_clock::now();
   const MeasurementSet set = runScale(cases, options);
@@ -103,7 +104,7 @@
             << seconds << " s\n";
 }
 
-void runGuarded(const std::function<void()>& run) {
+void runWithExitCode(const std::function<void()>& run) {
   spdlog::set_default_logger(spdlog::stderr_logger_mt("lab"));
   spdlog::set_pattern("%Y-%m-%dT%H:%M:%S.%e level=%l %v");
   int code = 0;
@@ -120,23 +121,28 @@
 }
 
 void addScale(CLI::App& app, const std::string& gatekeeperProgram) {
-  auto given = std::make_shared<ScaleArguments>();
-  given->gatekeeperProgram = gatekeeperProgram;
-  given->memoryMb = static_cast<double>(maxMemoryBytes()) / kMegabyte;
-  CLI::App* scale = app.add_subcommand("scale", "measure how each mechanism grows (full: under 6 minutes)");
-  scale->add_flag("--quick", given->quick, "fewer and smaller sizes (under 2 minutes)");
-  scale->add_flag("--check", given->check, "the smallest sizes, for the project's own tests");
-  scale->add_option("--out", given->out, "folder for the measurements and the plot");
-  scale->add_option("--gatekeeper", given->gatekeeperProgram,
+  auto arguments = std::make_shared<ScaleArguments>();
+  arguments->gatekeeperProgram = gatekeeperProgram;
+  arguments->memoryMb = static_cast<double>(maxMemoryBytes()) / kMegabyte;
+  CLI::App* scale = app.add_subcommand(
+      "scale", "measure how the cost of each mechanism grows (full form: under 6 minutes)");
+  scale->add_flag("--quick", arguments->quick, "fewer and smaller sizes (under 2 minutes)");
+  scale->add_flag("--check", arguments->check, "only the smallest sizes, for the project's tests");
+  scale->add_option("--out", arguments->out, "folder for the measurements and the plot");
+  scale->add_option("--gatekeeper", arguments->gatekeeperProgram,
                     "the program under test (default: beside this one)");
-  scale->add_option("--case-seconds", given->caseSeconds, "time of one mechanism at all its sizes")
+  scale
+      ->add_option("--case-seconds", arguments->caseSeconds,
+                   "time budget in seconds of one mechanism at all its sizes")
       ->check(CLI::Range(1.0, 600.0));
-  scale->add_option("--memory-mb", given->memoryMb, "most memory of one run, at most half of the machine's")
-      ->check(CLI::Range(64.0, given->memoryMb));
-  scale->add_option("--processes", given->processes, "most processes at once")
+  scale
+      ->add_option("--memory-mb", arguments->memoryMb,
+                   "memory limit in MB of one case at one size, at most half of the machine's memory")
+      ->check(CLI::Range(64.0, arguments->memoryMb));
+  scale->add_option("--processes", arguments->processes, "limit of processes that one case runs at once")
       ->check(CLI::Range(1U, kMaxProcesses));
-  scale->add_option("--only", given->only, "only these mechanisms");
-  scale->callback([given] { runGuarded([&] { runScaleCommand(*given); }); });
+  scale->add_option("--only", arguments->only, "measure only these mechanisms");
+  scale->callback([arguments] { runWithExitCode([&] { runScaleCommand(*arguments); }); });
 }
 
 struct CapacityArguments {
@@ -144,12 +150,12 @@
 };
 
 void addCapacity(CLI::App& app) {
-  auto given = std::make_shared<CapacityArguments>();
+  auto arguments = std::make_shared<CapacityArguments>();
   CLI::App* capacity =
       app.add_subcommand("capacity", "write the tables of the capacity page from a scale run");
-  capacity->add_option("--in", given->in, "the `--out` folder of a scale run");
-  capacity->add_option("--out", given->out, "the page, with its two markers");
-  capacity->callback([given] { runGuarded([&] { writeCapacity(given->in, given->out); }); });
+  capacity->add_option("--in", arguments->in, "the `--out` folder of a scale run");
+  capacity->add_option("--out", arguments->out, "the page, which must contain both markers");
+  capacity->callback([arguments] { runWithExitCode([&] { writeCapacity(arguments->in, arguments->out); }); });
 }
 
 }  // namespace
--- a/tools/lab/scale_command.hpp
+++ b/tools/lab/scale_command.hpp
@@ -1,4 +1,4 @@
-// The subcommands `scale` and `capacity` of wingslip-lab.
+/// The subcommands `scale` and `capacity` of wingslip-lab.
 #pragma once
 
 #include <CLI/CLI.hpp>
@@ -6,8 +6,9 @@
 
 namespace wingslip::lab {
 
-// Registers both. They run while the command line is parsed and end it with CLI::RuntimeError, whose code is
-// the program's: 0 well, 2 wrong input files, 3 what cannot be run.
+/// Registers both subcommands. They run while the command line is parsed and end parsing with
+/// CLI::RuntimeError, whose code is the exit code: 0 success, 2 invalid input files, 3 any other failure.
+/// `gatekeeperProgram` is the default path of the program under test.
 void addScaleCommands(CLI::App& app, const std::string& gatekeeperProgram);
 
 }  // namespace wingslip::lab
--- a/tools/lab/scale_plot.cpp
+++ b/tools/lab/scale_plot.cpp
@@ -11,18 +11,18 @@
 constexpr int kColumns = 4;
 constexpr double kPanelWidth = 260, kPanelHeight = 170, kMargin = 46, kPlotWidth = 190, kPlotHeight = 100;
 constexpr int kCurvePoints = 40;
-constexpr double kLeast = 1e-12;  // drawn in place of 0
+constexpr double kMinValue = 1e-12;  // values below it, such as 0, are drawn as this
 
-// A logarithmic axis from `low` to `high`, onto `length` pixels.
+// Maps values from `low` to `high` logarithmically to 0 to `length` pixels.
 class LogAxis {
  public:
   LogAxis(double low, double high, double length)
-      : low_(std::log10(std::max(low, kLeast))),
-        span_(std::max(0.3, std::log10(std::max(high, kLeast)) - low_)),
+      : low_(std::log10(std::max(low, kMinValue))),
+        span_(std::max(0.3, std::log10(std::max(high, kMinValue)) - low_)),
         length_(length) {}
   double at(double value) const {
-    const double share = (std::log10(std::max(value, kLeast)) - low_) / span_;
-    return std::clamp(share, 0.0, 1.0) * length_;
+    const double fraction = (std::log10(std::max(value, kMinValue)) - low_) / span_;
+    return std::clamp(fraction, 0.0, 1.0) * length_;
   }
 
  private:
@@ -41,20 +41,20 @@
   return out;
 }
 
-double leastOf(const std::vector<Sample>& samples) {
+double smallestOf(const std::vector<Sample>& samples) {
   double out = samples.front().value;
   for (const Sample& sample : samples) out = std::min(out, sample.value);
   return out;
 }
 
-void text(std::ostream& out, double x, double y, const std::string& what) {
-  out << "<text x=\"" << x << "\" y=\"" << y << "\">" << what << "</text>\n";
+void text(std::ostream& out, double x, double y, const std::string& content) {
+  out << "<text x=\"" << x << "\" y=\"" << y << "\">" << content << "</text>\n";
 }
 
 void panel(std::ostream& out, const Series& series, double left, double top) {
   const auto& samples = series.samples;
-  const LogAxis across(samples.front().size, samples.back().size, kPlotWidth);
-  const LogAxis up(leastOf(samples), largestOf(samples), kPlotHeight);
+  const LogAxis xAxis(samples.front().size, samples.back().size, kPlotWidth);
+  const LogAxis yAxis(smallestOf(samples), largestOf(samples), kPlotHeight);
   const double x0 = left + kMargin, y0 = top + 34 + kPlotHeight;
   out << "<rect x=\"" << x0 << "\" y=\"" << y0 - kPlotHeight << "\" width=\"" << kPlotWidth << "\" height=\""
       << kPlotHeight << "\" fill=\"none\" stroke=\"#999\"/>\n";
@@ -65,16 +65,16 @@
        shortNumber(samples.front().size) + " to " + shortNumber(samples.back().size) + " " +
            series.first.varies);
   text(out, left, y0 - kPlotHeight + 10, shortNumber(largestOf(samples)));
-  text(out, left, y0, shortNumber(leastOf(samples)));
+  text(out, left, y0, shortNumber(smallestOf(samples)));
   out << "<polyline fill=\"none\" stroke=\"#3355bb\" points=\"";
   const double ratio = samples.back().size / samples.front().size;
   for (int i = 0; i <= kCurvePoints; ++i) {
     const double size = samples.front().size * std::pow(ratio, static_cast<double>(i) / kCurvePoints);
-    out << x0 + across.at(size) << "," << y0 - up.at(series.fit.at(size)) << " ";
+    out << x0 + xAxis.at(size) << "," << y0 - yAxis.at(series.fit.at(size)) << " ";
   }
   out << "\"/>\n";
   for (const Sample& sample : samples)
-    out << "<circle cx=\"" << x0 + across.at(sample.size) << "\" cy=\"" << y0 - up.at(sample.value)
+    out << "<circle cx=\"" << x0 + xAxis.at(sample.size) << "\" cy=\"" << y0 - yAxis.at(sample.value)
         << "\" r=\"3\" fill=\"#c0392b\"/>\n";
 }
 
--- a/tools/lab/scale_plot.hpp
+++ b/tools/lab/scale_plot.hpp
@@ -1,4 +1,4 @@
-// A plot of measured series as SVG: one panel a figure, both axes logarithmic, with the fit through it.
+/// SVG plot of measured series: one panel per figure with logarithmic axes, the samples and their fit.
 #pragma once
 
 #include <string>
@@ -8,6 +8,7 @@
 
 namespace wingslip::lab {
 
+/// Returns the SVG document, with the panels in the order of `series`.
 std::string scaleSvg(const std::vector<Series>& series);
 
 }  // namespace wingslip::lab
