--- a/tests/capacity_test.cpp
+++ b/tests/capacity_test.cpp
@@ -1,5 +1,5 @@
-// The capacity page: the model's arithmetic, the tables, their place in the page, and what is wrong with
-// input.
+/// Tests of the capacity page: the model's arithmetic, the tables, their insertion into the page, and errors
+/// on invalid input.
 #include "capacity.hpp"
 
 #include <gtest/gtest.h>
@@ -14,8 +14,8 @@
 namespace wingslip::lab {
 namespace {
 
-// What `read` throws as InvalidMeasurements; "" where it throws nothing.
-std::string complaintOf(const std::function<void()>& read) {
+// The message of the InvalidMeasurements that `read` throws, or "" if it throws nothing.
+std::string errorOf(const std::function<void()>& read) {
   try {
     read();
   } catch (const InvalidMeasurements& error) {
@@ -35,7 +35,7 @@
   return *std::find_if(days.begin(), days.end(), [&](const Day& day) { return day.name == name; });
 }
 
-TEST(CapacityModel, TheArithmeticIsTheOperators) {
+TEST(CapacityModel, DaysMatchOperatorsFigures) {
   const std::vector<Day> days = allDays();
   EXPECT_EQ(days.size(), 7u);
   EXPECT_EQ(days.front().name, "ordinary");
@@ -46,14 +46,14 @@
   EXPECT_EQ(dayOf(days, "control machines fail").controlMachines, 1);
 }
 
-TEST(CapacityModel, TenantsMetGrowWithTheSpreadToAllOfThem) {
-  EXPECT_NEAR(tenantsMet(1, 8400), 82, 0.5);
-  EXPECT_NEAR(tenantsMet(32, 8400), 2629, 1);
-  EXPECT_EQ(tenantsMet(8400, 8400), 690000);
-  EXPECT_EQ(tenantsMet(20000, 8400), 690000);
+TEST(CapacityModel, TenantsPerGatekeeperGrowWithSpread) {
+  EXPECT_NEAR(tenantsPerGatekeeper(1, 8400), 82, 0.5);
+  EXPECT_NEAR(tenantsPerGatekeeper(32, 8400), 2629, 1);
+  EXPECT_EQ(tenantsPerGatekeeper(8400, 8400), 690000);
+  EXPECT_EQ(tenantsPerGatekeeper(20000, 8400), 690000);
 }
 
-TEST(CapacityModel, TheDimensionFurthestOverItsBudgetBinds) {
+TEST(CapacityModel, DimensionFurthestOverBudgetIsReported) {
   Budget budget;
   budget.bytesPerS = 17000;
   budget.coreShare = 0.028;
@@ -67,7 +67,7 @@
   EXPECT_EQ(overBudget(need, Budget{}).dimension, "");
 }
 
-TEST(CapacityModel, NeedsComeFromTheSlopes) {
+TEST(CapacityModel, NeedsFollowMeasuredSlopes) {
   const std::vector<Row> rows = allRows(sampleSet());
   const Day day = allDays().front();
   const Need need = rowOf(rows, "distribution of configuration, whole at each change").need(day);
@@ -76,7 +76,7 @@
               1.4e6 / 8400 * 2 * 86000 * 1e-8, 1e-3);
 }
 
-TEST(CapacityModel, AMechanismEndsWhereItHeldLessThanWasTried) {
+TEST(CapacityModel, MeasuredCapLimitsItems) {
   const std::vector<Row> rows = allRows(sampleSet());
   EXPECT_EQ(rowOf(rows, "customers held").budget.items, 4096);
   EXPECT_EQ(rowOf(rows, "the whole list of workers").budget.items, 5000);
@@ -86,39 +86,39 @@
   EXPECT_EQ(rowOf(allRows(unbounded), "customers held").budget.items, kNoLimit);
 }
 
-TEST(CapacityModel, RanksOnlyWhatNothingCarriesOrStandsInFor) {
+TEST(CapacityModel, RanksOnlyRowsWithoutMechanismOrSubstitute) {
   const std::vector<Gap> gaps = rankedGaps(allRows(sampleSet()));
   ASSERT_GE(gaps.size(), 2u);
   for (const Gap& gap : gaps) {
-    EXPECT_EQ(gap.row.carriedBy, "");
-    EXPECT_EQ(gap.row.standIn, "");
+    EXPECT_EQ(gap.row.implementedBy, "");
+    EXPECT_EQ(gap.row.substitute, "");
   }
   for (std::size_t i = 1; i < gaps.size(); ++i) EXPECT_GE(gaps[i - 1].worst.times, gaps[i].worst.times);
   EXPECT_EQ(gaps[0].row.mechanism, "distribution of configuration, whole at each change");
 }
 
-// Were a configuration some bytes in all, something else would be the largest gap.
-TEST(CapacityModel, TheRankingFollowsTheMeasurements) {
+// With a configuration of a few bytes in total, another row becomes the largest gap.
+TEST(CapacityModel, RankingFollowsMeasurements) {
   MeasurementSet small = sampleSet();
   for (Measurement& m : small.measurements)
     if (m.mechanism == "configuration") m.value = 1e-9;
   EXPECT_EQ(rankedGaps(allRows(small))[0].row.mechanism, "which configuration is in force where");
 }
 
-TEST(CapacityModel, EveryMissingFigureIsNamed) {
-  const MeasurementSet whole = sampleSet();
+TEST(CapacityModel, MissingFigureIsNamedInError) {
+  const MeasurementSet complete = sampleSet();
   for (const std::string mechanism :
        {"choice", "worker_change", "zone_change", "whole_list", "settings", "customers", "customer_cap",
         "list_text", "configuration", "class_cap", "membership", "member_cap", "rows", "row_cap", "duties",
         "watch", "process"}) {
-    MeasurementSet without = whole;
+    MeasurementSet without = complete;
     std::erase_if(without.measurements, [&](const Measurement& m) { return m.mechanism == mechanism; });
-    EXPECT_EQ(complaintOf([&] { allRows(without); }).rfind("no measurement of " + mechanism + ", ", 0), 0u)
+    EXPECT_EQ(errorOf([&] { allRows(without); }).rfind("no measurement of " + mechanism + ", ", 0), 0u)
         << mechanism;
   }
 }
 
-TEST(CapacityPage, HasARowForEachMechanismAndTheOutcome) {
+TEST(CapacityPage, ContainsEachMechanismAndOutcome) {
   const MeasurementSet set = sampleSet();
   const std::string text = capacityText(set);
   for (const Row& row : allRows(set)) {
@@ -131,42 +131,41 @@
   EXPECT_NE(text.find("ends at 4,096"), std::string::npos);
 }
 
-// A table's rows have as many cells as its head.
-TEST(CapacityPage, TablesAreWhole) {
+// The rows of each table have as many cells as its header.
+TEST(CapacityPage, TableRowsMatchHeaderWidth) {
   const std::string text = capacityText(sampleSet());
   std::size_t cells = 0;
   for (std::size_t at = 0; at < text.size();) {
     const std::size_t end = text.find('\n', at);
     const std::string line = text.substr(at, end - at);
     at = end + 1;
-    const auto here = static_cast<std::size_t>(std::count(line.begin(), line.end(), '|'));
+    const auto lineCells = static_cast<std::size_t>(std::count(line.begin(), line.end(), '|'));
     if (line.empty() || line[0] != '|')
       cells = 0;
     else if (cells == 0)
-      cells = here;
+      cells = lineCells;
     else
-      EXPECT_EQ(here, cells) << line;
+      EXPECT_EQ(lineCells, cells) << line;
   }
 }
 
-TEST(CapacityPage, OnlyWhatStandsBetweenTheMarkersChanges) {
+TEST(CapacityPage, OnlyTextBetweenMarkersChanges) {
   const std::string page = std::string("before\n") + kCapacityBegin + "\nold\n" + kCapacityEnd + "\nafter\n";
   const std::string once = withCapacity(page, "new\n");
   EXPECT_EQ(once, std::string("before\n") + kCapacityBegin + "\n\nnew\n\n" + kCapacityEnd + "\nafter\n");
   EXPECT_EQ(withCapacity(once, "new\n"), once) << "written twice it is the same";
 }
 
-TEST(CapacityPage, APageWithoutItsMarkersIsTurnedDown) {
+TEST(CapacityPage, PageWithoutMarkersIsRejected) {
   const std::string begin = kCapacityBegin, end = kCapacityEnd;
   const std::vector<std::string> pages{"", begin, end, end + begin};
   for (const std::string& page : pages)
-    EXPECT_NE(complaintOf([&] { withCapacity(page, "new"); }).find("no markers"), std::string::npos) << page;
+    EXPECT_NE(errorOf([&] { withCapacity(page, "new"); }).find("no markers"), std::string::npos) << page;
 }
 
-TEST(CapacityPage, AMissingFolderOrPageIsNamed) {
-  EXPECT_NE(
-      complaintOf([] { writeCapacity("/nonexistent", "/nonexistent/page"); }).find("/nonexistent/run.json"),
-      std::string::npos);
+TEST(CapacityPage, MissingFolderIsNamedInError) {
+  EXPECT_NE(errorOf([] { writeCapacity("/nonexistent", "/nonexistent/page"); }).find("/nonexistent/run.json"),
+            std::string::npos);
 }
 
 }  // namespace
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -1,5 +1,5 @@
-// Scale runs: the fits, the files of measurements, the runner's bounds, and the shape of each mechanism's
-// growth at small sizes (counts of messages, bytes, rows and calls; never a time).
+/// Tests of scale runs: the fits, the measurement files, the runner's limits, and the shape of each
+/// mechanism's growth at small sizes (counts of messages, bytes, rows and calls; never a time).
 #include "scale.hpp"
 
 #include <gtest/gtest.h>
@@ -23,7 +23,7 @@
 
 namespace fs = std::filesystem;
 
-std::vector<Sample> sampled(const std::function<double(double)>& value) {
+std::vector<Sample> samplesFrom(const std::function<double(double)>& value) {
   std::vector<Sample> out;
   for (const double size : {500.0, 1000.0, 2000.0, 4000.0, 8000.0, 16000.0})
     out.push_back({size, value(size)});
@@ -37,7 +37,7 @@
   return out;
 }
 
-Measurement measured(double size, double value) {
+Measurement measurementOf(double size, double value) {
   Measurement out;
   out.mechanism = "choice";
   out.figure = "processor";
@@ -48,8 +48,8 @@
   return out;
 }
 
-// What `read` throws as InvalidMeasurements; "" where it throws nothing.
-std::string complaintOf(const std::function<void()>& read) {
+// The message of the InvalidMeasurements that `read` throws, or "" if it throws nothing.
+std::string errorOf(const std::function<void()>& read) {
   try {
     read();
   } catch (const InvalidMeasurements& error) {
@@ -59,26 +59,26 @@
 }
 
 TEST(Fit, FindsEachShape) {
-  EXPECT_EQ(bestFit(sampled([](double) { return 7.0; })).shape, Shape::constant);
-  EXPECT_EQ(bestFit(sampled([](double n) { return 3 * std::log2(n); })).shape, Shape::logarithmic);
-  EXPECT_EQ(bestFit(sampled([](double n) { return 5 + 3 * n; })).shape, Shape::linear);
-  EXPECT_EQ(bestFit(sampled([](double n) { return 1e-9 * n * n; })).shape, Shape::quadratic);
+  EXPECT_EQ(bestFit(samplesFrom([](double) { return 7.0; })).shape, Shape::constant);
+  EXPECT_EQ(bestFit(samplesFrom([](double n) { return 3 * std::log2(n); })).shape, Shape::logarithmic);
+  EXPECT_EQ(bestFit(samplesFrom([](double n) { return 5 + 3 * n; })).shape, Shape::linear);
+  EXPECT_EQ(bestFit(samplesFrom([](double n) { return 1e-9 * n * n; })).shape, Shape::quadratic);
   const std::vector<Sample> wide{{2, 2}, {16, 64}, {256, 2048}, {65536, 1048576}};
   EXPECT_EQ(bestFit(wide).shape, Shape::linearithmic);
 }
 
-TEST(Fit, TellsOffsetSlopeAndValue) {
-  const Fit fit = fitShape(sampled([](double n) { return 5 + 3 * n; }), Shape::linear);
+TEST(Fit, ReportsOffsetSlopeAndValue) {
+  const Fit fit = fitShape(samplesFrom([](double n) { return 5 + 3 * n; }), Shape::linear);
   EXPECT_NEAR(fit.offset, 5, 1e-3);
   EXPECT_NEAR(fit.slope, 3, 1e-6);
   EXPECT_NEAR(fit.residual, 0, 1e-9);
   EXPECT_NEAR(fit.at(86000), 258005, 1);
 }
 
-// Noise of some ten in a hundred does not make a linear figure a quadratic one.
+// Noise of about 10 % must not turn a linear fit into a quadratic one.
 TEST(Fit, PrefersTheSimplerShapeUnderNoise) {
   int sign = 1;
-  const auto samples = sampled([&](double n) {
+  const auto samples = samplesFrom([&](double n) {
     sign = -sign;
     return 3 * n * (1 + 0.1 * sign);
   });
@@ -87,13 +87,13 @@
 
 TEST(Fit, NeitherOffsetNorSlopeIsNegative) {
   for (const Shape shape : kShapes) {
-    const Fit falling = fitShape(sampled([](double n) { return 1e6 / n; }), shape);
+    const Fit falling = fitShape(samplesFrom([](double n) { return 1e6 / n; }), shape);
     EXPECT_GE(falling.slope, 0) << nameOf(shape);
     EXPECT_GE(falling.offset, 0) << nameOf(shape);
   }
 }
 
-TEST(Fit, AValueIsTheMeasuredOneWhereThereIsOne) {
+TEST(Fit, ValueAtMeasuredSizeIsTheSample) {
   const std::vector<Sample> samples{{1000, 2}, {4000, 9}, {16000, 100}};
   const Fit fit = fitShape(samples, Shape::linear);
   EXPECT_EQ(valueAt(samples, fit, 4000), 9);
@@ -102,18 +102,18 @@
   EXPECT_EQ(valueAt(samples, fit, 500), fit.at(500));
 }
 
-TEST(Fit, TurnsDownWhatIsNoSample) {
+TEST(Fit, RejectsInvalidSamples) {
   EXPECT_THROW(bestFit({}), InvalidSamples);
   EXPECT_THROW(bestFit({{0, 1}}), InvalidSamples);
   EXPECT_THROW(bestFit({{1, -1}}), InvalidSamples);
   EXPECT_THROW(bestFit({{1, std::nan("")}}), InvalidSamples);
 }
 
-TEST(Measurements, AreReadAsTheyWereWritten) {
+TEST(Measurements, RoundTripThroughFiles) {
   const fs::path folder = folderFor("files");
   MeasurementSet set;
   set.form = "quick";
-  set.measurements = {measured(2000, 0.5), measured(1000, 0.25)};
+  set.measurements = {measurementOf(2000, 0.5), measurementOf(1000, 0.25)};
   set.notes = {{"choice", "ended early"}};
   writeSet(folder, set);
   const MeasurementSet read = readSet(folder);
@@ -126,32 +126,32 @@
   EXPECT_EQ(samples[1].value, 0.5);
 }
 
-TEST(Measurements, AMissingFileIsNamed) {
+TEST(Measurements, MissingFileIsNamedInError) {
   const fs::path folder = folderFor("missing");
-  EXPECT_NE(complaintOf([&] { readSet(folder); }).find("run.json: cannot be read"), std::string::npos);
+  EXPECT_NE(errorOf([&] { readSet(folder); }).find("run.json: cannot be read"), std::string::npos);
 }
 
-TEST(Measurements, ABadLineIsNamedWithItsNumber) {
+TEST(Measurements, InvalidLineIsNamedInErrorWithNumber) {
   const fs::path folder = folderFor("bad");
   MeasurementSet set;
   set.form = "quick";
-  set.measurements = {measured(1000, 0.25)};
+  set.measurements = {measurementOf(1000, 0.25)};
   const std::string fields =
       R"({"mechanism":"a","figure":"b","unit":"s","varies":"n","kind":"core","size":1,"value":)";
   const std::vector<std::string> badLines{"nonsense", "{}", "[1]", fields + "-1}", fields + "\"1\"}"};
   for (const std::string& bad : badLines) {
     writeSet(folder, set);
     std::ofstream(folder / kMeasurementsFile, std::ios::app) << bad << "\n";
-    EXPECT_NE(complaintOf([&] { readSet(folder); }).find("measurements.jsonl:2: "), std::string::npos) << bad;
+    EXPECT_NE(errorOf([&] { readSet(folder); }).find("measurements.jsonl:2: "), std::string::npos) << bad;
   }
   std::filesystem::resize_file(folder / kMeasurementsFile, 0);
-  EXPECT_NE(complaintOf([&] { readSet(folder); }).find("holds no measurement"), std::string::npos);
+  EXPECT_NE(errorOf([&] { readSet(folder); }).find("holds no measurement"), std::string::npos);
 }
 
-TEST(Measurements, AFigureThatWasNotMeasuredIsNamed) {
+TEST(Measurements, UnmeasuredFigureIsNamedInError) {
   MeasurementSet set;
-  set.measurements = {measured(1000, 0.25)};
-  EXPECT_EQ(complaintOf([&] { samplesOf(set, "choice", "held"); }), "no measurement of choice, held");
+  set.measurements = {measurementOf(1000, 0.25)};
+  EXPECT_EQ(errorOf([&] { samplesOf(set, "choice", "held"); }), "no measurement of choice, held");
 }
 
 ScaleOptions smallOptions() {
@@ -174,7 +174,7 @@
   return out;
 }
 
-TEST(ScaleRunner, ACaseThatThrowsEndsWithANote) {
+TEST(ScaleRunner, ThrowingCaseEndsSeriesWithNote) {
   const auto set = runScale({caseOf([](std::size_t size, const CaseLimits&) -> std::vector<Figure> {
                               if (size > 2) throw std::runtime_error("too many items");
                               return {{"held", "B", static_cast<double>(size)}};
@@ -185,14 +185,14 @@
   EXPECT_EQ(set.notes[0].text, "ended at 4 items: too many items");
 }
 
-TEST(ScaleRunner, ACaseThatDiesEndsWithANote) {
+TEST(ScaleRunner, ExitingCaseEndsSeriesWithNote) {
   const auto set = runScale(
       {caseOf([](std::size_t, const CaseLimits&) -> std::vector<Figure> { ::_exit(1); })}, smallOptions());
   ASSERT_EQ(set.notes.size(), 1u);
   EXPECT_EQ(set.notes[0].text, "ended at 1 items: the child process ended without figures");
 }
 
-TEST(ScaleRunner, ACaseThatHangsIsEndedByItsBudget) {
+TEST(ScaleRunner, HangingCaseIsKilledAtTimeBudget) {
   ScaleOptions options = smallOptions();
   options.caseSeconds = 0.2;
   const auto set = runScale({caseOf([](std::size_t, const CaseLimits&) -> std::vector<Figure> {
@@ -204,7 +204,7 @@
   EXPECT_EQ(set.notes[0].text, "ended at 1 items: the time budget ended");
 }
 
-TEST(ScaleRunner, ASizeThatWouldNotFitIsNotBegun) {
+TEST(ScaleRunner, SizeProjectedOverBudgetIsNotStarted) {
   ScaleOptions options = smallOptions();
   options.caseSeconds = 1;
   const auto set = runScale({caseOf([](std::size_t, const CaseLimits&) -> std::vector<Figure> {
@@ -217,7 +217,7 @@
   EXPECT_NE(set.notes[0].text.find("does not hold 2 items"), std::string::npos);
 }
 
-TEST(ScaleRunner, ACaseBeyondItsMemoryIsEnded) {
+TEST(ScaleRunner, CaseOverMemoryLimitIsKilled) {
   ScaleOptions options = smallOptions();
   options.memoryBytes = 1;
   const auto set = runScale({caseOf([](std::size_t, const CaseLimits&) -> std::vector<Figure> {
@@ -229,7 +229,7 @@
   EXPECT_EQ(set.notes[0].text, "ended at 1 items: the memory bound was reached");
 }
 
-TEST(ScaleRunner, NothingBeginsPastTheTimeOfTheRun) {
+TEST(ScaleRunner, NoCaseStartsAfterTotalTime) {
   ScaleOptions options = smallOptions();
   options.totalSeconds = 0;
   const auto set = runScale({caseOf([](std::size_t, const CaseLimits&) -> std::vector<Figure> {
@@ -241,19 +241,19 @@
   EXPECT_EQ(set.notes[0].text, "not run: the time of the whole run has ended");
 }
 
-TEST(ScaleRunner, CasesOfRealProcessesNeedTheProgram) {
-  ScaleCase what = caseOf([](std::size_t, const CaseLimits&) { return std::vector<Figure>{}; });
-  what.kind = RunKind::real;
-  const auto set = runScale({what}, smallOptions());
+TEST(ScaleRunner, RealCasesRequireGatekeeperProgram) {
+  ScaleCase scaleCase = caseOf([](std::size_t, const CaseLimits&) { return std::vector<Figure>{}; });
+  scaleCase.kind = RunKind::real;
+  const auto set = runScale({scaleCase}, smallOptions());
   ASSERT_EQ(set.notes.size(), 1u);
   EXPECT_EQ(set.notes[0].text, "not run: no gatekeeper program was given");
 }
 
-// The short form of one mechanism, or of all (""), measured once.
-const MeasurementSet& shortForm(const std::string& mechanism) {
-  static std::map<std::string, MeasurementSet> measured;
-  const auto [found, fresh] = measured.try_emplace(mechanism);
-  if (fresh) {
+// The `check` form of one mechanism, or of all (""). Each is measured once and cached.
+const MeasurementSet& checkForm(const std::string& mechanism) {
+  static std::map<std::string, MeasurementSet> cache;
+  const auto [found, inserted] = cache.try_emplace(mechanism);
+  if (inserted) {
     ScaleOptions options = smallOptions();
     if (!mechanism.empty()) options.only = {mechanism};
     found->second = runScale(allScaleCases(), options);
@@ -262,68 +262,68 @@
 }
 
 Fit shapeOf(const std::string& mechanism, const std::string& figure) {
-  return bestFit(samplesOf(shortForm(mechanism), mechanism, figure));
+  return bestFit(samplesOf(checkForm(mechanism), mechanism, figure));
 }
 
 TEST(ScaleShape, EveryMechanismIsMeasuredAtFourSizes) {
-  for (const Note& note : shortForm("").notes) ADD_FAILURE() << note.mechanism << ": " << note.text;
-  for (const Series& series : seriesOf(shortForm(""))) {
+  for (const Note& note : checkForm("").notes) ADD_FAILURE() << note.mechanism << ": " << note.text;
+  for (const Series& series : seriesOf(checkForm(""))) {
     const std::string& name = series.first.mechanism;
     const bool isCap = name.size() > 4 && name.substr(name.size() - 4) == "_cap";
     EXPECT_GE(series.samples.size(), isCap ? 1 : kMinSamples) << name << ", " << series.first.figure;
   }
 }
 
-TEST(ScaleShape, TextsGrowWithWhatTheyName) {
+TEST(ScaleShape, TextSizesGrowLinearly) {
   EXPECT_EQ(shapeOf("list_text", "text").shape, Shape::linear);
   EXPECT_NEAR(shapeOf("list_text", "text").slope, 149, 15) << "bytes a worker";
   EXPECT_EQ(shapeOf("configuration", "text").shape, Shape::linear);
   EXPECT_NEAR(shapeOf("configuration", "text").slope, 119, 12) << "bytes a class";
 }
 
-TEST(ScaleShape, CustomersAreHeldUpToTheCap) {
+TEST(ScaleShape, CustomersAreTrackedUpToCap) {
   EXPECT_EQ(shapeOf("customers", "rows").shape, Shape::linear);
   EXPECT_NEAR(shapeOf("customers", "rows").slope, 1, 1e-9);
-  EXPECT_EQ(samplesOf(shortForm("customer_cap"), "customer_cap", "rows")[0].value, 4096);
+  EXPECT_EQ(samplesOf(checkForm("customer_cap"), "customer_cap", "rows")[0].value, 4096);
 }
 
-TEST(ScaleShape, ClassesEndAtTheirCap) {
-  EXPECT_EQ(samplesOf(shortForm("class_cap"), "class_cap", "classes")[0].value, 4096);
+TEST(ScaleShape, ClassesAreLimitedByCap) {
+  EXPECT_EQ(samplesOf(checkForm("class_cap"), "class_cap", "classes")[0].value, 4096);
 }
 
-// An idle member's load does not grow with the fleet; what it holds and what one row costs it do.
-TEST(ScaleShape, MembershipCostsTheSameIdleWhateverTheFleet) {
+// The load of an idle member does not grow with the fleet; its member table and its cost per changed row do.
+TEST(ScaleShape, IdleMembershipCostIsIndependentOfFleetSize) {
   EXPECT_EQ(shapeOf("membership", "alive").shape, Shape::linear);
   EXPECT_NEAR(shapeOf("membership", "alive").slope, 1, 1e-9) << "everybody knows everybody";
   EXPECT_EQ(shapeOf("membership", "messages").shape, Shape::constant);
   EXPECT_LT(shapeOf("membership", "messages").offset, 3);
   EXPECT_LT(shapeOf("membership", "bytes").slope, 10) << "bytes a second and member";
-  // A change is told three times the logarithm of the members (src/replication/membership.cpp).
+  // Each member sends a change 3 times the logarithm of the member count (src/replication/membership.cpp).
   EXPECT_EQ(shapeOf("membership", "row_messages").shape, Shape::logarithmic);
   EXPECT_NEAR(shapeOf("membership", "row_messages").slope, 3, 0.5);
 }
 
-TEST(ScaleShape, MembersAndRowsEndAtTheirCaps) {
-  EXPECT_EQ(samplesOf(shortForm("member_cap"), "member_cap", "alive")[0].value, 1025)
+TEST(ScaleShape, MembersAndRowsAreLimitedByCaps) {
+  EXPECT_EQ(samplesOf(checkForm("member_cap"), "member_cap", "alive")[0].value, 1025)
       << "1,024 others and itself";
-  EXPECT_EQ(samplesOf(shortForm("row_cap"), "row_cap", "rows")[0].value, 4096);
+  EXPECT_EQ(samplesOf(checkForm("row_cap"), "row_cap", "rows")[0].value, 4096);
 }
 
-TEST(ScaleShape, TheStoreIsAskedInProportionToTheCandidates) {
+TEST(ScaleShape, StoreCallsGrowLinearlyWithCandidates) {
   EXPECT_EQ(shapeOf("duties", "calls").shape, Shape::linear);
   EXPECT_LT(shapeOf("duties", "calls").slope, 0.5) << "calls a second and candidate";
   EXPECT_NEAR(shapeOf("duties", "registered").slope, 1, 1e-9);
 }
 
-TEST(ScaleShape, CallsOfOneWatchDoNotGrowWithTheFleet) {
+TEST(ScaleShape, CallsPerWatchAreIndependentOfFleetSize) {
   EXPECT_EQ(shapeOf("watch", "calls_each").shape, Shape::constant);
-  // docs/design.md: 7.5 s from one call to the next, up to a sixth sooner; the first call is at the start.
-  constexpr double kMostCallsASecond = 1 / (7.5 * 5 / 6) + 1 / 60.0;
-  EXPECT_LT(shapeOf("watch", "calls_each").offset, kMostCallsASecond);
+  // docs/design.md: 7.5 s between calls, shortened by up to a sixth; the first call is made at the start.
+  constexpr double kMaxCallsPerSecond = 1 / (7.5 * 5 / 6) + 1 / 60.0;
+  EXPECT_LT(shapeOf("watch", "calls_each").offset, kMaxCallsPerSecond);
 }
 
-TEST(ScalePlot, DrawsAPanelForEachFigure) {
-  const std::vector<Series> series = seriesOf(shortForm("membership"));
+TEST(ScalePlot, DrawsOnePanelPerFigure) {
+  const std::vector<Series> series = seriesOf(checkForm("membership"));
   const std::string svg = scaleSvg(series);
   std::size_t panels = 0;
   for (std::size_t at = svg.find("fit: "); at != std::string::npos; at = svg.find("fit: ", at + 1)) ++panels;
--- a/tests/scale_test_set.hpp
+++ b/tests/scale_test_set.hpp
@@ -1,4 +1,4 @@
-// A set of measurements with simple slopes, for tests of what is worked out from them.
+/// A set of measurements with simple slopes, for tests of the capacity model and page.
 #pragma once
 
 #include <string>
@@ -8,7 +8,7 @@
 
 namespace wingslip::lab {
 
-// Adds `perItem` x size at four sizes.
+/// Adds a figure at four sizes, with the value `perItem` x size.
 inline void addLinear(MeasurementSet& set, const std::string& mechanism, const std::string& figure,
                       const std::string& unit, const std::string& varies, double perItem) {
   for (const double size : {500.0, 1000.0, 2000.0, 4000.0}) {
@@ -23,9 +23,9 @@
   }
 }
 
-// Adds one measurement.
-inline void addOne(MeasurementSet& set, const std::string& mechanism, const std::string& figure,
-                   const std::string& unit, const std::string& varies, double size, double value) {
+/// Adds a figure at one size.
+inline void addMeasurement(MeasurementSet& set, const std::string& mechanism, const std::string& figure,
+                           const std::string& unit, const std::string& varies, double size, double value) {
   Measurement m;
   m.mechanism = mechanism;
   m.figure = figure;
@@ -36,6 +36,7 @@
   set.measurements.push_back(m);
 }
 
+/// Returns a set with every figure that the capacity model needs.
 inline MeasurementSet sampleSet() {
   MeasurementSet set;
   set.form = "check";
@@ -49,22 +50,22 @@
   addLinear(set, "whole_list", "held", "B", workers, 300);
   addLinear(set, "settings", "processor", "s", classes, 1e-7);
   addLinear(set, "customers", "held", "B", "customers met", 635);
-  addOne(set, "customer_cap", "rows", "rows", "customers met", 20000, 4096);
+  addMeasurement(set, "customer_cap", "rows", "rows", "customers met", 20000, 4096);
   addLinear(set, "list_text", "text", "B", workers, 150);
   addLinear(set, "list_text", "peak", "B", workers, 330);
   addLinear(set, "list_text", "processor", "s", workers, 4e-6);
   addLinear(set, "configuration", "text", "B", classes, 120);
   addLinear(set, "configuration", "peak", "B", classes, 500);
   addLinear(set, "configuration", "processor", "s", classes, 1e-5);
-  addOne(set, "class_cap", "classes", "classes", "classes tried", 65536, 4096);
+  addMeasurement(set, "class_cap", "classes", "classes", "classes tried", 65536, 4096);
   for (const char* figure : {"messages", "bytes", "processor", "held", "row_messages", "row_bytes",
                              "row_processor", "restart_messages", "restart_bytes", "restart_processor"})
     addLinear(set, "membership", figure, "B", members, 0.01);
-  addOne(set, "member_cap", "alive", "members", members, 1124, 1025);
+  addMeasurement(set, "member_cap", "alive", "members", members, 1124, 1025);
   addLinear(set, "rows", "held", "B", rows, 384);
   addLinear(set, "rows", "bytes", "B/s", rows, 0.01);
   addLinear(set, "rows", "processor", "s/s", rows, 1e-7);
-  addOne(set, "row_cap", "rows", "rows", rows, 4196, 4096);
+  addMeasurement(set, "row_cap", "rows", "rows", rows, 4196, 4096);
   for (const char* figure :
        {"calls", "bytes", "registered_bytes", "take_over", "take_over_calls", "take_over_bytes"})
     addLinear(set, "duties", figure, "calls/s", "candidates", 0.36);
@@ -72,8 +73,8 @@
     addLinear(set, "watch", figure, "calls/s", "gatekeepers", 1e-5);
   for (const char* figure : {"idle_processor", "resident", "peak"})
     addLinear(set, "process", figure, "B", workers, 1e-6);
-  addOne(set, "process", "taken", kBooleanUnit, workers, 5000, 1);
-  addOne(set, "process", "taken", kBooleanUnit, workers, 10000, 0);
+  addMeasurement(set, "process", "taken", kBooleanUnit, workers, 5000, 1);
+  addMeasurement(set, "process", "taken", kBooleanUnit, workers, 10000, 0);
   return set;
 }
 
--- a/tools/lab/capacity.cpp
+++ b/tools/lab/capacity.cpp
@@ -14,10 +14,11 @@
 namespace wingslip::lab {
 namespace {
 
+// Values of `spread`, the number of gatekeepers that receive a tenant's requests, shown on the page.
 constexpr std::array<double, 6> kSpreads{1, 8, 32, 64, 256, 8400};
 
-constexpr double kLeastShown = 1e-7;   // less is shown as 0
-constexpr double kPoorResidual = 0.5;  // from which a fit is called poor
+constexpr double kMinShown = 1e-7;     // smaller values are shown as 0
+constexpr double kPoorResidual = 0.5;  // relative residual above which a fit is marked as poor
 
 void dropTrailingZeros(std::string& number) {
   if (number.find('.') == std::string::npos) return;
@@ -25,13 +26,13 @@
   if (number.back() == '.') number.pop_back();
 }
 
-// Three figures, with thousands set apart and no exponent.
-std::string plain(double value) {
-  if (value < kLeastShown) return "0";
+// Formats a number with three significant digits, thousands separators and no exponent.
+std::string formatNumber(double value) {
+  if (value < kMinShown) return "0";
   if (!std::isfinite(value)) return "none";
   std::ostringstream out;
-  const int digits = std::max(0, 2 - static_cast<int>(std::floor(std::log10(value))));
-  out << std::fixed << std::setprecision(std::min(digits, 9)) << value;
+  const int decimals = std::max(0, 2 - static_cast<int>(std::floor(std::log10(value))));
+  out << std::fixed << std::setprecision(std::min(decimals, 9)) << value;
   std::string text = out.str();
   dropTrailingZeros(text);
   const auto point = text.find('.');
@@ -48,23 +49,23 @@
 std::string withPrefix(double value, const std::array<Prefix, 4>& prefixes) {
   if (value == 0) return "0";
   for (const Prefix& prefix : prefixes)
-    if (value >= prefix.factor) return plain(value / prefix.factor) + " " + prefix.name;
-  return plain(value / prefixes.back().factor) + " " + prefixes.back().name;
+    if (value >= prefix.factor) return formatNumber(value / prefix.factor) + " " + prefix.name;
+  return formatNumber(value / prefixes.back().factor) + " " + prefixes.back().name;
 }
 
 std::string bytesText(double value) {
   return withPrefix(value, {{{1e9, "GB"}, {1e6, "MB"}, {1e3, "KB"}, {1, "B"}}});
 }
 
-std::string shareText(double share) { return share == 0 ? "0" : plain(100 * share) + " %"; }
+std::string shareText(double share) { return share == 0 ? "0" : formatNumber(100 * share) + " %"; }
 
 std::string timesText(const OverBudget& over) {
-  return over.dimension.empty() ? "not stated" : plain(over.times) + " (" + over.dimension + ")";
+  return over.dimension.empty() ? "not stated" : formatNumber(over.times) + " (" + over.dimension + ")";
 }
 
 std::string nameOrNone(const std::string& name) { return name.empty() ? "**none**" : name; }
 
-// Of the first figure of a mechanism: up to which size, how.
+// The largest measured size of a mechanism and the kind of run, such as "rows to 4,096 rows (hollow)".
 std::string measuredText(const MeasurementSet& set, const std::string& mechanism) {
   double largest = 0;
   std::string varies, kind;
@@ -74,7 +75,7 @@
     varies = m.varies;
     kind = nameOf(m.kind);
   }
-  return mechanism + " to " + plain(largest) + " " + varies + " (" + kind + ")";
+  return mechanism + " to " + formatNumber(largest) + " " + varies + " (" + kind + ")";
 }
 
 std::string basisText(const MeasurementSet& set, const Row& row) {
@@ -88,40 +89,42 @@
 void writeArithmetic(std::ostream& out) {
   using namespace target;
   out << "### Arithmetic that the rows share\n\n";
-  out << "- " << plain(kRequestsPerS / kGatekeepers) << " requests/s a gatekeeper at the peak ("
-      << plain(kRequestsPerS) << " over " << plain(kGatekeepers) << ").\n";
-  out << "- " << plain(kChangesADay / kSecondsADay) << " configuration changes a second on average ("
-      << plain(kChangesADay) << " a day); the peak is assumed to be " << plain(kPeakOverMean)
-      << " times that, " << plain(kPeakOverMean * kChangesADay / kSecondsADay) << " a second.\n";
-  out << "- " << plain(kMachinesADay / kSecondsADay) << " machine changes a second (" << plain(kMachinesADay)
-      << " a day), each assumed to be " << plain(kEntriesAMachine)
-      << " changes of the list (leaving, gone, ready).\n";
-  out << "- " << plain(kZoneGatekeepers) << " gatekeepers and " << plain(kZoneWorkers) << " workers a zone ("
-      << plain(kZones) << " zones).\n";
+  out << "- " << formatNumber(kRequestsPerS / kGatekeepers) << " requests/s a gatekeeper at the peak ("
+      << formatNumber(kRequestsPerS) << " over " << formatNumber(kGatekeepers) << ").\n";
+  out << "- " << formatNumber(kChangesPerDay / kSecondsPerDay)
+      << " configuration changes a second on average (" << formatNumber(kChangesPerDay)
+      << " a day); the peak is assumed to be " << formatNumber(kPeakOverMean) << " times that, "
+      << formatNumber(kPeakOverMean * kChangesPerDay / kSecondsPerDay) << " a second.\n";
+  out << "- " << formatNumber(kMachinesPerDay / kSecondsPerDay) << " machine changes a second ("
+      << formatNumber(kMachinesPerDay) << " a day), each assumed to be "
+      << formatNumber(kListChangesPerMachine) << " changes of the list (leaving, gone, ready).\n";
+  out << "- " << formatNumber(kZoneGatekeepers) << " gatekeepers and " << formatNumber(kZoneWorkers)
+      << " workers a zone (" << formatNumber(kZones) << " zones).\n";
   out << "- Tenants that one gatekeeper meets, by `spread` (gatekeepers that a tenant's requests come "
          "through): ";
   for (const double spread : kSpreads)
-    out << (spread == kSpreads.front() ? "" : "; ") << plain(tenantsMet(spread, kGatekeepers)) << " at "
-        << plain(spread);
-  out << ". The rows assume " << plain(kSpread) << ".\n";
+    out << (spread == kSpreads.front() ? "" : "; ")
+        << formatNumber(tenantsPerGatekeeper(spread, kGatekeepers)) << " at " << formatNumber(spread);
+  out << ". The rows assume " << formatNumber(kSpread) << ".\n";
   out << "- Budget of a gatekeeper for control: " << shareText(kCoreShare) << " of a core, "
       << bytesText(kMemoryBytes) << ", " << bytesText(kBytesPerS) << "/s. Assumed for one of the "
-      << plain(kControlMachines) << " control machines: " << plain(kControlCores) << " cores, "
+      << formatNumber(kControlMachines) << " control machines: " << formatNumber(kControlCores) << " cores, "
       << bytesText(kControlMemoryBytes) << ", " << bytesText(kControlBytesPerS)
-      << "/s; for a store or a shared discovery " << plain(kStoreCallsPerS) << " calls/s.\n\n";
+      << "/s; for a store or a shared discovery " << formatNumber(kStoreCallsPerS) << " calls/s.\n\n";
 }
 
 void writeDays(std::ostream& out, const std::vector<Day>& days) {
-  out << "### The days\n\nRates are a second; on bad days over the worst " << plain(target::kInForceSeconds)
-      << " s. A rack is assumed to be " << plain(target::kMachinesARack) << " machines.\n\n";
+  out << "### The days\n\nRates are a second; on bad days over the worst "
+      << formatNumber(target::kInForceSeconds) << " s. A rack is assumed to be "
+      << formatNumber(target::kMachinesPerRack) << " machines.\n\n";
   out << "| day | gatekeepers | requests a gatekeeper | configuration changes | list changes one by one | "
          "whole lists a gatekeeper | gatekeepers changed | control machines |\n"
       << "| --- | ---: | ---: | ---: | ---: | ---: | ---: | ---: |\n";
   for (const Day& day : days)
-    out << "| " << day.name << " | " << plain(day.gatekeepers) << " | " << plain(day.requests) << " | "
-        << plain(day.configurationChanges) << " | " << plain(day.listChanges) << " | "
-        << plain(day.wholeLists) << " | " << plain(day.memberChanges) << " | " << plain(day.controlMachines)
-        << " |\n";
+    out << "| " << day.name << " | " << formatNumber(day.gatekeepers) << " | " << formatNumber(day.requests)
+        << " | " << formatNumber(day.configurationChanges) << " | " << formatNumber(day.listChanges) << " | "
+        << formatNumber(day.wholeLists) << " | " << formatNumber(day.memberChanges) << " | "
+        << formatNumber(day.controlMachines) << " |\n";
   out << "\n";
 }
 
@@ -133,8 +136,8 @@
   add(budget.coreShare, shareText(budget.coreShare));
   add(budget.memoryBytes, bytesText(budget.memoryBytes));
   add(budget.bytesPerS, bytesText(budget.bytesPerS) + "/s");
-  add(budget.messagesPerS, plain(budget.messagesPerS) + " calls/s");
-  add(budget.items, plain(budget.items) + " items");
+  add(budget.messagesPerS, formatNumber(budget.messagesPerS) + " calls/s");
+  add(budget.items, formatNumber(budget.items) + " items");
   return out.empty() ? "not stated" : out;
 }
 
@@ -149,11 +152,11 @@
   for (const Row& row : rows) {
     const Need need = row.need(days.front());
     out << "| " << row.role << " | " << row.mechanism << " | " << bytesText(need.stateBytes) << " | "
-        << plain(need.messagesPerS) << " | " << bytesText(need.bytesPerS) << " | "
-        << shareText(need.coreShare) << " | " << bytesText(need.memoryBytes) << " | " << plain(need.items)
-        << " | " << budgetText(row.budget) << " | " << timesText(overBudget(need, row.budget)) << " | "
-        << nameOrNone(row.carriedBy);
-    if (!row.standIn.empty()) out << "; " << row.standIn << " stands in";
+        << formatNumber(need.messagesPerS) << " | " << bytesText(need.bytesPerS) << " | "
+        << shareText(need.coreShare) << " | " << bytesText(need.memoryBytes) << " | "
+        << formatNumber(need.items) << " | " << budgetText(row.budget) << " | "
+        << timesText(overBudget(need, row.budget)) << " | " << nameOrNone(row.implementedBy);
+    if (!row.substitute.empty()) out << "; " << row.substitute << " stands in";
     out << " | " << basisText(set, row) << " |\n";
   }
   out << "\n";
@@ -173,7 +176,7 @@
   out << "\n";
 }
 
-// What the days change in the rows themselves, where they change anything.
+// Writes the needs of each row on each day other than the ordinary one.
 void writeBadDayNeeds(std::ostream& out, const std::vector<Row>& rows, const std::vector<Day>& days) {
   out << "### Needs on the bad days\n\nMessages/s, bytes/s, processor, memory.\n\n| role | mechanism |";
   for (std::size_t i = 1; i < days.size(); ++i) out << " " << days[i].name << " |";
@@ -184,7 +187,7 @@
     out << "| " << row.role << " | " << row.mechanism << " |";
     for (std::size_t i = 1; i < days.size(); ++i) {
       const Need need = row.need(days[i]);
-      out << " " << plain(need.messagesPerS) << "; " << bytesText(need.bytesPerS) << "; "
+      out << " " << formatNumber(need.messagesPerS) << "; " << bytesText(need.bytesPerS) << "; "
           << shareText(need.coreShare) << "; " << bytesText(need.memoryBytes) << " |";
     }
     out << "\n";
@@ -197,7 +200,7 @@
   if (unit == "B/s") return bytesText(value) + "/s";
   if (unit == "s") return withPrefix(value, {{{1, "s"}, {1e-3, "ms"}, {1e-6, "us"}, {1e-9, "ns"}}});
   if (unit == "s/s") return shareText(value) + " of a core";
-  return plain(value) + " " + unit;
+  return formatNumber(value) + " " + unit;
 }
 
 std::string growthText(const Fit& fit, const std::string& unit) {
@@ -220,19 +223,19 @@
          "target |\n| --- | --- | --- | --- | --- | --- | ---: | ---: |\n";
   for (const Series& series : seriesOf(set)) {
     const Measurement& first = series.first;
-    const bool isCap = first.mechanism.ends_with("_cap");
+    const bool isLimit = first.mechanism.ends_with("_cap");
     out << "| " << first.mechanism << " | " << first.figure << " | " << nameOf(first.kind) << " | "
-        << series.samples.size() << ": " << plain(series.samples.front().size) << " to "
-        << plain(series.samples.back().size) << " " << first.varies << " | " << nameOf(series.fit.shape)
-        << (series.samples.size() < kMinSamples && !isCap ? " (few)" : "")
+        << series.samples.size() << ": " << formatNumber(series.samples.front().size) << " to "
+        << formatNumber(series.samples.back().size) << " " << first.varies << " | "
+        << nameOf(series.fit.shape) << (series.samples.size() < kMinSamples && !isLimit ? " (few)" : "")
         << (series.fit.residual > kPoorResidual ? " (poor)" : "") << " | "
-        << growthText(series.fit, first.unit) << " | " << plain(series.fit.residual) << " | ";
+        << growthText(series.fit, first.unit) << " | " << formatNumber(series.fit.residual) << " | ";
     const Sample& largest = series.samples.back();
-    if (isCap)
-      out << (largest.value < largest.size ? "ends at " + plain(largest.value) : "no end met");
+    if (isLimit)
+      out << (largest.value < largest.size ? "ends at " + formatNumber(largest.value) : "no end met");
     else
       out << valueText(valueAt(series.samples, series.fit, targetSizeOf(first.varies)), first.unit) << " at "
-          << plain(targetSizeOf(first.varies));
+          << formatNumber(targetSizeOf(first.varies));
     out << " |\n";
   }
   out << "\n";
@@ -256,8 +259,8 @@
         << timesText(gap.worst) << ", " << gap.worstDay << " |\n";
   if (gaps.empty()) return;
   out << "\nOutcome: **" << gaps.front().row.mechanism << "** (" << gaps.front().row.role << "), "
-      << plain(gaps.front().ordinary.times) << " times its budget of " << gaps.front().ordinary.dimension
-      << " on an ordinary day.\n";
+      << formatNumber(gaps.front().ordinary.times) << " times its budget of "
+      << gaps.front().ordinary.dimension << " on an ordinary day.\n";
 }
 
 }  // namespace
--- a/tools/lab/capacity_model.cpp
+++ b/tools/lab/capacity_model.cpp
@@ -13,8 +13,8 @@
 
 using namespace target;
 
-constexpr double kHeartbeatPerS = 0.5, kHeartbeatBytes = 6;  // of a watch: an empty chunk
-constexpr double kReportBytes = 100;                         // that a gatekeeper says which version it has
+constexpr double kHeartbeatPerS = 0.5, kHeartbeatBytes = 6;  // heartbeat of a watch: an empty HTTP chunk
+constexpr double kReportBytes = 100;                         // report of a gatekeeper's configuration version
 constexpr double kMachines = kGatekeepers + kWorkers;
 constexpr double kGatekeeperShare = kGatekeepers / kMachines;
 
@@ -25,37 +25,37 @@
 
   double at(const std::string& mechanism, const std::string& figure, double size) {
     const auto key = std::make_pair(mechanism, figure);
-    auto found = known_.find(key);
-    if (found == known_.end()) {
-      Known known;
+    auto found = seriesCache_.find(key);
+    if (found == seriesCache_.end()) {
+      FittedSamples known;
       known.samples = samplesOf(set_, mechanism, figure);
       known.fit = bestFit(known.samples);
-      found = known_.emplace(key, std::move(known)).first;
+      found = seriesCache_.emplace(key, std::move(known)).first;
     }
     return valueAt(found->second.samples, found->second.fit, size);
   }
-  // Where a mechanism ends: the most that it held of more that were tried; else no limit was met.
+  // The limit of a mechanism: the number that it stored if more were tried; kNoLimit if it stored all.
   double capOf(const std::string& mechanism, const std::string& figure) const {
-    const Sample most = samplesOf(set_, mechanism, figure).back();
-    return most.value < most.size ? most.value : kNoLimit;
+    const Sample largest = samplesOf(set_, mechanism, figure).back();
+    return largest.value < largest.size ? largest.value : kNoLimit;
   }
-  // The largest size at which a `kBooleanUnit` figure is 1, where it is 0 at a larger one; else no limit.
-  double largestYes(const std::string& mechanism, const std::string& figure) const {
-    double yes = 0;
+  // The largest size up to which a `kBooleanUnit` figure is 1, if it is 0 at a larger size; else kNoLimit.
+  double largestTrue(const std::string& mechanism, const std::string& figure) const {
+    double largest = 0;
     for (const Sample& sample : samplesOf(set_, mechanism, figure)) {
-      if (sample.value < 1) return yes;
-      yes = sample.size;
+      if (sample.value < 1) return largest;
+      largest = sample.size;
     }
     return kNoLimit;
   }
 
  private:
-  struct Known {
+  struct FittedSamples {
     std::vector<Sample> samples;
     Fit fit;
   };
   MeasurementSet set_;
-  std::map<std::pair<std::string, std::string>, Known> known_;
+  std::map<std::pair<std::string, std::string>, FittedSamples> seriesCache_;
 };
 
 using SharedSlopes = std::shared_ptr<Slopes>;
@@ -82,7 +82,7 @@
   return out;
 }
 
-Budget limitedTo(double items, Budget budget = gatekeeperBudget()) {
+Budget budgetWithItems(double items, Budget budget = gatekeeperBudget()) {
   budget.items = items;
   return budget;
 }
@@ -93,9 +93,9 @@
   Row row;
   row.role = "gatekeeper";
   row.mechanism = "choice of a worker for a request";
-  row.carriedBy = "`src/decision/load_balancer.cpp`";
+  row.implementedBy = "`src/decision/load_balancer.cpp`";
   row.measured = {"choice", "whole_list"};
-  // The requests' own budget is the time that they may be held up.
+  // The budget follows from the latency that the gatekeeper may add to a request.
   row.budget.coreShare = kAddedSeconds * kRequestsPerS / kGatekeepers;
   row.need = [slopes](const Day& day) {
     Need need;
@@ -113,7 +113,7 @@
   Row row;
   row.role = "gatekeeper";
   row.mechanism = "one changed worker";
-  row.carriedBy = "`src/endpoint_watch/`, `Gateway::onEndpoints`";
+  row.implementedBy = "`src/endpoint_watch/`, `Gateway::onEndpoints`";
   row.measured = {"worker_change", "list_text"};
   row.budget = gatekeeperBudget();
   row.need = [slopes](const Day& day) {
@@ -131,7 +131,7 @@
   Row row;
   row.role = "gatekeeper";
   row.mechanism = "a zone's workers, lost and back";
-  row.carriedBy = "`src/endpoint_watch/`, `Gateway::onEndpoints`";
+  row.implementedBy = "`src/endpoint_watch/`, `Gateway::onEndpoints`";
   row.measured = {"zone_change", "list_text"};
   row.budget = gatekeeperBudget();
   row.need = [slopes](const Day& day) {
@@ -151,9 +151,9 @@
   Row row;
   row.role = "gatekeeper";
   row.mechanism = "the whole list of workers";
-  row.carriedBy = "`src/endpoint_watch/`, `Gateway::onEndpoints`";
+  row.implementedBy = "`src/endpoint_watch/`, `Gateway::onEndpoints`";
   row.measured = {"whole_list", "list_text", "process"};
-  row.budget = limitedTo(slopes->largestYes("process", "taken"));
+  row.budget = budgetWithItems(slopes->largestTrue("process", "taken"));
   row.need = [slopes](const Day& day) {
     Need need;
     need.messagesPerS = day.wholeLists;
@@ -173,9 +173,9 @@
   Row row;
   row.role = "gatekeeper";
   row.mechanism = "changed settings taken in, a class a route";
-  row.carriedBy = "`src/config/config.cpp` at SIGHUP, `Gateway::onSettings`";
+  row.implementedBy = "`src/config/config.cpp` at SIGHUP, `Gateway::onSettings`";
   row.measured = {"settings", "configuration", "class_cap"};
-  row.budget = limitedTo(slopes->capOf("class_cap", "classes"));
+  row.budget = budgetWithItems(slopes->capOf("class_cap", "classes"));
   row.need = [slopes](const Day& day) {
     Need need;
     need.messagesPerS = day.configurationChanges;
@@ -193,12 +193,12 @@
   Row row;
   row.role = "gatekeeper";
   row.mechanism = "customers held";
-  row.carriedBy = "`src/decision/customer_table.hpp`";
+  row.implementedBy = "`src/decision/customer_table.hpp`";
   row.measured = {"customers", "customer_cap"};
-  row.budget = limitedTo(slopes->capOf("customer_cap", "rows"));
+  row.budget = budgetWithItems(slopes->capOf("customer_cap", "rows"));
   row.need = [slopes](const Day& day) {
     Need need;
-    need.items = tenantsMet(kSpread, day.gatekeepers);
+    need.items = tenantsPerGatekeeper(kSpread, day.gatekeepers);
     need.stateBytes = slopes->at("customers", "held", need.items);
     need.memoryBytes = need.stateBytes;
     return need;
@@ -210,9 +210,9 @@
   Row row;
   row.role = "gatekeeper";
   row.mechanism = "membership of the gatekeepers (SWIM)";
-  row.carriedBy = "`src/replication/`";
+  row.implementedBy = "`src/replication/`";
   row.measured = {"membership", "member_cap"};
-  row.budget = limitedTo(slopes->capOf("member_cap", "alive"));
+  row.budget = budgetWithItems(slopes->capOf("member_cap", "alive"));
   row.need = [slopes](const Day& day) {
     const auto at = [&](const char* figure) { return slopes->at("membership", figure, day.gatekeepers); };
     Need need;
@@ -231,9 +231,9 @@
   Row row;
   row.role = "gatekeeper";
   row.mechanism = "replicated rows, a row a route";
-  row.carriedBy = "`src/replication/`";
+  row.implementedBy = "`src/replication/`";
   row.measured = {"rows", "row_cap", "membership"};
-  row.budget = limitedTo(slopes->capOf("row_cap", "rows"));
+  row.budget = budgetWithItems(slopes->capOf("row_cap", "rows"));
   row.need = [slopes](const Day& day) {
     const auto each = [&](const char* figure) {
       return day.configurationChanges * slopes->at("membership", figure, day.gatekeepers);
@@ -254,7 +254,7 @@
   Row row;
   row.role = "gatekeeper";
   row.mechanism = "duties, as a candidate";
-  row.carriedBy = "`src/leader_election/`";
+  row.implementedBy = "`src/leader_election/`";
   row.measured = {"duties"};
   row.budget = gatekeeperBudget();
   row.need = [slopes](const Day& day) {
@@ -274,15 +274,16 @@
   Row row;
   row.role = "gatekeeper";
   row.mechanism = "the roster, as the one that holds the duty";
-  row.carriedBy = "`src/leader_election/`";
+  row.implementedBy = "`src/leader_election/`";
   row.measured = {"duties"};
-  row.budget = limitedTo(static_cast<double>(wingslip::leader_election::MembershipRecord::kMaxMembers));
+  row.budget = budgetWithItems(static_cast<double>(wingslip::leader_election::MembershipRecord::kMaxMembers));
   row.need = [slopes](const Day& day) {
     Need need;
     need.stateBytes = slopes->at("duties", "registered_bytes", day.gatekeepers);
     need.memoryBytes = need.stateBytes;
     need.messagesPerS = day.memberChanges;
-    need.bytesPerS = day.memberChanges * need.stateBytes;  // each change is answered with all registrations
+    need.bytesPerS =
+        day.memberChanges * need.stateBytes;  // each change triggers a response with all registrations
     need.items = day.gatekeepers;
     return need;
   };
@@ -293,13 +294,13 @@
   Row row;
   row.role = "gatekeeper";
   row.mechanism = "the watch itself";
-  row.carriedBy = "`src/endpoint_watch/`";
+  row.implementedBy = "`src/endpoint_watch/`";
   row.measured = {"watch"};
   row.budget = gatekeeperBudget();
   row.need = [slopes](const Day& day) {
     Need need;
     need.messagesPerS =
-        day.discoveryTurnsAway ? slopes->at("watch", "calls_each", day.gatekeepers) : kHeartbeatPerS;
+        day.discoveryRejects ? slopes->at("watch", "calls_each", day.gatekeepers) : kHeartbeatPerS;
     need.bytesPerS = kHeartbeatPerS * kHeartbeatBytes;
     need.coreShare = slopes->at("watch", "processor", day.gatekeepers);
     need.items = 1;
@@ -312,7 +313,7 @@
   Row row;
   row.role = "gatekeeper";
   row.mechanism = "the process, idle, with the list of workers";
-  row.carriedBy = "`wingslip-gatekeeper`";
+  row.implementedBy = "`wingslip-gatekeeper`";
   row.measured = {"process"};
   row.budget = gatekeeperBudget();
   row.need = [slopes](const Day&) {
@@ -362,8 +363,8 @@
 Row serviceListsRow(const SharedSlopes& slopes) {
   Row row = wholeListRow(slopes);
   row.mechanism = "lists of workers by service";
-  row.carriedBy = "";
-  row.standIn = "the whole list";
+  row.implementedBy = "";
+  row.substitute = "the whole list";
   row.measured = {"list_text"};
   row.budget = gatekeeperBudget();
   row.need = [slopes](const Day& day) {
@@ -417,7 +418,7 @@
   Row row;
   row.role = "discovery agent";
   row.mechanism = "the list, told to its gatekeeper";
-  row.carriedBy = "the platform's agent";
+  row.implementedBy = "the platform's agent";
   row.measured = {"list_text"};
   row.need = [slopes](const Day& day) {
     Need need;
@@ -436,7 +437,7 @@
   Row row;
   row.role = "discovery agent";
   row.mechanism = "calls at a discovery that all share and that turns them away";
-  row.carriedBy = "`src/endpoint_watch/` paces them";
+  row.implementedBy = "`src/endpoint_watch/` paces them";
   row.measured = {"watch"};
   row.budget = storeBudget();
   row.need = [slopes](const Day& day) {
@@ -452,7 +453,7 @@
   Row row;
   row.role = "meter";
   row.mechanism = "readings of all tenants";
-  row.carriedBy = "the platform's meter, read from answers";
+  row.implementedBy = "the platform's meter, read from answers";
   row.measured = {"customers"};
   row.need = [slopes](const Day&) {
     Need need;
@@ -469,12 +470,12 @@
   Row row;
   row.role = "coordination store";
   row.mechanism = "sessions, locks and registrations";
-  row.carriedBy = "the platform's store, `src/leader_election/`";
+  row.implementedBy = "the platform's store, `src/leader_election/`";
   row.measured = {"duties"};
   row.budget = storeBudget();
   row.need = [slopes](const Day& day) {
     const auto at = [&](const char* figure) { return slopes->at("duties", figure, day.gatekeepers); };
-    const double takeOvers = day.holderLost ? 1 / at("take_over") : 0;
+    const double takeOvers = day.holderFails ? 1 / at("take_over") : 0;
     Need need;
     need.messagesPerS = at("calls") + takeOvers * at("take_over_calls");
     need.bytesPerS =
@@ -488,19 +489,19 @@
 }
 
 Day ordinaryDay() {
-  constexpr double kMachinesPerS = kMachinesADay / kSecondsADay;
+  constexpr double kMachinesPerS = kMachinesPerDay / kSecondsPerDay;
   Day day;
   day.name = "ordinary";
-  day.configurationChanges = kChangesADay / kSecondsADay;
-  day.listChanges = kMachinesPerS * (1 - kGatekeeperShare) * kEntriesAMachine;
+  day.configurationChanges = kChangesPerDay / kSecondsPerDay;
+  day.listChanges = kMachinesPerS * (1 - kGatekeeperShare) * kListChangesPerMachine;
   day.memberChanges = kMachinesPerS * kGatekeeperShare;
-  day.wholeLists = kMachinesPerS / kMachines;  // each start takes one
+  day.wholeLists = kMachinesPerS / kMachines;  // each started gatekeeper receives one
   return day;
 }
 
 Day withMachines(Day day, const std::string& name, double machinesPerS) {
   day.name = name;
-  day.listChanges += machinesPerS * (1 - kGatekeeperShare) * kEntriesAMachine;
+  day.listChanges += machinesPerS * (1 - kGatekeeperShare) * kListChangesPerMachine;
   day.memberChanges += machinesPerS * kGatekeeperShare;
   return day;
 }
@@ -515,24 +516,24 @@
   return day;
 }
 
-// When regions meet again: what happened meanwhile comes at once, and lists are read anew.
-Day partedDay() {
+// Regions reconnect after a partition: the accumulated changes arrive together, and all lists are read again.
+Day partitionDay() {
   Day day = ordinaryDay();
   day.name = "regions parted";
-  const double behind = (kPartedSeconds + kInForceSeconds) / kInForceSeconds;
-  day.configurationChanges *= behind;
-  day.listChanges *= behind;
+  const double backlogFactor = (kPartitionSeconds + kInForceSeconds) / kInForceSeconds;
+  day.configurationChanges *= backlogFactor;
+  day.listChanges *= backlogFactor;
   day.memberChanges += kGatekeepers * (kRegions - 1) / kRegions / kInForceSeconds;
   day.wholeLists = 1 / kInForceSeconds;
-  day.discoveryTurnsAway = true;
+  day.discoveryRejects = true;
   return day;
 }
 
 Day controlDay() {
   Day day = ordinaryDay();
   day.name = "control machines fail";
-  day.controlMachines = 1;  // the last one left
-  day.holderLost = true;
+  day.controlMachines = 1;  // all but one have failed
+  day.holderFails = true;
   return day;
 }
 
@@ -544,14 +545,14 @@
   peak.configurationChanges *= kPeakOverMean;
   return {ordinaryDay(),
           peak,
-          withMachines(ordinaryDay(), "a release", kReleaseMachinesAnHour / kSecondsAnHour),
-          withMachines(ordinaryDay(), "a rack", kMachinesARack / kInForceSeconds),
+          withMachines(ordinaryDay(), "a release", kReleaseMachinesPerHour / kSecondsPerHour),
+          withMachines(ordinaryDay(), "a rack", kMachinesPerRack / kInForceSeconds),
           zoneDay(),
-          partedDay(),
+          partitionDay(),
           controlDay()};
 }
 
-double tenantsMet(double spread, double gatekeepers) {
+double tenantsPerGatekeeper(double spread, double gatekeepers) {
   return kTenants * std::min(1.0, spread / gatekeepers);
 }
 
@@ -592,7 +593,8 @@
                         meterRow(slopes),
                         storeRow(slopes)};
   for (const Row& row : rows)
-    for (const Day& day : allDays()) row.need(day);  // names a missing figure now
+    for (const Day& day : allDays())
+      row.need(day);  // throws on a missing figure now rather than during output
   return rows;
 }
 
@@ -600,7 +602,7 @@
   const std::vector<Day> days = allDays();
   std::vector<Gap> out;
   for (const Row& row : rows) {
-    if (!row.carriedBy.empty() || !row.standIn.empty()) continue;
+    if (!row.implementedBy.empty() || !row.substitute.empty()) continue;
     Gap gap;
     gap.row = row;
     gap.ordinary = overBudget(row.need(days.front()), row.budget);
@@ -619,7 +621,7 @@
 double targetSizeOf(const std::string& varies) {
   if (varies == "workers listed") return kWorkers;
   if (varies == "classes" || varies == "rows") return kRoutes;
-  if (varies == "customers met") return tenantsMet(kSpread, kGatekeepers);
+  if (varies == "customers met") return tenantsPerGatekeeper(kSpread, kGatekeepers);
   return kGatekeepers;
 }
 
--- a/tools/lab/capacity_model.hpp
+++ b/tools/lab/capacity_model.hpp
@@ -1,5 +1,6 @@
-// The capacity model: the target's sizes, the days that have to be borne, and what each mechanism needs of
-// each role on each of them, from the slopes that `wingslip-lab scale` has measured. Pure.
+/// The capacity model: the sizes of the target, the days (load situations) that the fleet must sustain, and
+/// the resources that each mechanism needs in each role on each day, from the slopes measured by
+/// `wingslip-lab scale`. Pure functions.
 #pragma once
 
 #include <functional>
@@ -12,91 +13,98 @@
 
 namespace wingslip::lab {
 
-// The operators' target, and what is assumed where they state nothing (marked so).
+/// The operators' target, followed by the assumptions for values that the operators do not state.
 namespace target {
 constexpr double kGatekeepers = 8400, kWorkers = 86000, kServices = 2500, kRoutes = 64000, kTenants = 690000;
 constexpr double kRequestsPerS = 1.4e6, kAddedSeconds = 6.9e-3;
 constexpr double kRegions = 6, kZones = 18, kControlMachines = 18;
-constexpr double kChangesADay = 29000, kInForceSeconds = 18;
-constexpr double kCoreShare = 0.028, kMemoryBytes = 256e6, kBytesPerS = 17e3;  // control, of a gatekeeper
-constexpr double kMachinesADay = 17000 + 360;  // restarted or replaced, and failed
-constexpr double kReleaseMachinesAnHour = 17000;
+constexpr double kChangesPerDay = 29000, kInForceSeconds = 18;
+// Budget of one gatekeeper for control.
+constexpr double kCoreShare = 0.028, kMemoryBytes = 256e6, kBytesPerS = 17e3;
+constexpr double kMachinesPerDay = 17000 + 360;  // 17,000 restarted or replaced and 360 failed
+constexpr double kReleaseMachinesPerHour = 17000;
 constexpr double kZoneGatekeepers = 467, kZoneWorkers = 4778;
-constexpr double kPartedSeconds = 300;
-constexpr double kSecondsADay = 86400, kSecondsAnHour = 3600;
-// Assumed.
-constexpr double kPeakOverMean = 10;    // of configuration changes
-constexpr double kEntriesAMachine = 3;  // changes of the list for a machine: leaves, gone, ready
-constexpr double kMachinesARack = 40;
-constexpr double kSpread = 32;  // gatekeepers that a tenant's requests come through
+constexpr double kPartitionSeconds = 300;
+constexpr double kSecondsPerDay = 86400, kSecondsPerHour = 3600;
+// Assumptions.
+constexpr double kPeakOverMean = 10;          // peak rate of configuration changes over the mean rate
+constexpr double kListChangesPerMachine = 3;  // list changes per machine change: draining, removed, ready
+constexpr double kMachinesPerRack = 40;
+constexpr double kSpread = 32;  // gatekeepers that receive a tenant's requests
 constexpr double kControlBytesPerS = 1.25e9, kControlMemoryBytes = 64e9,
-                 kControlCores = 16;       // of one machine
-constexpr double kStoreCallsPerS = 10000;  // that a store or a shared discovery answers
+                 kControlCores = 16;       // capacity of one control machine
+constexpr double kStoreCallsPerS = 10000;  // that a coordination store or a shared discovery can answer
 }  // namespace target
 
-// What one gatekeeper meets of a day. Rates are a second, over the worst `kInForceSeconds` of a bad day.
+/// The load of one gatekeeper on a day. Rates are per second, on bad days over the worst `kInForceSeconds`.
 struct Day {
   std::string name;
   double gatekeepers = target::kGatekeepers;
   double requests = target::kRequestsPerS / target::kGatekeepers;
   double configurationChanges = 0;
-  double listChanges = 0;    // entries of the list of workers, one told at a time
-  double zoneLists = 0;      // a zone's workers told in one message, lost and back
-  double wholeLists = 0;     // taken
-  double memberChanges = 0;  // of gatekeepers
+  double listChanges = 0;    // entries of the list of workers, each sent in its own message
+  double zoneLists = 0;      // losses and returns of a zone's workers, each sent in one message
+  double wholeLists = 0;     // whole lists received
+  double memberChanges = 0;  // gatekeepers that join or leave
   double controlMachines = target::kControlMachines;
-  bool discoveryTurnsAway = false;
-  bool holderLost = false;  // of a duty
+  bool discoveryRejects = false;  // discovery rejects calls
+  bool holderFails = false;       // the holder of a duty fails
 };
-std::vector<Day> allDays();  // the ordinary one first
+/// All days, the ordinary one first.
+std::vector<Day> allDays();
 
-// Different tenants that a gatekeeper meets where each tenant's requests come through `spread` gatekeepers.
-double tenantsMet(double spread, double gatekeepers);
+/// The number of distinct tenants whose requests reach one gatekeeper, if each tenant's requests are spread
+/// over `spread` of `gatekeepers` gatekeepers.
+double tenantsPerGatekeeper(double spread, double gatekeepers);
 
-// Of one role, on one day.
+/// The resources that a mechanism needs in one role on one day.
 struct Need {
-  double stateBytes = 0;  // held for the mechanism
+  double stateBytes = 0;  // state that the mechanism stores
   double messagesPerS = 0, bytesPerS = 0;
-  double coreShare = 0;    // processor seconds a second
-  double memoryBytes = 0;  // resident at most, the state included
-  double items = 0;        // that the mechanism has to hold
+  double coreShare = 0;    // processor seconds per second
+  double memoryBytes = 0;  // peak resident memory, including the state
+  double items = 0;        // items that the mechanism has to store
 };
 
+/// The value of a budget dimension without a limit.
 constexpr double kNoLimit = std::numeric_limits<double>::infinity();
+/// The limits of a need, in the same units.
 struct Budget {
   double messagesPerS = kNoLimit, bytesPerS = kNoLimit, coreShare = kNoLimit, memoryBytes = kNoLimit;
-  double items = kNoLimit;  // that the mechanism holds at most
+  double items = kNoLimit;  // the largest number that the mechanism can store
 };
 
-// The dimension in which a need is furthest over its budget.
+/// The dimension with the largest ratio of need to budget.
 struct OverBudget {
-  double times = 0;       // need over budget
-  std::string dimension;  // "bytes", ...; empty: no budget is stated
+  double times = 0;       // ratio of need to budget
+  std::string dimension;  // such as "bytes/s"; empty: no budget is stated
 };
 OverBudget overBudget(const Need& need, const Budget& budget);
 
+/// One mechanism in one role, with its budget and need.
 struct Row {
   std::string role, mechanism;
-  std::string carriedBy;              // empty: no mechanism in the tree
-  std::string standIn;                // what else can serve where there is none; empty: nothing
-  std::vector<std::string> measured;  // mechanisms whose slopes it rests on; empty: worked out alone
+  std::string implementedBy;          // the component that implements it; empty: none in the tree
+  std::string substitute;             // a substitute for a missing mechanism; empty: none
+  std::vector<std::string> measured;  // mechanisms whose slopes `need` uses; empty: computed without slopes
   Budget budget;
   std::function<Need(const Day&)> need;
 };
 
-// Throws InvalidMeasurements where a figure that a row needs was not measured.
+/// All rows of the model. Throws InvalidMeasurements if a figure that a row needs was not measured.
 std::vector<Row> allRows(const MeasurementSet& set);
 
-// A row without a mechanism, and the day on which it needs most.
+/// A row without a mechanism, and the day on which its need is furthest over budget.
 struct Gap {
   Row row;
   OverBudget ordinary, worst;
   std::string worstDay;
 };
-// Rows with no mechanism in the tree that nothing else stands in for, the largest need over budget first.
+/// The rows without a mechanism in the tree and without a substitute, in order of decreasing need over budget
+/// on the worst day.
 std::vector<Gap> rankedGaps(const std::vector<Row>& rows);
 
-// The size that a measured figure is wanted at, by what it varies with.
+/// The size of the target for a figure, by the items that its size counts (`Measurement::varies`).
 double targetSizeOf(const std::string& varies);
 
 }  // namespace wingslip::lab
--- a/tools/lab/scale.hpp
+++ b/tools/lab/scale.hpp
@@ -55,7 +55,7 @@
 
 /// The largest memory limit that the options accept, in bytes: half of the machine's memory.
 std::uint64_t maxMemoryBytes();
-/// The largest process limit that the options accept.
+/// The largest process limit that the options accept: 200 processes.
 constexpr unsigned kMaxProcesses = 200;
 
 /// Runs the cases one after the other. A series ends with a note if the next size is projected to exceed its
