--- a/tools/lab/capacity_model.hpp
+++ b/tools/lab/capacity_model.hpp
@@ -31,24 +31,24 @@
 constexpr double kListChangesPerMachine = 3;  // list changes per machine change: draining, removed, ready
 constexpr double kMachinesPerRack = 40;
 constexpr double kSpread = 32;  // gatekeepers that receive a tenant's requests
-constexpr double kControlBytesPerS = 1.25e9, kControlMemoryBytes = 64e9,
-                 kControlCores = 16;       // capacity of one control machine
-constexpr double kStoreCallsPerS = 10000;  // that a coordination store or a shared discovery can answer
+// Capacity of one control machine.
+constexpr double kControlBytesPerS = 1.25e9, kControlMemoryBytes = 64e9, kControlCores = 16;
+constexpr double kStoreCallsPerS = 10000;  // capacity of a coordination store or a shared discovery
 }  // namespace target
 
 /// The load of one gatekeeper on a day. Rates are per second, on bad days over the worst `kInForceSeconds`.
 struct Day {
   std::string name;
-  double gatekeepers = target::kGatekeepers;
-  double requests = target::kRequestsPerS / target::kGatekeepers;
+  double gatekeepers = target::kGatekeepers;                       // in the fleet
+  double requests = target::kRequestsPerS / target::kGatekeepers;  // of customers
   double configurationChanges = 0;
   double listChanges = 0;    // entries of the list of workers, each sent in its own message
-  double zoneLists = 0;      // losses and returns of a zone's workers, each sent in one message
+  double zoneLists = 0;      // losses and returns of a whole zone's workers, two messages each
   double wholeLists = 0;     // whole lists received
   double memberChanges = 0;  // gatekeepers that join or leave
-  double controlMachines = target::kControlMachines;
-  bool discoveryRejects = false;  // discovery rejects calls
-  bool holderFails = false;       // the holder of a duty fails
+  double controlMachines = target::kControlMachines;  // in service
+  bool discoveryRejects = false;                      // discovery rejects calls
+  bool holderFails = false;                           // the holder of a duty fails
 };
 /// All days, the ordinary one first.
 std::vector<Day> allDays();
--- a/tools/lab/distribution_run.cpp
+++ b/tools/lab/distribution_run.cpp
@@ -17,7 +17,7 @@
 using namespace wingslip::distribution;
 using nlohmann::json;
 
-// The bounds that the operators set.
+// The operators' bounds.
 constexpr double kMaxEverywhereMs = 18'000;
 constexpr double kMaxBytesPerSecond = 17'000;
 constexpr double kMaxCoreShare = 0.028;
@@ -25,7 +25,7 @@
 constexpr double kHeartbeatsPerSecond = 0.5;
 
 constexpr int kCostChanges = 20'000;
-constexpr const char* kShared =
+constexpr const char* kSimulationNotice =
     "entries, ranges and records are shared between the simulated copies; no sockets, no bandwidth or "
     "processor "
     "time of a machine is modelled; no memory figure follows from this";
@@ -63,7 +63,7 @@
           {"loss", o.loss},
           {"delay_ms", {{"zone", o.zoneDelay}, {"region", o.regionDelay}, {"far", o.farDelay}}},
           {"seed", o.seed},
-          {"hollow", kShared}};
+          {"hollow", kSimulationNotice}};
 }
 
 json toJson(const DistributionPhase& p, const DistributionResult& result) {
@@ -103,7 +103,7 @@
           {"staleness_ms_at_the_end", r.meanStalenessMs}};
 }
 
-double threadSeconds() {
+double threadCpuSeconds() {
   timespec time{};
   clock_gettime(CLOCK_THREAD_CPUTIME_ID, &time);
   return static_cast<double>(time.tv_sec) + static_cast<double>(time.tv_nsec) * 1e-9;
@@ -114,7 +114,7 @@
   return static_cast<double>(info.uordblks) + static_cast<double>(info.hblkhd);
 }
 
-struct Silent : Subscriber::Environment {
+struct SilentEnvironment : Subscriber::Environment {
   void send(const std::string&, Message message) override { bytesOut += encode(message).size(); }
   void onChangesApplied(Version, const std::vector<EffectiveChange>&) override {}
   void log(const std::string&) override {}
@@ -123,7 +123,7 @@
 
 std::optional<std::string> acceptAll(const Entry&) { return std::nullopt; }
 
-// Encoded messages of one change each, as a replica sends them.
+// Returns `changes` encoded messages of one change each, as a replica sends them.
 std::vector<std::vector<std::uint8_t>> encodeChanges(const Snapshot& configuration, int changes) {
   std::mt19937_64 random(7);
   std::vector<EntryPointer> entries;
@@ -153,40 +153,40 @@
          changeBytes = 0;
 };
 
-// Processor time of this thread for one subscriber: decoding, applying, acknowledging; and what its copy
-// takes.
+// Measures one subscriber: the processor time of this thread for decoding, applying and acknowledging
+// changes, and the memory allocated for its copy.
 CostResult measureCost(int entries) {
   CostResult result;
-  Silent environment;
+  SilentEnvironment environment;
   Subscriber subscriber({}, {"r0"}, "build", acceptAll, 1, environment);
   const Snapshot configuration = makeConfiguration(entries, 1);
   const auto messages = encodeChanges(configuration, kCostChanges);
   const std::string file = encodeSnapshot(configuration);
-  const double readAt = threadSeconds();
+  const double readStart = threadCpuSeconds();
   const double before = allocatedBytes();
   subscriber.restore(decodeSnapshot(file));
   result.copyBytes = allocatedBytes() - before;
-  result.readSeconds = threadSeconds() - readAt;
+  result.readSeconds = threadCpuSeconds() - readStart;
   subscriber.start(0);
   subscriber.tick(0);
-  const double begin = threadSeconds();
+  const double begin = threadCpuSeconds();
   for (const auto& message : messages) subscriber.receiveBytes(1, "r0", message.data(), message.size());
-  const double end = threadSeconds();
+  const double end = threadCpuSeconds();
   if (subscriber.counts().applied != static_cast<std::uint64_t>(kCostChanges))
     throw std::runtime_error("distribution: not all changes were applied");
   result.microsecondsPerChange = 1e6 * (end - begin) / kCostChanges;
   result.changeBytes = static_cast<double>(messages.front().size());
   const auto heartbeat =
       encode(Changes{subscriber.version(), 1, {}, subscriber.version(), subscriber.table().rootHash(), 1});
-  const double heartbeatsAt = threadSeconds();
+  const double heartbeatsStart = threadCpuSeconds();
   for (int i = 0; i < kCostChanges; ++i) subscriber.receiveBytes(2, "r0", heartbeat.data(), heartbeat.size());
-  result.microsecondsPerHeartbeat = 1e6 * (threadSeconds() - heartbeatsAt) / kCostChanges;
+  result.microsecondsPerHeartbeat = 1e6 * (threadCpuSeconds() - heartbeatsStart) / kCostChanges;
   return result;
 }
 
 json costLine(int entries, const DistributionOptions& options) {
   const CostResult cost = measureCost(entries);
-  const auto share = [&cost](double rate) {
+  const auto coreShare = [&cost](double rate) {
     return 1e-6 * (rate * cost.microsecondsPerChange + kHeartbeatsPerSecond * cost.microsecondsPerHeartbeat);
   };
   return {{"cost", "one subscriber, processor time of its thread"},
@@ -194,8 +194,8 @@
           {"changes", kCostChanges},
           {"us_a_change", cost.microsecondsPerChange},
           {"us_a_heartbeat", cost.microsecondsPerHeartbeat},
-          {"core_share_mean", share(options.changesPerSecond)},
-          {"core_share_storm", share(options.changesPerSecond * options.stormFactor)},
+          {"core_share_mean", coreShare(options.changesPerSecond)},
+          {"core_share_storm", coreShare(options.changesPerSecond * options.stormFactor)},
           {"core_share_bound", kMaxCoreShare},
           {"copy_bytes_allocated", cost.copyBytes},
           {"copy_bytes_bound", kMaxCopyBytes},
@@ -203,49 +203,50 @@
           {"message_bytes", cost.changeBytes}};
 }
 
-// Whether a scenario kept the bounds.
+// Writes the results of a scenario. Returns whether it met the bounds.
 bool report(const std::string& name, const DistributionOptions& options, const DistributionResult& result,
             std::ostream& lines) {
-  bool kept = result.differingCopies == 0 && result.conflicts == 0 && result.recovered == result.restarted;
+  bool withinBounds =
+      result.differingCopies == 0 && result.conflicts == 0 && result.recovered == result.restarted;
   for (const DistributionPhase& phase : result.phases) {
     json line = toJson(phase, result);
     line["scenario"] = name;
     lines << line << "\n";
     std::cout << name << " " << line.dump() << "\n";
-    kept = kept && phase.uncommitted == 0 && phase.everywhere.worst <= kMaxEverywhereMs &&
-           phase.subscriber.worstTenSecondBytes <= kMaxBytesPerSecond;
+    withinBounds = withinBounds && phase.uncommitted == 0 && phase.everywhere.worst <= kMaxEverywhereMs &&
+                   phase.subscriber.worstTenSecondBytes <= kMaxBytesPerSecond;
   }
   json line = toJson(result);
   line["scenario"] = name;
   line["options"] = toJson(options);
-  line["bounds_kept"] = kept;
+  line["bounds_kept"] = withinBounds;
   lines << line << "\n";
   std::cout << name << " " << line.dump() << "\n";
-  return kept;
+  return withinBounds;
 }
 
 int runCommand(const CommandOptions& command) {
   std::filesystem::create_directories(command.out);
   std::ofstream lines(std::filesystem::path(command.out) / "distribution.jsonl", std::ios::app);
   if (!lines) throw std::runtime_error("distribution: cannot write to " + command.out);
-  bool kept = true;
+  bool withinBounds = true;
   if (command.scenario == "cost") {
     for (const int entries : {command.simulation.entries / 32, command.simulation.entries}) {
       const json line = costLine(entries, command.simulation);
       lines << line << "\n";
       std::cout << line.dump() << "\n";
-      kept = kept && line["core_share_storm"].get<double>() <= kMaxCoreShare &&
-             line["copy_bytes_allocated"].get<double>() <= kMaxCopyBytes;
+      withinBounds = withinBounds && line["core_share_storm"].get<double>() <= kMaxCoreShare &&
+                     line["copy_bytes_allocated"].get<double>() <= kMaxCopyBytes;
     }
-    return kept ? 0 : 1;
+    return withinBounds ? 0 : 1;
   }
   for (const NamedScenario& named : kScenarios) {
     if (command.scenario != named.name) continue;
     DistributionOptions options = command.simulation;
     options.scenario = named.scenario;
-    kept = report(named.name, options, simulateDistribution(options), lines);
+    withinBounds = report(named.name, options, simulateDistribution(options), lines);
   }
-  return kept ? 0 : 1;
+  return withinBounds ? 0 : 1;
 }
 
 }  // namespace
@@ -254,27 +255,33 @@
   auto command = std::make_shared<CommandOptions>();
   DistributionOptions& options = command->simulation;
   CLI::App* sub = app.add_subcommand("distribution", "simulate the distribution of configuration to a fleet");
-  sub->add_option("--scenario", command->scenario, "what happens; `cost`: what a change costs a gatekeeper")
+  sub->add_option(
+         "--scenario", command->scenario,
+         "scenario to simulate; `cost` measures the processor time of a change at a gatekeeper instead")
       ->check(CLI::IsMember(
           {"steady", "replica_dies", "writer_dies", "zone_restart", "zone_cold", "regions_part", "cost"}));
   sub->add_option("--subscribers", options.subscribers, "gatekeepers")->check(CLI::Range(1, 20'000));
-  sub->add_option("--zones", options.zones, "zones, a control replica in each")->check(CLI::Range(1, 100));
+  sub->add_option("--zones", options.zones, "number of zones, with one control replica each")
+      ->check(CLI::Range(1, 100));
   sub->add_option("--regions", options.regions, "regions")->check(CLI::Range(1, 100));
-  sub->add_option("--entries", options.entries, "entries of the configuration")
+  sub->add_option("--entries", options.entries, "number of configuration entries")
       ->check(CLI::Range(64, 200'000));
-  sub->add_option("--rate", options.changesPerSecond, "changes a second at the mean")
+  sub->add_option("--rate", options.changesPerSecond, "mean rate of changes, per second")
       ->check(CLI::Range(0.001, 100.0));
-  sub->add_option("--storm", options.stormFactor, "the storm, in means")->check(CLI::Range(1.0, 100.0));
-  sub->add_option("--seconds", options.meanSeconds, "seconds at the mean rate")
+  sub->add_option("--storm", options.stormFactor,
+                  "rate of changes in the storm, as a multiple of the mean rate")
+      ->check(CLI::Range(1.0, 100.0));
+  sub->add_option("--seconds", options.meanSeconds, "duration at the mean rate in seconds")
       ->check(CLI::Range(1, 100'000));
-  sub->add_option("--storm-seconds", options.stormSeconds, "seconds of storm")->check(CLI::Range(1, 100'000));
-  sub->add_option("--loss", options.loss, "messages lost")->check(CLI::Range(0.0, 0.5));
-  sub->add_option("--region-delay", options.regionDelay, "ms one way between zones of a region")
+  sub->add_option("--storm-seconds", options.stormSeconds, "duration of the storm in seconds")
+      ->check(CLI::Range(1, 100'000));
+  sub->add_option("--loss", options.loss, "fraction of messages lost")->check(CLI::Range(0.0, 0.5));
+  sub->add_option("--region-delay", options.regionDelay, "one-way delay between zones of a region, in ms")
       ->check(CLI::Range(0, 10'000));
-  sub->add_option("--far-delay", options.farDelay, "ms one way between regions")
+  sub->add_option("--far-delay", options.farDelay, "one-way delay between regions, in ms")
       ->check(CLI::Range(0, 10'000));
   sub->add_option("--seed", options.seed, "seed");
-  sub->add_option("--out", command->out, "folder; distribution.jsonl is appended to");
+  sub->add_option("--out", command->out, "folder for results, which are appended to distribution.jsonl");
   sub->callback([command] { throw CLI::RuntimeError(runCommand(*command)); });
 }
 
--- a/tools/lab/distribution_simulation.cpp
+++ b/tools/lab/distribution_simulation.cpp
@@ -13,17 +13,17 @@
 
 using namespace wingslip::distribution;
 
-constexpr Milliseconds kWarmUp = 30'000;  // subscribers connect; not measured
-constexpr Milliseconds kDrain = 30'000;   // after the last change
+constexpr Milliseconds kWarmUpTime = 30'000;  // time for subscribers to connect; not measured
+constexpr Milliseconds kDrainTime = 30'000;   // time after the last change until the end of the run
 constexpr Milliseconds kReplicaTick = 100;
-constexpr Milliseconds kRetryInterval = 1'000;  // of a publisher whose request is not confirmed
-constexpr Milliseconds kFaultAt = kWarmUp + 60'000;
+constexpr Milliseconds kRetryInterval = 1'000;  // at which a publisher repeats unconfirmed requests
+constexpr Milliseconds kFaultAt = kWarmUpTime + 60'000;
 constexpr Milliseconds kReplicaDownTime = 120'000;
-constexpr Milliseconds kLeaseTime = 15'000;  // from the writer's death until another gets a term
+constexpr Milliseconds kLeaseTime = 15'000;  // from the writer's failure until another replica gets a term
 constexpr Milliseconds kZoneDownTime = 60'000;
-constexpr Milliseconds kPartTime = 300'000;
+constexpr Milliseconds kPartitionTime = 300'000;
 constexpr Milliseconds kTrafficWindow = 10'000;
-constexpr int kLostReplica = 1;
+constexpr int kFailedReplica = 1;
 constexpr int kRestartedZone = 1;
 constexpr std::size_t kValueBytes = 112;
 
@@ -47,12 +47,12 @@
   return {at(0.5), at(0.99), samples.back()};
 }
 
-// Counts of milliseconds; the last one is of all longer times.
+// Histogram of times in ms; the last bucket counts all longer times.
 class Histogram {
  public:
   void add(Milliseconds value) {
-    const auto place = std::min<std::size_t>(static_cast<std::size_t>(value), kSize - 1);
-    ++counts_[place];
+    const auto bucket = std::min<std::size_t>(static_cast<std::size_t>(value), kSize - 1);
+    ++counts_[bucket];
     ++total_;
     worst_ = std::max(worst_, value);
   }
@@ -75,7 +75,7 @@
   Milliseconds worst_ = 0;
 };
 
-// What a node sent and received, by phase and by ten seconds.
+// Traffic of one node: totals of the current phase, and the worst window of `kTrafficWindow` (ten seconds).
 struct Traffic {
   std::uint64_t bytesIn = 0, bytesOut = 0, messagesIn = 0, messagesOut = 0;
   std::uint64_t windowBytes = 0, worstWindowBytes = 0;
@@ -110,35 +110,37 @@
   return rates;
 }
 
-// Sizes of encoded messages. What is sent to many alike is encoded once.
+// Sizes of encoded messages. Messages with the same records or ranges are encoded once and their size is
+// cached.
 class MessageSizes {
  public:
   std::size_t of(const Message& message) {
     if (const auto* changes = std::get_if<Changes>(&message)) {
       if (!changes->records.empty())
-        return remembered({changes->records.front().get(), changes->records.back().get()}, message);
+        return cachedSize({changes->records.front().get(), changes->records.back().get()}, message);
     }
     if (const auto* contents = std::get_if<RangeContents>(&message)) {
       if (!contents->ranges.empty())
-        return remembered({contents->ranges.front().range.get(), contents->ranges.back().range.get()},
+        return cachedSize({contents->ranges.front().range.get(), contents->ranges.back().range.get()},
                           message);
     }
-    if (std::holds_alternative<RangeRequest>(message)) return remembered({this, this}, message);
+    if (std::holds_alternative<RangeRequest>(message)) return cachedSize({this, this}, message);
     return encode(message).size();
   }
 
  private:
-  using Ends = std::pair<const void*, const void*>;
-  std::size_t remembered(const Ends& ends, const Message& message) {
-    const auto found = sizes_.find(ends);
+  using FirstAndLast = std::pair<const void*, const void*>;
+  std::size_t cachedSize(const FirstAndLast& firstAndLast, const Message& message) {
+    const auto found = sizes_.find(firstAndLast);
     if (found != sizes_.end()) return found->second;
     const std::size_t size = encode(message).size();
-    // An end may be freed and its address used again: forget often enough, the sizes are all but the same.
+    // The address of a freed record may be reused by another one. Clearing the cache regularly limits such
+    // wrong hits, and the sizes differ little.
     if (sizes_.size() > 4096) sizes_.clear();
-    sizes_[ends] = size;
+    sizes_[firstAndLast] = size;
     return size;
   }
-  std::map<Ends, std::size_t> sizes_;
+  std::map<FirstAndLast, std::size_t> sizes_;
 };
 
 class Simulation {
@@ -151,10 +153,10 @@
     for (int i = 0; i < options.zones; ++i) replicas_.push_back(std::make_unique<ReplicaNode>(*this, i));
     for (int i = 0; i < options.subscribers; ++i)
       subscribers_.push_back(std::make_unique<SubscriberNode>(*this, i));
-    for (auto& node : replicas_) node->begin(configuration_);
-    for (auto& node : subscribers_) at(between(0, 1'000), {EventKind::subscriber_start, node->index});
+    for (auto& node : replicas_) node->startProcess(configuration_);
+    for (auto& node : subscribers_) at(randomBetween(0, 1'000), {EventKind::subscriber_start, node->index});
     replicas_[0]->core->becomeWriter(0, 2);
-    schedule();
+    scheduleRun();
   }
 
   DistributionResult run() {
@@ -194,15 +196,15 @@
     std::uint64_t order = 0;
     bool operator<(const Event& other) const { return at != other.at ? at > other.at : order > other.order; }
   };
-  struct Published {
+  struct PublishedRequest {
     Milliseconds at = 0;
     std::size_t phase = 0;
     std::vector<Edit> edits;
   };
-  // A committed version; one that starts a term has no request.
-  struct Committed {
-    const Published* request = nullptr;
-    Milliseconds longest = 0;
+  // A committed version. A version that starts a term has no request.
+  struct CommittedChange {
+    const PublishedRequest* request = nullptr;
+    Milliseconds maxLatency = 0;
   };
   struct PhasePlan {
     std::string name;
@@ -213,14 +215,15 @@
   struct ReplicaNode : ControlReplica::Environment {
     ReplicaNode(Simulation& owner, int number)
         : simulation(owner), index(number), name(std::string("r").append(std::to_string(number))) {}
-    void begin(const Snapshot& disk) {
+    void startProcess(const Snapshot& disk) {
       std::vector<std::string> peers;
       for (int i = 0; i < simulation.options_.zones; ++i)
         if (i != index) peers.push_back(std::string("r").append(std::to_string(i)));
       core = std::make_unique<ControlReplica>(ReplicaLimits{}, name, peers, simulation.random_(), *this);
       core->restore(disk);
       up = true;
-      simulation.at(simulation.now_ + simulation.between(1, kReplicaTick), {EventKind::replica_tick, index});
+      simulation.at(simulation.now_ + simulation.randomBetween(1, kReplicaTick),
+                    {EventKind::replica_tick, index});
     }
     void send(const std::string& to, Message message) override {
       simulation.transmit(true, index, to, std::move(message));
@@ -244,7 +247,7 @@
           index(number),
           name(std::string("s").append(std::to_string(number))),
           zone(number % owner.options_.zones) {}
-    void begin(const Snapshot& from) {
+    void startProcess(const Snapshot& from) {
       core = std::make_unique<Subscriber>(
           SubscriberLimits{}, orderReplicas(name, simulation.locationOf(zone), simulation.addresses()),
           "build", [](const Entry&) -> std::optional<std::string> { return std::nullopt; },
@@ -253,20 +256,20 @@
       version = core->version();
       core->start(simulation.now_);
       up = true;
-      armedAt = 0;
-      arm();
+      timerAt = 0;
+      armTimer();
     }
-    void arm() {
+    void armTimer() {
       const Milliseconds when = std::max(core->nextTickAt(), simulation.now_ + 1);
-      if (armedAt > simulation.now_ && armedAt <= when) return;
-      armedAt = when;
+      if (timerAt > simulation.now_ && timerAt <= when) return;
+      timerAt = when;
       simulation.at(when, {EventKind::subscriber_tick, index});
     }
     void send(const std::string& to, Message message) override {
       simulation.transmit(false, index, to, std::move(message));
     }
     void onChangesApplied(Version to, const std::vector<EffectiveChange>&) override {
-      simulation.delivered(*this, to);
+      simulation.onDelivered(*this, to);
       version = to;
     }
     void log(const std::string&) override {}
@@ -279,18 +282,18 @@
     Snapshot disk;
     Traffic traffic;
     Version version = 0;
-    Milliseconds armedAt = 0;
-    Milliseconds restartedAt = -1;  // until it is up to date again
+    Milliseconds timerAt = 0;
+    Milliseconds restartedAt = -1;  // time of the last restart; -1 once the copy is up to date
     std::uint64_t bytesAtRestart = 0;
     bool up = false;
   };
 
   void at(Milliseconds when, Event event) {
     event.at = when;
-    event.order = ++order_;
+    event.order = ++insertedCount_;
     events_.push(std::move(event));
   }
-  Milliseconds between(Milliseconds a, Milliseconds b) {
+  Milliseconds randomBetween(Milliseconds a, Milliseconds b) {
     return std::uniform_int_distribution<Milliseconds>(a, b)(random_);
   }
 
@@ -306,18 +309,18 @@
   }
   Milliseconds delayBetween(int zone, int otherZone) {
     if (zone == otherZone) return options_.zoneDelay;
-    const bool near = regionOf(zone) == regionOf(otherZone);
-    const Milliseconds delay = near ? options_.regionDelay : options_.farDelay;
-    return delay + between(0, delay / 5);
+    const bool sameRegion = regionOf(zone) == regionOf(otherZone);
+    const Milliseconds delay = sameRegion ? options_.regionDelay : options_.farDelay;
+    return delay + randomBetween(0, delay / 5);
   }
-  bool parted(int zone, int otherZone) const {
-    if (!parted_) return false;
+  bool arePartitioned(int zone, int otherZone) const {
+    if (!partitioned_) return false;
     const int a = regionOf(zone), b = regionOf(otherZone);
     return std::min(a, b) == 0 && std::max(a, b) == 1;
   }
 
-  void schedule() {
-    Milliseconds from = kWarmUp;
+  void scheduleRun() {
+    Milliseconds from = kWarmUpTime;
     const auto phase = [&](const std::string& name, Milliseconds length, double rate) {
       phases_.push_back({name, from, from + length, rate});
       from += length;
@@ -330,15 +333,15 @@
               options_.changesPerSecond * options_.stormFactor);
         break;
       case DistributionScenario::regions_part:
-        phase("before", kFaultAt - kWarmUp, options_.changesPerSecond);
-        phase("parted", kPartTime, options_.changesPerSecond);
-        phase("after", std::max<Milliseconds>(mean - kPartTime, 60'000), options_.changesPerSecond);
+        phase("before", kFaultAt - kWarmUpTime, options_.changesPerSecond);
+        phase("parted", kPartitionTime, options_.changesPerSecond);
+        phase("after", std::max<Milliseconds>(mean - kPartitionTime, 60'000), options_.changesPerSecond);
         break;
       default:
-        phase("before", kFaultAt - kWarmUp, options_.changesPerSecond);
+        phase("before", kFaultAt - kWarmUpTime, options_.changesPerSecond);
         phase("fault", mean, options_.changesPerSecond);
     }
-    endAt_ = from + kDrain;
+    endAt_ = from + kDrainTime;
     for (const PhasePlan& plan : phases_) {
       at(plan.from, {EventKind::phase, 0});
       DistributionPhase measured;
@@ -351,7 +354,8 @@
         at(static_cast<Milliseconds>(when), {EventKind::publish, 0});
     }
     at(from, {EventKind::phase, 0});
-    for (Milliseconds when = kWarmUp; when < endAt_; when += kRetryInterval) at(when, {EventKind::retry, 0});
+    for (Milliseconds when = kWarmUpTime; when < endAt_; when += kRetryInterval)
+      at(when, {EventKind::retry, 0});
     if (options_.scenario != DistributionScenario::steady) at(kFaultAt, {EventKind::fault, 0});
     deliveries_.resize(phases_.size());
     everywhere_.resize(phases_.size());
@@ -372,9 +376,9 @@
       case EventKind::retry:
         return retry();
       case EventKind::phase:
-        return nextPhase();
+        return startNextPhase();
       case EventKind::fault:
-        return beginFault();
+        return startFault();
       case EventKind::heal:
         return endFault();
     }
@@ -391,20 +395,20 @@
     at(now_ + kReplicaTick, {EventKind::replica_tick, node.index});
   }
   void tickSubscriber(SubscriberNode& node) const {
-    if (!node.up || node.armedAt != now_) return;
-    node.armedAt = 0;
+    if (!node.up || node.timerAt != now_) return;
+    node.timerAt = 0;
     node.core->tick(now_);
-    node.arm();
+    node.armTimer();
   }
   void startSubscriber(SubscriberNode& node) {
     if (node.up) return;
-    const bool again = node.core != nullptr;
-    if (again) {
+    const bool restarted = node.core != nullptr;
+    if (restarted) {
       node.restartedAt = now_;
       node.bytesAtRestart = node.traffic.bytesIn;
       ++result_.restarted;
     }
-    node.begin(again ? node.disk : configuration_);
+    node.startProcess(restarted ? node.disk : configuration_);
     node.disk = Snapshot{};
   }
 
@@ -417,7 +421,7 @@
     const int index = std::stoi(to.substr(1));
     const int fromZone = fromReplica ? from : subscribers_[static_cast<std::size_t>(from)]->zone;
     const int toZone = toReplica ? index : subscribers_[static_cast<std::size_t>(index)]->zone;
-    if (parted(fromZone, toZone)) return;
+    if (arePartitioned(fromZone, toZone)) return;
     if (std::bernoulli_distribution(options_.loss)(random_)) return;
     const bool aboutChange =
         std::holds_alternative<Acknowledge>(message) ||
@@ -445,18 +449,18 @@
     if (!node.up) return;
     node.traffic.count(now_, delivery.bytes, true);
     node.core->receive(now_, replicas_[static_cast<std::size_t>(delivery.from)]->name, *delivery.message);
-    node.arm();
+    node.armTimer();
   }
 
   void publishNew() {
     const std::string id = "q" + std::to_string(++requests_);
     const int index = static_cast<int>(random_() % static_cast<std::uint64_t>(options_.entries));
     published_[id] = {now_, phase_ - 1, {{keyOf(index), valueOf(random_)}}};
-    open_.insert(id);
+    unconfirmed_.insert(id);
     publish(id);
   }
   void retry() {
-    const std::set<std::string> ids = open_;
+    const std::set<std::string> ids = unconfirmed_;
     for (const std::string& id : ids) publish(id);
   }
   void publish(const std::string& id) {
@@ -467,32 +471,32 @@
       return;
     }
   }
-  void confirm(const std::string& id) { open_.erase(id); }
+  void confirm(const std::string& id) { unconfirmed_.erase(id); }
 
-  void delivered(SubscriberNode& node, Version version) {
-    if (node.restartedAt >= 0) return recover(node, version);
+  void onDelivered(SubscriberNode& node, Version version) {
+    if (node.restartedAt >= 0) return recordRecovery(node, version);
     for (Version v = node.version + 1; v <= version; ++v) {
-      Committed& change = changeAt(v);
+      CommittedChange& change = changeAt(v);
       if (change.request == nullptr) continue;
       const Milliseconds latency = now_ - change.request->at;
-      change.longest = std::max(change.longest, latency);
+      change.maxLatency = std::max(change.maxLatency, latency);
       deliveries_[change.request->phase].add(latency);
     }
   }
-  Committed& changeAt(Version version) {
-    const auto [place, fresh] = committed_.emplace(version, Committed{});
-    if (!fresh) return place->second;
+  CommittedChange& changeAt(Version version) {
+    const auto [found, inserted] = committed_.emplace(version, CommittedChange{});
+    if (!inserted) return found->second;
     for (const auto& node : replicas_) {
       const ReplicaState& state = node->core->state();
       if (state.log().base() >= version || state.committed() < version) continue;
       const auto request = published_.find(state.log().at(version)->requestId);
-      if (request != published_.end()) place->second.request = &request->second;
+      if (request != published_.end()) found->second.request = &request->second;
       break;
     }
-    return place->second;
+    return found->second;
   }
-  // Up to date: at the version that any replica has committed.
-  void recover(SubscriberNode& node, Version version) {
+  // Records a recovery once a restarted subscriber has reached the newest version committed by any replica.
+  void recordRecovery(SubscriberNode& node, Version version) {
     Version newest = 0;
     for (auto& replica : replicas_)
       if (replica->up) newest = std::max(newest, replica->core->state().committed());
@@ -503,12 +507,12 @@
     node.restartedAt = -1;
   }
 
-  void nextPhase() {
+  void startNextPhase() {
     if (phase_ > 0) endPhase(result_.phases[phase_ - 1]);
     ++phase_;
     for (auto& node : replicas_) node->traffic = Traffic{};
     for (auto& node : subscribers_) {
-      // What a restarted one received counts on over the phases.
+      // Bytes received since a restart are counted across phases.
       node->bytesAtRestart -= node->traffic.bytesIn;
       node->traffic = Traffic{};
     }
@@ -523,19 +527,19 @@
     phase.writer = ratesOf(writers, phase.seconds);
   }
 
-  void beginFault() {
+  void startFault() {
     switch (options_.scenario) {
       case DistributionScenario::steady:
         return;
       case DistributionScenario::replica_dies:
-        replicas_[kLostReplica]->up = false;
+        replicas_[kFailedReplica]->up = false;
         return at(now_ + kReplicaDownTime, {EventKind::heal, 0});
       case DistributionScenario::writer_dies:
         replicas_[0]->up = false;
         return at(now_ + kLeaseTime, {EventKind::heal, 0});
       case DistributionScenario::regions_part:
-        parted_ = true;
-        return at(now_ + kPartTime, {EventKind::heal, 0});
+        partitioned_ = true;
+        return at(now_ + kPartitionTime, {EventKind::heal, 0});
       case DistributionScenario::zone_restart:
       case DistributionScenario::zone_cold:
         for (auto& node : subscribers_) stopIfOfZone(*node);
@@ -545,13 +549,13 @@
     if (node.zone != kRestartedZone) return;
     node.up = false;
     if (options_.scenario == DistributionScenario::zone_restart) node.disk = node.core->snapshot();
-    at(now_ + kZoneDownTime + between(0, 1000), {EventKind::subscriber_start, node.index});
+    at(now_ + kZoneDownTime + randomBetween(0, 1000), {EventKind::subscriber_start, node.index});
   }
   void endFault() {
-    parted_ = false;
+    partitioned_ = false;
     if (options_.scenario == DistributionScenario::replica_dies)
-      replicas_[kLostReplica]->begin(replicas_[kLostReplica]->core->state().snapshot());
-    // Another region's replica: the one that knows least of the lost writer.
+      replicas_[kFailedReplica]->startProcess(replicas_[kFailedReplica]->core->state().snapshot());
+    // The last replica is in another region, so its state lags furthest behind the failed writer's.
     if (options_.scenario == DistributionScenario::writer_dies) replicas_.back()->core->becomeWriter(now_, 3);
   }
 
@@ -576,9 +580,9 @@
     for (const auto& [version, change] : committed_) {
       if (change.request == nullptr) continue;
       ++result_.phases[change.request->phase].changes;
-      everywhere_[change.request->phase].push_back(static_cast<double>(change.longest));
+      everywhere_[change.request->phase].push_back(static_cast<double>(change.maxLatency));
     }
-    for (const std::string& id : open_) ++result_.phases[published_.at(id).phase].uncommitted;
+    for (const std::string& id : unconfirmed_) ++result_.phases[published_.at(id).phase].uncommitted;
     for (std::size_t i = 0; i < result_.phases.size(); ++i) {
       DistributionPhase& phase = result_.phases[i];
       phase.deliveries = deliveries_[i].total();
@@ -603,21 +607,22 @@
   DistributionResult result_;
   MessageSizes sizes_;
   Milliseconds now_ = 0, endAt_ = 0;
-  std::uint64_t order_ = 0;
+  std::uint64_t insertedCount_ = 0;
   std::priority_queue<Event> events_;
   std::vector<std::unique_ptr<ReplicaNode>> replicas_;
   std::vector<std::unique_ptr<SubscriberNode>> subscribers_;
   std::vector<ReplicaAddress> addresses_;
   std::vector<PhasePlan> phases_;
-  std::size_t phase_ = 0;  // 0: warm-up; then the phases; then the drain
-  std::map<std::string, Published> published_;
-  std::set<std::string> open_;  // published and not confirmed
-  std::map<Version, Committed> committed_;
+  // 0: warm-up; 1 to the number of phases: that phase; above: the time after the last change.
+  std::size_t phase_ = 0;
+  std::map<std::string, PublishedRequest> published_;
+  std::set<std::string> unconfirmed_;  // ids of published requests that are not confirmed
+  std::map<Version, CommittedChange> committed_;
   std::vector<Histogram> deliveries_;
   std::vector<std::vector<double>> everywhere_;
   std::vector<double> recoveries_;
   std::uint64_t requests_ = 0;
-  bool parted_ = false;
+  bool partitioned_ = false;
 };
 
 }  // namespace
--- a/tools/lab/distribution_simulation.hpp
+++ b/tools/lab/distribution_simulation.hpp
@@ -1,6 +1,6 @@
-// A fleet of gatekeepers' configuration subscribers and control replicas in virtual time: the real cores and
-// the codec's real message sizes; no sockets. Entries, ranges and records are shared between the simulated
-// copies, so the memory of a run says nothing of a gatekeeper's.
+/// Simulation, in virtual time, of a fleet of control replicas and the configuration subscribers of
+/// gatekeepers: real cores and real encoded message sizes, but no sockets. Entries, ranges and records are
+/// shared between the simulated copies, so the memory of a run does not indicate that of a gatekeeper.
 #pragma once
 
 #include <cstdint>
@@ -15,72 +15,78 @@
 
 using wingslip::distribution::Milliseconds;
 
+/// The course of a simulation.
 enum class DistributionScenario {
-  steady,        // the mean rate, then a storm
-  replica_dies,  // a control replica that is not the writer is lost for a while
-  writer_dies,   // the writer is lost; another gets a term once the lease has ended
-  zone_restart,  // all gatekeepers of a zone start at once, with a snapshot
-  zone_cold,     // the same without a snapshot
-  regions_part,  // two regions, one of them the writer's, do not reach each other for five minutes
+  steady,        // changes at the mean rate, then a storm of changes
+  replica_dies,  // a control replica other than the writer fails and restarts
+  writer_dies,   // the writer fails; another replica gets a term after the lease has expired
+  zone_restart,  // all gatekeepers of a zone restart together, with a snapshot on disk
+  zone_cold,     // as zone_restart, but without a snapshot
+  regions_part,  // two regions, one of them the writer's, are partitioned for five minutes
 };
 
+/// The size of the fleet, the load and the network of a simulation.
 struct DistributionOptions {
   DistributionScenario scenario = DistributionScenario::steady;
   int regions = 6;
-  int zones = 18;  // in all; one control replica a zone
+  int zones = 18;  // in all regions; one control replica per zone
   int subscribers = 8'400;
   int entries = 64'000;
   double changesPerSecond = 29'000.0 / 86'400.0;
-  double stormFactor = 10;
+  double stormFactor = 10;  // rate in the storm over the mean rate
   int meanSeconds = 300;
   int stormSeconds = 60;
-  double loss = 0.01;
+  double loss = 0.01;             // fraction of messages lost
   Milliseconds zoneDelay = 1;     // one way, within a zone
   Milliseconds regionDelay = 10;  // between zones of a region
   Milliseconds farDelay = 80;     // between regions
   std::uint64_t seed = 1;
 };
 
-// Quantiles of samples, in the unit of the samples.
+/// Quantiles of samples, in the unit of the samples; `worst` is the largest.
 struct Quantiles {
   double median = 0, p99 = 0, worst = 0;
 };
 
-// Bytes and messages of one kind of node in one phase, a second.
+/// Traffic of one kind of node in one phase: bytes and messages per second.
 struct TrafficRates {
   double meanBytesIn = 0, meanBytesOut = 0, meanMessagesIn = 0, meanMessagesOut = 0;
-  double worstBytes = 0;           // in and out together, of the node with the most, over the phase
-  double worstTenSecondBytes = 0;  // the same over the worst ten seconds of any node
+  double worstBytes = 0;           // of the node with the most traffic, in and out together
+  double worstTenSecondBytes = 0;  // the same in the worst ten seconds of any node
 };
 
+/// The measurements of one phase.
 struct DistributionPhase {
   std::string name;
   double seconds = 0;
-  std::uint64_t changes = 0;  // committed of those that were published in it
-  std::uint64_t uncommitted = 0;
-  std::uint64_t deliveries = 0;  // a change at a gatekeeper
-  Quantiles delivery;            // ms from the publishing until in force at one gatekeeper
-  Quantiles everywhere;          // ms until in force at the last gatekeeper that runs
+  std::uint64_t changes = 0;      // published in this phase and committed
+  std::uint64_t uncommitted = 0;  // published in this phase and not committed
+  std::uint64_t deliveries = 0;   // applications of a change at a gatekeeper
+  Quantiles delivery;             // ms from publication until in force at one gatekeeper
+  Quantiles everywhere;           // ms from publication until in force at all running gatekeepers
   TrafficRates subscriber, replica, writer;
-  double bytesPerChangeAndSubscriber = 0;  // without heartbeats and what they are answered with
+  double bytesPerChangeAndSubscriber = 0;  // excludes heartbeats and the responses to them
   double messagesPerChangeAndSubscriber = 0;
 };
 
+/// The result of a simulation.
 struct DistributionResult {
   std::vector<DistributionPhase> phases;
-  std::uint64_t differingCopies = 0;  // at the end: subscribers and replicas that are not at the last version
+  std::uint64_t differingCopies = 0;  // subscribers and replicas not at the last version at the end
   std::uint64_t failovers = 0, repairs = 0, conflicts = 0;
-  std::uint64_t restarted = 0, recovered = 0;
-  Quantiles recovery;             // ms from a restart until the copy was up to date
-  double restartedMeanBytes = 0;  // received by each that restarted, until then
+  std::uint64_t restarted = 0, recovered = 0;  // subscribers; equal if all were up to date again
+  Quantiles recovery;                          // ms from a restart until the copy is up to date
+  double restartedMeanBytes = 0;  // mean bytes received per restarted subscriber until up to date
   std::uint64_t maxSubscribersAtAReplica = 0, maxTransfersAtAReplica = 0;
-  double wholeFileBytes = 0;   // the baseline: the whole configuration, encoded
-  double meanStalenessMs = 0;  // at the end: age of the newest word from the writer
+  double wholeFileBytes = 0;   // baseline for comparison: size of the whole encoded configuration
+  double meanStalenessMs = 0;  // mean age of the latest message from the writer at the end
 };
 
+/// Runs the simulation to its end. `options.seed` determines all random choices.
 DistributionResult simulateDistribution(const DistributionOptions& options);
 
-// Entries of some 150 bytes encoded, one a version, of term 1.
+/// Returns a configuration of `entries` entries of about 150 encoded bytes, each added by a separate version
+/// of term 1.
 wingslip::distribution::Snapshot makeConfiguration(int entries, std::uint64_t seed);
 
 }  // namespace wingslip::lab
--- a/tools/lab/fit.hpp
+++ b/tools/lab/fit.hpp
@@ -13,8 +13,8 @@
 enum class Shape { constant, logarithmic, linear, linearithmic, quadratic };
 constexpr std::array<Shape, 5> kShapes{Shape::constant, Shape::logarithmic, Shape::linear,
                                        Shape::linearithmic, Shape::quadratic};
-/// Returns the name of a shape:
-const char* nameOf(Shape shape);  // "constant", "log n", "n", "n log n", "n^2"
+/// Returns the name of a shape: "constant", "log n", "n", "n log n" or "n^2".
+const char* nameOf(Shape shape);
 
 /// The value of a figure at one size. `value` is in the figure's unit and at least 0; `size` is at least 1.
 struct Sample {
--- a/tools/lab/hollow_replica.hpp
+++ b/tools/lab/hollow_replica.hpp
@@ -51,7 +51,7 @@
   using Time = wingslip::replication::Time;
   struct Member;
   void schedule(Time time, std::function<void()> action);
-  // Encodes a request, delivers it after a delayMs and returns the response to its sender after another.
+  // Encodes a request, delivers it after a delay and returns the response to its sender after another.
   void deliver(Member& from, const wingslip::replication::OutgoingRequest& request);
   Time delayMs();
 
--- a/tools/lab/scale.hpp
+++ b/tools/lab/scale.hpp
@@ -39,6 +39,7 @@
 
 /// The extent of a run: `check` for the project's tests, `quick` and `full` for measurements.
 enum class ScaleForm { check, quick, full };
+/// Returns the name of a form: "check", "quick" or "full".
 const char* nameOf(ScaleForm form);
 
 /// The options of one run.
--- a/tools/lab/scale_cases.hpp
+++ b/tools/lab/scale_cases.hpp
@@ -9,8 +9,7 @@
 
 namespace wingslip::lab {
 
-std::vector<ScaleCase>
-decisionCases();  // decision module called directly: choice of workers, lists, settings, customers
+std::vector<ScaleCase> decisionCases();  // decision module, called directly
 std::vector<ScaleCase> readingCases();   // parsing of worker lists and configuration files
 std::vector<ScaleCase> replicaCases();   // simulated members of the replicated state
 std::vector<ScaleCase> electionCases();  // candidates on the stand-in coordination store
--- a/tools/lab/simulated_candidates.hpp
+++ b/tools/lab/simulated_candidates.hpp
@@ -46,11 +46,14 @@
     wingslip::leader_election::StoreCall call;
   };
   void at(Time when, std::function<void()> action);
+  // Sends a call to the store; it arrives after a delay and fails at its time-out.
   void call(Candidate& from, const wingslip::leader_election::StoreCall& call);
   void arrive(Candidate& from, const wingslip::leader_election::StoreCall& call);
+  // Defers the reply to a blocking read until its key changes or its wait ends.
   void waitForChange(Candidate& from, const wingslip::leader_election::StoreCall& call);
   void reply(Candidate& to, std::uint64_t callId, const wingslip::leader_election::StoreReply& reply) const;
   void replyLater(Candidate& to, std::uint64_t callId, const wingslip::leader_election::StoreReply& reply);
+  // Replies to the blocking reads of a changed key.
   void wakeReads(const std::string& key);
   wingslip::leader_election::StoreReply read(const wingslip::leader_election::StoreCall& call) const;
   Time delayMs();
