--- a/tests/lab/left_behind.sh
+++ b/tests/lab/left_behind.sh
@@ -1,7 +1,8 @@
 #!/usr/bin/env bash
-# The lab is killed (SIGKILL) while its gatekeepers serve: none of them is left running.
+# Kills the lab (SIGKILL) while its gatekeepers serve. Guards against orphaned processes: all gatekeepers must end
+# within 5 s.
 set -u
-# "wingslip-gateke": the kernel keeps the first 15 bytes of a program's name.
+# The kernel truncates a process name in /proc/PID/comm to 15 bytes: "wingslip-gateke".
 lab=$1 scenario=$2 out=$3 gatekeeper=$4
 rm -rf "$out"
 "$lab" run "$scenario" --seed 1 --out "$out" --gatekeeper "$gatekeeper" >/dev/null 2>&1 &
@@ -11,17 +12,17 @@
   sleep 0.1
 done
 mapfile -t pids < "$out/pids"
-[ "${#pids[@]}" -ge 3 ] || { echo "the lab started ${#pids[@]} gatekeepers"; kill -9 "$labpid"; exit 1; }
+[ "${#pids[@]}" -ge 3 ] || { echo "${#pids[@]} gatekeepers started within 10 s, expected 3"; kill -9 "$labpid"; exit 1; }
 kill -9 "$labpid"
 wait "$labpid" 2>/dev/null
 for _ in $(seq 50); do
-  left=0
+  running=0
   for pid in "${pids[@]}"; do
-    [ "$(cat "/proc/$pid/comm" 2>/dev/null)" = wingslip-gateke ] && left=$((left + 1))
+    [ "$(cat "/proc/$pid/comm" 2>/dev/null)" = wingslip-gateke ] && running=$((running + 1))
   done
-  [ "$left" -eq 0 ] && { echo "none of ${#pids[@]} left behind"; exit 0; }
+  [ "$running" -eq 0 ] && { echo "all ${#pids[@]} gatekeepers ended after the lab was killed"; exit 0; }
   sleep 0.1
 done
-echo "$left of ${#pids[@]} gatekeepers left behind"
+echo "$running of ${#pids[@]} gatekeepers still running 5 s after the lab was killed"
 for pid in "${pids[@]}"; do [ "$(cat "/proc/$pid/comm" 2>/dev/null)" = wingslip-gateke ] && kill -9 "$pid"; done
 exit 1
--- a/tests/packages.sh
+++ b/tests/packages.sh
@@ -1,15 +1,15 @@
 # shellcheck shell=bash
-# What the project builds and tests with, installed where it is missing; sourced by tests/run.sh and tests/demo.sh.
+# Installs the packages needed to build and test the project; sourced by tests/run.sh and tests/demo.sh.
 
-# packages_install: as root, from the machine's own package sources.
+# packages_install: installs what is missing from the machine's configured apt sources, as root.
 packages_install() {
   local tool header package
-  local -a need=()
+  local -a missing=()
   for tool in clang-format clang-tidy cmake g++ git make; do
-    command -v "$tool" >/dev/null || need+=("$tool")
+    command -v "$tool" >/dev/null || missing+=("$tool")
   done
   while read -r header package; do
-    [ -e "/usr/include/$header" ] || need+=("$package")
+    [ -e "/usr/include/$header" ] || missing+=("$package")
   done <<'HEADERS'
 gtest/gtest.h libgtest-dev
 boost/beast/http.hpp libboost-dev
@@ -19,7 +19,7 @@
 xxhash.h libxxhash-dev
 spdlog/spdlog.h libspdlog-dev
 HEADERS
-  [ ${#need[@]} -gt 0 ] || return 0
+  [ ${#missing[@]} -gt 0 ] || return 0
   apt-get update -qq
-  DEBIAN_FRONTEND=noninteractive apt-get install -y -qq "${need[@]}"
+  DEBIAN_FRONTEND=noninteractive apt-get install -y -qq "${missing[@]}"
 }
--- a/tests/run.sh
+++ b/tests/run.sh
@@ -1,5 +1,6 @@
 #!/usr/bin/env bash
-# The project's test command: format, lint, warnings as errors, the tests plain and with ASan+UBSan, the package.
+# Runs every check of the project: formatting, lint, warnings as errors, the tests without and with ASan and UBSan,
+# the deployed build, and the installed package.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 . tests/known_red.sh
@@ -7,10 +8,11 @@
 . tests/packages.sh
 packages_install
 
-# Every source file that git does not ignore, so that a new folder is covered without being named here.
+# All source files that git does not ignore, so that files in a new directory are checked too.
 git ls-files -z --cached --others --exclude-standard '*.cpp' '*.hpp' | xargs -0 clang-format --dry-run --Werror
 
-# Lints the files that the build in the folder $1 compiles. tests/package is a project of its own.
+# Runs clang-tidy with the compilation database in the directory $1. tests/package is a separate project and is
+# not in that database.
 lint() {
   git ls-files -z --cached --others --exclude-standard 'src/*.cpp' 'tools/*.cpp' 'tests/*.cpp' ':!tests/package' |
     xargs -0 -n1 -P"$(nproc)" clang-tidy --quiet -p "$1"
@@ -26,11 +28,11 @@
   known_red_run KNOWN-RED.txt ctest --test-dir "build-test/$kind" --output-on-failure -j"$(nproc)"
 done
 
-# The deployed build: a warning that only its optimizer gives is an error here too.
+# The deployed (Release) build: some warnings appear only at its optimization level, and they are errors as well.
 cmake -S . -B build-test/release -DCMAKE_BUILD_TYPE=Release -DWINGSLIP_WERROR=ON >/dev/null
 cmake --build build-test/release -j"$(nproc)"
 
-# The installed package, found and linked by a program outside the tree.
+# The installed package: find_package finds it, and a program outside the source tree links it and runs.
 cmake --install build-test/plain --prefix "$PWD/build-test/prefix" >/dev/null
 cmake -S tests/package -B build-test/package -DCMAKE_PREFIX_PATH="$PWD/build-test/prefix" >/dev/null
 cmake --build build-test/package
