--- a/tests/package/one_request.cpp
+++ b/tests/package/one_request.cpp
@@ -1,4 +1,5 @@
-// A program outside the tree: drives one request through the installed library.
+// Uses the installed library from outside the source tree: passes one request through a gateway and exits
+// with 0 if it was sent to the only worker and finished.
 #include <cstdio>
 #include <wingslip/decision/gateway.hpp>
 
