--- a/tests/endpoint_list_test.cpp
+++ b/tests/endpoint_list_test.cpp
@@ -103,16 +103,16 @@
 }
 
 TEST(EndpointListHistory, AcceptTakesTimeLinearInTheNumberOfWorkers) {
-  const double factor = growth::between(2000, [](std::size_t n) {
+  const double factor = growth::growthFactor(2000, [](std::size_t n) {
     std::vector<std::string> entries;
     for (std::size_t i = 0; i < n; ++i) entries.push_back(entry("w-" + std::to_string(i), "Terminating"));
     EndpointList received = list(1, true, entries);
     EndpointListHistory history;
-    const double before = growth::processorTime();
+    const double before = growth::threadCpuTimeMs();
     history.accept(received);
-    return growth::processorTime() - before;
+    return growth::threadCpuTimeMs() - before;
   });
-  EXPECT_LT(factor, growth::kMost);
+  EXPECT_LT(factor, growth::kMaxFactor);
 }
 
 TEST(EndpointList, MergedListsHaveTheLatestEntryOfEachWorker) {
--- a/tests/growth.hpp
+++ b/tests/growth.hpp
@@ -11,10 +11,10 @@
 // quadratic work by 256. The limit lies between them with a margin of more than a factor of two on either
 // side.
 constexpr std::size_t kSizeRatio = 16;
-constexpr double kMost = 64;
+constexpr double kMaxFactor = 64;
 
 // Processor time of this thread in milliseconds. Other load on the machine is not included.
-inline double processorTime() {
+inline double threadCpuTimeMs() {
   timespec now{};
   clock_gettime(CLOCK_THREAD_CPUTIME_ID, &now);
   return static_cast<double>(now.tv_sec) * 1e3 + static_cast<double>(now.tv_nsec) / 1e6;
@@ -23,13 +23,14 @@
 // Factor by which the time of `measure` grows from size `small` to kSizeRatio times that size. `measure(n)`
 // returns the milliseconds for size n; the minimum of several runs is used.
 template <class Measure>
-double between(std::size_t small, Measure measure) {
+double growthFactor(std::size_t small, Measure measure) {
   constexpr int kRuns = 3;
   constexpr double kMinMs = 0.02;  // shorter times are within the noise of the measurement
   double smallMs = measure(small), largeMs = measure(small * kSizeRatio);
   for (int run = 1; run < kRuns; ++run) {
     smallMs = std::min(smallMs, measure(small));
-    if (largeMs > kMost * std::max(smallMs, kMinMs)) largeMs = std::min(largeMs, measure(small * kSizeRatio));
+    if (largeMs > kMaxFactor * std::max(smallMs, kMinMs))
+      largeMs = std::min(largeMs, measure(small * kSizeRatio));
   }
   return largeMs / std::max(smallMs, kMinMs);
 }
--- a/tests/growth_test.cpp
+++ b/tests/growth_test.cpp
@@ -31,13 +31,13 @@
 }
 
 double cpuTimeMs(const std::function<void()>& operation) {
-  const double startMs = growth::processorTime();
+  const double startMs = growth::threadCpuTimeMs();
   operation();
-  return growth::processorTime() - startMs;
+  return growth::threadCpuTimeMs() - startMs;
 }
 
 TEST(EventProcessingTime, EndpointListIsNotQuadraticInItsLength) {
-  const double factor = growth::between(2000, [](std::size_t n) {
+  const double factor = growth::growthFactor(2000, [](std::size_t n) {
     GatewayHarness harness;
     const auto list = endpoints(n);
     return cpuTimeMs([&] {
@@ -45,22 +45,22 @@
       harness.updateEndpoints(list);
     });
   });
-  EXPECT_LT(factor, growth::kMost);
+  EXPECT_LT(factor, growth::kMaxFactor);
 }
 
 TEST(EventProcessingTime, SettingsUpdateIsNotQuadraticInTheNumberOfClasses) {
-  const double factor = growth::between(1000, [](std::size_t n) {
+  const double factor = growth::growthFactor(1000, [](std::size_t n) {
     const Settings settings = settingsWithClasses(n);
     GatewayHarness harness(settings);
     return cpuTimeMs([&] { harness.gateway.onSettings(1, settings); });
   });
-  EXPECT_LT(factor, growth::kMost);
+  EXPECT_LT(factor, growth::kMaxFactor);
 }
 
 // Each worker has several attempts in flight, so that the check for unresponsive workers runs for each of
 // them.
 TEST(EventProcessingTime, ChoiceAmongBusyWorkersIsNotQuadraticInTheirNumber) {
-  const double factor = growth::between(50, [](std::size_t n) {
+  const double factor = growth::growthFactor(50, [](std::size_t n) {
     Settings settings = settingsWithClasses(n);
     settings.gatewayCount = 1;
     settings.plans = {PlanSettings{}};
@@ -72,7 +72,7 @@
       for (CustomerId i = 0; i < 100; ++i) harness.sendRequest(0, 0, i);
     });
   });
-  EXPECT_LT(factor, growth::kMost);
+  EXPECT_LT(factor, growth::kMaxFactor);
 }
 
 // A settings update finds classes and plans by name. If several classes share a name, the learned latency of
--- a/tests/leader_election_test.cpp
+++ b/tests/leader_election_test.cpp
@@ -162,16 +162,16 @@
 
 // Guards against quadratic time: a pass over all members for each evicted member.
 TEST(MembershipRecord, TrimmingTimeGrowsLinearly) {
-  const double factor = growth::between(2000, [](std::size_t members) {
+  const double factor = growth::growthFactor(2000, [](std::size_t members) {
     std::vector<Registration> all;
     for (std::size_t i = 0; i < members; ++i)
       all.push_back({"n" + std::to_string(i), "i", "b", 1, false, {}});
     MembershipRecord record;
-    const double before = growth::processorTime();
+    const double before = growth::threadCpuTimeMs();
     record.update(all, neverInGracePeriod);
-    return growth::processorTime() - before;
+    return growth::threadCpuTimeMs() - before;
   });
-  EXPECT_LT(factor, growth::kMost);
+  EXPECT_LT(factor, growth::kMaxFactor);
 }
 
 // --- Invalid input ---------------------------------------------------------------------------------------
--- a/tests/name_index_test.cpp
+++ b/tests/name_index_test.cpp
@@ -23,15 +23,15 @@
 // A reload merges the names on the event loop: a merge that searched the list for each name would take
 // quadratic time.
 TEST(NameIndex, MergeTimeIsLinearInTheNumberOfNames) {
-  const double factor = growth::between(1000, [](std::size_t n) {
+  const double factor = growth::growthFactor(1000, [](std::size_t n) {
     std::vector<std::string> names, added;
     for (std::size_t i = 0; i < n; ++i) names.push_back("zone-" + std::to_string(i));
     for (std::size_t i = 0; i < n; ++i) added.push_back("zone-" + std::to_string(n + i));
-    const double before = growth::processorTime();
+    const double before = growth::threadCpuTimeMs();
     EXPECT_EQ(mergedNames(names, added).size(), 2 * n);
-    return growth::processorTime() - before;
+    return growth::threadCpuTimeMs() - before;
   });
-  EXPECT_LT(factor, growth::kMost);
+  EXPECT_LT(factor, growth::kMaxFactor);
 }
 
 }  // namespace
--- a/tests/replication_test.cpp
+++ b/tests/replication_test.cpp
@@ -195,23 +195,23 @@
 
 // Guards against work quadratic in the number of rows, as from one search of the table per evicted row.
 TEST(Replica, RestoringRowsBeyondLimitIsNotQuadratic) {
-  const double factor = growth::between(1000, [](std::size_t n) {
+  const double factor = growth::growthFactor(1000, [](std::size_t n) {
     std::vector<Row> rows;
     for (std::size_t i = 0; i < n; ++i)
       rows.push_back({"t", "k" + std::to_string(i), "", {std::int64_t(i), 0, "g"}, false});
     RecordingEnvironment environment;
     Replica copy = startedReplica(environment);
-    const double before = growth::processorTime();
+    const double before = growth::threadCpuTimeMs();
     copy.restore({}, rows);
-    return growth::processorTime() - before;
+    return growth::threadCpuTimeMs() - before;
   });
-  EXPECT_LT(factor, growth::kMost);
+  EXPECT_LT(factor, growth::kMaxFactor);
 }
 
 // Guards against work quadratic in the number of suspects. When half of a fleet is partitioned off, all its
 // members become suspect at the same time.
 TEST(Replica, ExpiringSuspectsIsNotQuadratic) {
-  const double factor = growth::between(63, [](std::size_t n) {
+  const double factor = growth::growthFactor(63, [](std::size_t n) {
     std::vector<MemberRecord> suspects;
     for (std::size_t i = 0; i < n; ++i)
       suspects.push_back({"g" + std::to_string(i), "a", 1, 0, MemberState::suspect});
@@ -219,11 +219,11 @@
     Replica copy = startedReplica(environment);
     copy.restore(suspects, {});
     for (int i = 0; i < 10; ++i) copy.tick(1);
-    const double before = growth::processorTime();
+    const double before = growth::threadCpuTimeMs();
     for (int i = 0; i < 200; ++i) copy.tick(1);
-    return growth::processorTime() - before;
+    return growth::threadCpuTimeMs() - before;
   });
-  EXPECT_LT(factor, growth::kMost);
+  EXPECT_LT(factor, growth::kMaxFactor);
 }
 
 // Guards against a truncated or invalid message being accepted in part.
--- a/tests/upstream_pool_test.cpp
+++ b/tests/upstream_pool_test.cpp
@@ -183,14 +183,14 @@
 TEST_F(UpstreamPoolTest, AnAttemptAtTheLimitDoesNotScanAllWorkers) {
   UpstreamPool::Limits limits;
   limits.maxConnections = 0;
-  const double factor = growth::between(500, [&](std::size_t n) {
+  const double factor = growth::growthFactor(500, [&](std::size_t n) {
     createPool(limits);
     for (std::size_t i = 0; i < n; ++i) pool->setWorkerAddress(1000 + i, {worker.address()});
-    const double before = growth::processorTime();
+    const double before = growth::threadCpuTimeMs();
     for (std::size_t i = 0; i < n; ++i) startAttempt(static_cast<decision::RequestId>(i + 1));
-    return growth::processorTime() - before;
+    return growth::threadCpuTimeMs() - before;
   });
-  EXPECT_LT(factor, growth::kMost);
+  EXPECT_LT(factor, growth::kMaxFactor);
 }
 
 // A worker's restart must not affect the attempts in flight at other workers.
