--- a/include/wingslip/decision/gateway.hpp
+++ b/include/wingslip/decision/gateway.hpp
@@ -1,9 +1,9 @@
 /// The decision module's interface: events in, actions out.
 ///
 /// The host passes events to one Gateway object per gateway and executes the actions that it requests. The
-/// module is deterministic: it takes the time only from its events and randomness only from its salt, does no
-/// I/O and has no threads, so the same events result in the same actions. A Gateway object must be used by
-/// one thread at a time; it calls `Actions` only from within its own event methods.
+/// module is deterministic: it takes the time only from its events and randomness only from its random seed,
+/// does no I/O and has no threads, so the same events result in the same actions. A Gateway object must be
+/// used by one thread at a time; it calls `Actions` only from within its own event methods.
 #pragma once
 
 #include <cstdint>
@@ -32,19 +32,19 @@
   unsigned classIndex = 0;  ///< index in Settings::classes
   unsigned planIndex = 0;   ///< index in Settings::plans
   CustomerId customer = 0;
-  Time expiresAt = 0;             ///< the client's deadline
-  double units = 1;               ///< quota units; an estimate if Settings::correctsUnits
-  unsigned customerGateways = 1;  ///< number of gateways that receive this customer's requests
-  double memoryBytes = 0;         ///< memory that the host uses for the request
+  Time expiresAt = 0;                 ///< the client's deadline
+  double units = 1;                   ///< quota units; an estimate if Settings::correctsUnits
+  unsigned customerGatewayCount = 1;  ///< number of gateways that receive this customer's requests
+  double memoryBytes = 0;             ///< memory that the host uses for the request
 };
 
 /// Overload of the host: it is short of memory, file descriptors or processing time.
 struct OverloadSignal {
   bool active = false;
-  bool memoryShort = false;  ///< requests that need much memory must be rejected
-  double shedFraction = 0;   ///< share of new requests to shed, from 0 to 1
-  double excessBytes = 0;    ///< bytes to release now by ending requests in flight
-  Time expectedMs = 0;       ///< expected remaining duration of the overload
+  bool isMemoryShort = false;   ///< requests that need much memory must be rejected
+  double shedFraction = 0;      ///< share of new requests to shed, from 0 to 1
+  double excessBytes = 0;       ///< bytes to release now by ending requests in flight
+  Time expectedDurationMs = 0;  ///< expected remaining duration of the overload
 };
 
 /// The outcome of an attempt.
@@ -63,7 +63,7 @@
 /// Numbers of workers by their state in the module.
 struct WorkerCounts {
   std::size_t listed = 0;
-  std::size_t avoided = 0;  ///< of the listed: excluded by an operator, draining or ejected
+  std::size_t unavailable = 0;  ///< of the listed: excluded by an operator, draining or ejected
 };
 
 /// Requests rejected since the start, by reason. Not counted are rejections by a hard ceiling or a
@@ -101,10 +101,10 @@
 /// All decisions of one gateway: admission, load balancing, retries and quotas.
 class Gateway {
  public:
-  /// @param salt seed of all random choices.
+  /// @param randomSeed seed of all random choices.
   /// @param actions must outlive the object.
   /// @throws std::invalid_argument if a setting is invalid.
-  Gateway(const Settings& settings, std::uint64_t salt, Time now, Actions& actions);
+  Gateway(const Settings& settings, std::uint64_t randomSeed, Time now, Actions& actions);
   ~Gateway();
   Gateway(Gateway&&) noexcept;
   Gateway& operator=(Gateway&&) noexcept;
--- a/include/wingslip/decision/settings.hpp
+++ b/include/wingslip/decision/settings.hpp
@@ -52,8 +52,8 @@
   /// Maximum delay with which the endpoint list reports that a worker drains. The decisions stop sending to a
   /// draining worker immediately; the endpoint watch and the invariants allow for this delay.
   Time drainGraceMs = 0;
-  double slowStartShare = 1;    ///< share of its full capacity that a worker has when it starts
-  Time slowStartMs = 0;         ///< time from a worker's start to its full capacity
+  double slowStartInitialShare = 1;  ///< share of its full capacity that a worker has when it starts
+  Time slowStartMs = 0;              ///< time from a worker's start to its full capacity
   double overloadMultiple = 1;  ///< multiple of its capacity that a warming worker withstands in the window
   Time overloadWindowMs = 0;    ///< window of overloadMultiple
   double crossZonePrice = 0;    ///< cost of an attempt in another zone, as a share of the request's value
--- a/src/decision/admission.cpp
+++ b/src/decision/admission.cpp
@@ -38,22 +38,22 @@
   }
 }
 
-std::optional<Rejection> Admission::check(Customer& customer, const Request& request, Time usualLatencyMs,
+std::optional<Rejection> Admission::check(Customer& customer, const Request& request, Time expectedLatencyMs,
                                           bool isHostOverloaded) {
   const PlanSettings& plan = settings_.plans[customer.planIndex];
   const double unknownAdmitProbability =
       unknownCustomers_.isUnknown(customer) ? unknownCustomers_.admitProbability(request) : 0;
   const double units = std::max(0.0, request.units);
   if (plan.ceilingRate > 0 && customer.ceilingTokens < units)
-    return Rejection{RejectionReason::hardCeiling,
-                     1000 * (units - customer.ceilingTokens) * customer.customerGateways / plan.ceilingRate};
+    return Rejection{RejectionReason::hardCeiling, 1000 * (units - customer.ceilingTokens) *
+                                                       customer.customerGatewayCount / plan.ceilingRate};
   // A request larger than the burst is admitted when the bucket is full and makes its balance negative.
   const double tokensNeeded = std::min(units, plan.burst);
-  customer.meanRequestUnits = approach(customer.meanRequestUnits, units, 1, kRequestUnitsTimeConstant);
+  customer.meanRequestUnits = decayedAverage(customer.meanRequestUnits, units, 1, kRequestUnitsTimeConstant);
   if (plan.rate > 0 && customer.localTokens < tokensNeeded)
     return Rejection{RejectionReason::localQuota, 1000 * (tokensNeeded - customer.localTokens) / plan.rate};
   if (concurrency_cap::isReached(customer, plan) || isCapLikelyReached(customer, plan))
-    return Rejection{RejectionReason::concurrencyCap, usualLatencyMs};
+    return Rejection{RejectionReason::concurrencyCap, expectedLatencyMs};
   return checkFleetQuota(customer, request, tokensNeeded, unknownAdmitProbability, isHostOverloaded);
 }
 
@@ -84,7 +84,7 @@
 bool Admission::isCapLikelyReached(const Customer& customer, const PlanSettings& plan) const {
   if (plan.maxConcurrent == 0) return false;
   const double capacityProbability =
-      concurrency_cap::probabilityOfCapacity(customer, plan, FleetQuota::share(customer));
+      concurrency_cap::probabilityWithinCap(customer, plan, FleetQuota::share(customer));
   return capacityProbability * (1 + plan.overQuotaCost) < plan.overQuotaCost + workerShortage_;
 }
 
@@ -96,14 +96,14 @@
       (plan.overQuotaCost - plan.overQuotaValue + workerShortage_) / (1 - workerShortage_);
   if (errorCostRatio <= 0) return false;
   if (unknownCustomers_.canOverrunQuota(customer) && !unknownCustomers_.isUnknown(customer))
-    errorCostRatio /= std::min(unknownCustomers_.reach(), 1.0);
+    errorCostRatio /= std::min(unknownCustomers_.assumedBurstShare(), 1.0);
   return customer.fleetTokens < tokensNeeded + fleetQuota_.safetyMargin(customer, errorCostRatio);
 }
 
 void Admission::recordWorkerChoice(Time now, bool foundWorker) {
   workerShortage_ =
-      std::min(kMaxWorkerShortage, approach(workerShortage_, foundWorker ? 0 : 1, now - lastWorkerChoiceAt_,
-                                            kWorkerShortageTimeConstantMs));
+      std::min(kMaxWorkerShortage, decayedAverage(workerShortage_, foundWorker ? 0 : 1,
+                                                  now - lastWorkerChoiceAt_, kWorkerShortageTimeConstantMs));
   lastWorkerChoiceAt_ = now;
 }
 
--- a/src/decision/admission.hpp
+++ b/src/decision/admission.hpp
@@ -38,12 +38,12 @@
       : settings_(settings), fleetQuota_(fleetQuota), unknownCustomers_(unknownCustomers), random_(random) {}
 
   /// Checks a request against the customer's quota without debiting its units.
-  /// @param usualLatencyMs usual latency of the request's class. It is the retry delay at the concurrency
+  /// @param expectedLatencyMs usual latency of the request's class. It is the retry delay at the concurrency
   /// cap,
   ///   since an attempt in flight has probably ended by then.
   /// @return the rejection; empty if the quota admits the request.
   [[nodiscard]] std::optional<Rejection> check(Customer& customer, const Request& request,
-                                               Time usualLatencyMs, bool isHostOverloaded);
+                                               Time expectedLatencyMs, bool isHostOverloaded);
 
   /// Records whether a worker was found for a request that the quota admitted.
   void recordWorkerChoice(Time now, bool foundWorker);
--- a/src/decision/concurrency_cap.cpp
+++ b/src/decision/concurrency_cap.cpp
@@ -29,19 +29,21 @@
 
 }  // namespace
 
-void fadeFleetMean(Customer& customer, Time elapsedMs) {
-  customer.fleetMeanInFlight = approach(customer.fleetMeanInFlight, 0, elapsedMs, kFleetMeanTimeConstantMs);
+void decayFleetMean(Customer& customer, Time elapsedMs) {
+  customer.fleetMeanAttemptsInFlight =
+      decayedAverage(customer.fleetMeanAttemptsInFlight, 0, elapsedMs, kFleetMeanTimeConstantMs);
 }
 
-void noteReading(Customer& customer, const PlanSettings& plan, int percent) {
+void recordReading(Customer& customer, const PlanSettings& plan, int percent) {
   const double peak = std::max(0.0, percent / 100.0 * plan.maxConcurrent - kPeakOffset);
   const double rootOfMean = std::sqrt(kPeakDeviations * kPeakDeviations / 4 + peak) - kPeakDeviations / 2;
-  customer.fleetMeanInFlight += kPeakWeight * (rootOfMean * rootOfMean - customer.fleetMeanInFlight);
+  customer.fleetMeanAttemptsInFlight +=
+      kPeakWeight * (rootOfMean * rootOfMean - customer.fleetMeanAttemptsInFlight);
 }
 
-double probabilityOfCapacity(const Customer& customer, const PlanSettings& plan, double share) {
-  const double othersMean =
-      plan.rate > 0 ? customer.meanInFlight * (1 - share) / share : customer.fleetMeanInFlight * (1 - share);
+double probabilityWithinCap(const Customer& customer, const PlanSettings& plan, double share) {
+  const double othersMean = plan.rate > 0 ? customer.meanAttemptsInFlight * (1 - share) / share
+                                          : customer.fleetMeanAttemptsInFlight * (1 - share);
   return probabilityBelow(plan.maxConcurrent - customer.attemptsInFlight, othersMean);
 }
 
--- a/src/decision/concurrency_limit.cpp
+++ b/src/decision/concurrency_limit.cpp
@@ -41,7 +41,7 @@
 
 double initialWorkerLimit(unsigned gatewayCount) { return std::max(1.0, kInitialLimit / gatewayCount); }
 
-void steerWorkerLimit(UpstreamWorker& worker, Time now, AnswerTiming timing) {
+void updateWorkerLimit(UpstreamWorker& worker, Time now, AnswerTiming timing) {
   if (timing.isLate && now - worker.limitCutAt >= kMinCutIntervalMs) {
     worker.limit = std::max(1.0, kWorkerLimitCutFactor * std::min(worker.limit, worker.inFlight + 1.0));
     worker.limitCutAt = now;
@@ -55,16 +55,16 @@
   worker.pausedUntil = now + worker.overloadPauseMs;
 }
 
-void GatewayConcurrencyLimit::start(std::size_t workers, unsigned gatewayCount) {
+void GatewayConcurrencyLimit::initialize(std::size_t workers, unsigned gatewayCount) {
   if (limit_ <= 0) limit_ = kInitialLimit * static_cast<double>(workers) / gatewayCount;
 }
 
-void GatewayConcurrencyLimit::noteAttemptStarted(Time now) {
+void GatewayConcurrencyLimit::recordAttemptStarted(Time now) {
   ++inFlight_;
   updatePeak(now);
 }
 
-void GatewayConcurrencyLimit::noteAttemptEnded() {
+void GatewayConcurrencyLimit::recordAttemptEnded() {
   if (inFlight_ > 0) --inFlight_;
 }
 
@@ -84,7 +84,7 @@
 // the count is close to 0 at most moments, and a limit derived from it would reject the next burst while
 // workers are idle.
 void GatewayConcurrencyLimit::updatePeak(Time now) {
-  peak_ = std::max<double>(inFlight_, approach(peak_, 0, now - peakAt_, kPeakTimeConstantMs));
+  peak_ = std::max<double>(inFlight_, decayedAverage(peak_, 0, now - peakAt_, kPeakTimeConstantMs));
   peakAt_ = now;
 }
 
--- a/src/decision/concurrency_limit.hpp
+++ b/src/decision/concurrency_limit.hpp
@@ -25,7 +25,7 @@
 /// Limit of a worker without any outcome yet, in attempts of this gateway.
 double initialWorkerLimit(unsigned gatewayCount);
 /// Raises a worker's limit after an early answer and cuts it after a late one.
-void steerWorkerLimit(UpstreamWorker& worker, Time now, AnswerTiming timing);
+void updateWorkerLimit(UpstreamWorker& worker, Time now, AnswerTiming timing);
 /// Whether the worker's limit permits one more attempt of this gateway.
 inline bool hasCapacity(const UpstreamWorker& worker) { return worker.inFlight + 1 <= worker.limit; }
 
@@ -41,12 +41,12 @@
 class GatewayConcurrencyLimit {
  public:
   /// Sets the limit from the first endpoint list that is not empty; later calls have no effect.
-  void start(std::size_t workers, unsigned gatewayCount);
+  void initialize(std::size_t workers, unsigned gatewayCount);
   /// Whether the limit permits one more attempt. The fractional part of the limit is applied as a
   /// probability.
   bool hasCapacity(Random& random) const { return inFlight_ + random.next() < limit_; }
-  void noteAttemptStarted(Time now);
-  void noteAttemptEnded();
+  void recordAttemptStarted(Time now);
+  void recordAttemptEnded();
   /// Raises the limit after an early answer and cuts it after a late one.
   /// @param isWorkerSpecific the answer is late because its worker is slow for its machine type or warming
   /// up; such an answer does not change the limit.
--- a/src/decision/customer_quota.cpp
+++ b/src/decision/customer_quota.cpp
@@ -27,8 +27,8 @@
   const double seconds = elapsedMs / 1000;
   customer.localTokens = std::min(plan.burst, customer.localTokens + plan.rate * seconds);
   customer.ceilingTokens =
-      std::min(plan.ceilingBurst / customer.customerGateways,
-               customer.ceilingTokens + plan.ceilingRate * seconds / customer.customerGateways);
+      std::min(plan.ceilingBurst / customer.customerGatewayCount,
+               customer.ceilingTokens + plan.ceilingRate * seconds / customer.customerGatewayCount);
   const double othersUnits = fleet_.refill(customer, elapsedMs);
   recoverAdmitFraction(customer, now, elapsedMs);
   concurrency_cap::advance(customer, elapsedMs);
@@ -44,7 +44,7 @@
   const Time recoveryMs =
       std::max(kFractionRecoveryMs, kFractionRecoveryIntervals * customer.meanReadingIntervalMs);
   customer.admitFraction = std::min(1.0, customer.admitFraction + elapsedMs / recoveryMs);
-  concurrency_cap::fadeFleetMean(customer, elapsedMs);
+  concurrency_cap::decayFleetMean(customer, elapsedMs);
 }
 
 // Readings against the old rate do not apply to the new one, so they are discarded.
@@ -53,7 +53,8 @@
   customer.planIndex = planIndex;
   customer.localTokens = std::min(customer.localTokens, plan.burst);
   customer.fleetTokens = std::min(customer.fleetTokens, plan.burst);
-  customer.ceilingTokens = std::min(customer.ceilingTokens, plan.ceilingBurst / customer.customerGateways);
+  customer.ceilingTokens =
+      std::min(customer.ceilingTokens, plan.ceilingBurst / customer.customerGatewayCount);
   customer.readingPercent = -1;
   customer.admitFraction = 1;
 }
@@ -72,12 +73,12 @@
   customer.fleetTokens = std::min(plan.burst, customer.fleetTokens + units);
 }
 
-void CustomerQuota::noteAttemptStarted(Customer& customer, Time now) const {
+void CustomerQuota::recordAttemptStarted(Customer& customer, Time now) const {
   advance(customer, now);
   ++customer.attemptsInFlight;
 }
 
-void CustomerQuota::noteAttemptEnded(Customer& customer, Time now) const {
+void CustomerQuota::recordAttemptEnded(Customer& customer, Time now) const {
   if (customer.attemptsInFlight == 0) return;
   advance(customer, now);
   --customer.attemptsInFlight;
@@ -90,19 +91,19 @@
          sinceLastMs >= kChangedReadingPeriods * settings_.quotaReadingPeriodMs;
 }
 
-void CustomerQuota::noteReading(Customer& customer, Time now, int percent) const {
+void CustomerQuota::recordReading(Customer& customer, Time now, int percent) const {
   const Time sinceLastMs = now - customer.readingAt;
   if (!isNewReading(customer, sinceLastMs, percent)) return;
   customer.meanReadingIntervalMs =
       customer.readingPercent < 0
           ? sinceLastMs
-          : approach(customer.meanReadingIntervalMs, sinceLastMs, 1, kReadingIntervalTimeConstant);
+          : decayedAverage(customer.meanReadingIntervalMs, sinceLastMs, 1, kReadingIntervalTimeConstant);
   customer.readingPercent = percent;
   customer.readingAt = now;
   advance(customer, now);
   const PlanSettings& plan = planOf(customer);
   if (plan.rate <= 0)
-    concurrency_cap::noteReading(customer, plan, percent);
+    concurrency_cap::recordReading(customer, plan, percent);
   else
     fleet_.applyReading(customer, percent);
 }
--- a/src/decision/customer_quota.hpp
+++ b/src/decision/customer_quota.hpp
@@ -25,11 +25,11 @@
   /// estimate was too low.
   void creditBack(Customer& customer, Time now, double units) const;
 
-  void noteAttemptStarted(Customer& customer, Time now) const;
-  void noteAttemptEnded(Customer& customer, Time now) const;
+  void recordAttemptStarted(Customer& customer, Time now) const;
+  void recordAttemptEnded(Customer& customer, Time now) const;
   /// Applies a quota reading, in percent, from an answer. All answers of a reading period carry the same
   /// reading; repetitions are ignored.
-  void noteReading(Customer& customer, Time now, int percent) const;
+  void recordReading(Customer& customer, Time now, int percent) const;
 
  private:
   const PlanSettings& planOf(const Customer& customer) const { return settings_.plans[customer.planIndex]; }
--- a/src/decision/customer_registry.cpp
+++ b/src/decision/customer_registry.cpp
@@ -16,10 +16,10 @@
       ceilingsUnspentSince_(now) {}
 
 unsigned CustomerRegistry::gatewaysOf(const Request& request) const {
-  return std::max(1u, std::min(request.customerGateways, settings_.gatewayCount));
+  return std::max(1u, std::min(request.customerGatewayCount, settings_.gatewayCount));
 }
 
-Customer& CustomerRegistry::obtain(Time now, const Request& request) {
+Customer& CustomerRegistry::findOrAdd(Time now, const Request& request) {
   Customer* customer = table_.findAndTouch(request.customer);
   if (!customer) {
     if (table_.isFull()) evictOne(now);
@@ -27,7 +27,7 @@
   }
   // The number of gateways may have changed; units above the new share of the ceiling are dropped
   // immediately.
-  customer->customerGateways = gatewaysOf(request);
+  customer->customerGatewayCount = gatewaysOf(request);
   quota_.advance(*customer, now);
   if (customer->planIndex != request.planIndex) quota_.changePlan(*customer, request.planIndex);
   return *customer;
@@ -37,37 +37,38 @@
   const PlanSettings& plan = settings_.plans[request.planIndex];
   Customer& customer = table_.add(request.customer);
   customer.planIndex = request.planIndex;
-  customer.customerGateways = gatewaysOf(request);
+  customer.customerGatewayCount = gatewaysOf(request);
   customer.updatedAt = now;
   customer.readingAt = now;
   customer.meanRequestUnits = std::max(0.0, request.units);
-  meanRequestSize_.note(customer.meanRequestUnits);
-  customer.localTokens = initialTokens(plan, customer.customerGateways, now);
+  meanRequestSize_.record(customer.meanRequestUnits);
+  customer.localTokens = initialTokens(plan, customer.customerGatewayCount, now);
   customer.admitCredit = random_.next() * customer.meanRequestUnits;
   quota_.fleet().initialize(customer, now, now - bucketsUnspentSince_);
   // The ceiling must not be exceeded across restarts and evictions, so it starts only with the units that
   // have accrued since this gateway may last have sent requests of this customer.
   customer.ceilingTokens =
       std::min(plan.ceilingBurst, plan.ceilingRate * (now - ceilingsUnspentSince_) / 1000) /
-      customer.customerGateways;
+      customer.customerGatewayCount;
   return customer;
 }
 
 // Tokens in the bucket of a customer that is added now. A request is debited as a whole. With so
 // many gateways that a share of the burst is less than a request, all of them would reject the first requests
 // of a customer whose quota is full, so a bucket starts with at least one request of mean size.
-double CustomerRegistry::initialTokens(const PlanSettings& plan, unsigned customerGateways, Time now) const {
-  const double initial = std::max(plan.burst / customerGateways, meanRequestSize_.units());
+double CustomerRegistry::initialTokens(const PlanSettings& plan, unsigned customerGatewayCount,
+                                       Time now) const {
+  const double initial = std::max(plan.burst / customerGatewayCount, meanRequestSize_.units());
   return std::min(plan.burst, initial + plan.rate * (now - bucketsUnspentSince_) / 1000);
 }
 
 double CustomerRegistry::ceilingCapacity(const Customer& customer) const {
-  return planOf(customer).ceilingBurst / customer.customerGateways;
+  return planOf(customer).ceilingBurst / customer.customerGatewayCount;
 }
 
 void CustomerRegistry::evictOne(Time now) {
   const auto tokensIfNew = [&](const Customer& customer) {
-    return initialTokens(planOf(customer), customer.customerGateways, now);
+    return initialTokens(planOf(customer), customer.customerGatewayCount, now);
   };
   const auto canEvictWithoutLoss = [&](Customer& customer) {
     quota_.advance(customer, now);
--- a/src/decision/customer_registry.hpp
+++ b/src/decision/customer_registry.hpp
@@ -19,20 +19,20 @@
   /// Returns null if the customer is not tracked.
   Customer* find(CustomerId id) { return table_.find(id); }
   /// Returns the customer of a request, advanced to `now`; adds it if it is not tracked.
-  Customer& obtain(Time now, const Request& request);
+  Customer& findOrAdd(Time now, const Request& request);
   /// Must be called before the settings change to `next`. Assigns customers to the plan of the same name and
   /// erases those whose plan was removed. Erases all customers if the reading period changes, since usage is
   /// recorded per quarter of it.
   void applySettings(Time now, const Settings& next);
 
   std::size_t size() const { return table_.size(); }
-  const UsualRequestSize& usualRequestSize() const { return meanRequestSize_; }
+  const MeanRequestSize& meanRequestSize() const { return meanRequestSize_; }
 
  private:
   unsigned gatewaysOf(const Request& request) const;
   Customer& add(Time now, const Request& request);
   void evictOne(Time now);
-  double initialTokens(const PlanSettings& plan, unsigned customerGateways, Time now) const;
+  double initialTokens(const PlanSettings& plan, unsigned customerGatewayCount, Time now) const;
   double ceilingCapacity(const Customer& customer) const;
   const PlanSettings& planOf(const Customer& customer) const { return settings_.plans[customer.planIndex]; }
 
@@ -40,7 +40,7 @@
   const CustomerQuota& quota_;
   Random& random_;
   CustomerTable table_;
-  UsualRequestSize meanRequestSize_;
+  MeanRequestSize meanRequestSize_;
   // Since these times a customer that is not tracked cannot have spent any units here: the start of this
   // gateway, or the last time that a customer was erased whose bucket or ceiling may have been partly spent.
   Time bucketsUnspentSince_;
--- a/src/decision/decay.hpp
+++ b/src/decision/decay.hpp
@@ -17,7 +17,7 @@
 
 /// Exponentially weighted average after `sample` has applied for `elapsed` (a first-order low-pass filter);
 /// both times are in the same unit.
-inline double approach(double average, double sample, Time elapsed, Time timeConstant) {
+inline double decayedAverage(double average, double sample, Time elapsed, Time timeConstant) {
   return average + (sample - average) * (1 - decayFactor(std::max(elapsed, 0.0), timeConstant));
 }
 
--- a/src/decision/decision_log.cpp
+++ b/src/decision/decision_log.cpp
@@ -30,7 +30,7 @@
       "(gateway's limit %u) overload %u; concurrency limit %.1f in flight %u worker shortage %.2f; "
       "workers ready %u ejected %u warming up %u overloaded %u",
       increase(counts.localQuota, before.localQuota), increase(counts.fleetQuota, before.fleetQuota),
-      increase(counts.unknownCustomer, before.unknownCustomer), gauges.unknownCustomerReach,
+      increase(counts.unknownCustomer, before.unknownCustomer), gauges.assumedBurstShare,
       increase(counts.noWorker, before.noWorker), increase(counts.concurrencyLimit, before.concurrencyLimit),
       increase(counts.overload, before.overload), gauges.concurrencyLimit, gauges.attemptsInFlight,
       gauges.workerShortage, workers.ready, workers.ejected, workers.warmingUp, workers.overloaded);
--- a/src/decision/decision_log.hpp
+++ b/src/decision/decision_log.hpp
@@ -15,8 +15,8 @@
 
 /// State behind the rejections of a summary.
 struct DecisionGauges {
-  double unknownCustomerReach = 0;  ///< as UnknownCustomers::reach
-  double concurrencyLimit = 0;      ///< of the gateway, in attempts
+  double assumedBurstShare = 0;  ///< as UnknownCustomers::assumedBurstShare
+  double concurrencyLimit = 0;   ///< of the gateway, in attempts
   unsigned attemptsInFlight = 0;
   double workerShortage = 0;  ///< as Admission::workerShortage
   ReadyWorkerCounts workers;
--- a/src/decision/fleet_quota.hpp
+++ b/src/decision/fleet_quota.hpp
@@ -20,7 +20,7 @@
   /// This gateway's share of the customer's usage, in (0, 1].
   static double share(const Customer& customer) {
     const double priorUnits = kSharePriorRequests * customer.meanRequestUnits + 1e-9;
-    return std::min(1.0, (customer.ownUsage + priorUnits / customer.customerGateways) /
+    return std::min(1.0, (customer.ownUsage + priorUnits / customer.customerGatewayCount) /
                              (customer.fleetUsage + priorUnits));
   }
 
@@ -52,7 +52,7 @@
   double safetyMargin(const Customer& customer, double errorCostRatio) const;
 
  private:
-  /// Weight of the prior share 1/customerGateways, in requests of mean size.
+  /// Weight of the prior share 1/customerGatewayCount, in requests of mean size.
   static constexpr double kSharePriorRequests = 4;
 
   Time slotLengthMs() const { return std::max(settings_.quotaReadingPeriodMs, 1000.0) / kSlotsPerPeriod; }
--- a/src/decision/gateway.cpp
+++ b/src/decision/gateway.cpp
@@ -47,14 +47,14 @@
 
 class Gateway::Core {
  public:
-  Core(const Settings& settings, std::uint64_t salt, Time now, Actions& actions)
+  Core(const Settings& settings, std::uint64_t randomSeed, Time now, Actions& actions)
       : settings_(validated(settings)),
         actions_(actions),
-        random_(salt),
+        random_(randomSeed),
         classes_(settings_.classes, now),
         quota_(settings_),
         customers_(settings_, quota_, random_, now),
-        unknownCustomers_(settings_, customers_.usualRequestSize()),
+        unknownCustomers_(settings_, customers_.meanRequestSize()),
         admission_(settings_, quota_.fleet(), unknownCustomers_, random_),
         workers_(settings_, random_),
         outliers_(classes_),
@@ -73,7 +73,7 @@
   void onRequest(Time now, const Request& request) {
     if (requests_.find(request.id)) return;
     if (!isWellFormed(request)) return actions_.reject(request.id, kRetryAfterMs);
-    Customer& customer = customers_.obtain(now, request);
+    Customer& customer = customers_.findOrAdd(now, request);
     logSummary(now);
     if (const auto rejection = checkAdmission(customer, request)) return reject(request.id, *rejection);
     PendingRequest pending = pendingRequest(now, request);
@@ -90,10 +90,10 @@
     PendingRequest* pending = requests_.find(outcome.id);
     UpstreamWorker* worker = workers_.find(outcome.worker);
     Customer* customer = customers_.find(attempt->customer);
-    if (customer) quota_.noteAttemptEnded(*customer, now);
-    if (worker && workerFeedback_.note(*worker, now, *attempt->requestClass, outcome))
+    if (customer) quota_.recordAttemptEnded(*customer, now);
+    if (worker && workerFeedback_.processOutcome(*worker, now, *attempt->requestClass, outcome))
       log_.logEvent(now, "worker ejected: too many consecutive failed attempts");
-    retryPolicy_.noteResult(outcome.result);
+    retryPolicy_.recordResult(outcome.result);
     if (customer) handleQuotaReading(*customer, now, pending, outcome.quotaUsePercent);
     if (!pending) return;
     pending->hasAttemptInFlight = false;
@@ -114,7 +114,7 @@
     pending->lastAttemptAt = now;
     if (!pending->hasAttemptInFlight) return;
     // The worker could not answer an incomplete request, so its silence until now does not count.
-    if (UpstreamWorker* worker = workers_.find(pending->triedWorkers.back())) worker->lastHeardAt = now;
+    if (UpstreamWorker* worker = workers_.find(pending->triedWorkers.back())) worker->lastResponseAt = now;
   }
 
   void onClientDisconnect(RequestId id) { requests_.erase(id); }
@@ -150,9 +150,9 @@
 
   void onEndpoints(Time now, EndpointUpdate kind, const std::vector<Endpoint>& list) {
     if (kind == EndpointUpdate::failed) return actions_.setTimer(kPollRetryMs, kPollTimerTag);
-    workers_.merge(now, kind, list);
-    concurrencyLimit_.start(workers_.size(), settings_.gatewayCount);
-    workers_.dropRemoved();
+    workers_.applyUpdate(now, kind, list);
+    concurrencyLimit_.initialize(workers_.size(), settings_.gatewayCount);
+    workers_.eraseRemoved();
     loadBalancer_.assignSubset();
   }
 
@@ -184,12 +184,13 @@
 
   // Checks the customer's quota first, then the overload of the host.
   std::optional<Rejection> checkAdmission(Customer& customer, const Request& request) {
-    const Time usualLatencyMs = classes_[request.classIndex]->usualLatencyMs();
-    if (auto rejection = admission_.check(customer, request, usualLatencyMs, loadShedding_.signal().active))
+    const Time expectedLatencyMs = classes_[request.classIndex]->expectedLatencyMs();
+    if (auto rejection =
+            admission_.check(customer, request, expectedLatencyMs, loadShedding_.signal().active))
       return rejection;
-    if (loadShedding_.mustReject(request, classes_[request.classIndex]->settings,
-                                 settings_.plans[request.planIndex]))
-      return Rejection{RejectionReason::overload, loadShedding_.signal().expectedMs};
+    if (loadShedding_.shouldReject(request, classes_[request.classIndex]->settings,
+                                   settings_.plans[request.planIndex]))
+      return Rejection{RejectionReason::overload, loadShedding_.signal().expectedDurationMs};
     return std::nullopt;
   }
 
@@ -221,10 +222,10 @@
     pending.triedWorkers.push_back(worker.endpoint.worker);
     requests_.addAttempt(request.id, pending.attempts, {request.customer, pending.requestClass});
     ++pending.attempts;
-    concurrencyLimit_.noteAttemptStarted(now);
-    if (++worker.inFlight == 1) worker.lastHeardAt = now;
-    SlowStart::spendBudget(worker);
-    if (Customer* customer = customers_.find(request.customer)) quota_.noteAttemptStarted(*customer, now);
+    concurrencyLimit_.recordAttemptStarted(now);
+    if (++worker.inFlight == 1) worker.lastResponseAt = now;
+    SlowStart::consumeToken(worker);
+    if (Customer* customer = customers_.find(request.customer)) quota_.recordAttemptStarted(*customer, now);
     actions_.startAttempt(request.id, worker.endpoint.worker, timeoutMs);
   }
 
@@ -232,9 +233,9 @@
   void handleQuotaReading(Customer& customer, Time now, const PendingRequest* pending, int percent) {
     if (percent < 0) return;
     if (pending && unknownCustomers_.canOverrunQuota(customer))
-      unknownCustomers_.noteReading(pending->request, pending->plan, pending->classSettings().priorityWeight,
-                                    percent);
-    quota_.noteReading(customer, now, percent);
+      unknownCustomers_.recordReading(pending->request, pending->plan,
+                                      pending->classSettings().priorityWeight, percent);
+    quota_.recordReading(customer, now, percent);
   }
 
   // The first attempt that may have run determines which workers may run a retry, and until when.
@@ -277,7 +278,7 @@
   // the randomization keeps clients from retrying all at the same time.
   void sendRejection(RequestId id, Time retryAfterMs) {
     const OverloadSignal& overload = loadShedding_.signal();
-    if (overload.active) retryAfterMs = std::max(retryAfterMs, overload.expectedMs);
+    if (overload.active) retryAfterMs = std::max(retryAfterMs, overload.expectedDurationMs);
     const Time maxMs = settings_.maxRetryAfterMs > 0 ? settings_.maxRetryAfterMs : retryAfterMs;
     retryAfterMs = std::clamp(retryAfterMs, 1.0, std::max(1.0, maxMs));
     actions_.reject(id, overload.active ? retryAfterMs * (1 - random_.next() / 2) : retryAfterMs);
@@ -298,7 +299,7 @@
   void logSummary(Time now) {
     if (!log_.isSummaryDue(now)) return;
     DecisionGauges gauges;
-    gauges.unknownCustomerReach = unknownCustomers_.reach();
+    gauges.assumedBurstShare = unknownCustomers_.assumedBurstShare();
     gauges.concurrencyLimit = concurrencyLimit_.limit();
     gauges.attemptsInFlight = concurrencyLimit_.inFlight();
     gauges.workerShortage = admission_.workerShortage();
@@ -340,8 +341,8 @@
   RejectionCounts rejections_;
 };
 
-Gateway::Gateway(const Settings& settings, std::uint64_t salt, Time now, Actions& actions)
-    : core_(std::make_unique<Core>(settings, salt, now, actions)) {}
+Gateway::Gateway(const Settings& settings, std::uint64_t randomSeed, Time now, Actions& actions)
+    : core_(std::make_unique<Core>(settings, randomSeed, now, actions)) {}
 Gateway::~Gateway() = default;
 Gateway::Gateway(Gateway&&) noexcept = default;
 Gateway& Gateway::operator=(Gateway&&) noexcept = default;
--- a/src/decision/load_balancer.cpp
+++ b/src/decision/load_balancer.cpp
@@ -28,7 +28,7 @@
 constexpr double kCrossZoneWeight = 15;  // per unit of the cross-zone price
 constexpr double kOutsideSubsetFactor = 2.5;
 constexpr double kCostJitter = 0.02;      // without it, gateways in the same state would pick the same worker
-constexpr double kAvoidedFactor = 10000;  // ejected or silent worker: used only where there is no other
+constexpr double kAvoidedFactor = 10000;  // ejected or unresponsive worker: used only where there is no other
 constexpr double kTriedFactor = 30;       // worker that an earlier attempt of this request was sent to
 
 // First index of a part: the lowest i with i * subsetCount / count == part.
--- a/src/decision/load_report.cpp
+++ b/src/decision/load_report.cpp
@@ -36,12 +36,12 @@
                                                               worker.inFlight, settings_.gatewayCount);
     if (!sample) continue;
     worker.othersInFlight =
-        approach(worker.othersInFlight, *sample, now - worker.othersInFlightAt + kMinReportIntervalMs,
-                 kSmoothingTimeConstantMs);
+        decayedAverage(worker.othersInFlight, *sample, now - worker.othersInFlightAt + kMinReportIntervalMs,
+                       kSmoothingTimeConstantMs);
     worker.othersInFlightAt = now;
     const double windowReports =
         static_cast<double>(std::max<std::size_t>(kMinMeanWindowReports, workerCount));
-    meanOthersInFlight_ = approach(meanOthersInFlight_, *sample, 1, windowReports);
+    meanOthersInFlight_ = decayedAverage(meanOthersInFlight_, *sample, 1, windowReports);
   }
 }
 
--- a/src/decision/load_report.hpp
+++ b/src/decision/load_report.hpp
@@ -23,8 +23,8 @@
   /// Estimated attempts in flight at the worker, of all gateways. Without new reports, the other gateways'
   /// part approaches the mean over all workers.
   double load(const UpstreamWorker& worker, Time now) const {
-    return worker.inFlight + approach(worker.othersInFlight, meanOthersInFlight_,
-                                      now - worker.othersInFlightAt, kExpiryTimeConstantMs);
+    return worker.inFlight + decayedAverage(worker.othersInFlight, meanOthersInFlight_,
+                                            now - worker.othersInFlightAt, kExpiryTimeConstantMs);
   }
 
  private:
--- a/src/decision/load_shedding.hpp
+++ b/src/decision/load_shedding.hpp
@@ -31,8 +31,8 @@
 
   /// Whether a new request is to be rejected because the host is overloaded. Adjusts the value threshold and
   /// may draw a random number.
-  [[nodiscard]] bool mustReject(const Request& request, const ClassSettings& requestClass,
-                                const PlanSettings& plan);
+  [[nodiscard]] bool shouldReject(const Request& request, const ClassSettings& requestClass,
+                                  const PlanSettings& plan);
   /// Returns the requests in flight in the order in which they are to be released.
   /// @param isOverQuota predicate on a PendingRequest: whether its customer is over its quota.
   template <class IsOverQuota>
--- a/src/decision/outlier_detection.cpp
+++ b/src/decision/outlier_detection.cpp
@@ -25,9 +25,9 @@
   return found != typeSlowness_.end() && slowness(worker) > kSlowOutlierFactor * found->second;
 }
 
-void OutlierDetection::noteLatency(UpstreamWorker& worker, Time now, AttemptResult result, Time latencyMs,
-                                   Time usualLatencyMs) {
-  const double ratio = std::min(kMaxLatencyRatio, latencyMs / usualLatencyMs);
+void OutlierDetection::recordLatency(UpstreamWorker& worker, Time now, AttemptResult result, Time latencyMs,
+                                     Time expectedLatencyMs) {
+  const double ratio = std::min(kMaxLatencyRatio, latencyMs / expectedLatencyMs);
   // An error may be answered quickly, so its latency is not used. A time-out is only a lower bound on the
   // latency, so it is used only where it exceeds the present estimate.
   const bool hasLatencySample =
@@ -42,13 +42,13 @@
   slownessOfType += kTypeSampleWeight * (ratio - slownessOfType);
 }
 
-void OutlierDetection::noteSuccess(UpstreamWorker& worker) {
+void OutlierDetection::recordSuccess(UpstreamWorker& worker) {
   worker.consecutiveFailures = 0;
   worker.ejectionMs = 0;
   worker.ejectedUntil = 0;
 }
 
-bool OutlierDetection::noteFailure(UpstreamWorker& worker, Time now) {
+bool OutlierDetection::recordFailure(UpstreamWorker& worker, Time now) {
   if (++worker.consecutiveFailures < kConsecutiveFailuresToEject) return false;
   worker.ejectionMs = std::clamp(2 * worker.ejectionMs, kMinEjectionMs, kMaxEjectionMs);
   worker.ejectedUntil = now + worker.ejectionMs;
--- a/src/decision/outlier_detection.hpp
+++ b/src/decision/outlier_detection.hpp
@@ -25,34 +25,35 @@
   /// Whether the worker is slow for its machine type. Its late answers then indicate its own state, not
   /// overload of all workers together.
   bool isSlowForItsType(const UpstreamWorker& worker) const;
-  /// Whether the worker is to be used only where there is no other: it is ejected, it is silent, or it
+  /// Whether the worker is to be used only where there is no other: it is ejected, it is unresponsive, or it
   /// has been ejected since its last successful answer and has an attempt in flight already.
   bool shouldAvoid(const UpstreamWorker& worker, Time now) {
-    return worker.isEjected(now) || (worker.ejectionMs > 0 && worker.inFlight > 0) || isSilent(worker, now);
+    return worker.isEjected(now) || (worker.ejectionMs > 0 && worker.inFlight > 0) ||
+           isUnresponsive(worker, now);
   }
 
   /// Processes the latency of an attempt; results other than an answer or a time-out have no effect.
   /// @param latencyMs latency of the answer, or the duration after which the attempt timed out.
-  /// @param usualLatencyMs usual latency of the request class.
-  void noteLatency(UpstreamWorker& worker, Time now, AttemptResult result, Time latencyMs,
-                   Time usualLatencyMs);
+  /// @param expectedLatencyMs usual latency of the request class.
+  void recordLatency(UpstreamWorker& worker, Time now, AttemptResult result, Time latencyMs,
+                     Time expectedLatencyMs);
   /// Ends the ejection and resets the count of failures.
-  static void noteSuccess(UpstreamWorker& worker);
+  static void recordSuccess(UpstreamWorker& worker);
   /// Counts a failed attempt.
   /// @return whether this failure ejects the worker.
-  [[nodiscard]] static bool noteFailure(UpstreamWorker& worker, Time now);
+  [[nodiscard]] static bool recordFailure(UpstreamWorker& worker, Time now);
 
  private:
   static constexpr double kTypeWeight = 1;  ///< weight of the machine type's slowness, in samples
   /// Longest time without an answer of a worker with several attempts in flight, in multiples of the longest
-  /// usual latency; after it the worker is silent.
-  static constexpr double kMaxSilenceLatencies = 3;
+  /// usual latency; after it the worker is unresponsive.
+  static constexpr double kUnresponsiveLatencies = 3;
 
   // Detects a worker that is partitioned, suspended or dead, regardless of its listed phase and long before
   // its attempts time out. A single attempt may take very long, so at least two have to be in flight.
-  bool isSilent(const UpstreamWorker& worker, Time now) {
+  bool isUnresponsive(const UpstreamWorker& worker, Time now) {
     if (worker.inFlight < 2) return false;
-    return now - worker.lastHeardAt > kMaxSilenceLatencies * classes_.longestLatencyMs();
+    return now - worker.lastResponseAt > kUnresponsiveLatencies * classes_.longestLatencyMs();
   }
 
   RequestClasses& classes_;
--- a/src/decision/request_class.cpp
+++ b/src/decision/request_class.cpp
@@ -35,12 +35,12 @@
   cachedLongestLatencyMs_ = kNotComputed;
 }
 
-void RequestClasses::noteLatency(RequestClass& requestClass, Time now, Time latencyMs) {
+void RequestClasses::recordLatency(RequestClass& requestClass, Time now, Time latencyMs) {
   const Time previousMs = requestClass.meanLatencyMs;
   requestClass.meanLatencyMs =
       previousMs > 0
-          ? approach(previousMs, latencyMs, std::min(kMaxSampleMs, now - requestClass.latencyUpdatedAt),
-                     kLatencyTimeConstantMs)
+          ? decayedAverage(previousMs, latencyMs, std::min(kMaxSampleMs, now - requestClass.latencyUpdatedAt),
+                           kLatencyTimeConstantMs)
           : latencyMs;
   requestClass.latencyUpdatedAt = now;
   if (previousMs >= cachedLongestLatencyMs_ || requestClass.meanLatencyMs >= cachedLongestLatencyMs_)
--- a/src/decision/request_class.hpp
+++ b/src/decision/request_class.hpp
@@ -19,7 +19,7 @@
   Time latencyUpdatedAt = 0;
 
   /// Measured latency, or an assumed one as long as there are no answers.
-  Time usualLatencyMs() const {
+  Time expectedLatencyMs() const {
     return meanLatencyMs > 0 ? meanLatencyMs : settings.latencyObjectiveMs * kInitialLatencyObjectiveShare;
   }
 };
@@ -38,7 +38,7 @@
 
   /// Records the latency of a successful answer. `requestClass` may be one that changed settings have
   /// replaced.
-  void noteLatency(RequestClass& requestClass, Time now, Time latencyMs);
+  void recordLatency(RequestClass& requestClass, Time now, Time latencyMs);
   /// The longest measured latency of the current classes; 0: there are no answers yet.
   Time longestLatencyMs();
 
--- a/src/decision/retry_policy.cpp
+++ b/src/decision/retry_policy.cpp
@@ -38,7 +38,7 @@
          settings.deduplicationScope == DeduplicationScope::all;
 }
 
-void RetryPolicy::noteResult(AttemptResult result) {
+void RetryPolicy::recordResult(AttemptResult result) {
   if (result == AttemptResult::ok) budget_ = std::min(kMaxBudget, budget_ + kBudgetPerSuccess);
   if (result == AttemptResult::timeout) budget_ = std::max(0.0, budget_ - 1);
 }
@@ -47,7 +47,7 @@
   const ClassSettings& settings = pending.classSettings();
   const bool isLastAttempt = pending.attempts + 1 >= attemptsAllowed(pending);
   if (settings.idempotency == Idempotency::notIdempotent || isLastAttempt || !hasBudget()) return 0;
-  const Time timeoutMs = std::max(kTimeoutUsualLatencies * pending.requestClass->usualLatencyMs(),
+  const Time timeoutMs = std::max(kTimeoutUsualLatencies * pending.requestClass->expectedLatencyMs(),
                                   kMinTimeoutObjectiveShare * settings.latencyObjectiveMs);
   return timeoutMs >= pending.request.expiresAt - now ? 0 : timeoutMs;
 }
--- a/src/decision/retry_policy.hpp
+++ b/src/decision/retry_policy.hpp
@@ -30,7 +30,7 @@
 class RetryPolicy {
  public:
   /// Updates the budget at the outcome of an attempt.
-  void noteResult(AttemptResult result);
+  void recordResult(AttemptResult result);
   /// Time-out of the attempt about to start, early enough for a retry; 0: none before the request's deadline.
   Time attemptTimeoutMs(const PendingRequest& pending, Time now) const;
   /// Whether another attempt may start now.
--- a/src/decision/settings_check.cpp
+++ b/src/decision/settings_check.cpp
@@ -37,9 +37,9 @@
   require(!settings.classes.empty(), "there are no request classes");
   require(!settings.plans.empty(), "there are no plans");
   require(allFiniteNonNegative(settings.quotaReadingPeriodMs, settings.slowStartMs, settings.drainGraceMs,
-                               settings.maxRetryAfterMs, settings.slowStartShare, settings.overloadMultiple,
-                               settings.overloadWindowMs, settings.maxUnits, settings.crossZonePrice,
-                               settings.pollTimeoutMs),
+                               settings.maxRetryAfterMs, settings.slowStartInitialShare,
+                               settings.overloadMultiple, settings.overloadWindowMs, settings.maxUnits,
+                               settings.crossZonePrice, settings.pollTimeoutMs),
           "a numeric value is negative or not finite");
   for (const ClassSettings& requestClass : settings.classes) checkClass(requestClass);
   for (const PlanSettings& plan : settings.plans) checkPlan(plan);
--- a/src/decision/slow_start.cpp
+++ b/src/decision/slow_start.cpp
@@ -24,7 +24,7 @@
   const double minRate =
       settings_.overloadMultiple / std::max(settings_.overloadWindowMs, 1.0) / gatewaysPerWorker;
   const double recentRate =
-      approach(warmRatePerMs_, 0, now - updatedAt_, kRateTimeConstantMs) / std::max(1u, warmWorkers_);
+      decayedAverage(warmRatePerMs_, 0, now - updatedAt_, kRateTimeConstantMs) / std::max(1u, warmWorkers_);
   const double warmRate = std::max(recentRate, warmWorkerRate(now));
   worker.warmUpTokens =
       std::min(1.0, worker.warmUpTokens + kSafetyShare * capacityShare * std::max(warmRate, minRate) *
@@ -33,21 +33,22 @@
   return worker.warmUpTokens >= 1;
 }
 
-void SlowStart::noteSuccess(const UpstreamWorker& worker, Time now,
-                            const std::vector<UpstreamWorker>& workers) {
+void SlowStart::recordSuccess(const UpstreamWorker& worker, Time now,
+                              const std::vector<UpstreamWorker>& workers) {
   if (!isWarm(worker, now)) return;
   const Time elapsedMs = now - updatedAt_;
-  warmRatePerMs_ = approach(warmRatePerMs_, 0, elapsedMs, kRateTimeConstantMs) + 1 / kRateTimeConstantMs;
+  warmRatePerMs_ =
+      decayedAverage(warmRatePerMs_, 0, elapsedMs, kRateTimeConstantMs) + 1 / kRateTimeConstantMs;
   updatedAt_ = now;
   warmWorkers_ = 0;
   for (const UpstreamWorker& other : workers)
     if (other.isInSubset && other.isReady() && isWarm(other, now) && !other.isEjected(now)) ++warmWorkers_;
-  ratePerWarmWorker_ = approach(ratePerWarmWorker_, warmRatePerMs_ / std::max(1u, warmWorkers_), elapsedMs,
-                                kRateSmoothingTimeConstantMs);
+  ratePerWarmWorker_ = decayedAverage(ratePerWarmWorker_, warmRatePerMs_ / std::max(1u, warmWorkers_),
+                                      elapsedMs, kRateSmoothingTimeConstantMs);
 }
 
 double SlowStart::warmWorkerRate(Time now) const {
-  return approach(ratePerWarmWorker_, 0, now - updatedAt_, kWarmWorkerRateTimeConstantMs);
+  return decayedAverage(ratePerWarmWorker_, 0, now - updatedAt_, kWarmWorkerRateTimeConstantMs);
 }
 
 void SlowStart::seedWarmWorkerRate(Time now, double ratePerMs) {
--- a/src/decision/slow_start.hpp
+++ b/src/decision/slow_start.hpp
@@ -24,7 +24,7 @@
     const Time startedAt = std::max(worker.endpoint.startedAt, worker.reincludedAt);
     if (startedAt <= 0 || settings_.slowStartMs <= 0) return 1;
     const double progress = std::clamp((now - startedAt) / settings_.slowStartMs, 0.0, 1.0);
-    return settings_.slowStartShare + (1 - settings_.slowStartShare) * progress;
+    return settings_.slowStartInitialShare + (1 - settings_.slowStartInitialShare) * progress;
   }
   /// Whether the worker has its full capacity.
   bool isWarm(const UpstreamWorker& worker, Time now) const { return capacityShare(worker, now) >= 1; }
@@ -35,10 +35,10 @@
   /// @param subsetCount number of subsets into which the workers are divided.
   bool hasBudget(UpstreamWorker& worker, Time now, double capacityShare, unsigned subsetCount) const;
   /// Takes the token of one attempt.
-  static void spendBudget(UpstreamWorker& worker) { worker.warmUpTokens -= 1; }
+  static void consumeToken(UpstreamWorker& worker) { worker.warmUpTokens -= 1; }
 
   /// Counts a successful answer of `worker`, one of `workers`; that of a warming worker has no effect.
-  void noteSuccess(const UpstreamWorker& worker, Time now, const std::vector<UpstreamWorker>& workers);
+  void recordSuccess(const UpstreamWorker& worker, Time now, const std::vector<UpstreamWorker>& workers);
 
   /// Successful answers per ms that this gateway gets from one warm worker. While no worker is warm, as in a
   /// release that replaces all of them, it decays from the last known rate.
--- a/src/decision/unknown_customers.cpp
+++ b/src/decision/unknown_customers.cpp
@@ -17,24 +17,25 @@
 // At up to this many gateways, a single large first request does not make a customer overrun its quota.
 constexpr double kMinOverrunGateways = 4;
 constexpr double kMinQuotaRequests = 12;  // lower bound of the assumed burst, in requests of mean size
-constexpr double kMinReach = 0.08;
-constexpr double kMaxReach = 1.5;
-constexpr double kReachStep = 0.4;  // logarithmic change of the reach per request of mean value
-// Half-width, as a share of the reach, of the range of sizes over which the admit probability falls from 1,
-// so that there is no fixed size above which every request is rejected.
-constexpr double kReachRampHalfWidth = 1.0 / 3;
+constexpr double kMinAssumedBurstShare = 0.08;
+constexpr double kMaxAssumedBurstShare = 1.5;
+constexpr double kAssumedBurstShareStep = 0.4;  // logarithmic change of the share per request of mean value
+// Half-width, as a share of the assumed burst, of the range of sizes over which the admit probability falls
+// from 1, so that there is no fixed size above which every request is rejected.
+constexpr double kAdmitRampHalfWidth = 1.0 / 3;
 constexpr double kMinAdmitProbability = 0.05;
 
 }  // namespace
 
-void UsualRequestSize::note(double units) {
-  units_ = units_ > 0 ? approach(units_, units, 1, kRequestSizeTimeConstant) : units;
+void MeanRequestSize::record(double units) {
+  units_ = units_ > 0 ? decayedAverage(units_, units, 1, kRequestSizeTimeConstant) : units;
 }
 
 bool UnknownCustomers::canOverrunQuota(const Customer& customer) const {
   const PlanSettings& plan = settings_.plans[customer.planIndex];
   return plan.rate > 0 && plan.overQuotaCost > plan.overQuotaValue && settings_.quotaReadingPeriodMs > 0 &&
-         customer.customerGateways * std::min(meanRequestSize_.units(), plan.burst / kMinOverrunGateways) >
+         customer.customerGatewayCount *
+                 std::min(meanRequestSize_.units(), plan.burst / kMinOverrunGateways) >
              plan.burst;
 }
 
@@ -47,15 +48,15 @@
 double UnknownCustomers::admitProbability(const Request& request) const {
   const PlanSettings& plan = settings_.plans[request.planIndex];
   const double burst = std::max({plan.burst, kMinQuotaRequests * meanRequestSize_.units(), 1e-9});
-  const double relativeSize =
-      std::max(0.0, request.units) * (plan.overQuotaCost - plan.overQuotaValue) / (reach_ * burst);
-  return std::clamp((1 + kReachRampHalfWidth - relativeSize) / (2 * kReachRampHalfWidth),
+  const double relativeSize = std::max(0.0, request.units) * (plan.overQuotaCost - plan.overQuotaValue) /
+                              (assumedBurstShare_ * burst);
+  return std::clamp((1 + kAdmitRampHalfWidth - relativeSize) / (2 * kAdmitRampHalfWidth),
                     kMinAdmitProbability, 1.0);
 }
 
 // If a customer's metered usage exceeds its rate, the excess is work beyond its quota.
-void UnknownCustomers::noteReading(const Request& request, const PlanSettings& plan, double priorityWeight,
-                                   int percent) {
+void UnknownCustomers::recordReading(const Request& request, const PlanSettings& plan, double priorityWeight,
+                                     int percent) {
   // A reading period has so few requests that chance alone can put a customer's metered usage below its rate.
   // The reading is therefore averaged with one request of mean size at exactly the rate.
   const double priorWeight = meanRequestSize_.units() / (plan.rate * settings_.quotaReadingPeriodMs / 1000);
@@ -63,13 +64,15 @@
   const double units = std::max(0.0, request.units);
   const double value = units * plan.price * priorityWeight;
   meanRequestValue_ =
-      meanRequestValue_ > 0 ? approach(meanRequestValue_, value, 1, kRequestValueTimeConstant) : value;
+      meanRequestValue_ > 0 ? decayedAverage(meanRequestValue_, value, 1, kRequestValueTimeConstant) : value;
   if (meanRequestValue_ <= 0 || meanRequestSize_.units() <= 0) return;
   const double overQuotaShare = utilization > 1 ? 1 - 1 / utilization : 0;
   const double overQuotaLoss = (plan.overQuotaCost - plan.overQuotaValue) * overQuotaShare;
   const double error =
       value / meanRequestValue_ * (overQuotaLoss - kTargetOverQuotaCost * (1 - overQuotaShare));
-  reach_ = std::clamp(reach_ * std::exp(-kReachStep * std::clamp(error, -1.0, 1.0)), kMinReach, kMaxReach);
+  assumedBurstShare_ =
+      std::clamp(assumedBurstShare_ * std::exp(-kAssumedBurstShareStep * std::clamp(error, -1.0, 1.0)),
+                 kMinAssumedBurstShare, kMaxAssumedBurstShare);
 }
 
 }  // namespace wingslip::decision
--- a/src/decision/unknown_customers.hpp
+++ b/src/decision/unknown_customers.hpp
@@ -3,8 +3,8 @@
 /// With so many gateways that each receives only one request of most customers, the first reading of a
 /// customer arrives only after that request, and together the gateways can admit more than the quota. A quota
 /// that is partly used up at other gateways has no room for large requests, so the quota of an unknown
-/// customer is assumed to have the share `reach` of its burst remaining. The reach is adjusted by the
-/// readings on the answers to admitted requests.
+/// customer is assumed to have the share `assumedBurstShare` of its burst remaining. The share is adjusted by
+/// the readings on the answers to admitted requests.
 #pragma once
 
 #include "decision/customer.hpp"
@@ -13,9 +13,9 @@
 namespace wingslip::decision {
 
 /// Moving average of the size of customers' first requests, in units; 0: none yet.
-class UsualRequestSize {
+class MeanRequestSize {
  public:
-  void note(double units);
+  void record(double units);
   double units() const { return units_; }
 
  private:
@@ -25,7 +25,7 @@
 /// Decides on requests of unknown customers. The constructor's arguments must outlive the object.
 class UnknownCustomers {
  public:
-  UnknownCustomers(const Settings& settings, const UsualRequestSize& meanRequestSize)
+  UnknownCustomers(const Settings& settings, const MeanRequestSize& meanRequestSize)
       : settings_(settings), meanRequestSize_(meanRequestSize) {}
 
   /// Whether one request at each of the customer's gateways, before any of them has a reading, can exceed its
@@ -35,22 +35,22 @@
   bool isUnknown(const Customer& customer) const;
   /// Probability of admitting a request of an unknown customer, in (0, 1].
   double admitProbability(const Request& request) const;
-  /// Adjusts the reach by a reading, in percent of the rate, on the answer to a request of a customer that
-  /// can overrun its quota.
-  void noteReading(const Request& request, const PlanSettings& plan, double priorityWeight, int percent);
+  /// Adjusts the assumed share by a reading, in percent of the rate, on the answer to a request of a customer
+  /// that can overrun its quota.
+  void recordReading(const Request& request, const PlanSettings& plan, double priorityWeight, int percent);
 
   /// Share of the burst that is assumed to remain in an unknown customer's quota; can exceed 1.
-  double reach() const { return reach_; }
+  double assumedBurstShare() const { return assumedBurstShare_; }
 
  private:
   /// Low enough that after a start of the fleet no more is admitted than the customers' quotas allow.
-  static constexpr double kInitialReach = 0.13;
+  static constexpr double kInitialAssumedBurstShare = 0.13;
 
   const Settings& settings_;
-  const UsualRequestSize& meanRequestSize_;
+  const MeanRequestSize& meanRequestSize_;
   // Moving average over requests of customers that can overrun their quota; 0: none yet.
   double meanRequestValue_ = 0;
-  double reach_ = kInitialReach;
+  double assumedBurstShare_ = kInitialAssumedBurstShare;
 };
 
 }  // namespace wingslip::decision
--- a/src/decision/upstream_worker.hpp
+++ b/src/decision/upstream_worker.hpp
@@ -8,10 +8,10 @@
 /// Owned by WorkerTable. Each group of members belongs to the module that its comment names.
 struct UpstreamWorker {
   Endpoint endpoint;
-  unsigned inFlight = 0;   ///< attempts of this gateway in flight
-  bool isInSubset = true;  ///< load balancer: in the subset that this gateway prefers
-  Time reincludedAt = 0;   ///< slow start: end of an operator's exclusion, from which it restarts; 0: none
-  Time lastHeardAt = 0;    ///< outlier detection: last answer, or the time since which one is due
+  unsigned inFlight = 0;    ///< attempts of this gateway in flight
+  bool isInSubset = true;   ///< load balancer: in the subset that this gateway prefers
+  Time reincludedAt = 0;    ///< slow start: end of an operator's exclusion, from which it restarts; 0: none
+  Time lastResponseAt = 0;  ///< outlier detection: last answer, or the time since which one is due
   double latencyRatioSum = 0;    ///< outlier detection: decaying sum of latency over usual latency
   double latencyRatioCount = 0;  ///< outlier detection: decaying number of samples in the sum
   Time latencyRatioAt = 0;
--- a/src/decision/worker_feedback.cpp
+++ b/src/decision/worker_feedback.cpp
@@ -13,38 +13,38 @@
 
 }  // namespace
 
-bool WorkerFeedback::note(UpstreamWorker& worker, Time now, RequestClass& requestClass,
-                          const AttemptOutcome& outcome) {
+bool WorkerFeedback::processOutcome(UpstreamWorker& worker, Time now, RequestClass& requestClass,
+                                    const AttemptOutcome& outcome) {
   const AttemptResult result = outcome.result;
   if (worker.inFlight > 0) --worker.inFlight;
-  concurrencyLimit_.noteAttemptEnded();
-  if (isFromWorker(result)) worker.lastHeardAt = now;
+  concurrencyLimit_.recordAttemptEnded();
+  if (isFromWorker(result)) worker.lastResponseAt = now;
   if (!outcome.loadReport.empty()) loadReports_.record(worker, now, outcome.loadReport, workers_.size());
   updateLimits(worker, now, timingOf(outcome, requestClass.settings.latencyObjectiveMs));
   if (result == AttemptResult::overloaded) pauseOverloaded(worker, now);
   const bool indicatesHealth = result != AttemptResult::overloaded && result != AttemptResult::cancelled &&
                                result != AttemptResult::notSent;
   if (!indicatesHealth) return false;
-  if (result == AttemptResult::ok) classes_.noteLatency(requestClass, now, outcome.latencyMs);
-  outliers_.noteLatency(worker, now, result, outcome.latencyMs, requestClass.usualLatencyMs());
-  if (result != AttemptResult::ok) return OutlierDetection::noteFailure(worker, now);
-  noteSuccess(worker, now);
+  if (result == AttemptResult::ok) classes_.recordLatency(requestClass, now, outcome.latencyMs);
+  outliers_.recordLatency(worker, now, result, outcome.latencyMs, requestClass.expectedLatencyMs());
+  if (result != AttemptResult::ok) return OutlierDetection::recordFailure(worker, now);
+  recordSuccess(worker, now);
   return false;
 }
 
 // Late answers of a worker that is slow for its machine type or warming up do not indicate overload of all
 // workers together.
 void WorkerFeedback::updateLimits(UpstreamWorker& worker, Time now, AnswerTiming timing) {
-  steerWorkerLimit(worker, now, timing);
+  updateWorkerLimit(worker, now, timing);
   const bool isWorkerSpecific =
       timing.isLate && (outliers_.isSlowForItsType(worker) || !slowStart_.isWarm(worker, now));
   concurrencyLimit_.update(now, timing, isWorkerSpecific);
 }
 
 // Slow start comes first: a worker is not counted as warm for the answer that ends its ejection.
-void WorkerFeedback::noteSuccess(UpstreamWorker& worker, Time now) {
-  slowStart_.noteSuccess(worker, now, workers_.all());
-  OutlierDetection::noteSuccess(worker);
+void WorkerFeedback::recordSuccess(UpstreamWorker& worker, Time now) {
+  slowStart_.recordSuccess(worker, now, workers_.all());
+  OutlierDetection::recordSuccess(worker);
   resetOverloadPause(worker);
 }
 
--- a/src/decision/worker_feedback.hpp
+++ b/src/decision/worker_feedback.hpp
@@ -27,12 +27,12 @@
   /// Processes the outcome of an attempt at `worker`.
   /// @param requestClass class of the request, which may have been removed from the settings since.
   /// @return whether the outcome ejects the worker.
-  [[nodiscard]] bool note(UpstreamWorker& worker, Time now, RequestClass& requestClass,
-                          const AttemptOutcome& outcome);
+  [[nodiscard]] bool processOutcome(UpstreamWorker& worker, Time now, RequestClass& requestClass,
+                                    const AttemptOutcome& outcome);
 
  private:
   void updateLimits(UpstreamWorker& worker, Time now, AnswerTiming timing);
-  void noteSuccess(UpstreamWorker& worker, Time now);
+  void recordSuccess(UpstreamWorker& worker, Time now);
 
   RequestClasses& classes_;
   const WorkerTable& workers_;
--- a/src/decision/worker_table.cpp
+++ b/src/decision/worker_table.cpp
@@ -5,7 +5,7 @@
 
 namespace wingslip::decision {
 
-void WorkerTable::merge(Time now, EndpointUpdate kind, const std::vector<Endpoint>& list) {
+void WorkerTable::applyUpdate(Time now, EndpointUpdate kind, const std::vector<Endpoint>& list) {
   if (kind != EndpointUpdate::delta)
     for (UpstreamWorker& worker : workers_) worker.endpoint.phase = WorkerPhase::removed;
   for (const Endpoint& endpoint : list) {
@@ -21,7 +21,7 @@
   }
 }
 
-void WorkerTable::dropRemoved() {
+void WorkerTable::eraseRemoved() {
   const auto dropped = std::erase_if(workers_, [](const UpstreamWorker& worker) {
     return worker.endpoint.phase == WorkerPhase::removed && worker.inFlight == 0;
   });
@@ -61,7 +61,7 @@
   UpstreamWorker* worker = find(id);
   if (!worker) return;
   reset(*worker, now);
-  worker->lastHeardAt = now;
+  worker->lastResponseAt = now;
   if (worker->endpoint.startedAt < excludedSince) worker->reincludedAt = now;
 }
 
@@ -70,7 +70,7 @@
   for (const UpstreamWorker& worker : workers_) {
     if (worker.endpoint.phase == WorkerPhase::removed) continue;
     ++out.listed;
-    if (!worker.isReady() || isExcluded(worker.endpoint.worker) || worker.isEjected(now)) ++out.avoided;
+    if (!worker.isReady() || isExcluded(worker.endpoint.worker) || worker.isEjected(now)) ++out.unavailable;
   }
   return out;
 }
--- a/src/decision/worker_table.hpp
+++ b/src/decision/worker_table.hpp
@@ -10,18 +10,18 @@
 
 namespace wingslip::decision {
 
-/// Owns the workers. References to them are valid until the next `merge` or `dropRemoved`.
+/// Owns the workers. References to them are valid until the next `applyUpdate` or `eraseRemoved`.
 class WorkerTable {
  public:
   /// The arguments must outlive the table.
   WorkerTable(const Settings& settings, Random& random) : settings_(settings), random_(random) {}
 
   /// Applies an endpoint list or changes to it. Workers that a complete list does not contain are marked as
-  /// removed; removed workers remain in the table until `dropRemoved`. A worker whose start time has changed
+  /// removed; removed workers remain in the table until `eraseRemoved`. A worker whose start time has changed
   /// is a new process and is reset.
-  void merge(Time now, EndpointUpdate kind, const std::vector<Endpoint>& list);
+  void applyUpdate(Time now, EndpointUpdate kind, const std::vector<Endpoint>& list);
   /// Erases removed workers without attempts in flight.
-  void dropRemoved();
+  void eraseRemoved();
 
   /// Returns the worker, or null where the table does not contain it.
   UpstreamWorker* find(WorkerId id) {
--- a/src/gatekeeper/client_request.cpp
+++ b/src/gatekeeper/client_request.cpp
@@ -70,7 +70,7 @@
   if (!spread || *spread < 1 || *spread > settings.gatewayCount || !first || *first >= settings.gatewayCount)
     return false;
   request.units = *units;
-  request.customerGateways = *spread;
+  request.customerGatewayCount = *spread;
   return true;
 }
 
--- a/src/gatekeeper/client_request.hpp
+++ b/src/gatekeeper/client_request.hpp
@@ -19,11 +19,11 @@
   unsigned classIndex = 0;  ///< request class, index in HostSettings::classes
   unsigned planIndex = 0;   ///< customer plan, index in HostSettings::plans
   decision::CustomerId customer = 0;
-  decision::Time clientWaitMs = 0;  ///< how long the client waits after sending the request, ms
-  double units = 1;                 ///< cost of the request, above 0
-  unsigned customerGateways = 1;    ///< number of gateways that receive this customer's requests
-  bool bodyComplete = true;         ///< if false, the remaining body is read with Responder::readBody
-  std::size_t memoryBytes = 0;      ///< upper bound of the memory that the request uses on the connection
+  decision::Time clientWaitMs = 0;    ///< how long the client waits after sending the request, ms
+  double units = 1;                   ///< cost of the request, above 0
+  unsigned customerGatewayCount = 1;  ///< number of gateways that receive this customer's requests
+  bool bodyComplete = true;           ///< if false, the remaining body is read with Responder::readBody
+  std::size_t memoryBytes = 0;        ///< upper bound of the memory that the request uses on the connection
   std::optional<std::uint64_t> contentLength;  ///< of an incomplete body, if the client states it
 };
 
--- a/src/gatekeeper/gatekeeper.cpp
+++ b/src/gatekeeper/gatekeeper.cpp
@@ -36,7 +36,7 @@
 constexpr std::size_t kMaxCountedClasses = 512;  // request classes with counts of their own
 
 invariant::WorkerRules workerRules(const decision::Settings& settings) {
-  return {settings.drainGraceMs, settings.overloadMultiple, settings.slowStartShare,
+  return {settings.drainGraceMs, settings.overloadMultiple, settings.slowStartInitialShare,
           settings.overloadWindowMs, settings.slowStartMs};
 }
 
--- a/src/gatekeeper/gatekeeper_operators.cpp
+++ b/src/gatekeeper/gatekeeper_operators.cpp
@@ -35,7 +35,7 @@
   metrics.attemptsWritten = pool_.attemptsWritten();
   metrics.localShortages = pool_.localShortages();
   metrics.rejections = gateway_.rejectionCounts();
-  return telemetryText(metrics, {requests_.size(), workers.listed, workers.avoided},
+  return telemetryText(metrics, {requests_.size(), workers.listed, workers.unavailable},
                        monitor_.telemetry() + server_.closes().telemetry("close") +
                            sendRefusals_.telemetry("not_sent", 1) + overloadManager_.telemetry() +
                            fleet_.telemetry());
--- a/src/gatekeeper/gatekeeper_requests.cpp
+++ b/src/gatekeeper/gatekeeper_requests.cpp
@@ -62,7 +62,7 @@
                                           parsed.customer,
                                           request.expiresAt,
                                           parsed.units,
-                                          parsed.customerGateways,
+                                          parsed.customerGatewayCount,
                                           static_cast<double>(parsed.memoryBytes)};
   if (serving_) return gateway_.onRequest(now, decisionRequest);
   earlyRequests_.push_back(decisionRequest);
--- a/src/invariant/monitor.cpp
+++ b/src/invariant/monitor.cpp
@@ -165,7 +165,7 @@
 
 double Monitor::maxCallsInSlowStart(const Worker& worker, Time now, double workerRate) const {
   const double progress = std::clamp((now - worker.slowStartFrom) / rules_.slowStartMs, 0.0, 1.0);
-  const double capacityShare = rules_.slowStartShare + (1 - rules_.slowStartShare) * progress;
+  const double capacityShare = rules_.slowStartInitialShare + (1 - rules_.slowStartInitialShare) * progress;
   const double calls = rules_.overloadMultiple * capacityShare * workerRate * rules_.overloadWindowMs;
   const double tolerance = calls < kFewCalls ? kToleranceDeviationsOfFewCalls : kToleranceDeviations;
   return calls + tolerance * std::sqrt(calls) + tolerance;
--- a/src/invariant/monitor.hpp
+++ b/src/invariant/monitor.hpp
@@ -23,11 +23,11 @@
 
 /// The settings for sending to workers that the monitor verifies.
 struct WorkerRules {
-  Time drainGraceMs = 0;        ///< grace period in which a retired worker may still be sent attempts
-  double overloadMultiple = 0;  ///< permitted load in slow start, as a multiple of the present capacity
-  double slowStartShare = 1;    ///< initial capacity in slow start, as a share (0 to 1) of full capacity
-  Time overloadWindowMs = 0;    ///< period over which attempts to a worker in slow start are counted
-  Time slowStartMs = 0;         ///< duration of the slow start; 0: none
+  Time drainGraceMs = 0;             ///< grace period in which a retired worker may still be sent attempts
+  double overloadMultiple = 0;       ///< permitted load in slow start, as a multiple of the present capacity
+  double slowStartInitialShare = 1;  ///< initial capacity in slow start, as a share (0 to 1) of full capacity
+  Time overloadWindowMs = 0;         ///< period over which attempts to a worker in slow start are counted
+  Time slowStartMs = 0;              ///< duration of the slow start; 0: none
 };
 
 /// Counts and logs invariant violations. Owned by the Gatekeeper and used from the event loop's thread only.
--- a/src/settings/settings_reader.cpp
+++ b/src/settings/settings_reader.cpp
@@ -85,7 +85,7 @@
 
 void readWorkerRules(const KeyValues& values, Settings& out) {
   out.drainGraceMs = values.number("rules.stopSendingWithin", out.drainGraceMs);
-  out.slowStartShare = values.number("rules.coldFrom", out.slowStartShare);
+  out.slowStartInitialShare = values.number("rules.coldFrom", out.slowStartInitialShare);
   out.slowStartMs = values.number("rules.warmUp", out.slowStartMs);
   out.overloadMultiple = values.number("rules.fallMultiple", out.overloadMultiple);
   out.overloadWindowMs = values.number("rules.overloadFor", out.overloadWindowMs);
--- a/src/simulator_adapter/wire.cpp
+++ b/src/simulator_adapter/wire.cpp
@@ -166,7 +166,7 @@
   out.expiresAt = in.get<double>();
   out.units = in.get<float>();
   const float gateways = in.get<float>();
-  out.customerGateways = gateways >= 1 && gateways < kMaxGateways ? static_cast<unsigned>(gateways) : 1;
+  out.customerGatewayCount = gateways >= 1 && gateways < kMaxGateways ? static_cast<unsigned>(gateways) : 1;
   in.skip<float>();          // first gateway of the customer's set
   in.skip<std::uint16_t>();  // state flags
   sink.onRequest(out);
--- a/tests/decision_modules_test.cpp
+++ b/tests/decision_modules_test.cpp
@@ -56,7 +56,7 @@
 TEST(WorkerLimit, GrowsUpToItsMaximum) {
   UpstreamWorker worker;
   worker.inFlight = 1000;
-  for (int i = 0; i < 100000; ++i) steerWorkerLimit(worker, i, {false, true});
+  for (int i = 0; i < 100000; ++i) updateWorkerLimit(worker, i, {false, true});
   EXPECT_EQ(worker.limit, 200);
 }
 
@@ -64,7 +64,7 @@
   UpstreamWorker worker;
   worker.limit = 10;
   worker.inFlight = 100;
-  for (int i = 0; i < 5; ++i) steerWorkerLimit(worker, 1000 + i, {true, false});
+  for (int i = 0; i < 5; ++i) updateWorkerLimit(worker, 1000 + i, {true, false});
   EXPECT_EQ(worker.limit, 0.85 * 10);
 }
 
@@ -81,19 +81,19 @@
 
 TEST(Ejection, TimeDoublesUpToItsMaximumAndASuccessEndsIt) {
   UpstreamWorker worker;
-  EXPECT_FALSE(OutlierDetection::noteFailure(worker, 0));
+  EXPECT_FALSE(OutlierDetection::recordFailure(worker, 0));
   for (const Time expectedMs : {1000, 2000, 4000, 8000, 8000}) {
-    EXPECT_TRUE(OutlierDetection::noteFailure(worker, 0));
+    EXPECT_TRUE(OutlierDetection::recordFailure(worker, 0));
     EXPECT_EQ(worker.ejectedUntil, expectedMs);
   }
-  OutlierDetection::noteSuccess(worker);
+  OutlierDetection::recordSuccess(worker);
   EXPECT_FALSE(worker.isEjected(0));
-  EXPECT_FALSE(OutlierDetection::noteFailure(worker, 0));
+  EXPECT_FALSE(OutlierDetection::recordFailure(worker, 0));
 }
 
 TEST(OutlierDetection, BusyWorkerIsUnresponsiveAfterThreeUsualLatencies) {
   RequestClasses classes(testSettings().classes, 0);
-  classes.noteLatency(*classes[0], 0, 100);
+  classes.recordLatency(*classes[0], 0, 100);
   OutlierDetection outliers(classes);
   UpstreamWorker worker;
   worker.inFlight = 2;
@@ -126,9 +126,9 @@
   RetryPolicy policy;
   PendingRequest pending = pendingRequest(0);
   pending.mayHaveRun = true;
-  for (int i = 0; i < 4; ++i) policy.noteResult(AttemptResult::timeout);
+  for (int i = 0; i < 4; ++i) policy.recordResult(AttemptResult::timeout);
   EXPECT_TRUE(policy.mayRetry(pending, 10));
-  policy.noteResult(AttemptResult::timeout);
+  policy.recordResult(AttemptResult::timeout);
   EXPECT_FALSE(policy.mayRetry(pending, 10));
   EXPECT_EQ(policy.attemptTimeoutMs(pending, 10), 0);
 }
@@ -159,15 +159,15 @@
   const CustomerQuota quota(settings);
   Random random(1);
   CustomerRegistry customers(settings, quota, random, 0);
-  const UnknownCustomers unknownCustomers(settings, customers.usualRequestSize());
+  const UnknownCustomers unknownCustomers(settings, customers.meanRequestSize());
   Admission admission(settings, quota.fleet(), unknownCustomers, random);
   const auto reason = [&](unsigned planIndex, double units) -> std::optional<RejectionReason> {
     const Request request{1, 0, planIndex, 1 + planIndex, 3000, units};
-    Customer& customer = customers.obtain(0, request);
+    Customer& customer = customers.findOrAdd(0, request);
     const auto rejection = admission.check(customer, request, 100, false);
     if (!rejection) {
       CustomerQuota::debit(customer, units);
-      quota.noteAttemptStarted(customer, 0);
+      quota.recordAttemptStarted(customer, 0);
       return std::nullopt;
     }
     return rejection->reason;
@@ -183,14 +183,14 @@
 
 TEST(UnknownCustomers, ReachIsWithinItsMinimumAndMaximum) {
   Settings settings = testSettings();
-  UsualRequestSize usualSize;
-  usualSize.note(1);
-  UnknownCustomers unknownCustomers(settings, usualSize);
+  MeanRequestSize meanSize;
+  meanSize.record(1);
+  UnknownCustomers unknownCustomers(settings, meanSize);
   Request request;
-  for (int i = 0; i < 2000; ++i) unknownCustomers.noteReading(request, settings.plans[0], 1, 0);
-  EXPECT_EQ(unknownCustomers.reach(), 1.5);
-  for (int i = 0; i < 2000; ++i) unknownCustomers.noteReading(request, settings.plans[0], 1, 10000);
-  EXPECT_EQ(unknownCustomers.reach(), 0.08);
+  for (int i = 0; i < 2000; ++i) unknownCustomers.recordReading(request, settings.plans[0], 1, 0);
+  EXPECT_EQ(unknownCustomers.assumedBurstShare(), 1.5);
+  for (int i = 0; i < 2000; ++i) unknownCustomers.recordReading(request, settings.plans[0], 1, 10000);
+  EXPECT_EQ(unknownCustomers.assumedBurstShare(), 0.08);
 }
 
 }  // namespace
--- a/tests/decision_replay_test.cpp
+++ b/tests/decision_replay_test.cpp
@@ -61,7 +61,7 @@
   out.correctsUnits = random.chance(0.5);
   out.maxUnits = 8;
   out.drainGraceMs = 1000;
-  out.slowStartShare = random.between(0.05, 0.4);
+  out.slowStartInitialShare = random.between(0.05, 0.4);
   out.slowStartMs = random.chance(0.9) ? random.between(2000, 15000) : 0;
   out.overloadMultiple = 2;
   out.overloadWindowMs = 1000;
@@ -208,7 +208,7 @@
       request.planIndex = random_.below(static_cast<unsigned>(settings_.plans.size() + 1));
     request.expiresAt = now_ + settings_.classes[request.classIndex].deadlineMs * random_.between(0.3, 1.1);
     request.units = random_.chance(0.6) ? 1 : random_.between(0, settings_.maxUnits);
-    request.customerGateways = 1 + random_.below(settings_.gatewayCount);
+    request.customerGatewayCount = 1 + random_.below(settings_.gatewayCount);
     request.memoryBytes = random_.chance(0.9) ? 2000 : random_.between(0, 4e6);
     gateway_.onRequest(now_, request);
   }
@@ -284,10 +284,10 @@
     OverloadSignal signal;
     signal.active = random_.chance(0.3);
     if (signal.active) {
-      signal.memoryShort = random_.chance(0.5);
+      signal.isMemoryShort = random_.chance(0.5);
       signal.shedFraction = random_.chance(0.5) ? random_.uniform() : 0;
       signal.excessBytes = random_.chance(0.3) ? random_.between(0, 1e6) : 0;
-      signal.expectedMs = random_.between(0, 3000);
+      signal.expectedDurationMs = random_.between(0, 3000);
     }
     gateway_.onOverload(now_, signal);
   }
@@ -308,7 +308,7 @@
 
   void hashState() {
     const WorkerCounts counts = gateway_.workerCounts(now_);
-    hash(static_cast<std::uint64_t>(counts.listed)), hash(static_cast<std::uint64_t>(counts.avoided));
+    hash(static_cast<std::uint64_t>(counts.listed)), hash(static_cast<std::uint64_t>(counts.unavailable));
     hash(gateway_.warmWorkerRate(now_));
     if (random_.chance(0.1)) gateway_.seedWarmWorkerRate(now_, random_.between(0, 0.2));
   }
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -218,8 +218,9 @@
     const auto attemptsInWindow = std::count_if(attemptTimes.begin(), attemptTimes.end(), [&](Time time) {
       return time >= windowStart && time < windowStart + settings.overloadWindowMs;
     });
-    const double capacityShare = settings.slowStartShare + (1 - settings.slowStartShare) *
-                                                               (windowStart - 110000) / settings.slowStartMs;
+    const double capacityShare = settings.slowStartInitialShare + (1 - settings.slowStartInitialShare) *
+                                                                      (windowStart - 110000) /
+                                                                      settings.slowStartMs;
     EXPECT_LE(static_cast<double>(attemptsInWindow),
               settings.overloadMultiple * capacityShare * warmRatePerMs * settings.overloadWindowMs + 4)
         << windowStart;
@@ -277,10 +278,11 @@
         const auto attemptsInWindow = std::count_if(attemptTimes.begin(), attemptTimes.end(), [&](Time time) {
           return time >= windowStart && time < windowStart + settings.overloadWindowMs;
         });
-        const double budget = settings.overloadMultiple *
-                              (settings.slowStartShare + (1 - settings.slowStartShare) *
-                                                             (windowStart - 112000) / settings.slowStartMs) *
-                              warmRatePerMs * settings.overloadWindowMs;
+        const double budget =
+            settings.overloadMultiple *
+            (settings.slowStartInitialShare +
+             (1 - settings.slowStartInitialShare) * (windowStart - 112000) / settings.slowStartMs) *
+            warmRatePerMs * settings.overloadWindowMs;
         ASSERT_LE(static_cast<double>(attemptsInWindow), budget + 2 * std::sqrt(budget) + 2)
             << gateways << " gateways, seed " << seed << ", " << windowStart - 112000
             << " ms after the start";
--- a/tests/guards_test.cpp
+++ b/tests/guards_test.cpp
@@ -190,10 +190,10 @@
     harness.endAttempt(id, AttemptResult::ok);
   }
   EXPECT_EQ(harness.gateway.workerCounts(harness.now).listed, 2u);
-  EXPECT_EQ(harness.gateway.workerCounts(harness.now).avoided, 1u);
+  EXPECT_EQ(harness.gateway.workerCounts(harness.now).unavailable, 1u);
   harness.gateway.exclude(harness.now, 1);
   harness.gateway.include(harness.now, 1);
-  EXPECT_EQ(harness.gateway.workerCounts(harness.now).avoided, 0u);
+  EXPECT_EQ(harness.gateway.workerCounts(harness.now).unavailable, 0u);
   unsigned sent = 0;
   for (int i = 0; i < 200; ++i) {  // for 5 s
     harness.now += 25;
--- a/tests/load_shedding_test.cpp
+++ b/tests/load_shedding_test.cpp
@@ -32,8 +32,8 @@
     gateway.onRequest(now, {++lastRequest, requestClass, plan, customer, now + 3000, 1, 2, bytes});
     return lastRequest;
   }
-  void overload(double shedFraction, double excessBytes = 0, Time expectedMs = 1000) {
-    gateway.onOverload(now, {true, excessBytes > 0, shedFraction, excessBytes, expectedMs});
+  void overload(double shedFraction, double excessBytes = 0, Time expectedDurationMs = 1000) {
+    gateway.onOverload(now, {true, excessBytes > 0, shedFraction, excessBytes, expectedDurationMs});
   }
 };
 
--- a/tests/quota_test.cpp
+++ b/tests/quota_test.cpp
@@ -7,8 +7,8 @@
 // Sends a request and, if it is forwarded, completes its attempt immediately. Returns whether the request was
 // admitted.
 bool sendAndComplete(GatewayHarness& harness, unsigned plan = 0, CustomerId customer = 1, int percent = -1,
-                     double units = 1, unsigned customerGateways = 2) {
-  const RequestId id = harness.sendRequest(0, plan, customer, units, customerGateways);
+                     double units = 1, unsigned customerGatewayCount = 2) {
+  const RequestId id = harness.sendRequest(0, plan, customer, units, customerGatewayCount);
   if (!harness.wasForwarded(id)) return false;
   harness.endAttempt(id, AttemptResult::ok, 50, percent);
   return true;
--- a/tests/recorder.hpp
+++ b/tests/recorder.hpp
@@ -55,7 +55,7 @@
   out.maxAttempts = 4;
   out.maxRetryAfterMs = 2000;
   out.quotaReadingPeriodMs = 1000;
-  out.slowStartShare = 0.2;
+  out.slowStartInitialShare = 0.2;
   out.slowStartMs = 10000;
   out.overloadMultiple = 2;
   out.overloadWindowMs = 1000;
@@ -103,9 +103,9 @@
     gateway.onEndpoints(now, kind, endpoints);
   }
   RequestId sendRequest(unsigned requestClass = 0, unsigned planIndex = 0, CustomerId customer = 1,
-                        double units = 1, unsigned customerGateways = 2, Time deadlineMs = 3000) {
-    gateway.onRequest(
-        now, {++lastRequest, requestClass, planIndex, customer, now + deadlineMs, units, customerGateways});
+                        double units = 1, unsigned customerGatewayCount = 2, Time deadlineMs = 3000) {
+    gateway.onRequest(now, {++lastRequest, requestClass, planIndex, customer, now + deadlineMs, units,
+                            customerGatewayCount});
     return lastRequest;
   }
   /// Reports the outcome of the request's newest attempt.
--- a/tests/simulator_adapter_test.cpp
+++ b/tests/simulator_adapter_test.cpp
@@ -70,7 +70,7 @@
   ASSERT_EQ(recorded.requests.size(), 1u);
   EXPECT_EQ(recorded.instance, 3u);
   EXPECT_EQ(recorded.requests[0].units, 2);
-  EXPECT_EQ(recorded.requests[0].customerGateways, 3u);
+  EXPECT_EQ(recorded.requests[0].customerGatewayCount, 3u);
   read(recorded, 1,
        fromHex("32 c4913a5d 00 0000 0300 0a124a07 2b23 5600 0000000000803240 01 02 52b81e3f00004040"));
   ASSERT_EQ(recorded.outcomes.size(), 1u);
