--- a/src/gatekeeper/client_connection.hpp
+++ b/src/gatekeeper/client_connection.hpp
@@ -58,7 +58,7 @@
   void respond(ClientResponse&& response) override;
   void startStream(const StreamedResponseHead& head) override;
   void sendPiece(std::string&& piece, bool last, std::function<void()> onPieceWritten) override;
-  void holdMemory(MemoryBudget::Charge&& memory) override;
+  void chargeFinalPiece(MemoryBudget::Charge&& memory) override;
   void abortStream() override;
   void readBody(BodyPieceHandler onPiece) override;
   bool hasDisconnected() override;
--- a/src/gatekeeper/client_connection_reading.cpp
+++ b/src/gatekeeper/client_connection_reading.cpp
@@ -123,7 +123,7 @@
   }
   Error error;
   const bool complete = feed(*parser_, input_, error);
-  server_.stats_.mostBuffered = std::max(server_.stats_.mostBuffered, input_.size());
+  server_.stats_.maxBufferedBytes = std::max(server_.stats_.maxBufferedBytes, input_.size());
   if (error) {
     bodyDone_ = true;
     closeAfterResponse_ = true;
@@ -175,7 +175,7 @@
 decision::Time ClientServer::Connection::measureUnreadWait() {
   if (!awaitingFirstRequest_ || !tcpStateKnown_) return 0;
   const double waitedMs = static_cast<double>(timeSinceLastData(socket_).count());
-  server_.stats_.mostWaited = std::max(server_.stats_.mostWaited, waitedMs);
+  server_.stats_.maxUnreadWaitMs = std::max(server_.stats_.maxUnreadWaitMs, waitedMs);
   return waitedMs;
 }
 
--- a/src/gatekeeper/client_connection_writing.cpp
+++ b/src/gatekeeper/client_connection_writing.cpp
@@ -47,7 +47,7 @@
   if (!output_.isWriting()) asio::post(socket_.get_executor(), guardPosted([this] { onWritten(); }));
 }
 
-void ClientServer::Connection::holdMemory(MemoryBudget::Charge&& memory) {
+void ClientServer::Connection::chargeFinalPiece(MemoryBudget::Charge&& memory) {
   if (state_ != State::closed) responseMemory_ = std::move(memory);
 }
 
--- a/src/gatekeeper/client_server.cpp
+++ b/src/gatekeeper/client_server.cpp
@@ -230,7 +230,7 @@
          std::uniform_real_distribution<>(0.5, 1.0)(jitter_);
 }
 
-double ClientServer::busyShare() const {
+double ClientServer::busyFraction() const {
   const auto& queues = overloadManager_.waitQueues();
   const std::size_t busy =
       queues.waiting(WaitQueue::incompleteRequest) + queues.waiting(WaitQueue::inFlight) +
@@ -239,7 +239,7 @@
   return static_cast<double>(busy) / static_cast<double>(std::max<std::size_t>(1, maxRegular()));
 }
 
-void ClientServer::closeLongIdle() {
+void ClientServer::closeLongIdleConnections() {
   const auto cutoff = Clock::now() - limits_.minIdleTime;
   while (const auto oldest = static_cast<Connection*>(idle_.oldest())) {
     if (oldest->idleSince() >= cutoff) return;
@@ -329,12 +329,12 @@
   add(std::move(socket));
 }
 
-void ClientServer::closeIdle() {
+void ClientServer::closeIdleConnections() {
   for (const auto& connection : std::vector(connections_.begin(), connections_.end()))
     connection->closeIfIdle();
 }
 
-void ClientServer::whenEmpty(std::function<void()> done) {
+void ClientServer::notifyWhenEmpty(std::function<void()> done) {
   done_ = std::move(done);
   if (connections_.empty() && !acceptor_.is_open()) done_();
 }
--- a/src/gatekeeper/client_server.hpp
+++ b/src/gatekeeper/client_server.hpp
@@ -55,8 +55,8 @@
   struct Stats {
     unsigned accepted = 0;  ///< connections accepted from the kernel's queue
     unsigned rejected = 0;  ///< requests rejected by this server: malformed, too large, too slow, no capacity
-    std::size_t mostBuffered = 0;  ///< maximum of the bytes read and not yet parsed on one connection
-    double mostWaited = 0;         ///< maximum time, ms, that a connection's first request was unread
+    std::size_t maxBufferedBytes = 0;  ///< maximum of the bytes read and not yet parsed on one connection
+    double maxUnreadWaitMs = 0;        ///< maximum time, ms, that a connection's first request was unread
   };
 
   /// The references must outlive the server.
@@ -77,9 +77,9 @@
   /// Number of open client connections, including the overflow connections.
   std::size_t connections() const { return connections_.size(); }
   /// Connections with a request, as a share (0 to 1) of the maximum number of regular connections.
-  double busyShare() const;
+  double busyFraction() const;
   /// For use under overload: closes the connections that have been idle for at least `minIdleTime`.
-  void closeLongIdle();
+  void closeLongIdleConnections();
   /// Returns the statistics and resets them.
   Stats takeStats() { return std::exchange(stats_, {}); }
   /// Closed connections by reason, since the start of the process.
@@ -92,9 +92,9 @@
   void stopAccepting();
   /// Closes the connections that have no request in progress. A new connection and an incomplete request
   /// header get a short time limit instead.
-  void closeIdle();
+  void closeIdleConnections();
   /// Calls `done` once all connections and the listener are closed, possibly before this returns.
-  void whenEmpty(std::function<void()> done);
+  void notifyWhenEmpty(std::function<void()> done);
 
  private:
   class Connection;
--- a/src/gatekeeper/decision_clock.hpp
+++ b/src/gatekeeper/decision_clock.hpp
@@ -15,20 +15,20 @@
   using Steady = std::chrono::steady_clock;
 
   /// The present time, ms.
-  decision::Time now() const { return at(Steady::now()); }
+  decision::Time now() const { return fromSteady(Steady::now()); }
 
   /// Converts a time of the steady clock.
-  static decision::Time at(Steady::time_point moment) {
+  static decision::Time fromSteady(Steady::time_point moment) {
     return kOrigin + std::chrono::duration<double, std::milli>(moment.time_since_epoch()).count();
   }
   /// Converts to a time of the steady clock.
-  static Steady::time_point steady(decision::Time time) {
+  static Steady::time_point toSteady(decision::Time time) {
     return Steady::time_point(std::chrono::duration_cast<Steady::duration>(
         std::chrono::duration<double, std::milli>(time - kOrigin)));
   }
 
   /// This clock minus the wall clock, ms. Approximate: the wall clock may be wrong.
-  decision::Time wallOffset() const {
+  decision::Time offsetFromWallClock() const {
     const std::chrono::duration<double, std::milli> wall =
         std::chrono::system_clock::now().time_since_epoch();
     return now() - wall.count();
--- a/src/gatekeeper/exclusion_control.cpp
+++ b/src/gatekeeper/exclusion_control.cpp
@@ -18,9 +18,9 @@
                                    OnChange onChange)
     : exclusions_(stateDir), onChange_(std::move(onChange)), syncTimer_(io) {}
 
-void ExclusionControl::applyAll() { reportChanges({}); }
+void ExclusionControl::reportAll() { reportChanges({}); }
 
-void ExclusionControl::follow(std::function<void()> onLoaded) {
+void ExclusionControl::startPeriodicSync(std::function<void()> onLoaded) {
   onLoaded_ = std::move(onLoaded);
   scheduleSync();
 }
@@ -36,11 +36,11 @@
   });
 }
 
-void ExclusionControl::addNamed(const std::string& id) {
+void ExclusionControl::addListedWorker(const std::string& id) {
   if (listedWorkers_.size() < kMaxListedWorkers || listedWorkers_.contains(id)) listedWorkers_.insert(id);
 }
 
-ExclusionResult ExclusionControl::set(const std::string& id, bool excluded) {
+ExclusionResult ExclusionControl::setExcluded(const std::string& id, bool excluded) {
   if (!listedWorkers_.contains(id) && !exclusions_.ids().contains(id))
     return {ExclusionResult::Status::unknownWorker};
   if (excluded && !exclusions_.canExclude(id)) return {ExclusionResult::Status::tooManyExcluded};
--- a/src/gatekeeper/exclusion_control.hpp
+++ b/src/gatekeeper/exclusion_control.hpp
@@ -33,20 +33,20 @@
   ExclusionControl(boost::asio::io_context& io, const std::string& stateDir, OnChange onChange);
 
   /// Reports every excluded worker to the callback.
-  void applyAll();
+  void reportAll();
   /// Synchronizes with the file every 250 ms from now on: applies the changes that the other process of an
   /// upgrade has written, and retries writes that failed.
   /// @param onLoaded called after each synchronization, once the file has been read
-  void follow(std::function<void()> onLoaded);
+  void startPeriodicSync(std::function<void()> onLoaded);
 
   /// False if the file has not been readable so far, so that the excluded workers are not known.
   bool isLoaded() const { return exclusions_.isLoaded(); }
   /// Records that an endpoint list has named this worker: operators may exclude it. At most 8192 workers
   /// are recorded.
-  void addNamed(const std::string& id);
+  void addListedWorker(const std::string& id);
   /// Excludes or includes a worker for an operator, and writes the file. Rejects an id that is neither
   /// excluded nor named by any list, and an exclusion beyond `Exclusions::kMaxExcluded`.
-  ExclusionResult set(const std::string& id, bool excluded);
+  ExclusionResult setExcluded(const std::string& id, bool excluded);
   /// Applies an exclusion or inclusion by another gatekeeper, or by this one before its restart. The next
   /// synchronization writes the file.
   void onReplicated(const std::string& id, bool excluded);
--- a/src/gatekeeper/fleet_services.cpp
+++ b/src/gatekeeper/fleet_services.cpp
@@ -75,11 +75,11 @@
 }
 
 std::string FleetServices::replicationMembers() const {
-  return replica_ ? replica_->members() : "400 no replica is configured\n";
+  return replica_ ? replica_->membersResponse() : "400 no replica is configured\n";
 }
 
 std::string FleetServices::replicationState() const {
-  return replica_ ? replica_->state() : "400 no replica is configured\n";
+  return replica_ ? replica_->stateResponse() : "400 no replica is configured\n";
 }
 
 }  // namespace wingslip
--- a/src/gatekeeper/gatekeeper.cpp
+++ b/src/gatekeeper/gatekeeper.cpp
@@ -42,7 +42,7 @@
 
 std::chrono::steady_clock::time_point processStartOf(const WorkerStart& start) {
   if (start.processStartedAt <= 0) return std::chrono::steady_clock::time_point::min();
-  return DecisionClock::steady(start.processStartedAt);
+  return DecisionClock::toSteady(start.processStartedAt);
 }
 
 }  // namespace
@@ -70,13 +70,13 @@
          onResponseStart(id, type, length);
        },
        [this](RequestId id, std::string&& piece) { forwardPiece(id, std::move(piece)); }});
-  overloadManager_.start([this] { return std::max(server_.busyShare(), pool_.busyShare()); },
+  overloadManager_.start([this] { return std::max(server_.busyFraction(), pool_.busyFraction()); },
                          [this](double excess) { onOverload(excess); });
   if (config_.ops)
     ops_.emplace(io, OpsServer::Limits{}, static_cast<OperatorCalls&>(*this), overloadManager_);
   for (const std::string& name : config_.host.classes) metrics_.classes.try_emplace(name);
   monitor_.setRules(workerRules(config_.settings));
-  exclusions_.applyAll();
+  exclusions_.reportAll();
   applyHandover();
   EndpointList cachedList;
   if (!config_.known.empty()) {
@@ -105,7 +105,7 @@
     acceptOnceReady();
     handoverWriter_.start([this] { return currentHandover(); });
   }
-  if (!config_.stateDir.empty()) exclusions_.follow([this] { startServing(); });
+  if (!config_.stateDir.empty()) exclusions_.startPeriodicSync([this] { startServing(); });
   fleet_.startCoordinator();
   fleet_.startReplica();
   reportTimer_.start();
@@ -128,9 +128,9 @@
   if (config_.acceptFd < 0) return;
   const Time now = clock_.now();
   const auto handover = readHandover(config_.stateDir);
-  if (!handover || std::abs(now - handover->at) >= kMaxHandoverAgeMs) return;
-  if (handover->warmRate > 0) gateway_.seedWarmWorkerRate(now, handover->warmRate);
-  startTimes_ = StartTimes(handover->clockOffset);
+  if (!handover || std::abs(now - handover->writtenAt) >= kMaxHandoverAgeMs) return;
+  if (handover->warmWorkerRatePerMs > 0) gateway_.seedWarmWorkerRate(now, handover->warmWorkerRatePerMs);
+  startTimes_ = StartTimes(handover->clockOffsetMs);
 }
 
 std::optional<Handover> Gatekeeper::currentHandover() const {
@@ -144,7 +144,7 @@
 // than a working one can be is down; the configured list is used then.
 //
 // Requests also wait until the operators' exclusions are loaded: an unreadable file is retried
-// (ExclusionControl::follow) for kExclusionsTimeout.
+// (ExclusionControl::startPeriodicSync) for kExclusionsTimeout.
 void Gatekeeper::onEndpointsKnown() {
   endpointsKnown_ = true;
   if (exclusions_.isLoaded()) return startServing();
@@ -171,7 +171,7 @@
 // since they use descriptors without serving a request.
 void Gatekeeper::onOverload(double excess) {
   const OverloadState& state = overloadManager_.state();
-  if (overloadManager_.areDescriptorsOverloaded()) server_.closeLongIdle();
+  if (overloadManager_.areDescriptorsOverloaded()) server_.closeLongIdleConnections();
   gateway_.onOverload(clock_.now(),
                       {state.level() != OverloadLevel::none, overloadManager_.isMemoryOverloaded(),
                        state.rejectShare(), excess, state.expectedDurationMs(OverloadManager::now())});
@@ -286,8 +286,8 @@
 }
 
 void Gatekeeper::closeIdleClients(const std::function<void()>& done) {
-  server_.closeIdle();
-  server_.whenEmpty([this, done] { finishDrain(done); });
+  server_.closeIdleConnections();
+  server_.notifyWhenEmpty([this, done] { finishDrain(done); });
 }
 
 // The process exits: requests in flight without a response are reported to the invariant monitor, since each
@@ -340,7 +340,7 @@
     const WorkerId worker = workerIdOf(entry.id);
     const WorkerStart start = startTimes_.startOf(worker, entry.startedAtMs, now, live);
     endpoints.push_back(endpointOf(entry, start, zones, machineTypes));
-    exclusions_.addNamed(entry.id);
+    exclusions_.addListedWorker(entry.id);
     unlisted.erase(worker);
     if (entry.phase == decision::WorkerPhase::ready) {
       readyWorkers_.insert(worker);
--- a/src/gatekeeper/gatekeeper.hpp
+++ b/src/gatekeeper/gatekeeper.hpp
@@ -66,7 +66,7 @@
   /// Requests without a final answer, including those received before serving started.
   std::size_t requestsInFlight() const { return requests_.size(); }
   /// Owned by the gatekeeper.
-  OverloadManager& pressure() { return overloadManager_; }
+  OverloadManager& overloadManager() { return overloadManager_; }
 
  private:
   using SteadyTime = std::chrono::steady_clock::time_point;
@@ -152,7 +152,7 @@
   boost::asio::io_context& io_;
   Config config_;
   const DecisionClock clock_{};
-  StartTimes startTimes_{clock_.wallOffset()};
+  StartTimes startTimes_{clock_.offsetFromWallClock()};
   OverloadManager overloadManager_;
   UpstreamPool pool_;
   ClientServer server_;
--- a/src/gatekeeper/gatekeeper_operators.cpp
+++ b/src/gatekeeper/gatekeeper_operators.cpp
@@ -33,7 +33,7 @@
   const decision::WorkerCounts workers = gateway_.workerCounts(clock_.now());
   Metrics metrics = metrics_;
   metrics.attemptsWritten = pool_.attemptsWritten();
-  metrics.localShortages = pool_.localShortages();
+  metrics.localResourceShortages = pool_.localResourceShortages();
   metrics.rejections = gateway_.rejectionCounts();
   return telemetryText(metrics, {requests_.size(), workers.listed, workers.unavailable},
                        monitor_.telemetry() + server_.closes().telemetry("close") +
@@ -42,13 +42,13 @@
 }
 
 ExclusionResult Gatekeeper::exclude(const std::string& id) {
-  const ExclusionResult out = exclusions_.set(id, true);
+  const ExclusionResult out = exclusions_.setExcluded(id, true);
   if (isInEffect(out)) fleet_.setRow(kExcludedTable, id, kExcludedValue);
   return out;
 }
 
 ExclusionResult Gatekeeper::include(const std::string& id) {
-  const ExclusionResult out = exclusions_.set(id, false);
+  const ExclusionResult out = exclusions_.setExcluded(id, false);
   if (isInEffect(out)) fleet_.removeRow(kExcludedTable, id);
   return out;
 }
--- a/src/gatekeeper/gatekeeper_requests.cpp
+++ b/src/gatekeeper/gatekeeper_requests.cpp
@@ -209,7 +209,7 @@
   const auto responder = conclude(
       end.outcome.id, complete ? invariant::RequestState::answered : invariant::RequestState::truncated);
   if (complete) {
-    responder->holdMemory(std::move(end.bodyMemory));
+    responder->chargeFinalPiece(std::move(end.bodyMemory));
     responder->sendPiece(std::move(end.body), true, nullptr);
   } else {
     responder->abortStream();
--- a/src/gatekeeper/handover.cpp
+++ b/src/gatekeeper/handover.cpp
@@ -28,8 +28,9 @@
 
 void writeHandover(const std::string& stateDir, const Handover& handover) {
   if (stateDir.empty()) return;
-  const json file{
-      {"at", handover.at}, {"warmRate", handover.warmRate}, {"clockOffset", handover.clockOffset}};
+  const json file{{"at", handover.writtenAt},
+                  {"warmRate", handover.warmWorkerRatePerMs},
+                  {"clockOffset", handover.clockOffsetMs}};
   // Not synced to disk: the file is written every second and is valid for some seconds only.
   replaceFile(handoverPath(stateDir), file.dump(), Durability::inKernel);
 }
--- a/src/gatekeeper/handover.hpp
+++ b/src/gatekeeper/handover.hpp
@@ -15,9 +15,9 @@
 /// The handed-over values. Times are valid in both processes, since both read the machine's monotonic clock
 /// (`DecisionClock`), which steps of the wall clock do not affect.
 struct Handover {
-  decision::Time at = 0;           ///< when it was written, ms of the monotonic clock
-  double warmRate = 0;             ///< successful responses per ms of one warm worker
-  decision::Time clockOffset = 0;  ///< the monotonic clock minus the true Unix time, in ms (`StartTimes`)
+  decision::Time writtenAt = 0;      ///< when it was written, ms of the monotonic clock
+  double warmWorkerRatePerMs = 0;    ///< successful responses per ms of one warm worker
+  decision::Time clockOffsetMs = 0;  ///< the monotonic clock minus the true Unix time, in ms (`StartTimes`)
 };
 
 /// Replaces the file atomically. Does nothing if `stateDir` is empty. An error in writing is ignored: the
--- a/src/gatekeeper/metrics.hpp
+++ b/src/gatekeeper/metrics.hpp
@@ -31,8 +31,8 @@
 struct Metrics {
   /// By the name of the request class. A class that a reload removes retains its counts.
   std::map<std::string, ClassCounts> classes;
-  std::uint64_t attemptsWritten = 0;  ///< attempts whose last byte was passed to the kernel
-  std::uint64_t localShortages = 0;   ///< attempts not started for lack of descriptors or memory here
+  std::uint64_t attemptsWritten = 0;         ///< attempts whose last byte was passed to the kernel
+  std::uint64_t localResourceShortages = 0;  ///< attempts not started for lack of descriptors or memory here
   std::uint64_t reloadsOk = 0;
   std::uint64_t reloadsFailed = 0;
   RetryCounts retries;
@@ -60,7 +60,7 @@
     line("failure." + name, counts.failure, "c");
   }
   line("backend_calls", metrics.attemptsWritten, "c");
-  line("backend_short", metrics.localShortages, "c");
+  line("backend_short", metrics.localResourceShortages, "c");
   line("reconfig_ok", metrics.reloadsOk, "c");
   line("reconfig_failed", metrics.reloadsFailed, "c");
   for (std::size_t i = 0; i < RetryCounts::kNames.size(); ++i)
--- a/src/gatekeeper/request_handler.hpp
+++ b/src/gatekeeper/request_handler.hpp
@@ -27,7 +27,7 @@
   /// Sends a part of the body. `onWritten` is called when it is written; the next part may be sent then.
   virtual void sendPiece(std::string&& piece, bool last, std::function<void()> onWritten) = 0;
   /// Takes over the memory charge for the final piece; released when that piece is written.
-  virtual void holdMemory(MemoryBudget::Charge&& memory) = 0;
+  virtual void chargeFinalPiece(MemoryBudget::Charge&& memory) = 0;
   /// Aborts a streamed response that cannot be completed, so that the client detects the truncation.
   virtual void abortStream() = 0;
   /// Requests the next piece of a streamed request body. `onPiece` is called after this returns; it is not
--- a/src/gatekeeper/service_report.cpp
+++ b/src/gatekeeper/service_report.cpp
@@ -24,16 +24,16 @@
       "event=requests served={} refused={} failed={} rejected={} held={} client_connections={} "
       "most_buffered_client={} most_waited_ms={:.0f}",
       sample.answers.served, sample.answers.rejected, sample.answers.failed, sample.clients.rejected,
-      sample.requestsInFlight, sample.clientConnections, sample.clients.mostBuffered,
-      sample.clients.mostWaited);
+      sample.requestsInFlight, sample.clientConnections, sample.clients.maxBufferedBytes,
+      sample.clients.maxUnreadWaitMs);
   processLog().info(
       "event=attempts ok={} error={} unreadable={} full={} timeout={} unconnected={} reset={} "
       "reset_reused={} reset_in_answer={} cancelled={} worker_connections={} most_buffered_worker={}",
       countOf(AttemptResult::ok), countOf(AttemptResult::error), sample.upstream.malformedResponses,
       countOf(AttemptResult::overloaded), countOf(AttemptResult::timeout),
-      countOf(AttemptResult::connectFailed), countOf(AttemptResult::reset), sample.upstream.resetReused,
-      sample.upstream.resetInResponse, countOf(AttemptResult::cancelled), sample.workerConnections,
-      sample.upstream.maxBufferedBytes);
+      countOf(AttemptResult::connectFailed), countOf(AttemptResult::reset),
+      sample.upstream.resetsOnReusedConnections, sample.upstream.resetsDuringResponse,
+      countOf(AttemptResult::cancelled), sample.workerConnections, sample.upstream.maxBufferedBytes);
   processLog().info("event=lists read={} longest_line={} lists={} calls={} invariants_broken={}",
                     sample.discovery.bytesRead, sample.discovery.longestMessageBytes, sample.discovery.lists,
                     sample.discovery.connects, sample.invariantsBroken);
--- a/src/gatekeeper/upstream_attempt.hpp
+++ b/src/gatekeeper/upstream_attempt.hpp
@@ -70,11 +70,11 @@
 
 /// Statistics since the last `UpstreamPool::takeStats`, for the service log.
 struct UpstreamStats {
-  std::array<unsigned, 8> results{};  ///< number of ended attempts, indexed by decision::AttemptResult
-  unsigned malformedResponses = 0;    ///< responses that are not valid HTTP or exceed a limit
-  unsigned resetReused = 0;           ///< connections lost during an attempt on a reused connection
-  unsigned resetInResponse = 0;       ///< connections lost after a response had started
-  std::size_t maxBufferedBytes = 0;   ///< most bytes of one response that were read but not yet parsed
+  std::array<unsigned, 8> results{};       ///< number of ended attempts, indexed by decision::AttemptResult
+  unsigned malformedResponses = 0;         ///< responses that are not valid HTTP or exceed a limit
+  unsigned resetsOnReusedConnections = 0;  ///< connections lost during an attempt on a reused connection
+  unsigned resetsDuringResponse = 0;       ///< connections lost after a response had started
+  std::size_t maxBufferedBytes = 0;        ///< most bytes of one response that were read but not yet parsed
 
   /// Counts one ended attempt.
   void count(decision::AttemptResult result) { ++results[static_cast<std::size_t>(result)]; }
--- a/src/gatekeeper/upstream_connection.cpp
+++ b/src/gatekeeper/upstream_connection.cpp
@@ -338,8 +338,8 @@
 
 void UpstreamConnection::onConnectionLost(const Error& error) {
   if (error == asio::error::eof && response_.finishAtClose()) return onResponse(true);
-  context_.stats.resetReused += reused_;
-  context_.stats.resetInResponse += response_.hasStarted();
+  context_.stats.resetsOnReusedConnections += reused_;
+  context_.stats.resetsDuringResponse += response_.hasStarted();
   endAttempt(AttemptResult::reset);
 }
 
--- a/src/gatekeeper/upstream_pool.cpp
+++ b/src/gatekeeper/upstream_pool.cpp
@@ -97,7 +97,7 @@
   // well, because all idle connections have already been closed to free resources.
   if (reachable) {
     outcome.result = AttemptResult::notSent;
-    ++localShortages_;
+    ++localResourceShortages_;
     context_.overload.waitQueues().countRejection(WaitQueue::awaitingResponse);
   }
   context_.stats.count(outcome.result);
--- a/src/gatekeeper/upstream_pool.hpp
+++ b/src/gatekeeper/upstream_pool.hpp
@@ -66,13 +66,13 @@
   void resumeResponse(decision::RequestId id);
 
   /// Attempts not started because this process lacked a connection, descriptor or memory, since the start.
-  std::uint64_t localShortages() const { return localShortages_; }
+  std::uint64_t localResourceShortages() const { return localResourceShortages_; }
   /// Requests whose last byte the kernel has accepted, since the start.
   std::uint64_t attemptsWritten() const { return context_.attemptsWritten; }
   /// Number of open connections, busy or idle.
   std::size_t connections() const { return connectionCount_; }
   /// Busy connections as a fraction (0 to 1) of the connection limit.
-  double busyShare() const {
+  double busyFraction() const {
     return static_cast<double>(busy_.size()) /
            static_cast<double>(std::max<std::size_t>(1, context_.limits.maxConnections));
   }
@@ -111,7 +111,7 @@
   std::unordered_map<decision::RequestId, ConnectionPtr> busy_;
   UpstreamConnection::IdleList idle_;  // of all workers, the least recently used at the front
   std::size_t connectionCount_ = 0;
-  std::uint64_t localShortages_ = 0;
+  std::uint64_t localResourceShortages_ = 0;
   // False once the pool is destroyed; checked by posted handlers.
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
--- a/src/replication/replica_node.cpp
+++ b/src/replication/replica_node.cpp
@@ -269,10 +269,10 @@
   return telemetryText({*replica_, transportCounts_, now(), startedAt_, caughtUpAt_});
 }
 
-std::string ReplicaNode::members() const {
+std::string ReplicaNode::membersResponse() const {
   return membersText({*replica_, transportCounts_, now(), startedAt_, caughtUpAt_});
 }
 
-std::string ReplicaNode::state() const { return stateText(*replica_); }
+std::string ReplicaNode::stateResponse() const { return stateText(*replica_); }
 
 }  // namespace wingslip::replication
--- a/src/replication/replica_node.hpp
+++ b/src/replication/replica_node.hpp
@@ -55,8 +55,8 @@
 
   /// Metrics and operator responses; replica_report.hpp describes their texts.
   std::string telemetry() const;
-  std::string members() const;
-  std::string state() const;
+  std::string membersResponse() const;
+  std::string stateResponse() const;
 
  private:
   void send(const OutgoingRequest& request) override;
--- a/tests/memory_limit_test.cpp
+++ b/tests/memory_limit_test.cpp
@@ -27,13 +27,13 @@
     }
   }
   Gatekeeper hugeLimit(io, parseConfig(configWithLimit(1e300)));
-  EXPECT_GT(hugeLimit.pressure().memory().total(), kMiB);
+  EXPECT_GT(hugeLimit.overloadManager().memory().total(), kMiB);
   // A reload at SIGHUP does not change the limit; a file without the setting is rejected.
   const Config before = parseConfig(configWithLimit(64));
   Gatekeeper gatekeeper(io, before);
-  const std::size_t total = gatekeeper.pressure().memory().total();
+  const std::size_t total = gatekeeper.overloadManager().memory().total();
   gatekeeper.reload(parseConfig(configWithLimit(1)));
-  EXPECT_EQ(gatekeeper.pressure().memory().total(), total);
+  EXPECT_EQ(gatekeeper.overloadManager().memory().total(), total);
   EXPECT_THROW(requireSameKeys(before, parseConfig(configJson("127.0.0.1:1").dump())), std::runtime_error);
 }
 
--- a/tests/ops_test.cpp
+++ b/tests/ops_test.cpp
@@ -258,8 +258,8 @@
   EXPECT_FALSE(readHandover(stateDirectory));
   writeHandover(stateDirectory, {1e12, 0.01, -5e11});
   ASSERT_TRUE(readHandover(stateDirectory));
-  EXPECT_EQ(readHandover(stateDirectory)->warmRate, 0.01);
-  EXPECT_EQ(readHandover(stateDirectory)->clockOffset, -5e11);
+  EXPECT_EQ(readHandover(stateDirectory)->warmWorkerRatePerMs, 0.01);
+  EXPECT_EQ(readHandover(stateDirectory)->clockOffsetMs, -5e11);
   for (const char* damage :
        {"", "{", "[]", "{\"at\":1}", "{\"at\":1,\"warmRate\":-1,\"clockOffset\":0}",
         "{\"at\":1,\"warmRate\":\"much\",\"clockOffset\":0}", "{\"at\":1,\"warmRate\":1}"}) {
--- a/tests/overload_manager_test.cpp
+++ b/tests/overload_manager_test.cpp
@@ -28,7 +28,7 @@
       [&] {
         for (const auto& peer : worker.peers)
           if (peer->has("POST /edit")) peer->stall();
-        return gatekeeper->pressure().state().enteredCount(OverloadLevel::throttling) > 0;
+        return gatekeeper->overloadManager().state().enteredCount(OverloadLevel::throttling) > 0;
       },
       "throttling for lack of memory");
   for (int i = 0; i < 20; ++i) {
@@ -218,7 +218,7 @@
   EXPECT_TRUE(sender->has("HTTP/1.1 502")) << sender->got;
   EXPECT_NE(operatorCall("telemetry").find("svc.pressure.shed:1|c\n"), std::string::npos);
   otherClientsCharge.release();
-  until([&] { return gatekeeper->pressure().state().isNormal(); }, "the end of the overload");
+  until([&] { return gatekeeper->overloadManager().state().isNormal(); }, "the end of the overload");
   if (smallClient->got.empty()) {
     workerPeer->send(reply("200 OK", "served"));
     until([&] { return smallClient->has("served"); }, "the response to the small request");
@@ -232,7 +232,7 @@
   sender->stream(8 * kMiB);
   workerConnection("00000000000000b1")->stall();
   fillMemory(14 * 1024);
-  until([&] { return gatekeeper->pressure().state().level() != OverloadLevel::none; }, "pressure");
+  until([&] { return gatekeeper->overloadManager().state().level() != OverloadLevel::none; }, "pressure");
   gatekeeper->reload(parseConfig(configuration().dump()));
   EXPECT_NE(operatorCall("telemetry").find("svc.reconfig_ok:1|c\n"), std::string::npos);
   bool done = false;
@@ -248,7 +248,7 @@
   startGatekeeper(config);
   until([&] { return !discovery.peers.empty() && discovery.peers[0]->has("\r\n\r\n"); }, "a watch");
   fillMemory(14 * 1024);
-  until([&] { return gatekeeper->pressure().state().level() != OverloadLevel::none; }, "pressure");
+  until([&] { return gatekeeper->overloadManager().state().level() != OverloadLevel::none; }, "pressure");
   std::string lines = "HTTP/1.1 200 OK\r\n\r\n";
   for (int i = 2; i < 500; ++i)
     lines +=
--- a/tests/overload_process_test.cpp
+++ b/tests/overload_process_test.cpp
@@ -32,7 +32,7 @@
   fillMemory(8 * 1024, true);
   incompleteClient->stream(60000);
   const auto lateClient = dial(gatekeeper->address());
-  const auto& queues = gatekeeper->pressure().waitQueues();
+  const auto& queues = gatekeeper->overloadManager().waitQueues();
   const auto allReported = [&] {
     for (std::size_t i = 0; i < kWaitQueues; ++i)
       if (!queues.isReported(static_cast<WaitQueue>(i))) return false;
@@ -72,7 +72,7 @@
   oldClient->send(Ask().text());
   const auto workerPeer = workerConnection("00000000000000a1");
   fillMemory(4 * 1024);
-  until([&] { return gatekeeper->pressure().state().level() != OverloadLevel::none; }, "pressure");
+  until([&] { return gatekeeper->overloadManager().state().level() != OverloadLevel::none; }, "pressure");
   Gatekeeper nextGatekeeper(io, inheritedConfig());
   nextGatekeeper.start();
   until([&] { return discovery.peers.size() == 2 && discovery.peers[1]->has("\r\n\r\n"); },
@@ -89,7 +89,7 @@
   const auto lateClient = dial(listeningSocket.local_endpoint());
   lateClient->send("GET /health/ready HTTP/1.1\r\nHost: b\r\n\r\n");
   until([&] { return lateClient->has("HTTP/1.1 200"); }, "the new process's response");
-  EXPECT_EQ(nextGatekeeper.pressure().state().level(), OverloadLevel::none);
+  EXPECT_EQ(nextGatekeeper.overloadManager().state().level(), OverloadLevel::none);
 }
 
 // Runs the program with a limit of 24 MB while 600 MB are sent by clients and workers whose peers do not
--- a/tests/races_test.cpp
+++ b/tests/races_test.cpp
@@ -176,7 +176,7 @@
   const auto client = dial(server.address());
   client->send(readinessRequest());
   server.stopAccepting();
-  server.closeIdle();
+  server.closeIdleConnections();
   until([&] { return client->has("\r\n\r\n") || client->ended; }, "a response or a close");
   EXPECT_TRUE(client->has("HTTP/1.1 200")) << client->got;
 }
@@ -197,7 +197,7 @@
     return overloadManager.waitQueues().waiting(WaitQueue::responseWrite) == 0;
   };
   until(responseWritten, "the kernel has accepted the response");
-  server.closeIdle();
+  server.closeIdleConnections();
   client->send(Ask().text());
   client->goOn();
   until([&] { return client->ended; }, "the close");
--- a/tests/stored_data_test.cpp
+++ b/tests/stored_data_test.cpp
@@ -140,9 +140,9 @@
   stateDirectory.write("burlwind-handover.json", R"({"at":1234.5,"clockOffset":-17.25,"warmRate":0.125})");
   const auto handover = readHandover(stateDirectory.path());
   ASSERT_TRUE(handover);
-  EXPECT_EQ(handover->at, 1234.5);
-  EXPECT_EQ(handover->warmRate, 0.125);
-  EXPECT_EQ(handover->clockOffset, -17.25);
+  EXPECT_EQ(handover->writtenAt, 1234.5);
+  EXPECT_EQ(handover->warmWorkerRatePerMs, 0.125);
+  EXPECT_EQ(handover->clockOffsetMs, -17.25);
   writeHandover(stateDirectory.path(), *handover);
   EXPECT_EQ(stateDirectory.read("burlwind-handover.json"),
             R"({"at":1234.5,"clockOffset":-17.25,"warmRate":0.125})");
--- a/tests/upstream_pool_test.cpp
+++ b/tests/upstream_pool_test.cpp
@@ -176,7 +176,7 @@
     for (std::size_t i = round + 1; i < others.size(); ++i) EXPECT_FALSE(others[i]->peers[0]->ended) << i;
   }
   EXPECT_EQ(pool->connections(), 8u);
-  EXPECT_EQ(pool->localShortages(), 0u);
+  EXPECT_EQ(pool->localResourceShortages(), 0u);
 }
 
 // With no idle connection to evict, the cost of a rejected attempt must not depend on the number of workers.
@@ -221,7 +221,7 @@
   waitForEnds(1);
   EXPECT_EQ(attemptEnds[0].outcome.id, 2u);
   EXPECT_EQ(attemptEnds[0].outcome.result, AttemptResult::notSent);  // must not count against the worker
-  EXPECT_EQ(pool->localShortages(), 1u);
+  EXPECT_EQ(pool->localResourceShortages(), 1u);
   Listener second(io);
   pool->setWorkerAddress(2, {second.address()});
   waitForRequests(1);
