--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -47,11 +47,12 @@
   overrideFromEnvironment("BALANCER_OPS", "ops", file);
   Config out = configFromJson(file);
   if (const char* directory = std::getenv("TMPDIR")) out.stateDir = directory;
-  if (const char* inherited = std::getenv("BALANCER_ACCEPT_FD")) out.acceptFd = parseDescriptor(inherited);
+  if (const char* inherited = std::getenv("BALANCER_ACCEPT_FD"))
+    out.inheritedListenFd = parseDescriptor(inherited);
   return out;
 }
 
-void requireSameKeys(const Config& before, const Config& after) {
+void requireNoKeyRemoved(const Config& before, const Config& after) {
   for (const std::string& key : before.keys)
     if (!std::binary_search(after.keys.begin(), after.keys.end(), key))
       throw ConfigError(key.substr(1) + " is missing");
@@ -63,7 +64,7 @@
   overrideFromEnvironment("BALANCER_LISTEN", "listen", file);
   overrideFromEnvironment("BALANCER_OPS", "ops", file);
   Config out = configFromJson(file);
-  requireSameKeys(before, out);
+  requireNoKeyRemoved(before, out);
   return out;
 }
 
--- a/src/config/config.hpp
+++ b/src/config/config.hpp
@@ -15,16 +15,16 @@
 namespace wingslip {
 
 /// The store through which gatekeepers elect leaders; the section `coordination` of the file.
-struct Coordination {
+struct CoordinationConfig {
   boost::asio::ip::tcp::endpoint store;  ///< address of the store
   std::string prefix;                    ///< of all keys in the store
   double ttlMs = 10000;                  ///< time to live of this process's session, ms
   double lockDelayMs = 1000;  ///< how long a lock stays closed after its holder's session ended, ms
-  bool operator==(const Coordination&) const = default;
+  bool operator==(const CoordinationConfig&) const = default;
 };
 
 /// Replication of state between gatekeepers; the section `replica` of the file.
-struct Replication {
+struct ReplicationConfig {
   boost::asio::ip::tcp::endpoint listen;
   std::string advertise;           ///< host:port at which the other gatekeepers reach `listen`
   std::string fleet = "wingslip";  ///< name of the fleet; messages of another fleet are ignored
@@ -34,7 +34,7 @@
   double gossipEveryMs = 200;    ///< interval of gossip messages, ms
   double repairEveryMs = 10000;  ///< interval of anti-entropy repair, ms
   unsigned fanout = 3;           ///< gatekeepers that a gossip message is sent to
-  bool operator==(const Replication&) const = default;
+  bool operator==(const ReplicationConfig&) const = default;
 };
 
 /// The complete configuration of a gatekeeper.
@@ -44,16 +44,17 @@
   boost::asio::ip::tcp::endpoint discovery;           ///< address of the discovery agent
   std::optional<boost::asio::ip::tcp::endpoint> ops;  ///< address for operators; nullopt: no operators' port
   /// Listening socket for clients, inherited from the platform; negative: none, bind to `listen`.
-  int acceptFd = -1;
-  std::string stateDir;     ///< directory of the state that is retained across an upgrade; empty: none is
-  std::uint64_t seed = 0;   ///< seed of this process's random decisions
-  unsigned sockets = 1024;  ///< limit on the file descriptors of the process
-  double memoryMb = 32;     ///< limit on the memory of the process, MiB
-  std::string known;  ///< last endpoint list received, as discovery's JSON; may be outdated; empty: none
+  int inheritedListenFd = -1;
+  std::string stateDir;    ///< directory of the state that is retained across an upgrade; empty: none is
+  std::uint64_t seed = 0;  ///< seed of this process's random decisions
+  unsigned maxFileDescriptors = 1024;  ///< limit on the file descriptors of the process
+  double memoryLimitMib = 32;          ///< limit on the memory of the process, MiB
+  std::string initialEndpointList;     ///< last endpoint list received, as discovery's JSON; may be outdated;
+                                       ///< empty: none
   decision::Settings settings;
   settings::HostSettings host;
-  std::optional<Coordination> coordination;  ///< nullopt: no leader election
-  std::optional<Replication> replication;    ///< nullopt: no replication
+  std::optional<CoordinationConfig> coordination;  ///< nullopt: no leader election
+  std::optional<ReplicationConfig> replication;    ///< nullopt: no replication
   /// JSON pointers of all keys but `coordination`, `replica` and those within `known`, sorted.
   std::vector<std::string> keys;
 };
@@ -76,15 +77,15 @@
 Config readConfig();
 
 /// Reads the file again for a reload. BALANCER_NAME, BALANCER_LISTEN and BALANCER_OPS take precedence;
-/// `discovery` is taken from the file. `stateDir` and `acceptFd` are not set: their values do not change
-/// after the process's start.
+/// `discovery` is taken from the file. `stateDir` and `inheritedListenFd` are not set: their values do not
+/// change after the process's start.
 /// @param before the configuration in force
 /// @throws ConfigError, IncompleteConfigError; ConfigError also if a key of `before` is missing
 Config rereadConfig(const Config& before);
 
 /// Checks that no key has been removed.
 /// @throws ConfigError if `after` lacks a key of `before`
-void requireSameKeys(const Config& before, const Config& after);
+void requireNoKeyRemoved(const Config& before, const Config& after);
 
 /// Parses the text of a configuration file, without the environment variables.
 /// @throws ConfigError, IncompleteConfigError
--- a/src/config/config_json.cpp
+++ b/src/config/config_json.cpp
@@ -57,7 +57,7 @@
 
 unsigned readSockets(const json& file) {
   const json::json_pointer path("/limits/sockets");
-  if (!file.contains(path)) return Config{}.sockets;
+  if (!file.contains(path)) return Config{}.maxFileDescriptors;
   const json& value = file.at(path);
   if (!value.is_number() || value.get<double>() < kMinSockets)
     throw ConfigError("limits.sockets is not a number of at least " + std::to_string(kMinSockets));
@@ -67,7 +67,7 @@
 /// Whether the limit is large enough is checked when the process starts, where the shares of it are known.
 double readMemoryMb(const json& file) {
   const json::json_pointer path("/limits/memory_mb");
-  if (!file.contains(path)) return Config{}.memoryMb;
+  if (!file.contains(path)) return Config{}.memoryLimitMib;
   const json& value = file.at(path);
   if (!value.is_number() || !(value.get<double>() > 0))
     throw ConfigError("limits.memory_mb is not a number above 0");
@@ -156,9 +156,9 @@
   out.discovery = parseEndpoint(readText(file, "discovery"));
   if (file.contains("ops") && !file["ops"].is_null()) out.ops = parseEndpoint(readText(file, "ops"));
   if (file.contains("seed")) out.seed = parseSeed(readText(file, "seed"));
-  out.sockets = readSockets(file);
-  out.memoryMb = readMemoryMb(file);
-  if (file.contains("known")) out.known = file["known"].dump();
+  out.maxFileDescriptors = readSockets(file);
+  out.memoryLimitMib = readMemoryMb(file);
+  if (file.contains("known")) out.initialEndpointList = file["known"].dump();
   if (!file.contains("settings") || !file["settings"].is_object()) throw ConfigError("settings is missing");
   checkSettings(file["settings"]);
   out.coordination = readCoordination(file);
--- a/src/config/config_sections.cpp
+++ b/src/config/config_sections.cpp
@@ -104,12 +104,12 @@
 
 }  // namespace
 
-std::optional<Coordination> readCoordination(const json& file) {
+std::optional<CoordinationConfig> readCoordination(const json& file) {
   const auto found = file.find("coordination");
   if (found == file.end() || found->is_null()) return std::nullopt;
   const Section section(*found, "coordination");
   section.requireKnownKeys({"store", "prefix", "ttl_ms", "lock_delay_ms"});
-  Coordination out;
+  CoordinationConfig out;
   const auto store = found->find("store");
   if (store == found->end() || !store->is_string()) throw ConfigError("coordination.store is missing");
   out.store = parseEndpoint(store->get<std::string>());
@@ -120,13 +120,13 @@
   return out;
 }
 
-std::optional<Replication> readReplication(const json& file, const std::string& gatekeeperName) {
+std::optional<ReplicationConfig> readReplication(const json& file, const std::string& gatekeeperName) {
   const auto found = file.find("replica");
   if (found == file.end() || found->is_null()) return std::nullopt;
   const Section section(*found, "replica");
   section.requireKnownKeys({"listen", "advertise", "fleet", "peers", "probe_every_ms", "gossip_every_ms",
                             "repair_every_ms", "fanout"});
-  Replication out;
+  ReplicationConfig out;
   const std::string listen = section.text("listen", "");
   if (listen.empty()) throw ConfigError("replica.listen is missing");
   out.listen = parseEndpoint(listen);
--- a/src/endpoint_watch/start_times.cpp
+++ b/src/endpoint_watch/start_times.cpp
@@ -4,7 +4,7 @@
 
 namespace wingslip {
 
-void StartTimes::observe(double startedAtMs, Time receivedAt) {
+void StartTimes::correctClockOffset(double startedAtMs, Time receivedAt) {
   if (startedAtMs > 0) clockOffsetMs_ = std::min(clockOffsetMs_, receivedAt - startedAtMs);
 }
 
@@ -22,7 +22,7 @@
   return start;
 }
 
-void StartTimes::forgetUnlisted(const std::function<bool(decision::WorkerId)>& isListed) {
+void StartTimes::removeUnlisted(const std::function<bool(decision::WorkerId)>& isListed) {
   if (workers_.size() <= kMaxWorkers) return;
   std::erase_if(workers_, [&](const auto& entry) { return !isListed(entry.first); });
 }
--- a/src/endpoint_watch/start_times.hpp
+++ b/src/endpoint_watch/start_times.hpp
@@ -35,7 +35,7 @@
   using Time = decision::Time;
   /// The longest plausible time from a worker's start until a gatekeeper receives the list that names it.
   static constexpr Time kMaxNotificationDelayMs = 10000;
-  /// Number of workers above which `forgetUnlisted` removes those that are not listed.
+  /// Number of workers above which `removeUnlisted` removes those that are not listed.
   static constexpr std::size_t kMaxWorkers = 8192;
 
   /// @param clockOffsetMs the monotonic clock minus the wall clock, read when the process started
@@ -45,12 +45,12 @@
   /// `startOf`.
   /// @param startedAtMs Unix time in ms; 0: long ago
   /// @param receivedAt when the list was received, on the monotonic clock
-  void observe(double startedAtMs, Time receivedAt);
+  void correctClockOffset(double startedAtMs, Time receivedAt);
   /// The start of a worker on the monotonic clock.
   /// @param isUpdate whether the list is not the first one that this process received
   WorkerStart startOf(decision::WorkerId worker, double startedAtMs, Time receivedAt, bool isUpdate);
   /// If there are more than `kMaxWorkers` workers, removes those for which `isListed` returns false.
-  void forgetUnlisted(const std::function<bool(decision::WorkerId)>& isListed);
+  void removeUnlisted(const std::function<bool(decision::WorkerId)>& isListed);
 
   /// The estimate, as corrected so far, of the monotonic clock minus Unix time, in ms.
   Time clockOffsetMs() const { return clockOffsetMs_; }
--- a/src/gatekeeper/client_server.cpp
+++ b/src/gatekeeper/client_server.cpp
@@ -61,10 +61,10 @@
 }
 
 void ClientServer::start() {
-  const bool platformListens = config_.acceptFd >= 0;
+  const bool platformListens = config_.inheritedListenFd >= 0;
   try {
     if (platformListens) {
-      acceptor_.assign(config_.listen.protocol(), config_.acceptFd);
+      acceptor_.assign(config_.listen.protocol(), config_.inheritedListenFd);
       reportAbortedConnections(acceptor_);
     } else {
       openListener(acceptor_, config_.listen);
@@ -281,7 +281,7 @@
   overflowTimer_.cancel();
   capacityWait_.leave();
   if (acceptedSocket_) addWhileStopping(*std::exchange(acceptedSocket_, std::nullopt));
-  if (config_.acceptFd < 0) return drainAcceptQueue();
+  if (config_.inheritedListenFd < 0) return drainAcceptQueue();
   closeListener();
 }
 
--- a/src/gatekeeper/client_server.hpp
+++ b/src/gatekeeper/client_server.hpp
@@ -66,7 +66,7 @@
   ClientServer(const ClientServer&) = delete;
   ClientServer& operator=(const ClientServer&) = delete;
 
-  /// Opens the listener, or adopts the socket passed by the platform (`Config::acceptFd`).
+  /// Opens the listener, or adopts the socket passed by the platform (`Config::inheritedListenFd`).
   /// @throws std::runtime_error if listening fails
   void start();
   /// Starts accepting. Called by `start`, unless the platform owns the listening socket: there, connections
--- a/src/gatekeeper/fleet_services.cpp
+++ b/src/gatekeeper/fleet_services.cpp
@@ -34,7 +34,7 @@
 void FleetServices::restartCoordinator() {
   if (coordinator_) coordinator_->drain();
   previousCoordinator_ = std::move(coordinator_);
-  if (previousCoordinator_) previousCoordinator_->leave(kReleaseTimeoutMs, [] {});
+  if (previousCoordinator_) previousCoordinator_->shutDown(kReleaseTimeoutMs, [] {});
   startCoordinator();
 }
 
@@ -51,7 +51,7 @@
 
 void FleetServices::leave(const std::function<void()>& done) {
   if (!coordinator_) return done();
-  coordinator_->leave(0, done);
+  coordinator_->shutDown(0, done);
 }
 
 void FleetServices::setRow(const std::string& table, const std::string& key, const std::string& value) {
@@ -67,11 +67,11 @@
 }
 
 std::string FleetServices::leaderTasks() const {
-  return coordinator_ ? coordinator_->dutiesAnswer() : "400 no store is configured\n";
+  return coordinator_ ? coordinator_->dutiesResponse() : "400 no store is configured\n";
 }
 
 std::string FleetServices::membershipRecord() const {
-  return coordinator_ ? coordinator_->rosterAnswer() : "400 no store is configured\n";
+  return coordinator_ ? coordinator_->rosterResponse() : "400 no store is configured\n";
 }
 
 std::string FleetServices::replicationMembers() const {
--- a/src/gatekeeper/gatekeeper.cpp
+++ b/src/gatekeeper/gatekeeper.cpp
@@ -79,8 +79,8 @@
   exclusions_.reportAll();
   applyHandover();
   EndpointList cachedList;
-  if (!config_.known.empty()) {
-    cachedList = parseEndpointList(config_.known);
+  if (!config_.initialEndpointList.empty()) {
+    cachedList = parseEndpointList(config_.initialEndpointList);
     onEndpointList(cachedList, EndpointUpdate::cached);
   }
   discovery_ = std::make_unique<DiscoveryClient>(
@@ -101,7 +101,7 @@
   startTimer_.async_wait([this](const Error& error) {
     if (!error) onEndpointsKnown();
   });
-  if (config_.acceptFd >= 0) {
+  if (config_.inheritedListenFd >= 0) {
     acceptOnceReady();
     handoverWriter_.start([this] { return currentHandover(); });
   }
@@ -125,7 +125,7 @@
 // Without the handover a new process would have to relearn the rate of warm workers, and workers in slow
 // start would receive almost no requests until then.
 void Gatekeeper::applyHandover() {
-  if (config_.acceptFd < 0) return;
+  if (config_.inheritedListenFd < 0) return;
   const Time now = clock_.now();
   const auto handover = readHandover(config_.stateDir);
   if (!handover || std::abs(now - handover->writtenAt) >= kMaxHandoverAgeMs) return;
@@ -222,11 +222,11 @@
   config_.discovery = config.discovery;
   pool_.updateSettings(poolLimits(config_), config_.settings.loadReportFields);
   overloadManager_.setLimits(overloadLimits(config_));
-  if (config.memoryMb != config_.memoryMb)
+  if (config.memoryLimitMib != config_.memoryLimitMib)
     processLog().warn(
         "event=reload text=\"limits.memory_mb cannot change at a reload; the value of the start stays in "
         "effect\" memory_mb={}",
-        config_.memoryMb);
+        config_.memoryLimitMib);
   for (const std::string& name : config_.host.classes)
     if (metrics_.classes.size() < kMaxCountedClasses) metrics_.classes.try_emplace(name);
   reloadFleetServices(config);
@@ -259,7 +259,7 @@
   fleet_.drain();
   done = [this, done = std::move(done)] { fleet_.leave(done); };
   server_.startDrain();
-  const bool nextProcessAccepts = config_.acceptFd >= 0;
+  const bool nextProcessAccepts = config_.inheritedListenFd >= 0;
   if (nextProcessAccepts) server_.stopAccepting();
   Time longestDeadlineMs = 0;
   for (const auto& requestClass : config_.settings.classes)
@@ -331,7 +331,7 @@
 void Gatekeeper::onEndpointList(const EndpointList& list, EndpointUpdate kind) {
   const Time now = clock_.now();
   const bool live = endpointsKnown_ && kind != EndpointUpdate::cached;
-  for (const EndpointEntry& entry : list.entries) startTimes_.observe(entry.startedAtMs, now);
+  for (const EndpointEntry& entry : list.entries) startTimes_.correctClockOffset(entry.startedAtMs, now);
   std::vector<Endpoint> endpoints;
   std::unordered_set<WorkerId> unlisted;
   if (kind != EndpointUpdate::delta) unlisted = readyWorkers_;
@@ -351,7 +351,7 @@
     }
   }
   for (const WorkerId worker : unlisted) onWorkerRetired(worker, decision::WorkerPhase::removed, now);
-  startTimes_.forgetUnlisted([this](WorkerId worker) { return readyWorkers_.contains(worker); });
+  startTimes_.removeUnlisted([this](WorkerId worker) { return readyWorkers_.contains(worker); });
   gateway_.onEndpoints(now, kind, endpoints);
   workersKnown_ = workersKnown_ || !readyWorkers_.empty();
   if (kind != EndpointUpdate::cached) onEndpointsKnown();
--- a/src/gatekeeper/gatekeeper_limits.cpp
+++ b/src/gatekeeper/gatekeeper_limits.cpp
@@ -23,13 +23,14 @@
 constexpr std::size_t kMinConnections = 8;
 
 std::size_t maxConnectionsFor(const Config& config, double descriptorShare) {
-  if (config.acceptFd >= 0)
-    return std::max<std::size_t>(kMinConnections, static_cast<std::size_t>(config.sockets * descriptorShare));
+  if (config.inheritedListenFd >= 0)
+    return std::max<std::size_t>(kMinConnections,
+                                 static_cast<std::size_t>(config.maxFileDescriptors * descriptorShare));
   const unsigned reserved = kReservedSockets + (config.ops ? kOpsSockets : 0) +
                             (config.coordination ? kStoreSockets : 0) +
                             (config.replication ? kReplicaSockets : 0);
-  return std::max<std::size_t>(kMinConnections,
-                               (config.sockets - std::min(config.sockets / 2, reserved)) / 2);
+  return std::max<std::size_t>(
+      kMinConnections, (config.maxFileDescriptors - std::min(config.maxFileDescriptors / 2, reserved)) / 2);
 }
 
 }  // namespace
@@ -56,8 +57,8 @@
 
 MemoryBudget::Shares memoryShares(const Config& config) {
   MemoryLimit limit;
-  limit.bytes = static_cast<std::size_t>(config.memoryMb * 1024 * 1024);
-  limit.twoProcesses = config.acceptFd >= 0;
+  limit.bytes = static_cast<std::size_t>(config.memoryLimitMib * 1024 * 1024);
+  limit.twoProcesses = config.inheritedListenFd >= 0;
   limit.stateFiles = !config.stateDir.empty();
   const MemoryBudget::Shares out = sharesOf(limit);
   if (out.total > 0) return out;
--- a/src/leader_election/candidacy.hpp
+++ b/src/leader_election/candidacy.hpp
@@ -61,7 +61,7 @@
   [[nodiscard]] Time nextDueAt() const;
 
   /// Returns whether this process leads the task and its lease is valid at `now`.
-  [[nodiscard]] bool mayAct(Time now) const;
+  [[nodiscard]] bool isLeaderWithValidLease(Time now) const;
   /// Schedules a write of the task's record; while one is in flight, only the latest data is written after
   /// it. Returns false if this process does not lead the task.
   bool writeRecord(Time now, const std::string& data);
--- a/src/leader_election/coordinator.cpp
+++ b/src/leader_election/coordinator.cpp
@@ -15,14 +15,15 @@
 namespace asio = boost::asio;
 
 constexpr const char* kMembershipTask = "roster";  // part of the keys at the coordination store
-// `leave` completes this long after the call that ends the session was sent, without waiting for its reply.
+// `shutDown` completes this long after the call that ends the session was sent, without waiting for its
+// reply.
 constexpr auto kEndSessionTimeout = std::chrono::milliseconds(100);
 // The registration stays visible as draining for at least this long after `drain`, so that the leader reads
 // it before it is deleted with the session.
 constexpr Time kDrainingVisibleMs = 300;
 constexpr const char* kEmptyFieldPlaceholder = "-";
 
-ProcessIdentity identityOf(const Coordination& settings, const std::string& name) {
+ProcessIdentity identityOf(const CoordinationConfig& settings, const std::string& name) {
   const auto unixNow =
       std::chrono::duration_cast<std::chrono::seconds>(std::chrono::system_clock::now().time_since_epoch());
   char instance[20];
@@ -39,7 +40,7 @@
 
 }  // namespace
 
-Coordinator::Coordinator(asio::io_context& io, const Coordination& settings, const std::string& name,
+Coordinator::Coordinator(asio::io_context& io, const CoordinationConfig& settings, const std::string& name,
                          unsigned candidates, std::uint64_t seed, OverloadManager& overloadManager)
     : election_(timingFor(settings.ttlMs, settings.lockDelayMs, candidates), identityOf(settings, name),
                 seed ^ std::random_device()(), *this),
@@ -73,7 +74,7 @@
   runDue();
 }
 
-void Coordinator::leave(Time maxWaitMs, std::function<void()> done) {
+void Coordinator::shutDown(Time maxWaitMs, std::function<void()> done) {
   if (onLeaveDone_) return;
   onLeaveDone_ = std::move(done);
   leaveDeadline_ = now() + maxWaitMs;
@@ -152,7 +153,7 @@
   return out;
 }
 
-std::string Coordinator::dutiesAnswer() const {
+std::string Coordinator::dutiesResponse() const {
   const std::vector<TaskStatus> all = election_.status();
   std::string out = "200 " + std::to_string(all.size()) + " duties\n";
   for (const TaskStatus& status : all) {
@@ -164,7 +165,7 @@
   return out + "EOF\n";
 }
 
-std::string Coordinator::rosterAnswer() const {
+std::string Coordinator::rosterResponse() const {
   const MembershipRecord& record = membership_.record();
   auto counts = record.counts();
   std::string firstLine =
--- a/src/leader_election/coordinator.hpp
+++ b/src/leader_election/coordinator.hpp
@@ -22,7 +22,7 @@
 class Coordinator : private ElectionHost {
  public:
   /// `candidates`: number of gatekeepers in the fleet according to the settings.
-  Coordinator(boost::asio::io_context& io, const Coordination& settings, const std::string& name,
+  Coordinator(boost::asio::io_context& io, const CoordinationConfig& settings, const std::string& name,
               unsigned candidates, std::uint64_t seed, OverloadManager& overloadManager);
 
   void start();
@@ -31,15 +31,15 @@
   void drain();
   /// Called after `drain`. Ends the session once the locks are released, or after `maxWaitMs` at the latest;
   /// `done` is called 100 ms later. Further calls have no effect.
-  void leave(Time maxWaitMs, std::function<void()> done);
+  void shutDown(Time maxWaitMs, std::function<void()> done);
 
   /// Returns the metrics as lines `svc.duty.NAME:VALUE|c` (counters) and `|g` (gauges).
   [[nodiscard]] std::string telemetry() const;
   /// Returns the response to the operators' call `duties`: a line `200 ...`, one line per task, and `EOF`.
-  [[nodiscard]] std::string dutiesAnswer() const;
+  [[nodiscard]] std::string dutiesResponse() const;
   /// Returns the response to the operators' call `roster`: one line per member, missing, draining and
   /// departed members first; at most 6 KiB.
-  [[nodiscard]] std::string rosterAnswer() const;
+  [[nodiscard]] std::string rosterResponse() const;
 
  private:
   void callStore(const StoreCall& call) override { storeClient_.call(call); }
--- a/src/leader_election/election_types.hpp
+++ b/src/leader_election/election_types.hpp
@@ -109,7 +109,7 @@
   /// record as last read, empty if there is none.
   virtual void onElected(Time now, FencingToken token, const std::string& data) = 0;
   /// This process has stopped being the leader.
-  virtual void onDeposed(Time now) = 0;
+  virtual void onLeadershipLost(Time now) = 0;
   /// The task's record was read or written. Called only if its token is not below the highest seen.
   virtual void onRecord(Time now, FencingToken token, const std::string& leaderInstance,
                         const std::string& data) = 0;
--- a/src/leader_election/leader_election.cpp
+++ b/src/leader_election/leader_election.cpp
@@ -65,9 +65,9 @@
   return out;
 }
 
-bool LeaderElection::mayAct(Time now, const std::string& taskName) const {
+bool LeaderElection::isLeaderWithValidLease(Time now, const std::string& taskName) const {
   return std::any_of(candidacies_.begin(), candidacies_.end(), [&](const Candidacy& candidacy) {
-    return candidacy.taskName() == taskName && candidacy.mayAct(now);
+    return candidacy.taskName() == taskName && candidacy.isLeaderWithValidLease(now);
   });
 }
 
--- a/src/leader_election/leader_election.hpp
+++ b/src/leader_election/leader_election.hpp
@@ -51,7 +51,7 @@
 
   /// Returns whether this process leads the task and its lease is valid at `now`. Writes of the task's record
   /// are checked by the election itself; a task with any other effect must check this before each.
-  [[nodiscard]] bool mayAct(Time now, const std::string& taskName) const;
+  [[nodiscard]] bool isLeaderWithValidLease(Time now, const std::string& taskName) const;
   /// Schedules a write of the task's record; while one is in flight, only the latest data is written after
   /// it. Returns false if this process does not lead the task.
   bool writeRecord(Time now, const std::string& taskName, const std::string& data);
--- a/src/leader_election/leadership.cpp
+++ b/src/leader_election/leadership.cpp
@@ -178,7 +178,7 @@
   }
   if (!wasLeading) return;
   context_.host.logEvent(taskName_ + ": leadership ended, new state " + std::string(stateName(next)));
-  task_.onDeposed(now);
+  task_.onLeadershipLost(now);
 }
 
 void Candidacy::loseLock(Time now, const std::string& reason) {
@@ -201,7 +201,7 @@
 
 // --- Writing the record ----------------------------------------------------------------------------------
 
-bool Candidacy::mayAct(Time now) const {
+bool Candidacy::isLeaderWithValidLease(Time now) const {
   return state_ == State::leading && context_.session.isLeaseValid(now);
 }
 
@@ -228,7 +228,7 @@
         now, "fencing check failed before a write: the record has token " + std::to_string(record.token));
   }
   // Checked immediately before the write is sent: the process may have been paused until its lease expired.
-  if (!mayAct(now)) return;
+  if (!isLeaderWithValidLease(now)) return;
   StoreCall call;
   call.operation = StoreOperation::compareAndSet;
   call.key = taskKey(context_.self, taskName_, "record");
--- a/src/leader_election/membership_task.cpp
+++ b/src/leader_election/membership_task.cpp
@@ -29,7 +29,7 @@
   writeAt_ = now;
 }
 
-void MembershipTask::onDeposed(Time) {
+void MembershipTask::onLeadershipLost(Time) {
   isLeading_ = false;
   registrationsReceived_ = false;
   isWriteScheduled_ = false;
--- a/src/leader_election/membership_task.hpp
+++ b/src/leader_election/membership_task.hpp
@@ -24,7 +24,7 @@
       : election_(election), taskName_(std::move(taskName)), gracePeriodMs_(gracePeriodMs) {}
 
   void onElected(Time now, FencingToken token, const std::string& data) override;
-  void onDeposed(Time now) override;
+  void onLeadershipLost(Time now) override;
   void onRecord(Time now, FencingToken token, const std::string& leader, const std::string& data) override;
   void onRegistrations(Time now, const std::vector<Registration>& all) override;
   /// Writes the record if a write is due and it has changed.
--- a/src/replication/replica_node.cpp
+++ b/src/replication/replica_node.cpp
@@ -31,7 +31,7 @@
   return decode(reinterpret_cast<const std::uint8_t*>(body.data()), body.size());
 }
 
-Timing timingOf(const Replication& config) {
+Timing timingOf(const ReplicationConfig& config) {
   Timing out;
   out.probePeriodMs = config.probeEveryMs;
   out.gossipPeriodMs = config.gossipEveryMs;
@@ -42,7 +42,7 @@
 
 }  // namespace
 
-ReplicaNode::ReplicaNode(asio::io_context& io, const Replication& config, const std::string& name,
+ReplicaNode::ReplicaNode(asio::io_context& io, const ReplicationConfig& config, const std::string& name,
                          const std::string& stateDir, std::uint64_t seed, OverloadManager& overload,
                          RowCallback onRowChanged)
     : io_(io),
--- a/src/replication/replica_node.hpp
+++ b/src/replication/replica_node.hpp
@@ -33,7 +33,7 @@
   /// @param stateDir directory of the snapshot; if empty, no snapshot is read or written.
   /// @param seed of the random number generator.
   /// @param overload outlives the node.
-  ReplicaNode(boost::asio::io_context& io, const Replication& config, const std::string& name,
+  ReplicaNode(boost::asio::io_context& io, const ReplicationConfig& config, const std::string& name,
               const std::string& stateDir, std::uint64_t seed, OverloadManager& overload,
               RowCallback onRowChanged);
   ~ReplicaNode() override;
@@ -81,7 +81,7 @@
   void writeSnapshot();
 
   boost::asio::io_context& io_;
-  const Replication config_;
+  const ReplicationConfig config_;
   OverloadManager& overload_;
   const RowCallback rowCallback_;
   SnapshotFile snapshotFile_;
--- a/tests/configuration_test.cpp
+++ b/tests/configuration_test.cpp
@@ -19,13 +19,13 @@
       parseConfig(configJson("127.0.0.1:8500", json::array({entry("s", "127.0.0.1:9")})).dump());
   EXPECT_EQ(config.discovery.port(), 8500);
   EXPECT_EQ(config.seed, 0x8c1f30d27a5be964u);
-  EXPECT_EQ(config.sockets, 256u);
+  EXPECT_EQ(config.maxFileDescriptors, 256u);
   EXPECT_EQ(config.host.classes, (std::vector<std::string>{"look", "edit", "order"}));
   EXPECT_EQ(config.host.zones, (std::vector<std::string>{"a", "b"}));
   EXPECT_EQ(config.settings.classes[1].idempotency, decision::Idempotency::withKey);
   EXPECT_EQ(config.settings.plans[1].rate, 1000);
   EXPECT_EQ(config.settings.loadReportFields, (std::vector<std::string>{"util", "queue"}));
-  EXPECT_EQ(parseEndpointList(config.known).entries.at(0).id, "s");
+  EXPECT_EQ(parseEndpointList(config.initialEndpointList).entries.at(0).id, "s");
 }
 
 TEST(Configuration, AnInvalidFileIsRejected) {
@@ -88,14 +88,14 @@
 TEST(Configuration, AReloadWithAMissingKeyOrInvalidLimitIsRejected) {
   const json valid = configJson("127.0.0.1:1");
   const Config before = parseConfig(valid.dump());
-  requireSameKeys(before, parseConfig(valid.dump()));
+  requireNoKeyRemoved(before, parseConfig(valid.dump()));
   const auto expectRejected = [&](const char* pointer, const json& value) {
     json file = valid;
     if (value.is_discarded())
       file.at(json::json_pointer(pointer).parent_pointer()).erase(json::json_pointer(pointer).back());
     else
       file[json::json_pointer(pointer)] = value;
-    EXPECT_THROW(requireSameKeys(before, parseConfig(file.dump())), std::runtime_error)
+    EXPECT_THROW(requireNoKeyRemoved(before, parseConfig(file.dump())), std::runtime_error)
         << pointer << " " << value;
   };
   const json absent(json::value_t::discarded);
--- a/tests/leader_election_simulation.hpp
+++ b/tests/leader_election_simulation.hpp
@@ -107,7 +107,9 @@
       election->addTask("roster", *this);
     }
     Time localNow() const { return clockOffset + clockRate * simulation.now(); }
-    bool isLeading() const { return !crashed && !paused && election->mayAct(localNow(), "roster"); }
+    bool isLeading() const {
+      return !crashed && !paused && election->isLeaderWithValidLease(localNow(), "roster");
+    }
     void start() {
       election->start(localNow());
       armTimer();
@@ -157,7 +159,7 @@
     void cancelCall(std::uint64_t callId) override { cancelled.insert(callId); }
     void logEvent(const std::string&) override {}
     void onElected(Time, FencingToken, const std::string&) override {}
-    void onDeposed(Time) override {}
+    void onLeadershipLost(Time) override {}
     void onRecord(Time, FencingToken token, const std::string&, const std::string&) override {
       simulation.observed_.staleRecordsAccepted += token < highestToken;
       highestToken = std::max(highestToken, token);
--- a/tests/memory_limit_test.cpp
+++ b/tests/memory_limit_test.cpp
@@ -12,11 +12,11 @@
     file["limits"]["memory_mb"] = value;
     return file.dump();
   };
-  EXPECT_EQ(parseConfig(configJson("127.0.0.1:1").dump()).memoryMb, 32);  // the default
+  EXPECT_EQ(parseConfig(configJson("127.0.0.1:1").dump()).memoryLimitMib, 32);  // the default
   for (const json& invalid : {json(0), json(-1), json("64"), json(true), json(nullptr), json::array({64})})
     EXPECT_THROW(parseConfig(configWithLimit(invalid)), std::runtime_error) << invalid;
   EXPECT_THROW(parseConfig("{\"limits\":{\"memory_mb\":1e999}}"), std::runtime_error);
-  EXPECT_EQ(parseConfig(configWithLimit(48.5)).memoryMb, 48.5);
+  EXPECT_EQ(parseConfig(configWithLimit(48.5)).memoryLimitMib, 48.5);
   asio::io_context io;
   for (const double tooSmallMb : {0.001, 1.0, 13.0}) {
     try {
@@ -34,7 +34,8 @@
   const std::size_t total = gatekeeper.overloadManager().memory().total();
   gatekeeper.reload(parseConfig(configWithLimit(1)));
   EXPECT_EQ(gatekeeper.overloadManager().memory().total(), total);
-  EXPECT_THROW(requireSameKeys(before, parseConfig(configJson("127.0.0.1:1").dump())), std::runtime_error);
+  EXPECT_THROW(requireNoKeyRemoved(before, parseConfig(configJson("127.0.0.1:1").dump())),
+               std::runtime_error);
 }
 
 }  // namespace
--- a/tests/ops_test.cpp
+++ b/tests/ops_test.cpp
@@ -275,7 +275,7 @@
   tcp::acceptor platformAcceptor(io, tcp::endpoint(asio::ip::address_v4::loopback(), 0));
   const auto inheritedConfig = [&] {
     Config out = config();
-    out.acceptFd = dup(platformAcceptor.native_handle());
+    out.inheritedListenFd = dup(platformAcceptor.native_handle());
     return out;
   };
   gatekeeper.emplace(io, inheritedConfig());
--- a/tests/overload_process_test.cpp
+++ b/tests/overload_process_test.cpp
@@ -58,7 +58,7 @@
   config["limits"]["memory_mb"] = 28;
   const auto inheritedConfig = [&] {
     Config out = parseConfig(config.dump());
-    out.acceptFd = dup(listeningSocket.native_handle());
+    out.inheritedListenFd = dup(listeningSocket.native_handle());
     return out;
   };
   gatekeeper.emplace(io, inheritedConfig());
--- a/tests/replication_test.cpp
+++ b/tests/replication_test.cpp
@@ -297,7 +297,7 @@
   using boost::asio::ip::tcp;
   const std::string dir = ::testing::TempDir() + "replica_" + std::to_string(::getpid());
   std::filesystem::create_directories(dir);
-  Replication config;
+  ReplicationConfig config;
   {
     tcp::acceptor portFinder(io, {boost::asio::ip::address_v4::loopback(), 0});
     config.listen = portFinder.local_endpoint();
