--- a/src/gatekeeper/attempt_message.cpp
+++ b/src/gatekeeper/attempt_message.cpp
@@ -22,7 +22,7 @@
                            http::field::expect, http::field::proxy_connection, http::field::content_length})
     head.erase(field);
   head.version(11);
-  const std::string_view target = view(message.target());
+  const std::string_view target = toStringView(message.target());
   if (const auto origin = originForm(target); origin.size() != target.size())
     head.target(std::string(origin));
   head.set("Req-Deadline-Ms", std::to_string(std::lround(deadlineMs)));
@@ -30,24 +30,25 @@
   std::string out;
   if (!framing.streamed) {
     if (!body.empty() || head.method() != http::verb::get) head.content_length(body.size());
-    appendHead(out, head);
+    appendHeader(out, head);
     return out += body;
   }
   if (framing.contentLength) {
     head.content_length(*framing.contentLength);
-    appendHead(out, head);
+    appendHeader(out, head);
     return out += body;
   }
   head.chunked(true);
-  appendHead(out, head);
+  appendHeader(out, head);
   appendChunk(out, body, false);
   return out;
 }
 
 std::size_t maxAttemptBytes(const ClientMessage& message) {
-  std::size_t bytes = kFramingOverheadBytes + view(message.target()).size() + message.body().size();
+  std::size_t bytes = kFramingOverheadBytes + toStringView(message.target()).size() + message.body().size();
   for (const auto& field : message.base())
-    bytes += view(field.name_string()).size() + view(field.value()).size() + kFieldFramingBytes;
+    bytes +=
+        toStringView(field.name_string()).size() + toStringView(field.value()).size() + kFieldFramingBytes;
   return bytes;
 }
 
--- a/src/gatekeeper/client_connection.cpp
+++ b/src/gatekeeper/client_connection.cpp
@@ -90,8 +90,8 @@
 bool ClientServer::Connection::hasDisconnected() {
   if (state_ == State::closed) return true;
   const PeerState peer = peerState(socket_);
-  if (peer == PeerState::hasSent) return hasPeerFinishedSending(socket_);
-  return peer == PeerState::ended;
+  if (peer == PeerState::dataAvailable) return hasPeerFinishedSending(socket_);
+  return peer == PeerState::closed;
 }
 
 void ClientServer::Connection::closeDisconnected() {
@@ -137,7 +137,7 @@
 
 void ClientServer::Connection::onTimer() {
   // The read is paused for lack of memory: a rejection for capacity, not a time-out of the client.
-  if (state_ == State::reading && requestStarted() && pausedRead_.isPaused())
+  if (state_ == State::reading && requestStarted() && pausedRead_.isRegistered())
     return rejectForCapacity(WaitQueue::pausedRead);
   if (state_ == State::reading && requestStarted()) {
     recordTimeout(WaitQueue::incompleteRequest);
@@ -210,7 +210,7 @@
 void ClientServer::Connection::releaseRequestMemory() {
   requestBytes_ = 0;
   forwardedBytes_ = 0;
-  memory_.shrinkTo(memoryBytes(reading_ ? kStreamPieceBytes : 0));
+  memory_.shrinkTo(memoryBytes(reading_ ? kStreamReadBytes : 0));
 }
 
 }  // namespace wingslip
--- a/src/gatekeeper/client_connection.hpp
+++ b/src/gatekeeper/client_connection.hpp
@@ -164,7 +164,7 @@
   MemoryBudget::Charge memory_;          // for this connection and the request on it
   MemoryBudget::Charge responseMemory_;  // for the response being written
   WaitQueues::QueueEntry waitRecord_;    // the wait that is counted in the metrics
-  OverloadManager::PausedReader pausedRead_;
+  OverloadManager::PausedRead pausedRead_;
   std::size_t requestBytes_ = 0;    // bytes of the request that are read and not yet released
   std::size_t forwardedBytes_ = 0;  // those of them passed to the handler and not yet written to the worker
   bool overflow_;                   // beyond the limit of regular connections
--- a/src/gatekeeper/client_connection_reading.cpp
+++ b/src/gatekeeper/client_connection_reading.cpp
@@ -75,7 +75,7 @@
   if (state_ != State::closed) read();
 }
 
-std::size_t ClientServer::Connection::readSize() const { return inBody_ ? kStreamPieceBytes : kReadBytes; }
+std::size_t ClientServer::Connection::readSize() const { return inBody_ ? kStreamReadBytes : kReadBytes; }
 
 // Under memory overload, a streamed body is not read any further, before the budget is exhausted.
 bool ClientServer::Connection::reserveReadMemory() {
@@ -84,7 +84,7 @@
 }
 
 bool ClientServer::Connection::canBufferInput() const {
-  if (!bodyDone_ && state_ != State::reading) return parser_->get().body().size() < kStreamPieceBytes;
+  if (!bodyDone_ && state_ != State::reading) return parser_->get().body().size() < kStreamReadBytes;
   return input_.size() < kMaxReadAhead;
 }
 
@@ -118,11 +118,11 @@
     requestStarted_ = true;
     if (!overflow_) leaveOrder();
     recordWait(WaitQueue::incompleteRequest);
-    server_.overloadManager_.noteDescriptorUse();
+    server_.overloadManager_.onDescriptorUseChanged();
     if (!awaitingFirstRequest_) armTimer(server_.limits_.headerTimeout);
   }
   Error error;
-  const bool complete = feed(*parser_, input_, error);
+  const bool complete = parseBuffered(*parser_, input_, error);
   server_.stats_.maxBufferedBytes = std::max(server_.stats_.maxBufferedBytes, input_.size());
   if (error) {
     bodyDone_ = true;
@@ -224,7 +224,7 @@
   ParsedRequest& request = std::get<ParsedRequest>(parsed);
   request.bodyComplete = false;
   request.memoryBytes =
-      memoryBytes(2 * kStreamPieceBytes) + requestBytes_;  // one piece here and one being sent to the worker
+      memoryBytes(2 * kStreamReadBytes) + requestBytes_;  // one piece here and one being sent to the worker
   forwardedBytes_ = requestBytes_;
   if (const auto length = parser_->content_length()) request.contentLength = *length;
   admit(request, std::move(message));
@@ -241,7 +241,7 @@
 
 void ClientServer::Connection::parseBody() {
   Error error;
-  bodyDone_ = feed(*parser_, input_, error);
+  bodyDone_ = parseBuffered(*parser_, input_, error);
   if (error) {
     if (state_ != State::inFlight) return close(CloseReason::malformedBody);
     server_.handler_.onClientDisconnect(requestId_);
--- a/src/gatekeeper/client_request.cpp
+++ b/src/gatekeeper/client_request.cpp
@@ -21,7 +21,9 @@
   return value;
 }
 
-std::string_view header(const ClientMessage& message, const char* name) { return view(message[name]); }
+std::string_view header(const ClientMessage& message, const char* name) {
+  return toStringView(message[name]);
+}
 
 // Returns the part of `text` before the first `separator` and removes it and the separator from `text`.
 std::string_view consumeUntil(std::string_view& text, char separator) {
@@ -95,7 +97,7 @@
 std::variant<ParsedRequest, ImmediateResponse> parseClientRequest(const ClientMessage& message,
                                                                   const Config& config) {
   constexpr auto kBadRequest = http::status::bad_request;
-  std::string_view target = originForm(view(message.target()));
+  std::string_view target = originForm(toStringView(message.target()));
   const std::string_view path = consumeUntil(target, '?');
   if (path.size() < 2 || path.front() != '/')
     return ImmediateResponse{http::status::not_found, "no such path"};
--- a/src/gatekeeper/client_response.cpp
+++ b/src/gatekeeper/client_response.cpp
@@ -42,7 +42,7 @@
   message.keep_alive(keepAlive);
   if (head.contentLength) message.content_length(*head.contentLength);
   if (chunked_) message.chunked(true);
-  appendHead(pending_, message);
+  appendHeader(pending_, message);
 }
 
 void ResponseBuffer::addPiece(std::string&& piece, bool last) {
--- a/src/gatekeeper/client_server.cpp
+++ b/src/gatekeeper/client_server.cpp
@@ -41,8 +41,8 @@
       overflowTimer_(io),
       overloadManager_(overloadManager),
       jitter_(config.seed ^ 0x5bd1e995) {
-  overloadManager_.waitQueues().setReader(WaitQueue::acceptBacklog, [this](double now) {
-    WaitQueues::Figures out;
+  overloadManager_.waitQueues().setExternalSource(WaitQueue::acceptBacklog, [this](double now) {
+    WaitQueues::Statistics out;
     out.waiting = acceptBacklogLength(acceptor_);
     if (out.waiting > 0 && capacityWait_.isIn(WaitQueue::freeConnection))
       out.oldestMs = now - capacityWait_.since();
@@ -56,7 +56,7 @@
 
 ClientServer::~ClientServer() {
   overloadManager_.setConnectionRetry(nullptr);
-  overloadManager_.waitQueues().setReader(WaitQueue::acceptBacklog, nullptr);
+  overloadManager_.waitQueues().setExternalSource(WaitQueue::acceptBacklog, nullptr);
   for (const auto& connection : connections_) connection->abandon();
 }
 
@@ -124,7 +124,7 @@
     if (waited == asio::error::operation_aborted) return;
     acceptPending_ = false;
     if (!acceptEnabled_ || acceptedSocket_) return;
-    overloadManager_.noteActivity();
+    overloadManager_.onActivity();
     Error error;
     tcp::socket socket(acceptor_.get_executor());
     acceptor_.accept(socket, error);
@@ -252,7 +252,7 @@
   connections_.erase(connection);
   overflowCount_ -= connection->isOverflow();
   reserveOverflowMemory();
-  overloadManager_.noteDescriptorUse();
+  overloadManager_.onDescriptorUseChanged();
   accept();
   if (connections_.empty() && !acceptor_.is_open() && done_) done_();
 }
--- a/src/gatekeeper/discovery_client.cpp
+++ b/src/gatekeeper/discovery_client.cpp
@@ -193,7 +193,7 @@
 
   void onInput() {
     Error error;
-    const bool responseEnded = feed(*parser_, input_, error);
+    const bool responseEnded = parseBuffered(*parser_, input_, error);
     if (error || (!responseEnded && input_.size() > kMaxHeaderBytes))
       return connectionLost("malformed HTTP response");
     if (parser_->is_header_done() && parser_->get().result() != http::status::ok) {
@@ -253,7 +253,7 @@
 
   // Drops the connection. The snapshot that is requested next supersedes the rejected list.
   void rejectList(const char* reason) {
-    rejectedListLog_.say(std::string(reason) + "; requesting a snapshot");
+    rejectedListLog_.warn(std::string(reason) + "; requesting a snapshot");
     perform(watch_.onConnectionLost(OverloadManager::now()));
   }
 
@@ -263,13 +263,13 @@
   }
 
   void logRetry(const char* reason) {
-    connectionLog_.say(std::string(reason) + "; the watch is reopened after a backoff");
+    connectionLog_.warn(std::string(reason) + "; the watch is reopened after a backoff");
   }
 
   OverloadManager& overloadManager_;
   MemoryBudget::Charge memory_;
   WaitQueues::QueueEntry incompleteMessage_;
-  OverloadManager::PausedReader pausedRead_;
+  OverloadManager::PausedRead pausedRead_;
   tcp::socket socket_;
   asio::steady_timer timer_;
   tcp::endpoint agent_;
--- a/src/gatekeeper/exclusions.cpp
+++ b/src/gatekeeper/exclusions.cpp
@@ -70,9 +70,9 @@
   const std::set<std::string> idsBefore = ids_;
   if (!pendingChanges_.empty()) {
     if (const std::error_code error = writeFileLocked())
-      errorLog().say("changes not persisted, the write is retried: " + error.message());
+      errorLog().warn("changes not persisted, the write is retried: " + error.message());
   } else if (const std::error_code error = readFileIfChanged()) {
-    errorLog().say("cannot read the file, the read is retried: " + error.message());
+    errorLog().warn("cannot read the file, the read is retried: " + error.message());
   } else {
     loaded_ = true;
   }
@@ -123,7 +123,7 @@
   if (ids)
     persistedIds_ = std::move(*ids);
   else
-    errorLog().say("the file is malformed or too large and is ignored: " + path_);
+    errorLog().warn("the file is malformed or too large and is ignored: " + path_);
   return {};
 }
 
--- a/src/gatekeeper/gatekeeper.cpp
+++ b/src/gatekeeper/gatekeeper.cpp
@@ -299,7 +299,7 @@
   for (auto& [id, request] : requests_)
     if (!request.responseStarted) monitor_.requestReleased(request.trace, now);
   if (server_.connections() == 0)
-    monitor_.checkNothingHeld(
+    monitor_.checkNoneRemaining(
         requests_.size(),
         std::to_string(requests_.size()) + " requests in flight without a client connection", now);
   done();
--- a/src/gatekeeper/gatekeeper_limits.cpp
+++ b/src/gatekeeper/gatekeeper_limits.cpp
@@ -60,7 +60,7 @@
   limit.bytes = static_cast<std::size_t>(config.memoryLimitMib * 1024 * 1024);
   limit.twoProcesses = config.inheritedListenFd >= 0;
   limit.stateFiles = !config.stateDir.empty();
-  const MemoryBudget::Shares out = sharesOf(limit);
+  const MemoryBudget::Shares out = budgetSharesFor(limit);
   if (out.total > 0) return out;
   const std::size_t minBytes = minMemoryLimit(limit.twoProcesses, limit.stateFiles);
   throw std::runtime_error(
--- a/src/gatekeeper/gatekeeper_operators.cpp
+++ b/src/gatekeeper/gatekeeper_operators.cpp
@@ -81,7 +81,7 @@
   sample.workerConnections = pool_.connections();
   sample.invariantsBroken = monitor_.total();
   logServiceReport(sample);
-  overloadManager_.logReport();
+  overloadManager_.logStatus();
 }
 
 }  // namespace wingslip
--- a/src/gatekeeper/gatekeeper_requests.cpp
+++ b/src/gatekeeper/gatekeeper_requests.cpp
@@ -47,7 +47,7 @@
   // body.
   const Time uploadMs = request.body.streamed ? kMaxUploadMs : 0;
   const decision::ClassSettings& requestClass = config_.settings.classes[parsed.classIndex];
-  request.trace.requestId = std::string(view(request.message["Req-Id"]));
+  request.trace.requestId = std::string(toStringView(request.message["Req-Id"]));
   request.trace.idempotency = requestClass.idempotency;
   request.trace.idempotencyWindowMs = requestClass.idempotencyWindowMs;
   request.trace.maxAttempts = config_.settings.maxAttempts;
@@ -55,7 +55,7 @@
   monitor_.requestReceived(request.trace, now);
   request.expiresAt = now + request.clientWaitMs + uploadMs;
   if (!request.body.streamed) startDeadlineTimer(id, request);
-  overloadManager_.noteActivity();
+  overloadManager_.onActivity();
   const decision::Request decisionRequest{id,
                                           parsed.classIndex,
                                           parsed.planIndex,
@@ -166,7 +166,7 @@
   recordAttemptEnd(outcome);
   const bool inFlight = requests_.contains(outcome.id);
   outcome.requestFinished = !inFlight || outcome.result == AttemptResult::ok;
-  overloadManager_.noteActivity();
+  overloadManager_.onActivity();
   if (inFlight && requests_.at(outcome.id).responseStarted) {
     finishStreamedResponse(end);
   } else if (inFlight && outcome.result == AttemptResult::ok) {
--- a/src/gatekeeper/handover.cpp
+++ b/src/gatekeeper/handover.cpp
@@ -32,7 +32,7 @@
                   {"warmRate", handover.warmWorkerRatePerMs},
                   {"clockOffset", handover.clockOffsetMs}};
   // Not synced to disk: the file is written every second and is valid for some seconds only.
-  replaceFile(handoverPath(stateDir), file.dump(), Durability::inKernel);
+  replaceFile(handoverPath(stateDir), file.dump(), Durability::pageCache);
 }
 
 std::optional<Handover> readHandover(const std::string& stateDir) {
--- a/src/gatekeeper/upstream_connection.cpp
+++ b/src/gatekeeper/upstream_connection.cpp
@@ -26,7 +26,7 @@
 // Requests above this size are admitted only below the high mark of the memory budget, which reserves the
 // remaining memory for smaller requests.
 constexpr std::size_t kSmallRequestBytes = 16 * 1024;
-constexpr std::size_t kBodyWindowBytes = 2 * kStreamPieceBytes + 64;  // a body piece with its chunk framing
+constexpr std::size_t kBodyWindowBytes = 2 * kStreamReadBytes + 64;  // a body piece with its chunk framing
 
 // Workers may send a second response 1 to 4 ms after the first. The next request is written only after this
 // time, so that the second response is not taken for the response to it.
@@ -56,7 +56,8 @@
   requestBytes_ = request.maxSerializedBytes + (request.readBody ? kBodyWindowBytes : 0);
   const MemoryBudget& budget = context_.overload.memory();
   const double highMark = context_.overload.state().limits().memory.high;
-  if (requestBytes_ > kSmallRequestBytes && !budget.staysUnder(highMark, Account::workers, requestBytes_))
+  if (requestBytes_ > kSmallRequestBytes &&
+      !budget.wouldStayWithin(highMark, Account::workers, requestBytes_))
     return false;
   return memory_.resize(memoryBytes(0));
 }
@@ -70,7 +71,7 @@
   return Clock::now() >= idleSince_ + kLateResponseQuarantine;
 }
 
-bool UpstreamConnection::isStale() { return peerState(socket_) != PeerState::quiet; }
+bool UpstreamConnection::isStale() { return peerState(socket_) != PeerState::idle; }
 
 void UpstreamConnection::becomeIdle() {
   idleSince_ = Clock::now();
--- a/src/gatekeeper/upstream_connection.hpp
+++ b/src/gatekeeper/upstream_connection.hpp
@@ -115,7 +115,7 @@
   void writeRemaining();
   void requestBodyPiece();
   void writeBodyPiece(std::string&& piece, bool last);
-  std::size_t readStep() const { return streaming_ ? kStreamPieceBytes : kReadBytes; }
+  std::size_t readStep() const { return streaming_ ? kStreamReadBytes : kReadBytes; }
   void read();
   void waitForMemory();
   void onRead(const Error& error, std::size_t bytes);
@@ -134,7 +134,7 @@
   const Clock::time_point openedAt_ = Clock::now();
   MemoryBudget::Charge memory_;
   WaitQueues::QueueEntry waitRecord_;
-  OverloadManager::PausedReader pausedRead_;
+  OverloadManager::PausedRead pausedRead_;
   std::size_t requestBytes_ = 0;  // reserved for the attempt: the complete request, or one window of its body
   boost::asio::ip::tcp::socket socket_;
   boost::asio::steady_timer timer_;
--- a/src/gatekeeper/upstream_response.cpp
+++ b/src/gatekeeper/upstream_response.cpp
@@ -42,8 +42,8 @@
   if (response.result() == http::status::ok) return AttemptResult::ok;
   const bool unavailable = response.result() == http::status::service_unavailable ||
                            response.result() == http::status::gateway_timeout;
-  return unavailable && view(response["Srv-Declined"]) == "1" ? AttemptResult::overloaded
-                                                              : AttemptResult::error;
+  return unavailable && toStringView(response["Srv-Declined"]) == "1" ? AttemptResult::overloaded
+                                                                      : AttemptResult::error;
 }
 
 }  // namespace
@@ -56,10 +56,10 @@
 
 UpstreamResponse::State UpstreamResponse::parse(RequestProgress request) {
   Error error;
-  bool complete = feed(*parser_, input_, error);
+  bool complete = parseBuffered(*parser_, input_, error);
   while (complete && !error && isInterim()) {
     reset();
-    complete = feed(*parser_, input_, error);
+    complete = parseBuffered(*parser_, input_, error);
   }
   // The parser's limits cover neither chunk extensions nor the trailer, which could otherwise grow without
   // bound.
@@ -108,12 +108,12 @@
   const auto& response = parser_->get();
   outcome.result = resultOf(response);
   int percent = 0;
-  if (parseNumber(view(response["X-RateLimit-Used"]), percent) && percent >= 0)
+  if (parseNumber(toStringView(response["X-RateLimit-Used"]), percent) && percent >= 0)
     outcome.quotaUsePercent = percent;
   double units = 0;
-  if (parseNumber(view(response["X-Cost-Units"]), units) && std::isfinite(units) && units > 0)
+  if (parseNumber(toStringView(response["X-Cost-Units"]), units) && std::isfinite(units) && units > 0)
     outcome.actualUnits = units;
-  outcome.loadReport = parseLoadReport(view(response["Srv-Load"]), reportFields);
+  outcome.loadReport = parseLoadReport(toStringView(response["Srv-Load"]), reportFields);
 }
 
 std::size_t UpstreamResponse::memoryBytes(std::size_t nextReadBytes) const {
--- a/src/gatekeeper/upstream_response.hpp
+++ b/src/gatekeeper/upstream_response.hpp
@@ -54,7 +54,9 @@
   /// permits a persistent connection.
   bool allowsReuse() const;
 
-  std::string contentType() const { return std::string(view(parser_->get()[http::field::content_type])); }
+  std::string contentType() const {
+    return std::string(toStringView(parser_->get()[http::field::content_type]));
+  }
   /// The Content-Length in bytes, `nullopt` if the header has none.
   std::optional<std::uint64_t> contentLength() const;
   /// Sets the outcome's result, and its quota use, actual units and load report from the header fields.
--- a/src/invariant/monitor.cpp
+++ b/src/invariant/monitor.cpp
@@ -205,7 +205,7 @@
   violated(Invariant::connectionClosedUnanswered, now, reason);
 }
 
-void Monitor::checkNothingHeld(std::size_t remaining, const std::string& description, Time now) {
+void Monitor::checkNoneRemaining(std::size_t remaining, const std::string& description, Time now) {
   if (remaining > 0) violated(Invariant::accountsNotZero, now, description);
 }
 
--- a/src/invariant/monitor.hpp
+++ b/src/invariant/monitor.hpp
@@ -90,7 +90,7 @@
   /// To be called when no work is in progress.
   /// @param remaining number of charges or entries that remain; must be 0
   /// @param description what remains, for the log
-  void checkNothingHeld(std::size_t remaining, const std::string& description, Time now);
+  void checkNoneRemaining(std::size_t remaining, const std::string& description, Time now);
 
   /// @return the number of violations of the invariant.
   std::uint64_t count(Invariant invariant) const { return counts_[static_cast<std::size_t>(invariant)]; }
--- a/src/leader_election/coordinator.hpp
+++ b/src/leader_election/coordinator.hpp
@@ -44,7 +44,7 @@
  private:
   void callStore(const StoreCall& call) override { storeClient_.call(call); }
   void cancelCall(std::uint64_t callId) override { storeClient_.cancel(callId); }
-  void logEvent(const std::string& line) override { log_.say(line); }
+  void logEvent(const std::string& line) override { log_.warn(line); }
 
   [[nodiscard]] Time now() const;
   [[nodiscard]] bool isReadyToLeave() const;
--- a/src/leader_election/store_client.cpp
+++ b/src/leader_election/store_client.cpp
@@ -42,7 +42,7 @@
 
 void StoreClient::cancel(std::uint64_t callId) {
   operationsInFlight_.erase(callId);
-  httpClient_.drop(callId);
+  httpClient_.cancel(callId);
 }
 
 void StoreClient::onResponse(std::uint64_t callId, const HttpClient::Response* response,
@@ -53,8 +53,8 @@
   StoreReply reply;
   std::string parseError;
   try {
-    reply =
-        parseReply(operation, response->result_int(), view((*response)["X-Consul-Index"]), response->body());
+    reply = parseReply(operation, response->result_int(), toStringView((*response)["X-Consul-Index"]),
+                       response->body());
   } catch (const std::runtime_error& exception) {
     parseError = exception.what();
   }
--- a/src/net/durable_file.hpp
+++ b/src/net/durable_file.hpp
@@ -13,8 +13,8 @@
 
 /// The failures that a replacement survives once `replaceFile` has returned without an error.
 enum class Durability {
-  onDisk,    ///< file and directory are synced: survives a power failure
-  inKernel,  ///< not synced: survives the end of the process only
+  onDisk,     ///< file and directory are synced: survives a power failure
+  pageCache,  ///< not synced: survives the end of the process only
 };
 
 /// Writes `bytes` to a temporary file and renames it to `path`. Blocks for as long as the disk takes
--- a/src/net/http.hpp
+++ b/src/net/http.hpp
@@ -22,11 +22,11 @@
 constexpr std::size_t kMaxBodyBytes = std::size_t{32} * 1024 * 1024;  ///< limit for requests and responses
 constexpr std::size_t kMaxBufferedBodyBytes = 64 * 1024;              ///< longer bodies are streamed
 constexpr std::size_t kMaxHeaderBytes = 16 * 1024;                    ///< limit for requests and responses
-constexpr std::size_t kReadBytes = 4096;              ///< size of one read, except of a streamed body
-constexpr std::size_t kStreamPieceBytes = 16 * 1024;  ///< size of one read of a streamed body
+constexpr std::size_t kReadBytes = 4096;             ///< size of one read, except of a streamed body
+constexpr std::size_t kStreamReadBytes = 16 * 1024;  ///< size of one read of a streamed body
 
 /// Converts Beast's string view; the result refers to the same characters.
-inline std::string_view view(beast::string_view text) { return {text.data(), text.size()}; }
+inline std::string_view toStringView(beast::string_view text) { return {text.data(), text.size()}; }
 
 /// A Beast body type for the part of a body that has been received and not yet consumed. No memory is
 /// preallocated for the length that the header states.
@@ -60,7 +60,7 @@
 /// header, and does not report that the header had exceeded its limit.
 /// @return whether the message is complete; `error` is set if it is invalid
 template <class Parser>
-bool feed(Parser& parser, beast::flat_buffer& in, Error& error) {
+bool parseBuffered(Parser& parser, beast::flat_buffer& in, Error& error) {
   parser.eager(false);
   while (!parser.is_done() && in.size() > 0) {
     const std::size_t used = parser.put(in.data(), error);
@@ -101,7 +101,7 @@
 
 /// Appends the serialized header only. The caller appends the body with the framing that the header states.
 template <bool isRequest>
-void appendHead(std::string& out, const http::message<isRequest, http::empty_body>& message) {
+void appendHeader(std::string& out, const http::message<isRequest, http::empty_body>& message) {
   http::serializer<isRequest, http::empty_body> serializer(message);
   serializer.split(true);
   Error error;
--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -122,7 +122,7 @@
     newCall->start(timeout);
 }
 
-void HttpClient::drop(std::uint64_t id) {
+void HttpClient::cancel(std::uint64_t id) {
   const auto found = calls_.find(id);
   if (found == calls_.end()) return;
   found->second->closeConnection();
--- a/src/net/http_client.hpp
+++ b/src/net/http_client.hpp
@@ -45,7 +45,7 @@
   void call(std::uint64_t id, const boost::asio::ip::tcp::endpoint& to, Request&& request,
             std::chrono::steady_clock::duration timeout);
   /// Cancels a call without invoking the handler; no effect for an unknown id.
-  void drop(std::uint64_t id);
+  void cancel(std::uint64_t id);
   /// @return the number of calls in flight.
   std::size_t callsInFlight() const { return calls_.size(); }
 
--- a/src/net/overload_manager.cpp
+++ b/src/net/overload_manager.cpp
@@ -35,14 +35,14 @@
 OverloadManager::OverloadManager(asio::io_context& io, const MemoryBudget::Shares& shares,
                                  const OverloadState::Limits& limits)
     : io_(io), memory_(shares), state_(limits), tickTimer_(io), lagTimer_(io) {
-  memory_.observe(
+  memory_.setCallbacks(
       limits.memory.low, limits.memory.high, [this] { postEvaluation(); }, [this] { postResume(); });
-  waitQueues_.setReader(WaitQueue::eventLoop, [this](double) {
-    WaitQueues::Figures figures;
-    figures.waiting = isMeasuringLag_;
-    figures.oldestMs = lagMs_;
-    figures.peak = static_cast<std::size_t>(peakLagMs_);
-    return figures;
+  waitQueues_.setExternalSource(WaitQueue::eventLoop, [this](double) {
+    WaitQueues::Statistics statistics;
+    statistics.waiting = isMeasuringLag_;
+    statistics.oldestMs = lagMs_;
+    statistics.peak = static_cast<std::size_t>(peakLagMs_);
+    return statistics;
   });
 }
 
@@ -60,7 +60,7 @@
 
 // --- Overload --------------------------------------------------------------------------------------------
 
-void OverloadManager::noteActivity() {
+void OverloadManager::onActivity() {
   if (!isMeasuringLag_ && now() - lagMeasurementStartedAt_ >= kLagIntervalMs) measureLag();
 }
 
@@ -86,7 +86,7 @@
   if (!wasNormal || !state_.isNormal()) evaluate();
 }
 
-void OverloadManager::noteDescriptorUse() {
+void OverloadManager::onDescriptorUseChanged() {
   const bool aboveMark = descriptorUsage_ && descriptorUsage_() >= state_.limits().descriptors.high;
   if (aboveMark != areDescriptorsOverloaded()) postEvaluation();
 }
@@ -117,9 +117,9 @@
 
 // --- Paused reads ----------------------------------------------------------------------------------------
 
-void OverloadManager::pauseUntilMemory(PausedReader& reader, Account account, std::weak_ptr<void> owner,
+void OverloadManager::pauseUntilMemory(PausedRead& reader, Account account, std::weak_ptr<void> owner,
                                        std::function<bool()> resume, std::function<void()> checkPeer) {
-  if (reader.isPaused() && reader.resume_) return;  // retains its position in the order of arrival
+  if (reader.isRegistered() && reader.resume_) return;  // retains its position in the order of arrival
   reader.clear();
   reader.owner_ = std::move(owner);
   reader.resume_ = std::move(resume);
@@ -129,9 +129,9 @@
   scheduleTick();
 }
 
-void OverloadManager::watchPeer(PausedReader& reader, std::weak_ptr<void> owner,
+void OverloadManager::watchPeer(PausedRead& reader, std::weak_ptr<void> owner,
                                 std::function<void()> checkPeer) {
-  if (reader.isPaused() && !reader.resume_) return;
+  if (reader.isRegistered() && !reader.resume_) return;
   reader.clear();
   reader.owner_ = std::move(owner);
   reader.resume_ = nullptr;
@@ -170,11 +170,11 @@
   std::size_t failed = 0;
   for (const auto& [owner, reader] : lockOwners(pausedReaders_[static_cast<std::size_t>(account)])) {
     if (failed >= kMaxFailedResumes) return;
-    if (!owner || !reader->isPaused()) continue;  // destroyed or ended by an earlier callback
+    if (!owner || !reader->isRegistered()) continue;  // destroyed or ended by an earlier callback
     const auto resume = reader->resume_;
     if (!resume())
       ++failed;
-    else if (reader->isPaused())
+    else if (reader->isRegistered())
       reader->clear();
   }
 }
@@ -183,13 +183,13 @@
 // owners.
 std::vector<OverloadManager::OwnedReader> OverloadManager::lockOwners(Readers& readers) {
   std::vector<OwnedReader> lockedReaders;
-  for (PausedReader& reader : readers) lockedReaders.push_back({reader.owner_.lock(), &reader});
+  for (PausedRead& reader : readers) lockedReaders.push_back({reader.owner_.lock(), &reader});
   return lockedReaders;
 }
 
 void OverloadManager::checkPeers(Readers& readers) {
   for (const auto& [owner, reader] : lockOwners(readers)) {
-    if (!owner || !reader->isPaused() || !reader->checkPeer_) continue;
+    if (!owner || !reader->isRegistered() || !reader->checkPeer_) continue;
     const auto checkPeer = reader->checkPeer_;
     checkPeer();
   }
@@ -244,7 +244,7 @@
   return out + waitQueues_.telemetry(now());
 }
 
-void OverloadManager::logReport() {
+void OverloadManager::logStatus() {
   processLog().info(
       "event=pressure stage={} memory={} descriptors={} loop={} held_bytes={} budget_bytes={} most_bytes={} "
       "{}",
--- a/src/net/overload_manager.hpp
+++ b/src/net/overload_manager.hpp
@@ -31,11 +31,11 @@
 
   /// Registration of a read that is paused for lack of memory, or whose peer is only watched. A member of the
   /// read's owner; its destructor ends the registration.
-  class PausedReader
+  class PausedRead
       : public boost::intrusive::list_base_hook<boost::intrusive::link_mode<boost::intrusive::auto_unlink>> {
    public:
-    PausedReader() = default;
-    ~PausedReader() { clear(); }
+    PausedRead() = default;
+    ~PausedRead() { clear(); }
     /// Ends the registration, if there is one.
     void clear() {
       unlink();
@@ -43,7 +43,7 @@
       owner_.reset();
     }
     /// @return whether it is registered, as paused or as watched.
-    bool isPaused() const { return is_linked(); }
+    bool isRegistered() const { return is_linked(); }
 
    private:
     friend class OverloadManager;
@@ -75,21 +75,21 @@
 
   /// To be called when a connection, a request or a response has arrived. Measures the event loop's lag, at
   /// most every 10 ms.
-  void noteActivity();
+  void onActivity();
   /// To be called when a connection has become busy or has ended. Posts an evaluation if the descriptor
   /// overload may have started or ended.
-  void noteDescriptorUse();
+  void onDescriptorUseChanged();
 
   /// Pauses a read until memory is available. A read that is already paused retains its position. Neither
   /// callback is called before this function returns, nor after the owner is destroyed.
   /// @param resume called when memory is freed or the memory overload ends, in order of arrival within the
   /// account; returns true if the read resumed or is no longer needed
   /// @param checkPeer called every 250 ms; may be null
-  void pauseUntilMemory(PausedReader& reader, Account account, std::weak_ptr<void> owner,
+  void pauseUntilMemory(PausedRead& reader, Account account, std::weak_ptr<void> owner,
                         std::function<bool()> resume, std::function<void()> checkPeer);
   /// Watches the peer of a read that is paused for another reason than memory: only `checkPeer` is called,
   /// every 250 ms.
-  void watchPeer(PausedReader& reader, std::weak_ptr<void> owner, std::function<void()> checkPeer);
+  void watchPeer(PausedRead& reader, std::weak_ptr<void> owner, std::function<void()> checkPeer);
 
   /// @return whether memory is overloaded; request bodies must then not be read ahead.
   bool isMemoryOverloaded() const { return state_.level(OverloadSource::memory) != OverloadLevel::none; }
@@ -100,13 +100,13 @@
 
   std::string telemetry() const;  ///< metrics, one `svc.` line each
   /// Logs one line with the overload levels, the memory use and the wait queues.
-  void logReport();
+  void logStatus();
 
  private:
-  using Readers = boost::intrusive::list<PausedReader, boost::intrusive::constant_time_size<false>>;
+  using Readers = boost::intrusive::list<PausedRead, boost::intrusive::constant_time_size<false>>;
   struct OwnedReader {
     std::shared_ptr<void> owner;  // null if the owner is destroyed; `reader` is then dangling
-    PausedReader* reader;
+    PausedRead* reader;
   };
 
   static std::vector<OwnedReader> lockOwners(Readers& readers);
--- a/src/net/rate_limited_log.hpp
+++ b/src/net/rate_limited_log.hpp
@@ -20,7 +20,7 @@
 
   /// Logs a warning with the number of lines suppressed since the last one, or suppresses it if the last
   /// warning was logged less than the interval ago.
-  void say(const std::string& text) {
+  void warn(const std::string& text) {
     const auto now = std::chrono::steady_clock::now();
     if (now < nextLineAt_) return void(++suppressed_);
     processLog().warn("event={} text=\"{}\" left_out={}", event_, text, std::exchange(suppressed_, 0));
--- a/src/net/socket_io.hpp
+++ b/src/net/socket_io.hpp
@@ -60,9 +60,9 @@
 
 /// The state of a connection, determined without consuming received bytes.
 enum class PeerState {
-  quiet,    ///< open, without received bytes
-  hasSent,  ///< received bytes are available
-  ended,    ///< closed, reset or failed
+  idle,           ///< open, without received bytes
+  dataAvailable,  ///< received bytes are available
+  closed,         ///< closed, reset or failed
 };
 
 /// Peeks at a non-blocking socket. A connection counts as open if the state cannot be determined now.
@@ -72,9 +72,9 @@
   const std::size_t bytes = detail::retryOnInterrupt(error, [&] {
     return socket.receive(boost::asio::buffer(&byte, 1), boost::asio::ip::tcp::socket::message_peek, error);
   });
-  if (error == boost::asio::error::would_block) return PeerState::quiet;
-  if (error || bytes == 0) return PeerState::ended;
-  return PeerState::hasSent;
+  if (error == boost::asio::error::would_block) return PeerState::idle;
+  if (error || bytes == 0) return PeerState::closed;
+  return PeerState::dataAvailable;
 }
 
 /// Writes all bytes of `remaining`, which must outlive the operation, and then calls `handler(error)`, never
--- a/src/overload/memory_budget.cpp
+++ b/src/overload/memory_budget.cpp
@@ -116,7 +116,7 @@
   return {temporary, temporary + available(account)};
 }
 
-bool MemoryBudget::staysUnder(double mark, Account account, std::size_t bytes) const {
+bool MemoryBudget::wouldStayWithin(double mark, Account account, std::size_t bytes) const {
   const Usage now = usage(account);
   return static_cast<double>(now.used + bytes) <= mark * static_cast<double>(now.limit);
 }
@@ -130,8 +130,8 @@
   return highest;
 }
 
-void MemoryBudget::observe(double lowMark, double highMark, std::function<void()> onMarkCrossed,
-                           std::function<void()> onFreed) {
+void MemoryBudget::setCallbacks(double lowMark, double highMark, std::function<void()> onMarkCrossed,
+                                std::function<void()> onFreed) {
   lowMark_ = lowMark;
   highMark_ = highMark;
   onMarkCrossed_ = std::move(onMarkCrossed);
@@ -143,7 +143,7 @@
   return perProcess * (twoProcesses ? 2 : 1) + (stateFiles ? kStateFileBytes : 0);
 }
 
-MemoryBudget::Shares sharesOf(const MemoryLimit& limit) {
+MemoryBudget::Shares budgetSharesFor(const MemoryLimit& limit) {
   MemoryBudget::Shares shares;
   if (limit.bytes < minMemoryLimit(limit.twoProcesses, limit.stateFiles)) return shares;
   std::size_t processLimit = limit.bytes - (limit.stateFiles ? kStateFileBytes : 0);
--- a/src/overload/memory_budget.hpp
+++ b/src/overload/memory_budget.hpp
@@ -78,7 +78,7 @@
   /// @return the bytes by which charges of this account can grow now.
   std::size_t available(Account account) const;
   /// @return whether the account's usage share would be at most `mark` (0 to 1) after `bytes` more.
-  bool staysUnder(double mark, Account account, std::size_t bytes) const;
+  bool wouldStayWithin(double mark, Account account, std::size_t bytes) const;
 
   std::size_t total() const { return shares_.total; }
   std::size_t used() const { return used_; }
@@ -97,8 +97,8 @@
   /// @param onMarkCrossed called when the highest usage has reached `highMark`, and again when it has fallen
   /// to `lowMark`
   /// @param onFreed called after each release
-  void observe(double lowMark, double highMark, std::function<void()> onMarkCrossed,
-               std::function<void()> onFreed);
+  void setCallbacks(double lowMark, double highMark, std::function<void()> onMarkCrossed,
+                    std::function<void()> onFreed);
 
  private:
   struct AccountState {
@@ -117,7 +117,7 @@
   std::size_t used_ = 0;
   std::size_t peak_ = 0;
   double lowMark_ = 0;
-  double highMark_ = 2;     // above any share, so that no mark is crossed before `observe` is called
+  double highMark_ = 2;     // above any share, so that no mark is crossed before `setCallbacks` is called
   bool aboveMark_ = false;  // hysteresis: set at the high mark, cleared at the low mark
   std::function<void()> onMarkCrossed_;
   std::function<void()> onFreed_;
@@ -131,7 +131,7 @@
 };
 
 /// @return the budget of one process, or a total of 0 if the limit is below `minMemoryLimit`.
-MemoryBudget::Shares sharesOf(const MemoryLimit& limit);
+MemoryBudget::Shares budgetSharesFor(const MemoryLimit& limit);
 /// @return the smallest limit, in bytes, for which the budget is usable.
 std::size_t minMemoryLimit(bool twoProcesses, bool stateFiles);
 
--- a/src/overload/wait_queues.cpp
+++ b/src/overload/wait_queues.cpp
@@ -26,24 +26,26 @@
   queues_ = nullptr;
 }
 
-void WaitQueues::setReader(WaitQueue queue, Reader reader) { record(queue).reader = std::move(reader); }
+void WaitQueues::setExternalSource(WaitQueue queue, ExternalSource externalSource) {
+  record(queue).externalSource = std::move(externalSource);
+}
 
-WaitQueues::Figures WaitQueues::figures(WaitQueue queue, Time now) const {
+WaitQueues::Statistics WaitQueues::statistics(WaitQueue queue, Time now) const {
   const Record& queueRecord = record(queue);
-  Figures figures;
-  if (queueRecord.reader) figures = queueRecord.reader(now);
-  figures.waiting += queueRecord.waiting;
-  figures.peak = std::max(figures.peak, queueRecord.peak);
-  figures.rejections += queueRecord.rejections;
+  Statistics statistics;
+  if (queueRecord.externalSource) statistics = queueRecord.externalSource(now);
+  statistics.waiting += queueRecord.waiting;
+  statistics.peak = std::max(statistics.peak, queueRecord.peak);
+  statistics.rejections += queueRecord.rejections;
   if (!queueRecord.entries.empty())
-    figures.oldestMs = std::max(figures.oldestMs, now - queueRecord.entries.front().since());
-  return figures;
+    statistics.oldestMs = std::max(statistics.oldestMs, now - queueRecord.entries.front().since());
+  return statistics;
 }
 
 std::string WaitQueues::telemetry(Time now) const {
   std::string out;
   for (std::size_t i = 0; i < kWaitQueues; ++i) {
-    const Figures current = figures(static_cast<WaitQueue>(i), now);
+    const Statistics current = statistics(static_cast<WaitQueue>(i), now);
     const char* name = kWaitQueueNames[i].data();
     char lines[320];
     const int length =
@@ -60,7 +62,7 @@
 std::string WaitQueues::logLine(Time now) const {
   std::string out;
   for (std::size_t i = 0; i < kWaitQueues; ++i) {
-    const Figures current = figures(static_cast<WaitQueue>(i), now);
+    const Statistics current = statistics(static_cast<WaitQueue>(i), now);
     if (current.waiting == 0 && current.rejections == 0) continue;
     char part[96];
     const int length =
--- a/src/overload/wait_queues.hpp
+++ b/src/overload/wait_queues.hpp
@@ -43,7 +43,7 @@
   using Time = double;  ///< milliseconds of any monotonic clock
 
   /// The statistics of one queue.
-  struct Figures {
+  struct Statistics {
     std::size_t waiting = 0;       ///< present length
     std::size_t peak = 0;          ///< greatest length so far
     Time oldestMs = 0;             ///< age of the oldest entry
@@ -75,19 +75,19 @@
   };
 
   /// Returns the statistics of a queue that is counted elsewhere.
-  using Reader = std::function<Figures(Time now)>;
+  using ExternalSource = std::function<Statistics(Time now)>;
   /// Sets the source of the statistics of a queue that is counted elsewhere (by the kernel or the event
   /// loop); null removes it.
-  void setReader(WaitQueue queue, Reader reader);
+  void setExternalSource(WaitQueue queue, ExternalSource externalSource);
   /// Adds rejections to the queue's count.
   void countRejection(WaitQueue queue, std::uint64_t count = 1) { record(queue).rejections += count; }
 
-  /// @return the queue's statistics, combined with those of its reader.
-  Figures figures(WaitQueue queue, Time now) const;
-  /// @return the number of entries, without those that a reader counts.
+  /// @return the queue's statistics, combined with those of its external source.
+  Statistics statistics(WaitQueue queue, Time now) const;
+  /// @return the number of entries, without those that an external source counts.
   std::size_t waiting(WaitQueue queue) const { return record(queue).waiting; }
-  /// @return whether the queue has ever had an entry or has a reader.
-  bool isReported(WaitQueue queue) const { return record(queue).everEntered || record(queue).reader; }
+  /// @return whether the queue has ever had an entry or has an external source.
+  bool isReported(WaitQueue queue) const { return record(queue).everEntered || record(queue).externalSource; }
 
   std::string telemetry(Time now) const;  ///< the `svc.wait` metrics, one per line
   std::string logLine(Time now) const;    ///< key=value pairs of the queues with entries or rejections
@@ -100,7 +100,7 @@
     std::size_t peak = 0;
     std::uint64_t rejections = 0;
     bool everEntered = false;
-    Reader reader;
+    ExternalSource externalSource;
   };
   Record& record(WaitQueue queue) { return records_[static_cast<std::size_t>(queue)]; }
   const Record& record(WaitQueue queue) const { return records_[static_cast<std::size_t>(queue)]; }
--- a/src/replication/replica_connection.cpp
+++ b/src/replication/replica_connection.cpp
@@ -65,7 +65,7 @@
 
 void ReplicaConnection::serve() {
   const auto& request = parser_.get();
-  if (request.method() != http::verb::post || view(request.target()) != kRequestPath)
+  if (request.method() != http::verb::post || toStringView(request.target()) != kRequestPath)
     return reject(http::status::not_found);
   counts_.bytesIn += request.body().size();
   try {
--- a/src/replication/replica_node.cpp
+++ b/src/replication/replica_node.cpp
@@ -88,7 +88,7 @@
 
 void ReplicaNode::listen() {
   if (const Error error = openAcceptor()) {
-    log_.say("cannot listen; retrying: " + error.message());
+    log_.warn("cannot listen; retrying: " + error.message());
     Error ignored;
     acceptor_.close(ignored);
     listenTimer_.expires_after(kListenRetryPeriod);
@@ -194,8 +194,8 @@
   replica_->tick(now());
   if (replica_->caughtUp() && caughtUpAt_ < 0) {
     caughtUpAt_ = now();
-    log_.say("copy caught up with another member after " +
-             std::to_string(static_cast<long>(caughtUpAt_ - startedAt_)) + " ms");
+    log_.warn("copy caught up with another member after " +
+              std::to_string(static_cast<long>(caughtUpAt_ - startedAt_)) + " ms");
   }
   scheduleTick();
 }
--- a/src/replication/replica_node.hpp
+++ b/src/replication/replica_node.hpp
@@ -61,7 +61,7 @@
  private:
   void send(const OutgoingRequest& request) override;
   void onRowChanged(const Row& row) override { rowCallback_(row); }
-  void log(const std::string& line) override { log_.say(line); }
+  void log(const std::string& line) override { log_.warn(line); }
   std::int64_t unixMs() const override;
   std::optional<std::string> onRequestBody(const std::string& body) override;
   void onMalformedRequest(const std::string& reason) override { log(reason); }
--- a/tests/accept_cost_test.cpp
+++ b/tests/accept_cost_test.cpp
@@ -97,7 +97,7 @@
   }
   std::size_t accepted() { return totalAccepted += server->takeStats().accepted; }
 
-  OverloadManager overloadManager{io, sharesOf({512 * kMebibyte}), OverloadState::Limits{}};
+  OverloadManager overloadManager{io, budgetSharesFor({512 * kMebibyte}), OverloadState::Limits{}};
   Config config;
   SilentHandler handler;
   std::optional<ClientServer> server;
@@ -212,19 +212,19 @@
       "event loop overload");
 }
 
-// `noteActivity` is called by the first handler of the loop iteration; only a timer measures the handlers
+// `onActivity` is called by the first handler of the loop iteration; only a timer measures the handlers
 // after it.
 TEST_F(AcceptCost, EventLoopLagIncludesAllHandlersOfAnIteration) {
   bool ran = false;
   asio::post(io, [&] {
-    overloadManager.noteActivity();
+    overloadManager.onActivity();
     ran = true;
   });
   asio::post(io, [] {
     for (const auto until = Steady::now() + 300ms; Steady::now() < until;) {
     }
   });
-  until([&] { return ran && overloadManager.waitQueues().figures(WaitQueue::eventLoop, 0).peak >= 250; },
+  until([&] { return ran && overloadManager.waitQueues().statistics(WaitQueue::eventLoop, 0).peak >= 250; },
         "the lag");
   EXPECT_EQ(overloadManager.state().level(OverloadSource::eventLoop), OverloadLevel::shedding);
 }
--- a/tests/client_server_test.cpp
+++ b/tests/client_server_test.cpp
@@ -34,7 +34,7 @@
   }
   Config config;
   UnresponsiveHandler handler;
-  OverloadManager overloadManager{io, sharesOf({std::size_t{64} << 20}), OverloadState::Limits{}};
+  OverloadManager overloadManager{io, budgetSharesFor({std::size_t{64} << 20}), OverloadState::Limits{}};
   std::optional<ClientServer> server;
 };
 
--- a/tests/discovery_backoff_test.cpp
+++ b/tests/discovery_backoff_test.cpp
@@ -11,7 +11,7 @@
   // `gatekeepers` is the size of the fleet that the limits of their watches are computed for.
   std::chrono::milliseconds timeToFirstReconnect(unsigned gatekeepers) {
     Listener agent(io);
-    OverloadManager overloadManager(io, sharesOf({std::size_t{64} << 20}), OverloadState::Limits{});
+    OverloadManager overloadManager(io, budgetSharesFor({std::size_t{64} << 20}), OverloadState::Limits{});
     std::vector<std::unique_ptr<DiscoveryClient>> clients;
     for (unsigned i = 0; i < 10; ++i) {
       clients.push_back(std::make_unique<DiscoveryClient>(
--- a/tests/invariant_test.cpp
+++ b/tests/invariant_test.cpp
@@ -50,7 +50,7 @@
   sendAndEnd(AttemptResult::ok, 20);
   monitor.requestAnswered(trace, RequestState::answered, 40);
   monitor.requestReleased(trace, 41);
-  monitor.checkNothingHeld(0, "", 42);
+  monitor.checkNoneRemaining(0, "", 42);
   EXPECT_EQ(monitor.total(), 0u);
   EXPECT_TRUE(lines.empty());
 }
@@ -174,7 +174,7 @@
 TEST_F(InvariantMonitor, UnansweredConnectionsAndRemainingRequestsAreCounted) {
   monitor.connectionClosedUnanswered("idle", 1);
   EXPECT_EQ(monitor.count(Invariant::connectionClosedUnanswered), 1u);
-  monitor.checkNothingHeld(2, "2 requests", 2);
+  monitor.checkNoneRemaining(2, "2 requests", 2);
   EXPECT_EQ(monitor.count(Invariant::accountsNotZero), 1u);
   EXPECT_EQ(monitor.total(), 2u);
 }
--- a/tests/memory_budget_test.cpp
+++ b/tests/memory_budget_test.cpp
@@ -51,7 +51,7 @@
 TEST(MemoryBudget, ReportsTheAccountWithTheHighestUsage) {
   MemoryBudget budget(shares(100, 20, 50));
   std::size_t crossed = 0;
-  budget.observe(
+  budget.setCallbacks(
       0.5, 0.8, [&] { ++crossed; }, [] {});
   auto clients = budget.open(Account::clients);
   ASSERT_TRUE(clients.resize(39));  // of the 50 bytes that it may use
@@ -78,8 +78,8 @@
   EXPECT_FALSE(other.resize(11));
   ASSERT_TRUE(other.resize(5));
   EXPECT_EQ(budget.highestUsage().share(), 0.5);
-  EXPECT_TRUE(budget.staysUnder(0.75, Account::clients, 2));
-  EXPECT_FALSE(budget.staysUnder(0.75, Account::clients, 3));
+  EXPECT_TRUE(budget.wouldStayWithin(0.75, Account::clients, 2));
+  EXPECT_FALSE(budget.wouldStayWithin(0.75, Account::clients, 3));
   ASSERT_TRUE(permanent.resize(92));
   EXPECT_EQ(budget.highestUsage().used, 7u);
   EXPECT_EQ(permanent.split(50).bytes(), 2u);  // released immediately by the temporary's destructor
@@ -129,7 +129,7 @@
     std::vector<std::pair<Account, MemoryBudget::Charge>> charges;
     std::size_t crossings = 0, expectedPeak = 0;
     bool highMarkReached = false;
-    budget.observe(
+    budget.setCallbacks(
         0.4, 0.7, [&] { ++crossings; }, [] {});
     for (int step = 0; step < 400; ++step) {
       const auto account = static_cast<Account>(below(kAccounts));
@@ -192,7 +192,7 @@
 TEST(MemoryBudget, TheBudgetExcludesMemoryOfTheProcessAHandoverAndStateFiles) {
   constexpr std::size_t mib = std::size_t{1} << 20;
   const auto total = [](std::size_t limit, bool twoProcesses, bool stateFiles) {
-    return sharesOf({limit * mib, twoProcesses, stateFiles}).total;
+    return budgetSharesFor({limit * mib, twoProcesses, stateFiles}).total;
   };
   EXPECT_EQ(total(32, false, false), 15 * mib);
   EXPECT_LT(total(32, false, true), 15 * mib);
@@ -200,13 +200,13 @@
   for (const bool twoProcesses : {false, true})
     for (const bool stateFiles : {false, true}) {
       const std::size_t minimumLimit = minMemoryLimit(twoProcesses, stateFiles);
-      EXPECT_EQ(sharesOf({minimumLimit - 1, twoProcesses, stateFiles}).total, 0u);
-      EXPECT_GE(sharesOf({minimumLimit, twoProcesses, stateFiles}).total, mib * 99 / 100);
+      EXPECT_EQ(budgetSharesFor({minimumLimit - 1, twoProcesses, stateFiles}).total, 0u);
+      EXPECT_GE(budgetSharesFor({minimumLimit, twoProcesses, stateFiles}).total, mib * 99 / 100);
       EXPECT_LE(minimumLimit, 32 * mib);  // the platform's smallest memory limit
       std::size_t reserved = 0;
-      for (const std::size_t part : sharesOf({minimumLimit, twoProcesses, stateFiles}).reserved)
+      for (const std::size_t part : budgetSharesFor({minimumLimit, twoProcesses, stateFiles}).reserved)
         reserved += part;
-      EXPECT_LT(reserved, sharesOf({minimumLimit, twoProcesses, stateFiles}).total);
+      EXPECT_LT(reserved, budgetSharesFor({minimumLimit, twoProcesses, stateFiles}).total);
     }
 }
 
--- a/tests/ops_test.cpp
+++ b/tests/ops_test.cpp
@@ -30,7 +30,7 @@
 };
 
 TEST_F(Loopback, MembersResponseOfALargeFleetIsCompleteIfMemoryIsAvailable) {
-  OverloadManager overloadManager{io, sharesOf({std::size_t{32} << 20}), OverloadState::Limits{}};
+  OverloadManager overloadManager{io, budgetSharesFor({std::size_t{32} << 20}), OverloadState::Limits{}};
   LargeFleetCalls calls;
   OpsServer server(io, OpsServer::Limits{}, calls, overloadManager);
   server.start({asio::ip::address_v4::loopback(), 0});
--- a/tests/overflow_connections_test.cpp
+++ b/tests/overflow_connections_test.cpp
@@ -45,7 +45,7 @@
     }
     until([&] { return handler.responders.size() == 30; }, "a request in flight on every regular connection");
   }
-  OverloadManager overloadManager{io, sharesOf({64 * kMiB}), OverloadState::Limits{}};
+  OverloadManager overloadManager{io, budgetSharesFor({64 * kMiB}), OverloadState::Limits{}};
   ClientServer::Limits limits;
   Config config;
   RecordingHandler handler;
--- a/tests/overload_fixture.hpp
+++ b/tests/overload_fixture.hpp
@@ -67,7 +67,7 @@
   MemoryBudget& memory() { return gatekeeper->overloadManager().memory(); }
   std::size_t waiting(WaitQueue queue) { return gatekeeper->overloadManager().waitQueues().waiting(queue); }
   std::uint64_t rejections(WaitQueue queue) {
-    return gatekeeper->overloadManager().waitQueues().figures(queue, OverloadManager::now()).rejections;
+    return gatekeeper->overloadManager().waitQueues().statistics(queue, OverloadManager::now()).rejections;
   }
   // Charges the available memory of the clients' account except `remainingBytes`, as other clients would.
   void fillMemory(std::size_t remainingBytes, bool permanent = false) {
--- a/tests/races_test.cpp
+++ b/tests/races_test.cpp
@@ -157,7 +157,7 @@
 
   Config config = parseConfig(configJson("127.0.0.1:1").dump());
   RecordingHandler handler;
-  OverloadManager overloadManager{io, sharesOf({std::size_t{64} << 20}), OverloadState::Limits{}};
+  OverloadManager overloadManager{io, budgetSharesFor({std::size_t{64} << 20}), OverloadState::Limits{}};
   ClientServer server{io, config, {}, handler, overloadManager};
 };
 
--- a/tests/stream_test.cpp
+++ b/tests/stream_test.cpp
@@ -194,7 +194,7 @@
   asio::buffer_copy(in.prepare(text.size()), asio::buffer(text));
   in.commit(text.size());
   Error error;
-  EXPECT_FALSE(feed(parser, in, error));
+  EXPECT_FALSE(parseBuffered(parser, in, error));
   EXPECT_FALSE(error);
   EXPECT_LT(parser.get().body().capacity(), 1000u);
   open();
--- a/tests/upstream_pool_fixture.hpp
+++ b/tests/upstream_pool_fixture.hpp
@@ -60,7 +60,7 @@
   }
 
   Listener worker{io};
-  OverloadManager overloadManager{io, sharesOf({std::size_t{64} << 20}), OverloadState::Limits{}};
+  OverloadManager overloadManager{io, budgetSharesFor({std::size_t{64} << 20}), OverloadState::Limits{}};
   std::vector<AttemptEnd> attemptEnds;
   std::function<void()> onNextEnd;  // called once, when the next attempt ends
   std::optional<UpstreamPool> pool;
--- a/tests/wait_queues_test.cpp
+++ b/tests/wait_queues_test.cpp
@@ -16,11 +16,11 @@
     WaitQueues::QueueEntry first, second;
     first.enter(queues, WaitQueue::inFlight, 100);
     second.enter(queues, WaitQueue::inFlight, 300);
-    EXPECT_EQ(queues.figures(WaitQueue::inFlight, 1000).waiting, 2u);
-    EXPECT_EQ(queues.figures(WaitQueue::inFlight, 1000).oldestMs, 900);
+    EXPECT_EQ(queues.statistics(WaitQueue::inFlight, 1000).waiting, 2u);
+    EXPECT_EQ(queues.statistics(WaitQueue::inFlight, 1000).oldestMs, 900);
     first.enter(queues, WaitQueue::responseWrite, 1000);  // moves from one queue to another
-    EXPECT_EQ(queues.figures(WaitQueue::inFlight, 1000).oldestMs, 700);
-    EXPECT_EQ(queues.figures(WaitQueue::inFlight, 1000).peak, 2u);
+    EXPECT_EQ(queues.statistics(WaitQueue::inFlight, 1000).oldestMs, 700);
+    EXPECT_EQ(queues.statistics(WaitQueue::inFlight, 1000).peak, 2u);
     second.leave();
     second.leave();
     EXPECT_EQ(queues.waiting(WaitQueue::inFlight), 0u);
@@ -28,7 +28,7 @@
   }
   EXPECT_EQ(queues.waiting(WaitQueue::responseWrite), 0u);
   queues.countRejection(WaitQueue::freeConnection, 3);
-  EXPECT_EQ(queues.figures(WaitQueue::freeConnection, 1000).rejections, 3u);
+  EXPECT_EQ(queues.statistics(WaitQueue::freeConnection, 1000).rejections, 3u);
   EXPECT_NE(queues.logLine(1000).find("wait.no_room=0/0/0/3"), std::string::npos) << queues.logLine(1000);
 }
 
