--- a/tests/accept_cost_test.cpp
+++ b/tests/accept_cost_test.cpp
@@ -86,7 +86,7 @@
     server->start();
     while (clients.size() < connections) {
       clients.push_back(connect());
-      until([&] { return server->connections() == clients.size(); }, "a connection");
+      waitUntil([&] { return server->connections() == clients.size(); }, "a connection");
     }
   }
   // A client that never sends anything.
@@ -117,7 +117,7 @@
   const std::size_t queriesBefore = socketQueries;
   for (std::size_t i = 1; i <= kAccepts; ++i) {
     clients.push_back(connect());
-    until([&] { return accepted() == before + i; }, "an accept");
+    waitUntil([&] { return accepted() == before + i; }, "an accept");
   }
   EXPECT_EQ(server->connections(), GetParam());
   EXPECT_LE(socketQueries - queriesBefore, kAccepts * kMaxQueries);
@@ -132,10 +132,10 @@
   first->read();
   second->read();
   first->send("GET /health/ready HTTP/1.1\r\nHost: b\r\n\r\n");
-  until([&] { return first->has("HTTP/1.1 200"); }, "a response");
+  waitUntil([&] { return first->has("HTTP/1.1 200"); }, "a response");
   clients.push_back(connect());
-  until([&] { return second->ended; }, "the eviction");
-  EXPECT_FALSE(first->ended);
+  waitUntil([&] { return second->closedByPeer; }, "the eviction");
+  EXPECT_FALSE(first->closedByPeer);
   EXPECT_EQ(server->connections(), 4u);
 }
 
@@ -145,15 +145,15 @@
   open(2);
   const auto requesting = std::make_shared<Peer>(std::move(clients[0]));
   const auto idle = std::make_shared<Peer>(std::move(clients[1]));
-  requesting->send(Ask().text());
+  requesting->send(TestRequest().text());
   clients.push_back(connect());
   requesting->read();
   idle->read();
-  until([&] { return idle->ended; }, "the eviction of the idle connection");
-  until([&] { return handler.responders.size() == 1; }, "the request");
+  waitUntil([&] { return idle->closedByPeer; }, "the eviction of the idle connection");
+  waitUntil([&] { return handler.responders.size() == 1; }, "the request");
   handler.responders[0]->respond({});
-  until([&] { return requesting->has("HTTP/1.1 200"); }, "its response");
-  EXPECT_FALSE(requesting->ended);
+  waitUntil([&] { return requesting->has("HTTP/1.1 200"); }, "its response");
+  EXPECT_FALSE(requesting->closedByPeer);
 }
 
 // An empty line is not a request: a client that sends only empty lines may be evicted like any idle client.
@@ -167,7 +167,7 @@
   }
   clients.push_back(connect());
   clients.push_back(connect());
-  until([&] { return first->ended && second->ended; }, "room");
+  waitUntil([&] { return first->closedByPeer && second->closedByPeer; }, "room");
   EXPECT_EQ(server->connections(), 2u);
 }
 
@@ -179,7 +179,7 @@
   Listener agent(io);
   tcp::socket watch(io);
   watch.connect(agent.address());
-  until([&] { return agent.peers.size() == 1; }, "the watch");
+  waitUntil([&] { return agent.peers.size() == 1; }, "the watch");
   std::array<char, 64> line{};
   std::optional<std::size_t> acceptsWhenRead;
   watch.async_read_some(asio::buffer(line), [&](const Error& error, std::size_t) {
@@ -188,9 +188,9 @@
   for (std::size_t i = 0; i < kWaiting; ++i) clients.push_back(connect());
   const std::size_t before = accepted();
   agent.peers[0]->send("{}\n");
-  until([&] { return acceptsWhenRead.has_value(); }, "the line");
+  waitUntil([&] { return acceptsWhenRead.has_value(); }, "the line");
   EXPECT_LE(*acceptsWhenRead - before, kMaxAccepts);
-  until([&] { return accepted() == before + kWaiting; }, "all accepted");
+  waitUntil([&] { return accepted() == before + kWaiting; }, "all accepted");
 }
 
 // The event loop's lag must be measured when connections arrive, even if no request does.
@@ -204,7 +204,7 @@
     if (!overloaded) asio::post(io, keepLoopBusy);
   };
   asio::post(io, keepLoopBusy);
-  until(
+  waitUntil(
       [&] {
         if (!overloaded) clients.push_back(connect());
         return overloaded;
@@ -224,8 +224,9 @@
     for (const auto until = Steady::now() + 300ms; Steady::now() < until;) {
     }
   });
-  until([&] { return ran && overloadManager.waitQueues().statistics(WaitQueue::eventLoop, 0).peak >= 250; },
-        "the lag");
+  waitUntil(
+      [&] { return ran && overloadManager.waitQueues().statistics(WaitQueue::eventLoop, 0).peak >= 250; },
+      "the lag");
   EXPECT_EQ(overloadManager.state().level(OverloadSource::eventLoop), OverloadLevel::shedding);
 }
 
--- a/tests/client_server_test.cpp
+++ b/tests/client_server_test.cpp
@@ -43,13 +43,13 @@
   ClientServer::Limits limits;
   limits.headerTimeout = 50ms;
   open(limits);
-  const auto client = dial(server->address());
+  const auto client = connectTo(server->address());
   client->send(
       "GET /health/ready HTTP/1.1\r\nHost: b\r\n\r\n");  // the first request has a time limit of its own
-  until([&] { return client->has("ready"); }, "the first response");
-  client->send(Ask().text().substr(0, 40));
-  until([&] { return client->ended; }, "the connection ends");
-  EXPECT_TRUE(client->has("HTTP/1.1 408")) << client->got;
+  waitUntil([&] { return client->has("ready"); }, "the first response");
+  client->send(TestRequest().text().substr(0, 40));
+  waitUntil([&] { return client->closedByPeer; }, "the connection ends");
+  EXPECT_TRUE(client->has("HTTP/1.1 408")) << client->received;
   EXPECT_EQ(handler.lastRequestId, 0u);
 }
 
@@ -61,12 +61,12 @@
   limits.firstRequestTimeout = 300ms;
   limits.headerTimeout = 60s;
   open(limits);
-  const auto silent = dial(server->address());
-  const auto trickling = dial(server->address());
+  const auto silent = connectTo(server->address());
+  const auto trickling = connectTo(server->address());
   trickling->send("GET ");
-  until([&] { return silent->ended && trickling->ended; }, "both connections end");
-  EXPECT_TRUE(silent->got.empty());
-  EXPECT_TRUE(trickling->has("HTTP/1.1 408")) << trickling->got;
+  waitUntil([&] { return silent->closedByPeer && trickling->closedByPeer; }, "both connections end");
+  EXPECT_TRUE(silent->received.empty());
+  EXPECT_TRUE(trickling->has("HTTP/1.1 408")) << trickling->received;
   EXPECT_EQ(handler.lastRequestId, 0u);
 }
 
@@ -75,19 +75,19 @@
   limits.lingerTimeout = 60s;
   limits.maxLingerBytes = 1000;
   open(limits);
-  const auto client = dial(server->address());
+  const auto client = connectTo(server->address());
   client->send("POST /order HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n");
-  until([&] { return client->has("HTTP/1.1 413"); }, "a response");
+  waitUntil([&] { return client->has("HTTP/1.1 413"); }, "a response");
   client->send(std::string(20000, 'x'));
-  until([&] { return server->connections() == 0; }, "the connection ends");
+  waitUntil([&] { return server->connections() == 0; }, "the connection ends");
 }
 
 TEST_F(ClientConnections, ARequestBeyondTheBodyLimitIsRejectedAtItsHeader) {
   open({});
-  const auto client = dial(server->address());
+  const auto client = connectTo(server->address());
   client->send("POST /order HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n" + std::string(500, 'x'));
-  until([&] { return client->has("\r\n\r\n"); }, "a response");
-  EXPECT_TRUE(client->has("HTTP/1.1 413")) << client->got;
+  waitUntil([&] { return client->has("\r\n\r\n"); }, "a response");
+  EXPECT_TRUE(client->has("HTTP/1.1 413")) << client->received;
   EXPECT_EQ(handler.lastRequestId, 0u);
 }
 
@@ -95,15 +95,15 @@
   ClientServer::Limits limits;
   limits.maxConnections = 2;
   open(limits);
-  const auto first = dial(server->address());
-  first->send(Ask().text());
-  until([&] { return handler.lastRequestId == 1; }, "a request in flight");
-  const auto second = dial(server->address());
-  const auto third = dial(server->address());
+  const auto first = connectTo(server->address());
+  first->send(TestRequest().text());
+  waitUntil([&] { return handler.lastRequestId == 1; }, "a request in flight");
+  const auto second = connectTo(server->address());
+  const auto third = connectTo(server->address());
   third->send("GET /health/ready HTTP/1.1\r\nHost: b\r\n\r\n");
-  until([&] { return third->has("HTTP/1.1 200"); }, "the response on the third connection");
-  EXPECT_TRUE(second->ended);
-  EXPECT_FALSE(first->ended);
+  waitUntil([&] { return third->has("HTTP/1.1 200"); }, "the response on the third connection");
+  EXPECT_TRUE(second->closedByPeer);
+  EXPECT_FALSE(first->closedByPeer);
 }
 
 // While every connection has a request in flight, a new one waits in the kernel's accept queue; it is
@@ -112,32 +112,32 @@
   ClientServer::Limits limits;
   limits.maxConnections = 1;
   open(limits);
-  const auto first = dial(server->address());
-  first->send(Ask().text());
-  until([&] { return handler.lastRequestId == 1; }, "a request in flight");
-  const auto second = dial(server->address());
-  second->send(Ask().text());
+  const auto first = connectTo(server->address());
+  first->send(TestRequest().text());
+  waitUntil([&] { return handler.lastRequestId == 1; }, "a request in flight");
+  const auto second = connectTo(server->address());
+  second->send(TestRequest().text());
   io.restart();
   io.run_for(50ms);
   EXPECT_EQ(handler.lastRequestId, 1u);
-  first->end();
-  until([&] { return handler.lastRequestId == 2; }, "the second request");
+  first->close();
+  waitUntil([&] { return handler.lastRequestId == 2; }, "the second request");
   EXPECT_EQ(handler.disconnects, 1);
 }
 
 TEST_F(ClientConnections, ARequestGetsOnlyOneFinalResponse) {
   open({});
-  const auto client = dial(server->address());
-  client->send(Ask().text());
-  until([&] { return handler.responder != nullptr; }, "a request in flight");
+  const auto client = connectTo(server->address());
+  client->send(TestRequest().text());
+  waitUntil([&] { return handler.responder != nullptr; }, "a request in flight");
   for (int i = 0; i < 2; ++i) {
     ClientResponse response;
     response.body = "only";
     handler.responder->respond(std::move(response));
   }
-  until([&] { return client->has("only"); }, "the response");
+  waitUntil([&] { return client->has("only"); }, "the response");
   client->send("GET /health/ready HTTP/1.1\r\nHost: b\r\n\r\n");
-  until([&] { return client->has("ready"); }, "the next response");
+  waitUntil([&] { return client->has("ready"); }, "the next response");
   EXPECT_EQ(client->count("only"), 1u);
 }
 
--- a/tests/configuration_test.cpp
+++ b/tests/configuration_test.cpp
@@ -16,7 +16,7 @@
 
 TEST(Configuration, AllSettingsAreRead) {
   const Config config =
-      parseConfig(configJson("127.0.0.1:8500", json::array({entry("s", "127.0.0.1:9")})).dump());
+      parseConfig(configJson("127.0.0.1:8500", json::array({endpointEntryJson("s", "127.0.0.1:9")})).dump());
   EXPECT_EQ(config.discovery.port(), 8500);
   EXPECT_EQ(config.seed, 0x8c1f30d27a5be964u);
   EXPECT_EQ(config.maxFileDescriptors, 256u);
@@ -66,20 +66,20 @@
 // BALANCER_DISCOVERY names the first address; the file that is reloaded names the second one, which takes
 // precedence on a reload.
 TEST_F(GatekeeperProcess, ReloadsOnSighupAndKeepsRunningOnAnInvalidFile) {
-  writeConfigFile(configJson(first.text()).dump());
-  startProcess(first.text());
-  until([&] { return first.count("watch=1") == 1; }, "a watch at the first address");
+  writeConfigFile(configJson(first.addressText()).dump());
+  startProcess(first.addressText());
+  waitUntil([&] { return first.count("watch=1") == 1; }, "a watch at the first address");
   writeConfigFile("{ half a");
   kill(processId, SIGHUP);
   io.restart();
   io.run_for(200ms);
-  writeConfigFile(configJson(second.text()).dump());
+  writeConfigFile(configJson(second.addressText()).dump());
   kill(processId, SIGHUP);
-  until([&] { return second.count("watch=1") == 1; }, "a watch at the second address");
+  waitUntil([&] { return second.count("watch=1") == 1; }, "a watch at the second address");
   int status = 0;
   EXPECT_FALSE(hasExited(status));
   kill(processId, SIGTERM);
-  until([&] { return hasExited(status); }, "the exit of the process");
+  waitUntil([&] { return hasExited(status); }, "the exit of the process");
   processId = 0;
   EXPECT_TRUE(WIFEXITED(status) && WEXITSTATUS(status) == 0) << status;
 }
--- a/tests/discovery_backoff_test.cpp
+++ b/tests/discovery_backoff_test.cpp
@@ -19,10 +19,10 @@
           [](const EndpointList&) {}, overloadManager));
       clients.back()->start();
     }
-    until([&] { return agent.count("GET /registry/instances") == 10; }, "a request of each gatekeeper");
+    waitUntil([&] { return agent.count("GET /registry/instances") == 10; }, "a request of each gatekeeper");
     const auto rejectedAt = std::chrono::steady_clock::now();
-    for (const auto& peer : std::vector<PeerPtr>(agent.peers)) peer->send(reply("503 Busy", ""));
-    until([&] { return agent.peers.size() > 10; }, "a reconnect");
+    for (const auto& peer : std::vector<PeerPtr>(agent.peers)) peer->send(httpResponse("503 Busy", ""));
+    waitUntil([&] { return agent.peers.size() > 10; }, "a reconnect");
     return std::chrono::duration_cast<std::chrono::milliseconds>(std::chrono::steady_clock::now() -
                                                                  rejectedAt);
   }
--- a/tests/fault_test.cpp
+++ b/tests/fault_test.cpp
@@ -28,13 +28,13 @@
 TEST_F(GatekeeperUnderFaults, AConnectionAbortedInTheAcceptQueueDoesNotDelayOthers) {
   GatekeeperProcess program(folder, config(), {});
   waitUntilReady();
-  const auto client = sendRequest(Ask());
-  until([&] { return worker.count("Req-Id: 00000000000000a1") == 1; }, "a request at the worker");
+  const auto client = sendRequest(TestRequest());
+  waitUntil([&] { return worker.count("Req-Id: 00000000000000a1") == 1; }, "a request at the worker");
   program.faults->setShare(CallFault::aborted, 1);
-  const auto aborted = dial(clientsAddress);
-  until([&] { return program.faults->injected()[CallFault::aborted] == 1; }, "an aborted connection");
+  const auto aborted = connectTo(clientsAddress);
+  waitUntil([&] { return program.faults->injected()[CallFault::aborted] == 1; }, "an aborted connection");
   program.faults->setShare(CallFault::aborted, 0);
-  worker.peers.at(0)->send(reply("200 OK", "made by a worker"));
+  worker.peers.at(0)->send(httpResponse("200 OK", "made by a worker"));
   const auto deadline = std::chrono::steady_clock::now() + 5s;
   while (!client->has("made by a worker") && std::chrono::steady_clock::now() < deadline) {
     io.restart();
@@ -59,7 +59,7 @@
         << "poll " << poll;
   }
   program.faults->setDiskError(0);
-  until([&] { return runOperatorCommand("exclude s-1").rfind("200", 0) == 0; }, "kept");
+  waitUntil([&] { return runOperatorCommand("exclude s-1").rfind("200", 0) == 0; }, "kept");
   program.killProcess();
   program.start();
   waitUntilReady();
@@ -67,7 +67,7 @@
   program.faults->setDiskError(EIO);
   EXPECT_EQ(runOperatorCommand("include s-1").rfind("400", 0), 0u);
   program.faults->setDiskError(0);
-  until([&] { return runOperatorCommand("include s-1").rfind("200", 0) == 0; }, "kept");
+  waitUntil([&] { return runOperatorCommand("include s-1").rfind("200", 0) == 0; }, "kept");
   program.killProcess();
   program.start();
   waitUntilReady();
@@ -82,7 +82,7 @@
   program.killProcess();
   program.faults->setDiskError(EIO);
   program.start();
-  until([&] { return !runOperatorCommand("telemetry").empty(); }, "an answer from the operators' port");
+  waitUntil([&] { return !runOperatorCommand("telemetry").empty(); }, "an answer from the operators' port");
   for (int poll = 0; poll < 20; ++poll) {
     io.restart();
     io.run_for(100ms);
@@ -98,8 +98,8 @@
   SystemFaults faults;
   faults.shares[CallFault::socket] = 1;
   GatekeeperProcess program(folder, config(), faults);
-  until([&] { return program.faults->injected()[CallFault::socket] > 0 || program.hasEnded(); },
-        "a failed call");
+  waitUntil([&] { return program.faults->injected()[CallFault::socket] > 0 || program.hasEnded(); },
+            "a failed call");
   io.restart();
   io.run_for(500ms);
   ASSERT_FALSE(program.hasEnded()) << "ended with status " << program.waitStatus;
@@ -112,17 +112,17 @@
   GatekeeperProcess program(folder, config(), {});
   waitUntilReady();
   program.faults->setShare(CallFault::accept_full, 1);
-  Ask request;
+  TestRequest request;
   request.deadline = "4000";
   const auto sentAt = std::chrono::steady_clock::now();
   const auto client = sendRequest(request);
   io.restart();
   io.run_for(1s);
   program.faults->setShare(CallFault::accept_full, 0);
-  until([&] { return worker.count("\r\n\r\n") == 1; }, "a request at the worker");
+  waitUntil([&] { return worker.count("\r\n\r\n") == 1; }, "a request at the worker");
   const std::chrono::duration<double, std::milli> elapsed = std::chrono::steady_clock::now() - sentAt;
   const std::string field = "Req-Deadline-Ms: ";
-  const std::string& received = worker.peers.at(0)->got;
+  const std::string& received = worker.peers.at(0)->received;
   ASSERT_NE(received.find(field), std::string::npos) << received;
   EXPECT_LE(std::stod(received.substr(received.find(field) + field.size())), 4000 - elapsed.count() + 150);
   EXPECT_GE(std::stod(received.substr(received.find(field) + field.size())), 4000 - elapsed.count() - 150);
@@ -139,10 +139,13 @@
 class GatekeeperUnderWrongWallClock : public GatekeeperUnderFaults {
  protected:
   void sendEndpointList(int generation, double startedAtMs) {
-    until([&] { return !discovery.peers.empty() && discovery.peers.back()->has("\r\n\r\n"); },
-          "a watch request");
+    waitUntil([&] { return !discovery.peers.empty() && discovery.peers.back()->has("\r\n\r\n"); },
+              "a watch request");
     const std::string line =
-        roster(generation, false, json::array({entry("s-1", worker.text(), "Ready", startedAtMs)})) + "\n";
+        endpointListJson(
+            generation, false,
+            json::array({endpointEntryJson("s-1", worker.addressText(), "Ready", startedAtMs)})) +
+        "\n";
     std::ostringstream size;
     size << std::hex << line.size();
     if (generation == 2)
@@ -153,8 +156,8 @@
     io.restart();
     io.run_for(span);
   }
-  static Ask requestWithNumber(int number) {
-    Ask request;
+  static TestRequest requestWithNumber(int number) {
+    TestRequest request;
     request.id = "00000000000000" + std::to_string(10 + number);
     return request;
   }
@@ -162,12 +165,12 @@
   bool isServed(int number) {
     const auto client = sendRequest(requestWithNumber(number));
     const std::string id = "Req-Id: " + requestWithNumber(number).id;
-    until([&] { return client->has("HTTP/1.1") || worker.count(id) == 1; },
-          "a rejection or the request at the worker");
+    waitUntil([&] { return client->has("HTTP/1.1") || worker.count(id) == 1; },
+              "a rejection or the request at the worker");
     if (client->has("HTTP/1.1")) return false;
     for (const auto& peer : worker.peers)
-      if (peer->has(id)) peer->send(reply("200 OK", "made by a worker"));
-    until([&] { return client->has("made by a worker"); }, "the response");
+      if (peer->has(id)) peer->send(httpResponse("200 OK", "made by a worker"));
+    waitUntil([&] { return client->has("made by a worker"); }, "the response");
     return true;
   }
 };
--- a/tests/gatekeeper_test.cpp
+++ b/tests/gatekeeper_test.cpp
@@ -8,35 +8,35 @@
 class GatekeeperEndToEnd : public Loopback {
  protected:
   void startGatekeeper(const json& known) {
-    gatekeeper.emplace(io, parseConfig(configJson(discovery.text(), known).dump()));
+    gatekeeper.emplace(io, parseConfig(configJson(discovery.addressText(), known).dump()));
     gatekeeper->start();
   }
-  void startWithWorker() { startGatekeeper(json::array({entry("s-1", worker.text())})); }
+  void startWithWorker() { startGatekeeper(json::array({endpointEntryJson("s-1", worker.addressText())})); }
   // Sends an endpoint list of this generation on the first watch: a delta, or a snapshot if `reset`.
   void sendEndpointList(int generation, const json& changes, bool reset = false) {
-    const std::string line = roster(generation, reset, changes) + "\n";
+    const std::string line = endpointListJson(generation, reset, changes) + "\n";
     std::ostringstream size;
     size << std::hex << line.size();
     discovery.peers[0]->send(size.str() + "\r\n" + line + "\r\n");
   }
   void startWithWatch() {
     startWithWorker();
-    until([&] { return discovery.count("\r\n\r\n") == 1; }, "a watch");
+    waitUntil([&] { return discovery.count("\r\n\r\n") == 1; }, "a watch");
     discovery.peers[0]->send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
     sendEndpointList(1, json::array());
-    until([&] { return gatekeeper->ready(); }, "ready");
+    waitUntil([&] { return gatekeeper->ready(); }, "ready");
   }
-  PeerPtr sendRequest(const Ask& request) {
-    const auto client = dial(gatekeeper->address());
+  PeerPtr sendRequest(const TestRequest& request) {
+    const auto client = connectTo(gatekeeper->address());
     client->send(request.text());
     return client;
   }
   void waitForRequestAtWorker(const std::string& id, std::size_t times = 1) {
-    until([&] { return worker.count("Req-Id: " + id) >= times && worker.count("\r\n\r\n") >= times; },
-          "a request at the worker");
+    waitUntil([&] { return worker.count("Req-Id: " + id) >= times && worker.count("\r\n\r\n") >= times; },
+              "a request at the worker");
   }
   void waitForResponse(const PeerPtr& client, const std::string& text) {
-    until([&] { return client->has(text); }, text.c_str());
+    waitUntil([&] { return client->has(text); }, text.c_str());
   }
 
   Listener discovery{io}, worker{io}, other{io};
@@ -45,18 +45,18 @@
 
 TEST_F(GatekeeperEndToEnd, ForwardsARequestUnchangedAndItsResponseBack) {
   startWithWorker();
-  Ask request;
-  request.klass = "edit", request.body = "{\"a\": 1}";
+  TestRequest request;
+  request.requestClass = "edit", request.body = "{\"a\": 1}";
   const auto client = sendRequest(request);
-  until([&] { return worker.count(request.body) == 1; }, "the body at the worker");
+  waitUntil([&] { return worker.count(request.body) == 1; }, "the body at the worker");
   const Peer& connection = *worker.peers.at(0);
-  EXPECT_TRUE(connection.has("POST /edit?client=00000000b4d65521 HTTP/1.1\r\n")) << connection.got;
+  EXPECT_TRUE(connection.has("POST /edit?client=00000000b4d65521 HTTP/1.1\r\n")) << connection.received;
   EXPECT_TRUE(connection.has("Req-Id: 00000000000000a1\r\n"));
   EXPECT_TRUE(connection.has("Idempotency-Key: 5c0f6e1a2b3d4c59a8b7c6d5e4f30211\r\n"));
   EXPECT_EQ(connection.count("Req-Deadline-Ms: "), 1u);
   // Less than the client's deadline by the time reserved for returning the response.
   EXPECT_FALSE(connection.has("Req-Deadline-Ms: 60000\r\n"));
-  worker.peers[0]->send(reply("200 OK", "made by a worker"));
+  worker.peers[0]->send(httpResponse("200 OK", "made by a worker"));
   waitForResponse(client, "made by a worker");
   EXPECT_TRUE(client->has("HTTP/1.1 200 OK\r\n"));
   EXPECT_EQ(gatekeeper->requestsInFlight(), 0u);
@@ -64,11 +64,11 @@
 
 TEST_F(GatekeeperEndToEnd, ReusesConnectionsOnBothSides) {
   startWithWorker();
-  const auto client = dial(gatekeeper->address());
+  const auto client = connectTo(gatekeeper->address());
   for (int i = 1; i <= 3; ++i) {
-    client->send(Ask().text());
+    client->send(TestRequest().text());
     waitForRequestAtWorker("00000000000000a1", static_cast<std::size_t>(i));
-    worker.peers.at(0)->send(reply("200 OK", "answer " + std::to_string(i)));
+    worker.peers.at(0)->send(httpResponse("200 OK", "answer " + std::to_string(i)));
     waitForResponse(client, "answer " + std::to_string(i));
   }
   EXPECT_EQ(worker.peers.size(), 1u);
@@ -76,17 +76,17 @@
 
 TEST_F(GatekeeperEndToEnd, AnswersPipelinedRequestsInOrder) {
   startWithWorker();
-  const auto client = dial(gatekeeper->address());
-  Ask second;
+  const auto client = connectTo(gatekeeper->address());
+  TestRequest second;
   second.id = "00000000000000a2";
-  client->send(Ask().text() + second.text());
+  client->send(TestRequest().text() + second.text());
   waitForRequestAtWorker("00000000000000a1");
   EXPECT_EQ(worker.count("Req-Id: 00000000000000a2"), 0u);
-  worker.peers.at(0)->send(reply("200 OK", "one"));
+  worker.peers.at(0)->send(httpResponse("200 OK", "one"));
   waitForRequestAtWorker("00000000000000a2");
-  worker.peers.at(0)->send(reply("200 OK", "two"));
+  worker.peers.at(0)->send(httpResponse("200 OK", "two"));
   waitForResponse(client, "two");
-  EXPECT_LT(client->got.find("one"), client->got.find("two"));
+  EXPECT_LT(client->received.find("one"), client->received.find("two"));
 }
 
 // A malformed request must get a client error (4xx) instead of a rejection, since a rejection invites the
@@ -94,111 +94,114 @@
 TEST_F(GatekeeperEndToEnd, MalformedRequestsGetClientErrorsAndAreNotSent) {
   startWithWorker();
   std::vector<std::pair<std::string, std::string>> cases;
-  const auto with = [&](const std::function<void(Ask&)>& change, const std::string& status) {
-    Ask request;
+  const auto with = [&](const std::function<void(TestRequest&)>& change, const std::string& status) {
+    TestRequest request;
     change(request);
     cases.emplace_back(request.text(), status);
   };
-  with([](Ask& request) { request.klass = "unheard"; }, "400");
-  with([](Ask& request) { request.plan = "unheard"; }, "400");
-  with([](Ask& request) { request.id = "not-an-id"; }, "400");
-  with([](Ask& request) { request.extra = "Req-Id: 00000000000000a2\r\n"; }, "400");
-  with([](Ask& request) { request.extra = "X-Tier: small\r\n"; }, "400");
-  with([](Ask& request) { request.query = "client=xyz"; }, "400");
-  with([](Ask& request) { request.query = "client=0000000200000000"; }, "400");  // 2^33
-  with([](Ask& request) { request.query = "other=1"; }, "400");
-  with([](Ask& request) { request.deadline = "soon"; }, "400");
-  with([](Ask& request) { request.deadline = "0"; }, "400");
-  with([](Ask& request) { request.deadline = "-5"; }, "400");
-  with([](Ask& request) { request.terms = "units=1,spread=2"; }, "400");
-  with([](Ask& request) { request.terms = "units=nan,spread=2,first=0"; }, "400");
-  with([](Ask& request) { request.terms = "units=1,spread=9,first=0"; }, "400");
-  with([](Ask& request) { request.extra = "Big: " + std::string(20000, 'x') + "\r\n"; }, "431");
+  with([](TestRequest& request) { request.requestClass = "unheard"; }, "400");
+  with([](TestRequest& request) { request.plan = "unheard"; }, "400");
+  with([](TestRequest& request) { request.id = "not-an-id"; }, "400");
+  with([](TestRequest& request) { request.extra = "Req-Id: 00000000000000a2\r\n"; }, "400");
+  with([](TestRequest& request) { request.extra = "X-Tier: small\r\n"; }, "400");
+  with([](TestRequest& request) { request.query = "client=xyz"; }, "400");
+  with([](TestRequest& request) { request.query = "client=0000000200000000"; }, "400");  // 2^33
+  with([](TestRequest& request) { request.query = "other=1"; }, "400");
+  with([](TestRequest& request) { request.deadline = "soon"; }, "400");
+  with([](TestRequest& request) { request.deadline = "0"; }, "400");
+  with([](TestRequest& request) { request.deadline = "-5"; }, "400");
+  with([](TestRequest& request) { request.callTerms = "units=1,spread=2"; }, "400");
+  with([](TestRequest& request) { request.callTerms = "units=nan,spread=2,first=0"; }, "400");
+  with([](TestRequest& request) { request.callTerms = "units=1,spread=9,first=0"; }, "400");
+  with([](TestRequest& request) { request.extra = "Big: " + std::string(20000, 'x') + "\r\n"; }, "431");
   cases.emplace_back("GET /nowhere HTTP/1.1\r\nHost: b\r\n\r\n", "404");
   cases.emplace_back("GET /health/live HTTP/1.1\r\nHost: b\r\n\r\n", "404");
   cases.emplace_back("what is this\r\n\r\n", "400");
   for (const auto& [text, status] : cases) {
-    const auto client = dial(gatekeeper->address());
+    const auto client = connectTo(gatekeeper->address());
     client->send(text);
-    until([&] { return client->has("\r\n\r\n"); }, "an answer");
-    EXPECT_EQ(client->got.substr(0, 12), "HTTP/1.1 " + status) << text.substr(0, 300);
+    waitUntil([&] { return client->has("\r\n\r\n"); }, "an answer");
+    EXPECT_EQ(client->received.substr(0, 12), "HTTP/1.1 " + status) << text.substr(0, 300);
   }
   EXPECT_TRUE(worker.peers.empty());
 }
 
 TEST_F(GatekeeperEndToEnd, RejectsBeyondTheQuotaWithRetryAfter) {
   startWithWorker();
-  Ask request;
+  TestRequest request;
   request.plan = "small";
-  const auto client = dial(gatekeeper->address());
+  const auto client = connectTo(gatekeeper->address());
   // A customer that is new to this gatekeeper starts with half of its bucket of one unit, so already its
   // first request exceeds the quota.
   client->send(request.text());
   waitForResponse(client, "\r\n\r\n");
-  EXPECT_TRUE(client->has("HTTP/1.1 429")) << client->got;
-  EXPECT_TRUE(client->has("Retry-After: 1.000\r\n")) << client->got;
+  EXPECT_TRUE(client->has("HTTP/1.1 429")) << client->received;
+  EXPECT_TRUE(client->has("Retry-After: 1.000\r\n")) << client->received;
   EXPECT_TRUE(worker.peers.empty());
 }
 
 TEST_F(GatekeeperEndToEnd, ANonIdempotentRequestThatMayHaveRunIsNotRetried) {
   startWithWorker();
-  Ask request;
-  request.klass = "order", request.body = "x";
+  TestRequest request;
+  request.requestClass = "order", request.body = "x";
   const auto client = sendRequest(request);
-  until([&] { return worker.count("\r\n\r\nx") == 1; }, "the request at the worker");
-  worker.peers[0]->end();
+  waitUntil([&] { return worker.count("\r\n\r\nx") == 1; }, "the request at the worker");
+  worker.peers[0]->close();
   waitForResponse(client, "\r\n\r\n");
-  EXPECT_TRUE(client->has("HTTP/1.1 502")) << client->got;
+  EXPECT_TRUE(client->has("HTTP/1.1 502")) << client->received;
   EXPECT_EQ(worker.peers.size(), 1u);
 }
 
 TEST_F(GatekeeperEndToEnd, ANonIdempotentRequestIsRetriedAfterAConnectFailure) {
-  startGatekeeper(json::array({entry("s-1", nobody()), entry("s-2", worker.text())}));
+  startGatekeeper(json::array(
+      {endpointEntryJson("s-1", unusedAddress()), endpointEntryJson("s-2", worker.addressText())}));
   for (int i = 0; i < 4; ++i) {  // with either worker tried first
-    Ask request;
-    request.klass = "order", request.id = "00000000000000b" + std::to_string(i);
+    TestRequest request;
+    request.requestClass = "order", request.id = "00000000000000b" + std::to_string(i);
     const auto client = sendRequest(request);
     waitForRequestAtWorker(request.id);
-    worker.peers.back()->send(reply("200 OK", "done"));
+    worker.peers.back()->send(httpResponse("200 OK", "done"));
     waitForResponse(client, "done");
   }
 }
 
 TEST_F(GatekeeperEndToEnd, ANonIdempotentRequestIsRetriedAfterAnOverloadResponse) {
-  startGatekeeper(json::array({entry("s-1", worker.text()), entry("s-2", other.text())}));
-  Ask request;
-  request.klass = "order";
+  startGatekeeper(json::array(
+      {endpointEntryJson("s-1", worker.addressText()), endpointEntryJson("s-2", other.addressText())}));
+  TestRequest request;
+  request.requestClass = "order";
   const auto client = sendRequest(request);
   const auto total = [&] { return worker.count("\r\n\r\n") + other.count("\r\n\r\n"); };
-  until([&] { return total() == 1; }, "the first attempt");
+  waitUntil([&] { return total() == 1; }, "the first attempt");
   Listener& first = worker.count("\r\n\r\n") == 1 ? worker : other;
   Listener& second = &first == &worker ? other : worker;
-  first.peers[0]->send(reply("503 Service Unavailable", "", "Srv-Declined: 1\r\n"));
-  until([&] { return second.count("\r\n\r\n") == 1; }, "the second attempt");
-  second.peers[0]->send(reply("200 OK", "done"));
+  first.peers[0]->send(httpResponse("503 Service Unavailable", "", "Srv-Declined: 1\r\n"));
+  waitUntil([&] { return second.count("\r\n\r\n") == 1; }, "the second attempt");
+  second.peers[0]->send(httpResponse("200 OK", "done"));
   waitForResponse(client, "done");
   EXPECT_EQ(total(), 2u);
 }
 
 TEST_F(GatekeeperEndToEnd, A503WithoutSrvDeclinedIsNotRetried) {
-  startGatekeeper(json::array({entry("s-1", worker.text())}));
-  Ask request;
-  request.klass = "order";
+  startGatekeeper(json::array({endpointEntryJson("s-1", worker.addressText())}));
+  TestRequest request;
+  request.requestClass = "order";
   const auto client = sendRequest(request);
   waitForRequestAtWorker(request.id);
-  worker.peers[0]->send(reply("503 Service Unavailable", ""));
+  worker.peers[0]->send(httpResponse("503 Service Unavailable", ""));
   waitForResponse(client, "HTTP/1.1 502");
 }
 
 // A worker that sends nothing must not delay the final response beyond the deadline.
 TEST_F(GatekeeperEndToEnd, AnswersAtTheDeadlineAndCancelsTheAttempt) {
   startWithWatch();
-  Ask request;
-  request.klass = "order", request.deadline = "400";
+  TestRequest request;
+  request.requestClass = "order", request.deadline = "400";
   const auto client = sendRequest(request);
   waitForResponse(client, "\r\n\r\n");
-  EXPECT_TRUE(client->has("HTTP/1.1 502")) << client->got;
-  until([&] { return !worker.peers.empty() && worker.peers[0]->ended; }, "the attempt's connection ends");
+  EXPECT_TRUE(client->has("HTTP/1.1 502")) << client->received;
+  waitUntil([&] { return !worker.peers.empty() && worker.peers[0]->closedByPeer; },
+            "the attempt's connection ends");
   EXPECT_EQ(gatekeeper->requestsInFlight(), 0u);
 }
 
@@ -206,11 +209,11 @@
 // wasted. It is rejected, not failed, since a repeat is harmless.
 TEST_F(GatekeeperEndToEnd, ARequestWithNoTimeRemainingIsRejectedAndNotSent) {
   startWithWorker();
-  Ask request;
-  request.klass = "order", request.deadline = "1";
+  TestRequest request;
+  request.requestClass = "order", request.deadline = "1";
   const auto client = sendRequest(request);
   waitForResponse(client, "\r\n\r\n");
-  EXPECT_TRUE(client->has("HTTP/1.1 429")) << client->got;
+  EXPECT_TRUE(client->has("HTTP/1.1 429")) << client->received;
   io.restart();
   io.poll();
   EXPECT_TRUE(worker.peers.empty());
@@ -218,11 +221,11 @@
 
 TEST_F(GatekeeperEndToEnd, AClientDisconnectCancelsItsAttempt) {
   startWithWorker();
-  const auto client = sendRequest(Ask());
+  const auto client = sendRequest(TestRequest());
   waitForRequestAtWorker("00000000000000a1");
   EXPECT_EQ(gatekeeper->requestsInFlight(), 1u);
-  client->end();
-  until([&] { return worker.peers[0]->ended; }, "the attempt's connection ends");
+  client->close();
+  waitUntil([&] { return worker.peers[0]->closedByPeer; }, "the attempt's connection ends");
   EXPECT_EQ(gatekeeper->requestsInFlight(), 0u);
 }
 
@@ -230,88 +233,90 @@
 // the connection must be closed.
 TEST_F(GatekeeperEndToEnd, AConnectionWithBytesAfterTheResponseIsNotReused) {
   startWithWorker();
-  const auto client = sendRequest(Ask());
+  const auto client = sendRequest(TestRequest());
   waitForRequestAtWorker("00000000000000a1");
-  worker.peers[0]->send(reply("200 OK", "first") + reply("200 OK", "stray"));
+  worker.peers[0]->send(httpResponse("200 OK", "first") + httpResponse("200 OK", "stray"));
   waitForResponse(client, "first");
-  until([&] { return worker.peers[0]->ended; }, "the connection ends");
-  client->send(Ask().text());
+  waitUntil([&] { return worker.peers[0]->closedByPeer; }, "the connection ends");
+  client->send(TestRequest().text());
   waitForRequestAtWorker("00000000000000a1", 2);
   ASSERT_EQ(worker.peers.size(), 2u);
-  worker.peers[1]->send(reply("200 OK", "second"));
+  worker.peers[1]->send(httpResponse("200 OK", "second"));
   waitForResponse(client, "second");
   EXPECT_FALSE(client->has("stray"));
 }
 
 TEST_F(GatekeeperEndToEnd, AnIdleConnectionThatTheWorkerClosesIsNotReused) {
   startWithWorker();
-  const auto client = sendRequest(Ask());
+  const auto client = sendRequest(TestRequest());
   waitForRequestAtWorker("00000000000000a1");
-  worker.peers[0]->send(reply("200 OK", "first"));
+  worker.peers[0]->send(httpResponse("200 OK", "first"));
   waitForResponse(client, "first");
-  worker.peers[0]->end();
-  Ask request;  // a class that must not be retried after it may have run
-  request.klass = "order", request.id = "00000000000000a2";
+  worker.peers[0]->close();
+  TestRequest request;  // a class that must not be retried after it may have run
+  request.requestClass = "order", request.id = "00000000000000a2";
   client->send(request.text());
   waitForRequestAtWorker(request.id);
   EXPECT_EQ(worker.peers.size(), 2u);
-  worker.peers[1]->send(reply("200 OK", "second"));
+  worker.peers[1]->send(httpResponse("200 OK", "second"));
   waitForResponse(client, "second");
 }
 
 TEST_F(GatekeeperEndToEnd, IsReadyAfterTheFirstListAndParsesListsSplitAcrossChunks) {
   startGatekeeper(nullptr);
-  const auto client = dial(gatekeeper->address());
+  const auto client = connectTo(gatekeeper->address());
   const std::string readinessRequest = "GET /health/ready HTTP/1.1\r\nHost: b\r\n\r\n";
   client->send(readinessRequest);
   waitForResponse(client, "HTTP/1.1 503");
-  until([&] { return discovery.count("\r\n\r\n") == 1; }, "a watch");
+  waitUntil([&] { return discovery.count("\r\n\r\n") == 1; }, "a watch");
   EXPECT_TRUE(discovery.peers[0]->has("GET /registry/instances?watch=1 HTTP/1.1\r\n"));
   const auto chunk = [](const std::string& text) {
     std::ostringstream size;
     size << std::hex << text.size();
     return size.str() + "\r\n" + text + "\r\n";
   };
-  const std::string line = roster(7, true, json::array({entry("s-1", worker.text())})) + "\n";
+  const std::string line =
+      endpointListJson(7, true, json::array({endpointEntryJson("s-1", worker.addressText())})) + "\n";
   discovery.peers[0]->send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk("\n") +
                            chunk(line.substr(0, 30)));
   client->send(readinessRequest);
-  until([&] { return client->count("HTTP/1.1 503") == 2; }, "still not ready");
+  waitUntil([&] { return client->count("HTTP/1.1 503") == 2; }, "still not ready");
   discovery.peers[0]->send(chunk(line.substr(30)));
-  until([&] { return gatekeeper->ready(); }, "ready");
+  waitUntil([&] { return gatekeeper->ready(); }, "ready");
   client->send(readinessRequest);
   waitForResponse(client, "HTTP/1.1 200");
-  discovery.peers[0]->end();  // the next watch requests the changes since generation 7
-  until([&] { return discovery.count("watch=1&from=7 HTTP/1.1\r\n") == 1; }, "another watch");
+  discovery.peers[0]->close();  // the next watch requests the changes since generation 7
+  waitUntil([&] { return discovery.count("watch=1&from=7 HTTP/1.1\r\n") == 1; }, "another watch");
 }
 
 TEST_F(GatekeeperEndToEnd, AMovedWorkerGetsRequestsAtItsNewAddressAndADrainingOneGetsNone) {
   startWithWatch();
-  const auto client = sendRequest(Ask());
+  const auto client = sendRequest(TestRequest());
   waitForRequestAtWorker("00000000000000a1");
-  worker.peers[0]->send(reply("200 OK", "old"));
+  worker.peers[0]->send(httpResponse("200 OK", "old"));
   waitForResponse(client, "old");
-  sendEndpointList(2, json::array({entry("s-1", other.text())}));
-  until([&] { return worker.peers[0]->ended; }, "the old connection ends");
-  client->send(Ask().text());
-  until([&] { return other.count("\r\n\r\n") == 1; }, "a request at the new address");
-  other.peers[0]->send(reply("200 OK", "new"));
+  sendEndpointList(2, json::array({endpointEntryJson("s-1", other.addressText())}));
+  waitUntil([&] { return worker.peers[0]->closedByPeer; }, "the old connection ends");
+  client->send(TestRequest().text());
+  waitUntil([&] { return other.count("\r\n\r\n") == 1; }, "a request at the new address");
+  other.peers[0]->send(httpResponse("200 OK", "new"));
   waitForResponse(client, "new");
-  sendEndpointList(3, json::array({entry("s-1", other.text(), "Terminating")}));
-  until([&] { return other.peers[0]->ended; }, "the draining worker's connection ends");
-  client->send(Ask().text());
+  sendEndpointList(3, json::array({endpointEntryJson("s-1", other.addressText(), "Terminating")}));
+  waitUntil([&] { return other.peers[0]->closedByPeer; }, "the draining worker's connection ends");
+  client->send(TestRequest().text());
   waitForResponse(client, "HTTP/1.1 429");
   EXPECT_EQ(other.count("\r\n\r\n"), 1u);
-  sendEndpointList(4, json::array({entry("s-1", other.text(), "Gone")}));
+  sendEndpointList(4, json::array({endpointEntryJson("s-1", other.addressText(), "Gone")}));
   // The worker returns with the same id at another address.
-  sendEndpointList(5, json::array({entry("s-1", worker.text())}));
-  const auto next = sendRequest(Ask());
-  until([&] { return worker.peers.back()->count("\r\n\r\n") == 1 && !worker.peers.back()->ended; },
-        "a request at the worker that returned");
-  sendEndpointList(6, json::array({entry("s-2", other.text())}), true);  // a snapshot without it
-  sendRequest(Ask());
-  until([&] { return other.count("\r\n\r\n") == 2; }, "a request at the other worker");
-  worker.peers.back()->send(reply("200 OK", "out already"));
+  sendEndpointList(5, json::array({endpointEntryJson("s-1", worker.addressText())}));
+  const auto next = sendRequest(TestRequest());
+  waitUntil([&] { return worker.peers.back()->count("\r\n\r\n") == 1 && !worker.peers.back()->closedByPeer; },
+            "a request at the worker that returned");
+  sendEndpointList(6, json::array({endpointEntryJson("s-2", other.addressText())}),
+                   true);  // a snapshot without it
+  sendRequest(TestRequest());
+  waitUntil([&] { return other.count("\r\n\r\n") == 2; }, "a request at the other worker");
+  worker.peers.back()->send(httpResponse("200 OK", "out already"));
   waitForResponse(next, "out already");
 }
 
@@ -319,135 +324,145 @@
 // snapshot is requested, and only the first such list is logged.
 TEST_F(GatekeeperEndToEnd, AMalformedListIsIgnoredAndASnapshotIsRequested) {
   startWithWatch();
-  sendEndpointList(2, json::array({entry("s-1", worker.text(), "Terminating"), entry("s-2", other.text())}));
+  sendEndpointList(2, json::array({endpointEntryJson("s-1", worker.addressText(), "Terminating"),
+                                   endpointEntryJson("s-2", other.addressText())}));
   testing::internal::CaptureStderr();
-  discovery.peers[0]->end();
-  until([&] { return discovery.count("from=2 HTTP/1.1\r\n") == 1; }, "the next watch");
+  discovery.peers[0]->close();
+  waitUntil([&] { return discovery.count("from=2 HTTP/1.1\r\n") == 1; }, "the next watch");
   std::size_t rejectedLists = 0;
   for (const std::string& line :
-       {roster(1, true, json::array({entry("s-1", worker.text())})), std::string("[]"),
-        roster(3, false, json::array({entry("s-1", worker.text(), "Resting")})),
-        roster(3, false, json::array({entry("s-1", worker.text()), entry("s-1", worker.text())})),
+       {endpointListJson(1, true, json::array({endpointEntryJson("s-1", worker.addressText())})),
+        std::string("[]"),
+        endpointListJson(3, false, json::array({endpointEntryJson("s-1", worker.addressText(), "Resting")})),
+        endpointListJson(3, false,
+                         json::array({endpointEntryJson("s-1", worker.addressText()),
+                                      endpointEntryJson("s-1", worker.addressText())})),
         std::string("{\"generation\":3}")}) {
     discovery.peers.back()->send("HTTP/1.1 200 OK\r\n\r\n" + line + "\n");
     ++rejectedLists;
-    until([&] { return discovery.count("watch=1 HTTP/1.1\r\n") == rejectedLists; },
-          "a request for a snapshot");
+    waitUntil([&] { return discovery.count("watch=1 HTTP/1.1\r\n") == rejectedLists; },
+              "a request for a snapshot");
   }
   const std::string logOutput = testing::internal::GetCapturedStderr();
   // Logged: the watch's end and the first rejected list.
   EXPECT_EQ(std::count(logOutput.begin(), logOutput.end(), '\n'), 2) << logOutput;
   EXPECT_NE(logOutput.find("list: older than what is known"), std::string::npos);
-  sendRequest(Ask());
-  until([&] { return other.count("Req-Id: ") == 1; }, "the worker that stays");
+  sendRequest(TestRequest());
+  waitUntil([&] { return other.count("Req-Id: ") == 1; }, "the worker that stays");
   EXPECT_EQ(worker.count("Req-Id: "), 0u);
 }
 
 // The largest fleet must fit the smallest memory limit: a list of 1,024 workers, indented and sent in pieces,
 // in a fleet of 1,024 gatekeepers.
 TEST_F(GatekeeperEndToEnd, ReadsAListOf1024WorkersWithTheSmallestMemoryLimit) {
-  json file = configJson(discovery.text());
+  json file = configJson(discovery.addressText());
   file["limits"]["memory_mb"] = 32;
   file["settings"]["nInstances"] = 1024;
   file["ops"] = "127.0.0.1:0";
   gatekeeper.emplace(io, parseConfig(file.dump()));
   gatekeeper->start();
-  until([&] { return discovery.count("\r\n\r\n") == 1; }, "a watch");
+  waitUntil([&] { return discovery.count("\r\n\r\n") == 1; }, "a watch");
   json all = json::array();
   for (int i = 0; i < 1024; ++i)
-    all.push_back(entry("s-" + std::string(24, 'x') + std::to_string(i), worker.text()));
-  const std::string list = json::parse(roster(1, true, all)).dump(4) + "\n";
+    all.push_back(endpointEntryJson("s-" + std::string(24, 'x') + std::to_string(i), worker.addressText()));
+  const std::string list = json::parse(endpointListJson(1, true, all)).dump(4) + "\n";
   EXPECT_GT(list.size(), 250000u);
   discovery.peers[0]->send("HTTP/1.1 200 OK\r\n\r\n");
   for (std::size_t from = 0; from < list.size(); from += 50001)
     discovery.peers[0]->send(list.substr(from, 50001));
-  until([&] { return gatekeeper->ready(); }, "ready");
-  const auto operatorCall = dial(gatekeeper->opsAddress());
+  waitUntil([&] { return gatekeeper->ready(); }, "ready");
+  const auto operatorCall = connectTo(gatekeeper->opsAddress());
   operatorCall->send("telemetry\n");
-  until([&] { return operatorCall->ended; }, "the end of the telemetry");
+  waitUntil([&] { return operatorCall->closedByPeer; }, "the end of the telemetry");
   EXPECT_TRUE(operatorCall->has("svc.hosts_listed:1024|g\n"));
-  sendRequest(Ask());
-  until([&] { return worker.count("Req-Id: ") == 1; }, "a request at a worker");
+  sendRequest(TestRequest());
+  waitUntil([&] { return worker.count("Req-Id: ") == 1; }, "a request at a worker");
 }
 
 // A process is bound by the agent's list from its start on, and the configured list may be older: no request
 // may be sent before the agent's first list, unless the agent stays silent.
 TEST_F(GatekeeperEndToEnd, SendsNothingBeforeTheFirstListUnlessDiscoveryIsSilent) {
-  startGatekeeper(json::array({entry("s-1", worker.text()), entry("s-2", other.text())}));
-  const auto client = sendRequest(Ask());
-  const auto readinessProbe = dial(gatekeeper->address());
+  startGatekeeper(json::array(
+      {endpointEntryJson("s-1", worker.addressText()), endpointEntryJson("s-2", other.addressText())}));
+  const auto client = sendRequest(TestRequest());
+  const auto readinessProbe = connectTo(gatekeeper->address());
   readinessProbe->send("GET /health/ready HTTP/1.1\r\nHost: b\r\n\r\n");
   waitForResponse(readinessProbe, "HTTP/1.1 503");
-  until(
+  waitUntil(
       [&] {
         return gatekeeper->requestsInFlight() == 1 && discovery.count("watch=1&from=1 HTTP/1.1\r\n") == 1;
       },
       "a watch");
   EXPECT_EQ(worker.peers.size() + other.peers.size(), 0u);
-  discovery.peers[0]->send("HTTP/1.1 200 OK\r\n\r\n" +
-                           roster(2, false, json::array({entry("s-1", worker.text(), "Terminating")})) +
-                           "\n");
-  until([&] { return other.count("Req-Id: ") == 1; }, "the request at the worker that stays");
+  discovery.peers[0]->send(
+      "HTTP/1.1 200 OK\r\n\r\n" +
+      endpointListJson(2, false,
+                       json::array({endpointEntryJson("s-1", worker.addressText(), "Terminating")})) +
+      "\n");
+  waitUntil([&] { return other.count("Req-Id: ") == 1; }, "the request at the worker that stays");
   EXPECT_EQ(worker.peers.size(), 0u);
   EXPECT_TRUE(gatekeeper->ready());
   Gatekeeper withSilentAgent(
-      io, parseConfig(configJson(discovery.text(), json::array({entry("s-1", worker.text())})).dump()));
+      io, parseConfig(configJson(discovery.addressText(),
+                                 json::array({endpointEntryJson("s-1", worker.addressText())}))
+                          .dump()));
   withSilentAgent.start();
   EXPECT_FALSE(withSilentAgent.ready());
-  until([&] { return withSilentAgent.ready(); }, "ready with the configured list");
+  waitUntil([&] { return withSilentAgent.ready(); }, "ready with the configured list");
 }
 
 // A change that a silent watch misses is binding some seconds later all the same, so the watch on a silent
 // agent must be opened again within that time.
 TEST_F(GatekeeperEndToEnd, TheWatchOnASilentAgentIsReopenedWithinFiveSeconds) {
   startWithWorker();
-  until([&] { return discovery.count("watch=1") == 1; }, "a watch");
+  waitUntil([&] { return discovery.count("watch=1") == 1; }, "a watch");
   const auto requestedAt = std::chrono::steady_clock::now();
-  until([&] { return discovery.count("watch=1") == 2; }, "another watch");
+  waitUntil([&] { return discovery.count("watch=1") == 2; }, "another watch");
   EXPECT_LT(std::chrono::steady_clock::now() - requestedAt, std::chrono::seconds(5));
 }
 
 TEST_F(GatekeeperEndToEnd, AReloadReconnectsTheWatchAndRetainsTheEndpoints) {
   startWithWatch();
   Listener second(io);
-  gatekeeper->reload(parseConfig(configJson(second.text()).dump()));
-  until([&] { return second.count("watch=1&from=1 HTTP/1.1\r\n") == 1; }, "a watch at the new address");
-  until([&] { return discovery.peers[0]->ended; }, "the old watch's end");
+  gatekeeper->reload(parseConfig(configJson(second.addressText()).dump()));
+  waitUntil([&] { return second.count("watch=1&from=1 HTTP/1.1\r\n") == 1; }, "a watch at the new address");
+  waitUntil([&] { return discovery.peers[0]->closedByPeer; }, "the old watch's end");
   EXPECT_TRUE(gatekeeper->ready());
   second.peers[0]->send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
   const std::string line =
-      roster(2, false,
-             json::array({entry("s-1", worker.text(), "Terminating"), entry("s-2", other.text())})) +
+      endpointListJson(2, false,
+                       json::array({endpointEntryJson("s-1", worker.addressText(), "Terminating"),
+                                    endpointEntryJson("s-2", other.addressText())})) +
       "\n";
   std::ostringstream size;
   size << std::hex << line.size();
   second.peers[0]->send(size.str() + "\r\n" + line + "\r\n");
-  second.peers[0]->end();
-  until([&] { return second.count("from=2 HTTP/1.1\r\n") == 1; }, "the next watch");
-  sendRequest(Ask());
-  until([&] { return other.count("Req-Id: ") == 1; }, "a request at the worker that the new agent lists");
+  second.peers[0]->close();
+  waitUntil([&] { return second.count("from=2 HTTP/1.1\r\n") == 1; }, "the next watch");
+  sendRequest(TestRequest());
+  waitUntil([&] { return other.count("Req-Id: ") == 1; }, "a request at the worker that the new agent lists");
   EXPECT_EQ(worker.count("Req-Id: "), 0u);
 }
 
 TEST_F(GatekeeperEndToEnd, DrainFinishesRequestsInFlightAndServesNewOnes) {
   startWithWorker();
-  const auto early = sendRequest(Ask());
+  const auto early = sendRequest(TestRequest());
   waitForRequestAtWorker("00000000000000a1");
   bool done = false;
   gatekeeper->drain([&] { done = true; });
-  Ask request;
+  TestRequest request;
   request.id = "00000000000000a2";
   const auto late = sendRequest(request);
   waitForRequestAtWorker(request.id);
   ASSERT_EQ(worker.peers.size(), 2u);
-  worker.peers[0]->send(reply("200 OK", "early"));
-  worker.peers[1]->send(reply("200 OK", "late"));
+  worker.peers[0]->send(httpResponse("200 OK", "early"));
+  worker.peers[1]->send(httpResponse("200 OK", "late"));
   waitForResponse(early, "early");
   waitForResponse(late, "late");
   EXPECT_TRUE(early->has("Connection: close\r\n"));
-  early->end();
-  late->end();
-  until([&] { return done; }, "the drain's end");
+  early->close();
+  late->close();
+  waitUntil([&] { return done; }, "the drain's end");
 }
 
 // A worker whose machine does not accept connections for a while: the listen backlog is full until `accept`.
@@ -481,12 +496,12 @@
 // when the connection is requested, it would be too long by the time that connecting takes.
 TEST_F(GatekeeperEndToEnd, TheDeadlineSentToAWorkerExcludesTheTimeToConnect) {
   ListenerWithFullBacklog slow(io);
-  startGatekeeper(json::array({entry("s-1", slow.text())}));
-  until([&] { return discovery.count("\r\n\r\n") == 1; }, "a watch");
+  startGatekeeper(json::array({endpointEntryJson("s-1", slow.text())}));
+  waitUntil([&] { return discovery.count("\r\n\r\n") == 1; }, "a watch");
   discovery.peers[0]->send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
   sendEndpointList(1, json::array());
-  until([&] { return gatekeeper->ready(); }, "ready");
-  Ask request;
+  waitUntil([&] { return gatekeeper->ready(); }, "ready");
+  TestRequest request;
   request.deadline = "4000";
   const auto requestedAt = std::chrono::steady_clock::now();
   const auto client = sendRequest(request);
@@ -498,11 +513,11 @@
     return std::find_if(slow.peers.begin(), slow.peers.end(),
                         [&](const PeerPtr& peer) { return peer->has(name) && peer->has("\r\n\r\n"); });
   };
-  until([&] { return forwardedRequest() != slow.peers.end(); }, "a request at the worker");
+  waitUntil([&] { return forwardedRequest() != slow.peers.end(); }, "a request at the worker");
   const std::chrono::duration<double, std::milli> elapsed = std::chrono::steady_clock::now() - requestedAt;
   ASSERT_GT(elapsed.count(), 500) << "the connection was established immediately";
-  const std::string& got = (*forwardedRequest())->got;
-  EXPECT_LE(std::stod(got.substr(got.find(name) + name.size())), 4000 - elapsed.count() + 150);
+  const std::string& received = (*forwardedRequest())->received;
+  EXPECT_LE(std::stod(received.substr(received.find(name) + name.size())), 4000 - elapsed.count() + 150);
 }
 
 }  // namespace
--- a/tests/loopback.hpp
+++ b/tests/loopback.hpp
@@ -24,29 +24,29 @@
 class Peer : public std::enable_shared_from_this<Peer> {
  public:
   explicit Peer(tcp::socket socket) : socket_(std::move(socket)) {}
-  std::string got;     // all bytes received
-  bool ended = false;  // the other side has closed the connection, or it failed
+  std::string received;       // all bytes received
+  bool closedByPeer = false;  // the other side has closed the connection, or it failed
 
-  // Pauses reading until `goOn`; a read that is already pending still completes.
-  void stall() { readPaused_ = true; }
-  void goOn() {
+  // Pauses reading until `resumeReading`; a read that is already pending still completes.
+  void pauseReading() { readPaused_ = true; }
+  void resumeReading() {
     if (std::exchange(readPaused_, false) && !readPending_) read();
   }
-  // Sends this many bytes in pieces, as fast as the other side reads them; `streamed` counts those sent.
-  void stream(std::size_t bytes) {
+  // Sends this many bytes in pieces, as fast as the other side reads them; `bytesSent` counts those sent.
+  void sendBytes(std::size_t bytes) {
     unsentBytes_ += bytes;
     if (!writePending_) sendNextPiece();
   }
-  std::size_t streamed = 0;
+  std::size_t bytesSent = 0;
 
   void read() {
     readPending_ = true;
     socket_.async_read_some(asio::buffer(readBuffer_),
                             [self = shared_from_this(), this](const Error& error, std::size_t n) {
                               readPending_ = false;
-                              got.append(readBuffer_.data(), n);
+                              received.append(readBuffer_.data(), n);
                               if (error)
-                                ended = true;
+                                closedByPeer = true;
                               else if (!readPaused_)
                                 read();
                             });
@@ -55,33 +55,33 @@
     Error ignored;  // the other side may have closed the connection already
     asio::write(socket_, asio::buffer(text), ignored);
   }
-  void end() { socket_.close(); }
+  void close() { socket_.close(); }
   // Closes with a TCP reset, as a crashed process does: sent bytes that the other side has not read are lost.
   void reset() {
     socket_.set_option(asio::socket_base::linger(true, 0));
     socket_.close();
   }
-  bool has(const std::string& text) const { return got.find(text) != std::string::npos; }
+  bool has(const std::string& text) const { return received.find(text) != std::string::npos; }
   std::size_t count(const std::string& text) const {
     std::size_t n = 0;
-    for (auto position = got.find(text); position != std::string::npos;
-         position = got.find(text, position + 1))
+    for (auto position = received.find(text); position != std::string::npos;
+         position = received.find(text, position + 1))
       ++n;
     return n;
   }
 
  private:
   void sendNextPiece() {
-    if (unsentBytes_ == 0 || ended) return;
+    if (unsentBytes_ == 0 || closedByPeer) return;
     writePending_ = true;
     static const std::string piece(16384, 'x');
     socket_.async_write_some(asio::buffer(piece.data(), std::min(unsentBytes_, piece.size())),
                              [self = shared_from_this(), this](const Error& error, std::size_t n) {
                                writePending_ = false;
-                               streamed += n;
+                               bytesSent += n;
                                unsentBytes_ -= n;
                                if (error)
-                                 ended = true;
+                                 closedByPeer = true;
                                else
                                  sendNextPiece();
                              });
@@ -104,7 +104,7 @@
   std::vector<PeerPtr> peers;
 
   tcp::endpoint address() const { return acceptor_.local_endpoint(); }
-  std::string text() const { return "127.0.0.1:" + std::to_string(address().port()); }
+  std::string addressText() const { return "127.0.0.1:" + std::to_string(address().port()); }
   std::size_t count(const std::string& pattern) const {
     std::size_t n = 0;
     for (const auto& peer : peers) n += peer->count(pattern);
@@ -124,14 +124,14 @@
 };
 
 // A worker in an endpoint list.
-inline json entry(const std::string& id, const std::string& address, const std::string& lifecycle = "Ready",
-                  double startedAtMs = 0) {
+inline json endpointEntryJson(const std::string& id, const std::string& address,
+                              const std::string& lifecycle = "Ready", double startedAtMs = 0) {
   return {{"instanceId", id}, {"hostPort", address},    {"zone", "a"},   {"machineType", "m"},
           {"cell", 0},        {"lifecycle", lifecycle}, {"weight", 1.0}, {"startedAtMs", startedAtMs}};
 }
 
 // An endpoint list as discovery sends it: a snapshot if `reset`, else a delta.
-inline std::string roster(int generation, bool reset, const json& instances) {
+inline std::string endpointListJson(int generation, bool reset, const json& instances) {
   return json{{"generation", generation}, {"reset", reset}, {"instances", instances}}.dump();
 }
 
@@ -164,33 +164,35 @@
            {"seed", "8c1f30d27a5be964"},
            {"limits", {{"sockets", 256}}},
            {"settings", settingsJson()}};
-  if (!known.is_null()) out["known"] = json::parse(roster(1, true, known));
+  if (!known.is_null()) out["known"] = json::parse(endpointListJson(1, true, known));
   return out;
 }
 
 // A client's request.
-struct Ask {
-  std::string klass = "look";
+struct TestRequest {
+  std::string requestClass = "look";
   std::string plan = "large";
   std::string id = "00000000000000a1";
   std::string query = "client=00000000b4d65521";
   std::string deadline = "60000";
-  std::string terms = "units=1,spread=2,first=1";
+  std::string callTerms = "units=1,spread=2,first=1";
   std::string extra;
   std::string body;
 
   std::string text() const {
-    std::string out = (klass == "look" ? "GET /" : "POST /") + klass + "?" + query + " HTTP/1.1\r\n";
+    std::string out =
+        (requestClass == "look" ? "GET /" : "POST /") + requestClass + "?" + query + " HTTP/1.1\r\n";
     out += "Host: backend.local\r\nReq-Id: " + id + "\r\nX-Tier: " + plan + "\r\n";
-    out += "Req-Deadline-Ms: " + deadline + "\r\nX-Call-Terms: " + terms + "\r\n" + extra;
-    if (klass == "edit") out += "Idempotency-Key: 5c0f6e1a2b3d4c59a8b7c6d5e4f30211\r\n";
-    if (klass != "look") out += "Content-Length: " + std::to_string(body.size()) + "\r\n";
+    out += "Req-Deadline-Ms: " + deadline + "\r\nX-Call-Terms: " + callTerms + "\r\n" + extra;
+    if (requestClass == "edit") out += "Idempotency-Key: 5c0f6e1a2b3d4c59a8b7c6d5e4f30211\r\n";
+    if (requestClass != "look") out += "Content-Length: " + std::to_string(body.size()) + "\r\n";
     return out + "\r\n" + body;
   }
 };
 
 // A worker's HTTP response.
-inline std::string reply(const std::string& status, const std::string& body, const std::string& extra = "") {
+inline std::string httpResponse(const std::string& status, const std::string& body,
+                                const std::string& extra = "") {
   return "HTTP/1.1 " + status + "\r\nContent-Length: " + std::to_string(body.size()) + "\r\n" + extra +
          "\r\n" + body;
 }
@@ -201,7 +203,7 @@
   using Condition = std::function<bool()>;
 
   // Runs the event loop until the condition is true; fails the test after 30 s.
-  void until(const Condition& condition, const char* description) {
+  void waitUntil(const Condition& condition, const char* description) {
     const auto deadline = std::chrono::steady_clock::now() + std::chrono::seconds(30);
     while (!condition()) {
       io.restart();
@@ -209,7 +211,7 @@
       ASSERT_LT(std::chrono::steady_clock::now(), deadline) << "timed out waiting for: " << description;
     }
   }
-  PeerPtr dial(const tcp::endpoint& to) {
+  PeerPtr connectTo(const tcp::endpoint& to) {
     tcp::socket socket(io);
     socket.connect(to);
     const auto peer = std::make_shared<Peer>(std::move(socket));
@@ -217,7 +219,7 @@
     return peer;
   }
   // The address of a port on which no socket listens.
-  std::string nobody() { return Listener(io).text(); }
+  std::string unusedAddress() { return Listener(io).addressText(); }
 
   asio::io_context io{1};
 };
--- a/tests/ops_test.cpp
+++ b/tests/ops_test.cpp
@@ -35,10 +35,10 @@
   OpsServer server(io, OpsServer::Limits{}, calls, overloadManager);
   server.start({asio::ip::address_v4::loopback(), 0});
   const auto members = [&] {
-    const auto caller = dial(server.address());
+    const auto caller = connectTo(server.address());
     caller->send("members\n");
-    until([&] { return caller->ended; }, "the end of the response");
-    return caller->got;
+    waitUntil([&] { return caller->closedByPeer; }, "the end of the response");
+    return caller->received;
   };
   const std::string complete = members();
   EXPECT_EQ(std::count(complete.begin(), complete.end(), '\n'), 1026);
@@ -61,7 +61,8 @@
   }
   void TearDown() override { std::filesystem::remove_all(stateDirectory); }
   Config config() {
-    json file = configJson(discovery.text(), json::array({entry("s-1", worker.text())}));
+    json file =
+        configJson(discovery.addressText(), json::array({endpointEntryJson("s-1", worker.addressText())}));
     file["ops"] = "127.0.0.1:0";
     Config out = parseConfig(file.dump());
     out.stateDir = stateDirectory;
@@ -72,28 +73,28 @@
     gatekeeper->start();
   }
   std::string call(Gatekeeper& to, const std::string& text) {
-    const auto caller = dial(to.opsAddress());
+    const auto caller = connectTo(to.opsAddress());
     caller->send(text);
-    until([&] { return caller->ended; }, "the end of the response");
-    return caller->got;
+    waitUntil([&] { return caller->closedByPeer; }, "the end of the response");
+    return caller->received;
   }
   std::string call(const std::string& line) { return call(*gatekeeper, line + "\n"); }
   bool telemetryHas(const std::string& figure) {
     return call("telemetry").find(figure + "\n") != std::string::npos;
   }
   PeerPtr sendRequest(const std::string& id, const std::string& requestClass = "look") {
-    Ask request;
-    request.klass = requestClass, request.id = id;
-    const auto client = dial(gatekeeper->address());
+    TestRequest request;
+    request.requestClass = requestClass, request.id = id;
+    const auto client = connectTo(gatekeeper->address());
     client->send(request.text());
     return client;
   }
   void waitForRequest(const std::string& id) {
-    until([&] { return worker.count("Req-Id: " + id) == 1; }, "the request at the worker");
+    waitUntil([&] { return worker.count("Req-Id: " + id) == 1; }, "the request at the worker");
   }
   void sendEndpointList(const json& instances, int generation, bool reset = true) {
-    until([&] { return !discovery.peers.empty() && discovery.peers.back()->has("\r\n\r\n"); }, "a watch");
-    const std::string line = roster(generation, reset, instances) + "\n";
+    waitUntil([&] { return !discovery.peers.empty() && discovery.peers.back()->has("\r\n\r\n"); }, "a watch");
+    const std::string line = endpointListJson(generation, reset, instances) + "\n";
     discovery.peers.back()->send("HTTP/1.1 200 OK\r\n\r\n" + line);
   }
 
@@ -104,8 +105,8 @@
 
 TEST_F(Ops, RespondsToOneCallPerConnectionAndRejectsMalformedCalls) {
   open();
-  sendEndpointList(json::array({entry("s-1", worker.text())}), 2);
-  until([&] { return call("readyz").substr(0, 3) == "200"; }, "ready");
+  sendEndpointList(json::array({endpointEntryJson("s-1", worker.addressText())}), 2);
+  waitUntil([&] { return call("readyz").substr(0, 3) == "200"; }, "ready");
   EXPECT_EQ(call(*gatekeeper, "readyz\r\n").substr(0, 3), "200");
   for (const char* malformed : {"", "reaDyz", "readyz now", "exclude", "exclude ", "exclude s-1 s-2",
                                 "include never", "exclude never", "GET / HTTP/1.1"})
@@ -118,21 +119,21 @@
   open();
   std::vector<PeerPtr> idle;
   for (int i = 0; i < 40; ++i) {
-    idle.push_back(dial(gatekeeper->opsAddress()));
+    idle.push_back(connectTo(gatekeeper->opsAddress()));
     if (i % 2) idle.back()->send("teleme");
   }
   EXPECT_NE(call("telemetry").find("\nEOF\n"), std::string::npos);
-  EXPECT_TRUE(idle.front()->ended);  // the oldest connection was closed for a new one
+  EXPECT_TRUE(idle.front()->closedByPeer);  // the oldest connection was closed for a new one
 }
 
 TEST_F(Ops, IsNotReadyBeforeTheFirstEndpointList) {
-  json file = configJson(discovery.text());
+  json file = configJson(discovery.addressText());
   file["ops"] = "127.0.0.1:0";
   gatekeeper.emplace(io, parseConfig(file.dump()));
   gatekeeper->start();
   EXPECT_EQ(call("readyz").substr(0, 3), "400");
-  sendEndpointList(json::array({entry("s-1", worker.text())}), 2);
-  until([&] { return call("readyz").substr(0, 3) == "200"; }, "ready");
+  sendEndpointList(json::array({endpointEntryJson("s-1", worker.addressText())}), 2);
+  waitUntil([&] { return call("readyz").substr(0, 3) == "200"; }, "ready");
 }
 
 TEST_F(Ops, TelemetryCountsFinalResponsesAndAttemptsByClass) {
@@ -140,17 +141,17 @@
   const auto served = sendRequest("00000000000000a1");
   waitForRequest("00000000000000a1");
   EXPECT_TRUE(telemetryHas("svc.inflight:1|g"));
-  worker.peers.back()->send(reply("200 OK", "done"));
-  until([&] { return served->has("done"); }, "the response");
+  worker.peers.back()->send(httpResponse("200 OK", "done"));
+  waitUntil([&] { return served->has("done"); }, "the response");
   const auto failed = sendRequest("00000000000000a2", "order");
   waitForRequest("00000000000000a2");
-  worker.peers.back()->end();
-  until([&] { return failed->has("502"); }, "the response to a failed request");
-  Ask overQuota;
+  worker.peers.back()->close();
+  waitUntil([&] { return failed->has("502"); }, "the response to a failed request");
+  TestRequest overQuota;
   overQuota.plan = "small", overQuota.query = "client=0000000000000007";
-  const auto rejected = dial(gatekeeper->address());
+  const auto rejected = connectTo(gatekeeper->address());
   rejected->send(overQuota.text());
-  until([&] { return rejected->has("429"); }, "the rejection");
+  waitUntil([&] { return rejected->has("429"); }, "the rejection");
   for (const char* figure :
        {"svc.success.look:1|c", "svc.busy.look:1|c", "svc.failure.look:0|c", "svc.failure.order:1|c",
         "svc.success.edit:0|c", "svc.backend_calls:2|c", "svc.inflight:0|g", "svc.hosts_listed:1|g"})
@@ -162,11 +163,12 @@
   EXPECT_EQ(call("exclude s-1").substr(0, 3), "200");
   EXPECT_EQ(call("exclude s-1").substr(0, 3), "200");
   EXPECT_TRUE(telemetryHas("svc.hosts_down:1|g"));
-  sendEndpointList(
-      json::array({entry("s-1", worker.text(), "Gone"), entry("s-1", worker.text(), "Ready", 4e12)}), 2);
-  until([&] { return call("readyz").substr(0, 3) == "200"; }, "ready with the new list");
+  sendEndpointList(json::array({endpointEntryJson("s-1", worker.addressText(), "Gone"),
+                                endpointEntryJson("s-1", worker.addressText(), "Ready", 4e12)}),
+                   2);
+  waitUntil([&] { return call("readyz").substr(0, 3) == "200"; }, "ready with the new list");
   const auto rejected = sendRequest("00000000000000a1");
-  until([&] { return rejected->has("429"); }, "the rejection");
+  waitUntil([&] { return rejected->has("429"); }, "the rejection");
   EXPECT_EQ(worker.count("Req-Id"), 0u);
   EXPECT_EQ(call("include s-1").substr(0, 3), "200");
   EXPECT_EQ(call("include s-1").substr(0, 3), "200");
@@ -183,7 +185,7 @@
   next.start();
   EXPECT_NE(call(next, "telemetry\n").find("svc.hosts_down:1|g"), std::string::npos);
   EXPECT_EQ(call(next, "include s-1\n").substr(0, 3), "200");
-  until([&] { return telemetryHas("svc.hosts_down:0|g"); }, "the inclusion in the old process");
+  waitUntil([&] { return telemetryHas("svc.hosts_down:0|g"); }, "the inclusion in the old process");
 }
 
 TEST_F(Ops, AMalformedExclusionsFileIsIgnored) {
@@ -204,7 +206,7 @@
   open();
   const auto oldRequest = sendRequest("00000000000000a1", "order");  // unsafe: never retried
   waitForRequest("00000000000000a1");
-  json file = configJson(discovery.text());
+  json file = configJson(discovery.addressText());
   file["ops"] = "127.0.0.1:0";
   json& classes = file["settings"]["profiles"];
   classes.push_back(classes[2]);
@@ -215,21 +217,21 @@
   EXPECT_TRUE(telemetryHas("svc.reconfig_ok:1|c"));
   EXPECT_TRUE(telemetryHas("svc.success.order-v2:0|c"));
   const auto removedClassRequest = sendRequest("00000000000000a2", "order");
-  until([&] { return removedClassRequest->has("HTTP/1.1 400"); }, "the rejection of the removed class");
-  Ask request;
+  waitUntil([&] { return removedClassRequest->has("HTTP/1.1 400"); }, "the rejection of the removed class");
+  TestRequest request;
   request.id = "00000000000000a3";
   std::string text = request.text();
   text.replace(0, 9, "GET /order-v2");
-  const auto newClassRequest = dial(gatekeeper->address());
+  const auto newClassRequest = connectTo(gatekeeper->address());
   newClassRequest->send(text);
   waitForRequest("00000000000000a3");
-  worker.peers.back()->end();  // safe in the new settings: retried
-  until([&] { return worker.count("Req-Id: 00000000000000a3") == 2; }, "a retry");
-  worker.peers.back()->send(reply("200 OK", "new"));
-  until([&] { return newClassRequest->has("new"); }, "the response");
-  worker.peers.front()->end();
-  until([&] { return oldRequest->has("HTTP/1.1 502"); },
-        "the failure of the old request by the rules of its class");
+  worker.peers.back()->close();  // safe in the new settings: retried
+  waitUntil([&] { return worker.count("Req-Id: 00000000000000a3") == 2; }, "a retry");
+  worker.peers.back()->send(httpResponse("200 OK", "new"));
+  waitUntil([&] { return newClassRequest->has("new"); }, "the response");
+  worker.peers.front()->close();
+  waitUntil([&] { return oldRequest->has("HTTP/1.1 502"); },
+            "the failure of the old request by the rules of its class");
   EXPECT_EQ(worker.count("Req-Id: 00000000000000a1"), 1u);
   EXPECT_TRUE(telemetryHas("svc.failure.order:1|c"));
   gatekeeper->reloadFailed();
@@ -240,18 +242,19 @@
 // names a store: the drain still waits for the operations at the store that it has started.
 TEST_F(Ops, RemovingTheStoreInAReloadDoesNotCutADrainShort) {
   Listener store(io);
-  json file = configJson(discovery.text(), json::array({entry("s-1", worker.text())}));
+  json file =
+      configJson(discovery.addressText(), json::array({endpointEntryJson("s-1", worker.addressText())}));
   file["coordination"] = {
-      {"store", store.text()}, {"prefix", "wingslip"}, {"ttl_ms", 10000}, {"lock_delay_ms", 0}};
+      {"store", store.addressText()}, {"prefix", "wingslip"}, {"ttl_ms", 10000}, {"lock_delay_ms", 0}};
   gatekeeper.emplace(io, parseConfig(file.dump()));
   gatekeeper->start();
-  until([&] { return store.count("\r\n\r\n") > 0; }, "a request at the store");
+  waitUntil([&] { return store.count("\r\n\r\n") > 0; }, "a request at the store");
   bool done = false;
   gatekeeper->drain([&] { done = true; });
   file.erase("coordination");
   gatekeeper->reload(parseConfig(file.dump()));
   EXPECT_NE(gatekeeper->config().coordination, std::nullopt);
-  until([&] { return done; }, "the end of the drain");
+  waitUntil([&] { return done; }, "the end of the drain");
 }
 
 TEST_F(Ops, AWrittenHandoverIsReadBackAndAMalformedOneIsIgnored) {
@@ -280,37 +283,38 @@
   };
   gatekeeper.emplace(io, inheritedConfig());
   gatekeeper->start();
-  const auto connectClient = [&] { return dial(platformAcceptor.local_endpoint()); };
+  const auto connectClient = [&] { return connectTo(platformAcceptor.local_endpoint()); };
   const std::string readinessRequest = "GET /health/ready HTTP/1.1\r\nHost: b\r\n\r\n";
   const auto oldClient = connectClient();
-  sendEndpointList(json::array({entry("s-1", worker.text())}), 2);  // from here on it accepts connections
+  sendEndpointList(json::array({endpointEntryJson("s-1", worker.addressText())}),
+                   2);  // from here on it accepts connections
   oldClient->send(readinessRequest);
-  until([&] { return oldClient->has("HTTP/1.1 200"); }, "the response of the old process");
+  waitUntil([&] { return oldClient->has("HTTP/1.1 200"); }, "the response of the old process");
 
   Gatekeeper next(io, inheritedConfig());
   next.start();
-  until([&] { return discovery.peers.size() == 2 && discovery.peers[1]->has("\r\n\r\n"); },
-        "the watch of the new process");
-  sendEndpointList(json::array({entry("s-1", worker.text())}), 2);
-  until([&] { return call(next, "readyz\n").substr(0, 3) == "200"; }, "the new process is ready");
+  waitUntil([&] { return discovery.peers.size() == 2 && discovery.peers[1]->has("\r\n\r\n"); },
+            "the watch of the new process");
+  sendEndpointList(json::array({endpointEntryJson("s-1", worker.addressText())}), 2);
+  waitUntil([&] { return call(next, "readyz\n").substr(0, 3) == "200"; }, "the new process is ready");
   bool done = false;
   gatekeeper->drain([&] { done = true; });
   EXPECT_EQ(call("readyz").substr(0, 3), "400");
-  oldClient->send(Ask().text());
+  oldClient->send(TestRequest().text());
   waitForRequest("00000000000000a1");
   const auto newClient = connectClient();
   newClient->send(readinessRequest);
-  until([&] { return newClient->has("HTTP/1.1 200"); }, "the response of the new process");
+  waitUntil([&] { return newClient->has("HTTP/1.1 200"); }, "the response of the new process");
   EXPECT_FALSE(newClient->has("Connection: close"));
-  worker.peers.back()->send(reply("200 OK", "done"));
-  until([&] { return oldClient->has("done") && oldClient->ended; },
-        "the old process responds and closes the connection");
+  worker.peers.back()->send(httpResponse("200 OK", "done"));
+  waitUntil([&] { return oldClient->has("done") && oldClient->closedByPeer; },
+            "the old process responds and closes the connection");
   EXPECT_TRUE(oldClient->has("Connection: close\r\n"));
-  until([&] { return done; }, "the end of the drain");
+  waitUntil([&] { return done; }, "the end of the drain");
   gatekeeper.reset();
   const auto laterClient = connectClient();
   laterClient->send(readinessRequest);
-  until([&] { return laterClient->has("HTTP/1.1 200"); }, "a response on the shared socket");
+  waitUntil([&] { return laterClient->has("HTTP/1.1 200"); }, "a response on the shared socket");
 }
 
 }  // namespace
--- a/tests/overflow_connections_test.cpp
+++ b/tests/overflow_connections_test.cpp
@@ -40,10 +40,11 @@
     server.emplace(io, config, limits, handler, overloadManager);
     server->start();
     for (std::size_t i = 0; i < 30; ++i) {
-      busy.push_back(dial(server->address()));
-      busy.back()->send(Ask().text());
+      busy.push_back(connectTo(server->address()));
+      busy.back()->send(TestRequest().text());
     }
-    until([&] { return handler.responders.size() == 30; }, "a request in flight on every regular connection");
+    waitUntil([&] { return handler.responders.size() == 30; },
+              "a request in flight on every regular connection");
   }
   OverloadManager overloadManager{io, budgetSharesFor({64 * kMiB}), OverloadState::Limits{}};
   ClientServer::Limits limits;
@@ -55,15 +56,15 @@
 
 TEST_F(OverflowConnections, MalformedAndSilentPeersAreClosedAndRequestsAreRejected) {
   ASSERT_EQ(limits.overflowSlots(), 2u);
-  const auto silent = dial(server->address()), malformed = dial(server->address()),
-             valid = dial(server->address());
+  const auto silent = connectTo(server->address()), malformed = connectTo(server->address()),
+             valid = connectTo(server->address());
   malformed->send("NONSENSE\r\n\r\n");
-  valid->send(Ask().text());
-  until([&] { return silent->ended && malformed->ended && valid->ended; },
-        "the close of all three connections");
-  EXPECT_TRUE(malformed->has("HTTP/1.1 400")) << malformed->got;
-  EXPECT_TRUE(valid->has("HTTP/1.1 503")) << valid->got;
-  EXPECT_TRUE(valid->has("Retry-After: ") && valid->has("Connection: close")) << valid->got;
+  valid->send(TestRequest().text());
+  waitUntil([&] { return silent->closedByPeer && malformed->closedByPeer && valid->closedByPeer; },
+            "the close of all three connections");
+  EXPECT_TRUE(malformed->has("HTTP/1.1 400")) << malformed->received;
+  EXPECT_TRUE(valid->has("HTTP/1.1 503")) << valid->received;
+  EXPECT_TRUE(valid->has("Retry-After: ") && valid->has("Connection: close")) << valid->received;
   EXPECT_EQ(handler.rejections, 1);
   EXPECT_EQ(handler.responders.size(), 30u);
 }
@@ -71,28 +72,32 @@
 TEST_F(OverflowConnections, ARequestIsServedIfAConnectionBecomesFreeAndAllOthersAreClosed) {
   std::vector<PeerPtr> silent;
   silent.reserve(12);
-  for (int i = 0; i < 12; ++i) silent.push_back(dial(server->address()));
-  until([&] { return std::all_of(silent.begin(), silent.end(), [](const auto& p) { return p->ended; }); },
-        "the close of all silent connections");
-  const auto lateClient = dial(server->address());
-  until([&] { return server->connections() == 31; }, "an overflow connection");
-  busy.front()->end();
-  until([&] { return server->connections() == 30; }, "room");
-  lateClient->send(Ask().text());
-  until([&] { return handler.responders.size() == 31; }, "the admission of the request");
+  for (int i = 0; i < 12; ++i) silent.push_back(connectTo(server->address()));
+  waitUntil(
+      [&] {
+        return std::all_of(silent.begin(), silent.end(), [](const auto& p) { return p->closedByPeer; });
+      },
+      "the close of all silent connections");
+  const auto lateClient = connectTo(server->address());
+  waitUntil([&] { return server->connections() == 31; }, "an overflow connection");
+  busy.front()->close();
+  waitUntil([&] { return server->connections() == 30; }, "room");
+  lateClient->send(TestRequest().text());
+  waitUntil([&] { return handler.responders.size() == 31; }, "the admission of the request");
   EXPECT_EQ(handler.rejections, 0);
 }
 
 // The request arrives in the loop iteration in which its connection would be evicted for another one.
 TEST_F(OverflowConnections, ARequestThatArrivesAtTheEvictionOfItsOverflowConnectionIsAnswered) {
-  const auto first = dial(server->address()), second = dial(server->address());
-  until([&] { return server->connections() == 32; }, "two overflow connections");
+  const auto first = connectTo(server->address()), second = connectTo(server->address());
+  waitUntil([&] { return server->connections() == 32; }, "two overflow connections");
   std::this_thread::sleep_for(limits.minOverflowTime + 20ms);
-  const auto third = dial(server->address());
-  first->send(Ask().text());
-  until([&] { return first->ended; }, "the close of the first connection");
-  EXPECT_TRUE(first->has("HTTP/1.1 503")) << first->got;
-  until([&] { return second->ended && third->ended; }, "the close of the silent connections");
+  const auto third = connectTo(server->address());
+  first->send(TestRequest().text());
+  waitUntil([&] { return first->closedByPeer; }, "the close of the first connection");
+  EXPECT_TRUE(first->has("HTTP/1.1 503")) << first->received;
+  waitUntil([&] { return second->closedByPeer && third->closedByPeer; },
+            "the close of the silent connections");
 }
 
 }  // namespace
--- a/tests/overload_fixture.hpp
+++ b/tests/overload_fixture.hpp
@@ -15,8 +15,9 @@
  protected:
   json configuration() {
     json workers = json::array();
-    for (int i = 1; i <= 20; ++i) workers.push_back(entry("s-" + std::to_string(i), worker.text()));
-    json out = configJson(discovery.text(), workers);
+    for (int i = 1; i <= 20; ++i)
+      workers.push_back(endpointEntryJson("s-" + std::to_string(i), worker.addressText()));
+    json out = configJson(discovery.addressText(), workers);
     out["ops"] = "127.0.0.1:0";
     out["limits"]["memory_mb"] = 14;  // a budget of 1.5 MiB
     out["limits"]["sockets"] = 1024;
@@ -29,18 +30,18 @@
   }
   void startGatekeeper() { startGatekeeper(configuration()); }
   PeerPtr sendRequest(const std::string& text) {
-    const auto client = dial(gatekeeper->address());
+    const auto client = connectTo(gatekeeper->address());
     client->send(text);
     return client;
   }
   PeerPtr sendSmallRequest(const std::string& id) {
-    Ask request;
+    TestRequest request;
     request.id = id;
     return sendRequest(request.text());
   }
   std::string longRequestHeader(std::size_t length, const std::string& id = "00000000000000b1") {
-    Ask request;
-    request.klass = "edit";
+    TestRequest request;
+    request.requestClass = "edit";
     request.id = id;
     std::string text = request.text();
     text.erase(text.find("Content-Length: 0\r\n"), 19);
@@ -49,7 +50,7 @@
   // Returns the worker's end of the connection that has received the request with this id.
   PeerPtr workerConnection(const std::string& id) {
     PeerPtr connection;
-    until(
+    waitUntil(
         [&] {
           for (const auto& peer : worker.peers)
             if (peer->has("Req-Id: " + id)) connection = peer;
@@ -59,10 +60,10 @@
     return connection;
   }
   std::string operatorCall(const std::string& line) {
-    const auto caller = dial(gatekeeper->opsAddress());
+    const auto caller = connectTo(gatekeeper->opsAddress());
     caller->send(line + "\n");
-    until([&] { return caller->ended; }, "the end of the response to an operator");
-    return caller->got;
+    waitUntil([&] { return caller->closedByPeer; }, "the end of the response to an operator");
+    return caller->received;
   }
   MemoryBudget& memory() { return gatekeeper->overloadManager().memory(); }
   std::size_t waiting(WaitQueue queue) { return gatekeeper->overloadManager().waitQueues().waiting(queue); }
--- a/tests/overload_manager_test.cpp
+++ b/tests/overload_manager_test.cpp
@@ -22,12 +22,12 @@
     char id[17];
     std::snprintf(id, sizeof id, "%016x", 0xb000 + i);
     senders.push_back(sendRequest(longRequestHeader(4 * kMiB, id)));
-    senders.back()->stream(4 * kMiB);
+    senders.back()->sendBytes(4 * kMiB);
   }
-  until(
+  waitUntil(
       [&] {
         for (const auto& peer : worker.peers)
-          if (peer->has("POST /edit")) peer->stall();
+          if (peer->has("POST /edit")) peer->pauseReading();
         return gatekeeper->overloadManager().state().enteredCount(OverloadLevel::throttling) > 0;
       },
       "throttling for lack of memory");
@@ -35,23 +35,23 @@
     char id[17];
     std::snprintf(id, sizeof id, "%016x", 0xa000 + i);
     const auto client = sendSmallRequest(id);
-    until([&] { return worker.count(std::string("Req-Id: ") + id) > 0 || client->has("\r\n\r\n"); },
-          "the request at the worker or its rejection");
-    ASSERT_EQ(client->got, "") << i << "\n" << operatorCall("telemetry");
-    workerConnection(id)->send(reply("200 OK", "small " + std::to_string(i)));
-    until([&] { return client->has("small " + std::to_string(i)); }, "the response to a small request");
-    client->end();
+    waitUntil([&] { return worker.count(std::string("Req-Id: ") + id) > 0 || client->has("\r\n\r\n"); },
+              "the request at the worker or its rejection");
+    ASSERT_EQ(client->received, "") << i << "\n" << operatorCall("telemetry");
+    workerConnection(id)->send(httpResponse("200 OK", "small " + std::to_string(i)));
+    waitUntil([&] { return client->has("small " + std::to_string(i)); }, "the response to a small request");
+    client->close();
   }
   EXPECT_LE(memory().peak(), memory().total());
   std::size_t sent = 0;
-  for (const auto& sender : senders) sent += sender->streamed;
+  for (const auto& sender : senders) sent += sender->bytesSent;
   EXPECT_GT(sent, 4 * memory().total());  // buffered in the kernel, not in the gatekeeper
   const std::string figures = operatorCall("telemetry");
   EXPECT_NE(figures.find("svc.memory.budget:" + std::to_string(memory().total()) + "|g\n"),
             std::string::npos);
-  for (const auto& sender : senders) sender->end();
+  for (const auto& sender : senders) sender->close();
   worker.peers.clear();
-  until(
+  waitUntil(
       [&] {
         return gatekeeper->requestsInFlight() == 0 &&
                memory().used(Account::clients) == overflowConnectionBytes;
@@ -64,38 +64,38 @@
   startGatekeeper();
   const auto client = sendSmallRequest("00000000000000a1");
   const auto workerPeer = workerConnection("00000000000000a1");
-  client->stall();
+  client->pauseReading();
   workerPeer->send("HTTP/1.1 200 OK\r\nContent-Length: 33000000\r\n\r\n");
-  workerPeer->stream(33000000);
+  workerPeer->sendBytes(33000000);
   std::size_t lastBytes = 0;
-  until(
+  waitUntil(
       [&] {
-        const bool isPaused = waiting(WaitQueue::responseBodyWindow) == 1 && workerPeer->streamed > 0 &&
-                              workerPeer->streamed == lastBytes;
-        lastBytes = workerPeer->streamed;
+        const bool isPaused = waiting(WaitQueue::responseBodyWindow) == 1 && workerPeer->bytesSent > 0 &&
+                              workerPeer->bytesSent == lastBytes;
+        lastBytes = workerPeer->bytesSent;
         if (!isPaused) runFor(50ms);
         return isPaused;
       },
       "a worker that is no longer read from");
-  EXPECT_LT(workerPeer->streamed, 33000000u);
+  EXPECT_LT(workerPeer->bytesSent, 33000000u);
   EXPECT_LT(memory().used(), 400000u);
-  client->goOn();
-  until([&] { return client->got.size() > 33000000; }, "the complete response");
-  until([&] { return gatekeeper->requestsInFlight() == 0; }, "the end of the request");
+  client->resumeReading();
+  waitUntil([&] { return client->received.size() > 33000000; }, "the complete response");
+  waitUntil([&] { return gatekeeper->requestsInFlight() == 0; }, "the end of the request");
   EXPECT_LE(memory().used(Account::workers), 11 * 1024u);
 }
 
 TEST_F(OverloadManagement, APausedReadDetectsThatItsPeerHasClosed) {
   startGatekeeper();
   const auto client = sendRequest(longRequestHeader(8 * kMiB));
-  client->stream(8 * kMiB);
-  workerConnection("00000000000000b1")->stall();
+  client->sendBytes(8 * kMiB);
+  workerConnection("00000000000000b1")->pauseReading();
   std::size_t lastBytes = 0;
-  until(
+  waitUntil(
       [&] {
-        const bool isPaused = waiting(WaitQueue::requestBodyWindow) == 1 && client->streamed > 0 &&
-                              client->streamed == lastBytes;
-        lastBytes = client->streamed;
+        const bool isPaused = waiting(WaitQueue::requestBodyWindow) == 1 && client->bytesSent > 0 &&
+                              client->bytesSent == lastBytes;
+        lastBytes = client->bytesSent;
         if (!isPaused) runFor(50ms);
         return isPaused;
       },
@@ -103,7 +103,7 @@
   // Resets the connection: an orderly close with unread bytes before it is indistinguishable from a client
   // that waits, because its end of stream follows the unread bytes.
   client->reset();
-  until([&] { return gatekeeper->requestsInFlight() == 0; }, "the detection of the reset");
+  waitUntil([&] { return gatekeeper->requestsInFlight() == 0; }, "the detection of the reset");
   EXPECT_EQ(memory().used(Account::clients), overflowConnectionBytes);
   // The request did not end by the timeout of the unresponsive worker, which is longer.
   EXPECT_EQ(rejections(WaitQueue::requestBodyWindow), 0u);
@@ -115,31 +115,32 @@
   startGatekeeper();
   fillMemory(14 * 1024, true);
   const auto client = sendRequest(longRequestHeader(60000));
-  client->stream(30000);
-  until([&] { return waiting(WaitQueue::pausedRead) == 1; }, "a paused read");
+  client->sendBytes(30000);
+  waitUntil([&] { return waiting(WaitQueue::pausedRead) == 1; }, "a paused read");
   const std::string busy = operatorCall("readyz");  // operators have a reserve of their own
   EXPECT_FALSE(busy.empty());
-  until([&] { return client->has("\r\n\r\n"); }, "a response");
-  EXPECT_TRUE(client->has("HTTP/1.1 503")) << client->got;
-  EXPECT_TRUE(client->has("Retry-After: ")) << client->got;
+  waitUntil([&] { return client->has("\r\n\r\n"); }, "a response");
+  EXPECT_TRUE(client->has("HTTP/1.1 503")) << client->received;
+  EXPECT_TRUE(client->has("Retry-After: ")) << client->received;
   EXPECT_EQ(rejections(WaitQueue::pausedRead), 1u);
   EXPECT_NE(operatorCall("telemetry").find("svc.busy.edit:1|c\n"), std::string::npos);
-  until([&] { return memory().available(Account::clients) >= 12 * 1024; }, "the release of its memory");
+  waitUntil([&] { return memory().available(Account::clients) >= 12 * 1024; }, "the release of its memory");
   const auto other = sendSmallRequest("00000000000000a2");
-  workerConnection("00000000000000a2")->send(reply("200 OK", "served"));
-  until([&] { return other->has("served"); }, "the response to the small request");
+  workerConnection("00000000000000a2")->send(httpResponse("200 OK", "served"));
+  waitUntil([&] { return other->has("served"); }, "the response to the small request");
 }
 
 TEST_F(OverloadManagement, APausedBodyResumesWhenMemoryIsFreed) {
   startGatekeeper();
   fillMemory(14 * 1024, true);
   const auto client = sendRequest(longRequestHeader(60000));
-  client->stream(60000);
-  until([&] { return waiting(WaitQueue::pausedRead) == 1; }, "a paused read");
+  client->sendBytes(60000);
+  waitUntil([&] { return waiting(WaitQueue::pausedRead) == 1; }, "a paused read");
   otherClientsCharge.release();
   const auto bodyReceiver = workerConnection("00000000000000b1");
-  until([&] { return std::count(bodyReceiver->got.begin(), bodyReceiver->got.end(), 'x') >= 60000; },
-        "the complete body at the worker");
+  waitUntil(
+      [&] { return std::count(bodyReceiver->received.begin(), bodyReceiver->received.end(), 'x') >= 60000; },
+      "the complete body at the worker");
   EXPECT_EQ(waiting(WaitQueue::pausedRead), 0u);
 }
 
@@ -152,7 +153,7 @@
   for (int i = 0; i < 5; ++i) {
     const auto client = sendSmallRequest("00000000000000a1");
     if (i > 0) {
-      until([&] { return client->has("HTTP/1.1 429"); }, "a refusal");
+      waitUntil([&] { return client->has("HTTP/1.1 429"); }, "a refusal");
       continue;
     }
     workerConnection("00000000000000a1");  // uses the remaining memory
@@ -161,8 +162,8 @@
   EXPECT_NE(operatorCall("telemetry").find("svc.hosts_down:0|g\n"), std::string::npos);
   workers.release();
   const auto after = sendSmallRequest("00000000000000a7");
-  workerConnection("00000000000000a7")->send(reply("200 OK", "served"));
-  until([&] { return after->has("served"); }, "the response to the next request");
+  workerConnection("00000000000000a7")->send(httpResponse("200 OK", "served"));
+  waitUntil([&] { return after->has("served"); }, "the response to the next request");
 }
 
 // A long attempt that would exceed the high watermark is not started; a small attempt still is.
@@ -172,21 +173,21 @@
   ASSERT_TRUE(workers.resize(memory().available(Account::workers) * 74 / 100));
   ASSERT_LT(memory().highestUsage().share(), 0.75);
   const auto client = sendRequest(longRequestHeader(200000));
-  client->stream(200000);
-  until([&] { return client->has("\r\n\r\n"); }, "the response to the long request");
-  EXPECT_TRUE(client->has("HTTP/1.1 429")) << client->got;
+  client->sendBytes(200000);
+  waitUntil([&] { return client->has("\r\n\r\n"); }, "the response to the long request");
+  EXPECT_TRUE(client->has("HTTP/1.1 429")) << client->received;
   EXPECT_EQ(worker.count("Req-Id: 00000000000000b1"), 0u);
   EXPECT_NE(operatorCall("telemetry").find("svc.backend_short:1|c\n"), std::string::npos);
   const auto other = sendSmallRequest("00000000000000a1");
-  workerConnection("00000000000000a1")->send(reply("200 OK", "served"));
-  until([&] { return other->has("served"); }, "the response to the small request");
+  workerConnection("00000000000000a1")->send(httpResponse("200 OK", "served"));
+  waitUntil([&] { return other->has("served"); }, "the response to the small request");
 }
 
 // A response without memory is not read. Guards against a request whose deadline does not expire while its
 // response is paused.
 TEST_F(OverloadManagement, ADeadlineExpiresWhileTheResponseIsPaused) {
   startGatekeeper();
-  Ask request;
+  TestRequest request;
   request.deadline = "700";
   const auto client = sendRequest(request.text());
   const auto workerPeer = workerConnection(request.id);
@@ -194,12 +195,12 @@
   ASSERT_TRUE(workers.resize(memory().available(Account::workers)));
   workers.markPermanent();  // as idle connections would
   workerPeer->send("HTTP/1.1 200 OK\r\nContent-Length: 60000\r\n\r\n");
-  workerPeer->stream(60000);
-  until([&] { return waiting(WaitQueue::pausedRead) == 1; }, "a paused response");
-  until([&] { return client->has("HTTP/1.1 "); }, "the final response");
+  workerPeer->sendBytes(60000);
+  waitUntil([&] { return waiting(WaitQueue::pausedRead) == 1; }, "a paused response");
+  waitUntil([&] { return client->has("HTTP/1.1 "); }, "the final response");
   EXPECT_FALSE(client->has("HTTP/1.1 200"));
-  until([&] { return gatekeeper->requestsInFlight() == 0 && waiting(WaitQueue::pausedRead) == 0; },
-        "the end of the request");
+  waitUntil([&] { return gatekeeper->requestsInFlight() == 0 && waiting(WaitQueue::pausedRead) == 0; },
+            "the end of the request");
 }
 
 TEST_F(OverloadManagement, SustainedOverloadShedsTheLargestRequestFirst) {
@@ -207,62 +208,65 @@
   for (auto& profile : config["settings"]["profiles"]) profile["aim"] = 100.0;  // the interval
   startGatekeeper(config);
   const auto sender = sendRequest(longRequestHeader(8 * kMiB));
-  sender->stream(8 * kMiB);
-  workerConnection("00000000000000b1")->stall();
+  sender->sendBytes(8 * kMiB);
+  workerConnection("00000000000000b1")->pauseReading();
   const auto smallClient = sendSmallRequest("00000000000000a1");
   const auto workerPeer = workerConnection("00000000000000a1");
   fillMemory(memory().available(Account::clients) / 5);
-  until([&] { return sender->has("HTTP/1.1 "); }, "the rejection of the long request");
+  waitUntil([&] { return sender->has("HTTP/1.1 "); }, "the rejection of the long request");
   // The worker has received the attempt incompletely. Whether it has run is unknown, so the answer must not
   // state that a retry is safe: the request class is deduplicated within one zone only.
-  EXPECT_TRUE(sender->has("HTTP/1.1 502")) << sender->got;
+  EXPECT_TRUE(sender->has("HTTP/1.1 502")) << sender->received;
   EXPECT_NE(operatorCall("telemetry").find("svc.pressure.shed:1|c\n"), std::string::npos);
   otherClientsCharge.release();
-  until([&] { return gatekeeper->overloadManager().state().isNormal(); }, "the end of the overload");
-  if (smallClient->got.empty()) {
-    workerPeer->send(reply("200 OK", "served"));
-    until([&] { return smallClient->has("served"); }, "the response to the small request");
+  waitUntil([&] { return gatekeeper->overloadManager().state().isNormal(); }, "the end of the overload");
+  if (smallClient->received.empty()) {
+    workerPeer->send(httpResponse("200 OK", "served"));
+    waitUntil([&] { return smallClient->has("served"); }, "the response to the small request");
   }
-  EXPECT_TRUE(smallClient->has("served") || smallClient->has("HTTP/1.1 429")) << smallClient->got;
+  EXPECT_TRUE(smallClient->has("served") || smallClient->has("HTTP/1.1 429")) << smallClient->received;
 }
 
 TEST_F(OverloadManagement, DrainAndReloadWorkUnderOverload) {
   startGatekeeper();
   const auto sender = sendRequest(longRequestHeader(8 * kMiB));
-  sender->stream(8 * kMiB);
-  workerConnection("00000000000000b1")->stall();
+  sender->sendBytes(8 * kMiB);
+  workerConnection("00000000000000b1")->pauseReading();
   fillMemory(14 * 1024);
-  until([&] { return gatekeeper->overloadManager().state().level() != OverloadLevel::none; }, "pressure");
+  waitUntil([&] { return gatekeeper->overloadManager().state().level() != OverloadLevel::none; }, "pressure");
   gatekeeper->reload(parseConfig(configuration().dump()));
   EXPECT_NE(operatorCall("telemetry").find("svc.reconfig_ok:1|c\n"), std::string::npos);
   bool done = false;
   gatekeeper->drain([&] { done = true; });
-  until([&] { return done; }, "the end of the drain");
+  waitUntil([&] { return done; }, "the end of the drain");
 }
 
 // Many endpoint lists arrive during an overload. Guards against requests sent to a worker that is draining in
 // the latest list.
 TEST_F(OverloadManagement, TheLatestOfManyEndpointListsAppliesUnderOverload) {
   json config = configuration();
-  config["known"]["instances"] = json::array({entry("s-1", worker.text())});
+  config["known"]["instances"] = json::array({endpointEntryJson("s-1", worker.addressText())});
   startGatekeeper(config);
-  until([&] { return !discovery.peers.empty() && discovery.peers[0]->has("\r\n\r\n"); }, "a watch");
+  waitUntil([&] { return !discovery.peers.empty() && discovery.peers[0]->has("\r\n\r\n"); }, "a watch");
   fillMemory(14 * 1024);
-  until([&] { return gatekeeper->overloadManager().state().level() != OverloadLevel::none; }, "pressure");
+  waitUntil([&] { return gatekeeper->overloadManager().state().level() != OverloadLevel::none; }, "pressure");
   std::string lines = "HTTP/1.1 200 OK\r\n\r\n";
   for (int i = 2; i < 500; ++i)
     lines +=
-        roster(i, false, json::array({entry("s-1", worker.text(), i % 2 ? "Terminating" : "Ready")})) + "\n";
-  lines += roster(500, false,
-                  json::array({entry("s-1", worker.text(), "Terminating"),
-                               entry("s-2", worker.text(), "Terminating")})) +
+        endpointListJson(
+            i, false,
+            json::array({endpointEntryJson("s-1", worker.addressText(), i % 2 ? "Terminating" : "Ready")})) +
+        "\n";
+  lines += endpointListJson(500, false,
+                            json::array({endpointEntryJson("s-1", worker.addressText(), "Terminating"),
+                                         endpointEntryJson("s-2", worker.addressText(), "Terminating")})) +
            "\n";
   discovery.peers[0]->send(lines);
-  until([&] { return operatorCall("telemetry").find("svc.hosts_listed:2|g\n") != std::string::npos; },
-        "the processing of the latest list");
+  waitUntil([&] { return operatorCall("telemetry").find("svc.hosts_listed:2|g\n") != std::string::npos; },
+            "the processing of the latest list");
   EXPECT_NE(operatorCall("telemetry").find("svc.hosts_down:2|g\n"), std::string::npos);
   const auto client = sendSmallRequest("00000000000000a1");
-  until([&] { return client->has("HTTP/1.1 429"); }, "a refusal");
+  waitUntil([&] { return client->has("HTTP/1.1 429"); }, "a refusal");
   EXPECT_EQ(worker.count("Req-Id"), 0u);
 }
 
--- a/tests/overload_process_test.cpp
+++ b/tests/overload_process_test.cpp
@@ -18,20 +18,20 @@
 // Guards against a wait queue that the program neither enters nor reads.
 TEST_F(OverloadedProcess, EveryWaitQueueIsReported) {
   startGatekeeper();
-  until([&] { return !discovery.peers.empty() && discovery.peers[0]->has("\r\n\r\n"); }, "a watch");
+  waitUntil([&] { return !discovery.peers.empty() && discovery.peers[0]->has("\r\n\r\n"); }, "a watch");
   discovery.peers[0]->send("HTTP/1.1 200 OK\r\n\r\n{\"generation\":2,");
   const auto bodyClient = sendRequest(longRequestHeader(200000));
-  bodyClient->stream(200000);
-  workerConnection("00000000000000b1")->send(reply("200 OK", "taken"));
-  until([&] { return bodyClient->has("taken"); }, "a response");
+  bodyClient->sendBytes(200000);
+  workerConnection("00000000000000b1")->send(httpResponse("200 OK", "taken"));
+  waitUntil([&] { return bodyClient->has("taken"); }, "a response");
   const auto client = sendSmallRequest("00000000000000a1");
   workerConnection("00000000000000a1")
       ->send("HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n" + std::string(100000, 'x'));
-  until([&] { return client->got.size() > 100000; }, "a long response");
+  waitUntil([&] { return client->received.size() > 100000; }, "a long response");
   const auto incompleteClient = sendRequest(longRequestHeader(60000));
   fillMemory(8 * 1024, true);
-  incompleteClient->stream(60000);
-  const auto lateClient = dial(gatekeeper->address());
+  incompleteClient->sendBytes(60000);
+  const auto lateClient = connectTo(gatekeeper->address());
   const auto& queues = gatekeeper->overloadManager().waitQueues();
   const auto allReported = [&] {
     for (std::size_t i = 0; i < kWaitQueues; ++i)
@@ -39,8 +39,8 @@
     return true;
   };
   for (const char* call : {"readyz", "telemetry"}) EXPECT_FALSE(operatorCall(call).empty());
-  client->end();
-  bodyClient->end();  // now no idle connection can be closed for a new one
+  client->close();
+  bodyClient->close();  // now no idle connection can be closed for a new one
   const auto deadline = std::chrono::steady_clock::now() + 20s;
   while (!allReported() && std::chrono::steady_clock::now() < deadline) {
     io.restart();
@@ -64,31 +64,33 @@
   gatekeeper.emplace(io, inheritedConfig());
   EXPECT_LT(memory().total(), 2 * kMiB);
   gatekeeper->start();
-  until([&] { return !discovery.peers.empty() && discovery.peers[0]->has("\r\n\r\n"); }, "a watch");
+  waitUntil([&] { return !discovery.peers.empty() && discovery.peers[0]->has("\r\n\r\n"); }, "a watch");
   const std::string list =
-      "HTTP/1.1 200 OK\r\n\r\n" + roster(2, true, json::array({entry("s-1", worker.text())})) + "\n";
+      "HTTP/1.1 200 OK\r\n\r\n" +
+      endpointListJson(2, true, json::array({endpointEntryJson("s-1", worker.addressText())})) + "\n";
   discovery.peers[0]->send(list);
-  const auto oldClient = dial(listeningSocket.local_endpoint());
-  oldClient->send(Ask().text());
+  const auto oldClient = connectTo(listeningSocket.local_endpoint());
+  oldClient->send(TestRequest().text());
   const auto workerPeer = workerConnection("00000000000000a1");
   fillMemory(4 * 1024);
-  until([&] { return gatekeeper->overloadManager().state().level() != OverloadLevel::none; }, "pressure");
+  waitUntil([&] { return gatekeeper->overloadManager().state().level() != OverloadLevel::none; }, "pressure");
   Gatekeeper nextGatekeeper(io, inheritedConfig());
   nextGatekeeper.start();
-  until([&] { return discovery.peers.size() == 2 && discovery.peers[1]->has("\r\n\r\n"); },
-        "the new process's watch");
+  waitUntil([&] { return discovery.peers.size() == 2 && discovery.peers[1]->has("\r\n\r\n"); },
+            "the new process's watch");
   discovery.peers[1]->send(list);
-  until([&] { return nextGatekeeper.ready(); }, "the new process's endpoint list");
+  waitUntil([&] { return nextGatekeeper.ready(); }, "the new process's endpoint list");
   bool done = false;
   gatekeeper->drain([&] { done = true; });
-  workerPeer->send(reply("200 OK", "done"));
-  until([&] { return oldClient->has("\r\n\r\n") && oldClient->ended; }, "the old process's response");
-  until([&] { return done; }, "the end of the old process's drain");
+  workerPeer->send(httpResponse("200 OK", "done"));
+  waitUntil([&] { return oldClient->has("\r\n\r\n") && oldClient->closedByPeer; },
+            "the old process's response");
+  waitUntil([&] { return done; }, "the end of the old process's drain");
   otherClientsCharge.release();
   gatekeeper.reset();
-  const auto lateClient = dial(listeningSocket.local_endpoint());
+  const auto lateClient = connectTo(listeningSocket.local_endpoint());
   lateClient->send("GET /health/ready HTTP/1.1\r\nHost: b\r\n\r\n");
-  until([&] { return lateClient->has("HTTP/1.1 200"); }, "the new process's response");
+  waitUntil([&] { return lateClient->has("HTTP/1.1 200"); }, "the new process's response");
   EXPECT_EQ(nextGatekeeper.overloadManager().state().level(), OverloadLevel::none);
 }
 
@@ -111,30 +113,30 @@
     execl(WINGSLIP_GATEKEEPER_PROGRAM, WINGSLIP_GATEKEEPER_PROGRAM, static_cast<char*>(nullptr));
     _exit(127);
   }
-  until([&] { return discovery.count("watch=1") == 1; }, "a watch");
+  waitUntil([&] { return discovery.count("watch=1") == 1; }, "a watch");
   std::vector<PeerPtr> clients;
   const auto addClient = [&](const std::string& text) {
-    clients.push_back(dial(listen));
+    clients.push_back(connectTo(listen));
     clients.back()->send(text);
   };
   for (int i = 0; i < 10; ++i) {
     char id[17];
     std::snprintf(id, sizeof id, "%016x", 0xb000 + i);
     addClient(longRequestHeader(30 * kMiB, id));
-    clients.back()->stream(30 * kMiB);
-    workerConnection(id)->stall();
-    Ask request;
+    clients.back()->sendBytes(30 * kMiB);
+    workerConnection(id)->pauseReading();
+    TestRequest request;
     std::snprintf(id, sizeof id, "%016x", 0xc000 + i);
     request.id = id;
     addClient(request.text());
-    clients.back()->stall();
+    clients.back()->pauseReading();
     const auto workerPeer = workerConnection(id);
     workerPeer->send("HTTP/1.1 200 OK\r\nContent-Length: 31457280\r\n\r\n");
-    workerPeer->stream(30 * kMiB);
+    workerPeer->sendBytes(30 * kMiB);
   }
   runFor(500ms);
   for (int i = 0; i < 20; i += 2) {
-    EXPECT_LT(clients[static_cast<std::size_t>(i)]->streamed, 30 * kMiB)
+    EXPECT_LT(clients[static_cast<std::size_t>(i)]->bytesSent, 30 * kMiB)
         << "read although the receiving peer does not read";
   }
   std::ifstream status("/proc/" + std::to_string(child) + "/status");
@@ -147,7 +149,7 @@
 #endif
   kill(child, SIGTERM);
   int exitStatus = 0;
-  until([&] { return waitpid(child, &exitStatus, WNOHANG) == child; }, "the end of the process");
+  waitUntil([&] { return waitpid(child, &exitStatus, WNOHANG) == child; }, "the end of the process");
   EXPECT_TRUE(WIFEXITED(exitStatus) && WEXITSTATUS(exitStatus) == 0) << exitStatus;
   std::filesystem::remove(path);
 }
--- a/tests/program_under_faults.hpp
+++ b/tests/program_under_faults.hpp
@@ -84,7 +84,8 @@
   static tcp::endpoint freePort(asio::io_context& io) { return Listener(io).address(); }
 
   json config() {
-    json configuration = configJson(discovery.text(), json::array({entry("s-1", worker.text())}));
+    json configuration =
+        configJson(discovery.addressText(), json::array({endpointEntryJson("s-1", worker.addressText())}));
     configuration["listen"] = "127.0.0.1:" + std::to_string(clientsAddress.port());
     configuration["ops"] = "127.0.0.1:" + std::to_string(operatorsAddress.port());
     return configuration;
@@ -99,16 +100,16 @@
     const auto caller = std::make_shared<Peer>(std::move(socket));
     caller->read();
     caller->send(command + "\n");
-    until([&] { return caller->ended; }, "the end of the operators' answer");
-    return caller->got;
+    waitUntil([&] { return caller->closedByPeer; }, "the end of the operators' answer");
+    return caller->received;
   }
 
   void waitUntilReady() {
-    until([&] { return runOperatorCommand("readyz").rfind("200", 0) == 0; }, "ready");
+    waitUntil([&] { return runOperatorCommand("readyz").rfind("200", 0) == 0; }, "ready");
   }
 
-  PeerPtr sendRequest(const Ask& request) {
-    const auto client = dial(clientsAddress);
+  PeerPtr sendRequest(const TestRequest& request) {
+    const auto client = connectTo(clientsAddress);
     client->send(request.text());
     return client;
   }
--- a/tests/races_test.cpp
+++ b/tests/races_test.cpp
@@ -16,11 +16,11 @@
   // Sets up one idle connection whose quarantine has ended.
   void makeIdleConnection() {
     startAttempt(1);
-    until([&] { return requestsReceived() == 1; }, "the first request");
-    worker.peers[0]->send(reply("200 OK", "first"));
+    waitUntil([&] { return requestsReceived() == 1; }, "the first request");
+    worker.peers[0]->send(httpResponse("200 OK", "first"));
     waitForEnds(1);
     const auto deadline = Steady::now() + 20ms;
-    until([&] { return Steady::now() >= deadline; }, "the end of the quarantine");
+    waitUntil([&] { return Steady::now() >= deadline; }, "the end of the quarantine");
   }
 
   Listener other{io};
@@ -34,7 +34,7 @@
   const auto end = pool->cancelAttempt(2, AttemptResult::timeout);
   ASSERT_TRUE(end);
   EXPECT_EQ(end->outcome.result, AttemptResult::timeout);
-  until([&] { return requestsReceived() == 2; }, "the request at the worker");
+  waitUntil([&] { return requestsReceived() == 2; }, "the request at the worker");
 }
 
 // The response is readable and the time-out has expired when the event loop starts its next iteration, as
@@ -42,8 +42,8 @@
 TEST_F(UpstreamPoolRaces, AResponseTakesPrecedenceOverATimeoutOfTheSameLoopIteration) {
   makeIdleConnection();
   startAttempt(2, 50ms);
-  until([&] { return requestsReceived() == 2; }, "the request at the worker");
-  worker.peers[0]->send(reply("200 OK", "second"));
+  waitUntil([&] { return requestsReceived() == 2; }, "the request at the worker");
+  worker.peers[0]->send(httpResponse("200 OK", "second"));
   for (const auto deadline = Steady::now() + 100ms; Steady::now() < deadline;) {
   }
   waitForEnds(2);
@@ -53,14 +53,15 @@
 // The first response fills a read exactly, so the second is still unread when the connection becomes idle.
 TEST_F(UpstreamPoolRaces, AnExtraResponseInTheSameLoopIterationIsNotDeliveredToTheNextRequest) {
   startAttempt(1);
-  until([&] { return requestsReceived() == 1; }, "the first request");
-  const std::string shortResponse = reply("200 OK", std::string(4000, 'x'));
-  const std::string readSizedResponse = reply("200 OK", std::string(4000 + 4096 - shortResponse.size(), 'x'));
+  waitUntil([&] { return requestsReceived() == 1; }, "the first request");
+  const std::string shortResponse = httpResponse("200 OK", std::string(4000, 'x'));
+  const std::string readSizedResponse =
+      httpResponse("200 OK", std::string(4000 + 4096 - shortResponse.size(), 'x'));
   ASSERT_EQ(readSizedResponse.size(), 4096u);
   onNextEnd = [this] { startAttempt(2); };
-  worker.peers[0]->send(readSizedResponse + reply("200 OK", "stray"));
-  until([&] { return requestsReceived() == 2; }, "the next request");
-  worker.peers.back()->send(reply("200 OK", "second"));
+  worker.peers[0]->send(readSizedResponse + httpResponse("200 OK", "stray"));
+  waitUntil([&] { return requestsReceived() == 2; }, "the next request");
+  worker.peers.back()->send(httpResponse("200 OK", "second"));
   waitForEnds(2);
   EXPECT_EQ(attemptEnds[1].body, "second");
   EXPECT_EQ(worker.peers.size(), 2u);
@@ -70,11 +71,11 @@
 // delays that request, so it has not been written yet.
 TEST_F(UpstreamPoolRaces, AnExtraResponseSomeMillisecondsLateIsNotDeliveredToTheNextRequest) {
   startAttempt(1);
-  until([&] { return requestsReceived() == 1; }, "the first request");
+  waitUntil([&] { return requestsReceived() == 1; }, "the first request");
   onNextEnd = [this] { startAttempt(2); };
-  worker.peers[0]->send(reply("200 OK", "first"));
+  worker.peers[0]->send(httpResponse("200 OK", "first"));
   waitForEnds(1);
-  worker.peers[0]->send(reply("200 OK", "stray"));
+  worker.peers[0]->send(httpResponse("200 OK", "stray"));
   waitForEnds(2);
   EXPECT_EQ(attemptEnds[1].outcome.result, AttemptResult::connectFailed);
   EXPECT_EQ(requestsReceived(), 1u);
@@ -87,16 +88,16 @@
   constexpr decision::RequestId kExchanges = 40;
   for (decision::RequestId id = 1; id <= kExchanges; ++id) {
     startAttempt(id);
-    until([&] { return requestsReceived() == id; }, "a request");
+    waitUntil([&] { return requestsReceived() == id; }, "a request");
     if (id == kExchanges) onNextEnd = [this] { startAttempt(kExchanges + 1); };
-    worker.peers[0]->send(reply("200 OK", "answer"));
+    worker.peers[0]->send(httpResponse("200 OK", "answer"));
     waitForEnds(id);
   }
   io.restart();
   io.run_for(2ms);
-  worker.peers[0]->send(reply("200 OK", "stray"));
-  until([&] { return attemptEnds.size() > kExchanges || requestsReceived() > kExchanges; },
-        "the next attempt");
+  worker.peers[0]->send(httpResponse("200 OK", "stray"));
+  waitUntil([&] { return attemptEnds.size() > kExchanges || requestsReceived() > kExchanges; },
+            "the next attempt");
   io.restart();
   io.run_for(20ms);
   for (const AttemptEnd& end : attemptEnds) EXPECT_NE(end.body, "stray");
@@ -104,12 +105,12 @@
 
 TEST_F(UpstreamPoolRaces, AnAttemptInQuarantineEndsWhenItsWorkerIsRemoved) {
   startAttempt(1);
-  until([&] { return requestsReceived() == 1; }, "the first request");
+  waitUntil([&] { return requestsReceived() == 1; }, "the first request");
   onNextEnd = [this] {
     startAttempt(2);
     pool->retireWorker(1);
   };
-  worker.peers[0]->send(reply("200 OK", "first"));
+  worker.peers[0]->send(httpResponse("200 OK", "first"));
   waitForEnds(2);
   EXPECT_EQ(attemptEnds[1].outcome.result, AttemptResult::connectFailed);
   EXPECT_EQ(requestsReceived(), 1u);
@@ -121,7 +122,7 @@
   waitForEnds(1);
   EXPECT_EQ(attemptEnds[0].outcome.result, AttemptResult::connectFailed);
   startAttempt(2);
-  until([&] { return other.count("\r\n\r\n") == 1; }, "the next request at the new address");
+  waitUntil([&] { return other.count("\r\n\r\n") == 1; }, "the next request at the new address");
   EXPECT_EQ(requestsReceived(), 0u);
 }
 
@@ -130,7 +131,7 @@
   waitForEnds(1);
   EXPECT_EQ(attemptEnds[0].outcome.result, AttemptResult::connectFailed);
   startAttempt(2);
-  until([&] { return requestsReceived() == 1; }, "another request");
+  waitUntil([&] { return requestsReceived() == 1; }, "another request");
   EXPECT_EQ(worker.count("Req-Id: 1\r\n"), 0u);
 }
 
@@ -164,31 +165,31 @@
 // Two connections are pending when accepting stops: one was accepted in that loop iteration, the other is
 // still in the kernel's accept queue.
 TEST_F(ClientServerRaces, AConnectionThatArrivesAsAcceptingStopsIsServed) {
-  const auto first = dial(server.address()), second = dial(server.address());
-  until([&] { return server.connections() == 1; }, "the first connection is accepted");
+  const auto first = connectTo(server.address()), second = connectTo(server.address());
+  waitUntil([&] { return server.connections() == 1; }, "the first connection is accepted");
   server.stopAccepting();
   for (const auto& client : {first, second}) client->send(readinessRequest());
-  until([&] { return first->has("HTTP/1.1 200") && second->has("HTTP/1.1 200"); }, "a response to each");
+  waitUntil([&] { return first->has("HTTP/1.1 200") && second->has("HTTP/1.1 200"); }, "a response to each");
 }
 
 // The request is in the kernel's receive buffer when the drain closes idle connections.
 TEST_F(ClientServerRaces, ARequestThatArrivesAsTheDrainClosesIdleConnectionsIsAnswered) {
-  const auto client = dial(server.address());
+  const auto client = connectTo(server.address());
   client->send(readinessRequest());
   server.stopAccepting();
   server.closeIdleConnections();
-  until([&] { return client->has("\r\n\r\n") || client->ended; }, "a response or a close");
-  EXPECT_TRUE(client->has("HTTP/1.1 200")) << client->got;
+  waitUntil([&] { return client->has("\r\n\r\n") || client->closedByPeer; }, "a response or a close");
+  EXPECT_TRUE(client->has("HTTP/1.1 200")) << client->received;
 }
 
 // The client sends its next request while the server closes the connection and the client is still reading
 // the last response. A full close would answer that request with a reset, which discards the part of the
 // response that is still buffered in the kernel.
 TEST_F(ClientServerRaces, ACloseConcurrentWithARequestDoesNotTruncateTheLastResponse) {
-  const auto client = dial(server.address());
-  client->stall();
-  client->send(Ask().text());
-  until([&] { return handler.responders.size() == 1; }, "the request");
+  const auto client = connectTo(server.address());
+  client->pauseReading();
+  client->send(TestRequest().text());
+  waitUntil([&] { return handler.responders.size() == 1; }, "the request");
   ClientResponse response;
   response.body = std::string(300000, 'z');
   handler.responders[0]->respond(std::move(response));
@@ -196,11 +197,11 @@
   const auto responseWritten = [&] {
     return overloadManager.waitQueues().waiting(WaitQueue::responseWrite) == 0;
   };
-  until(responseWritten, "the kernel has accepted the response");
+  waitUntil(responseWritten, "the kernel has accepted the response");
   server.closeIdleConnections();
-  client->send(Ask().text());
-  client->goOn();
-  until([&] { return client->ended; }, "the close");
+  client->send(TestRequest().text());
+  client->resumeReading();
+  waitUntil([&] { return client->closedByPeer; }, "the close");
   EXPECT_EQ(client->count("z"), 300000u);
   EXPECT_EQ(handler.responders.size(), 1u) << "a request was read after the shutdown and forwarded";
 }
@@ -212,31 +213,34 @@
   limits.maxConnections = 1;
   ClientServer limitedServer{io, config, limits, handler, overloadManager};
   limitedServer.start();
-  const auto first = dial(limitedServer.address());
+  const auto first = connectTo(limitedServer.address());
   first->send(readinessRequest());
-  until([&] { return first->has("HTTP/1.1 200"); }, "a response");
-  const auto second = dial(limitedServer.address());
+  waitUntil([&] { return first->has("HTTP/1.1 200"); }, "a response");
+  const auto second = connectTo(limitedServer.address());
   first->send(readinessRequest());
-  until([&] { return first->count("HTTP/1.1 200") == 2 || first->ended; }, "its second response");
+  waitUntil([&] { return first->count("HTTP/1.1 200") == 2 || first->closedByPeer; }, "its second response");
   EXPECT_EQ(first->count("HTTP/1.1 200"), 2u);
 }
 
 class GatekeeperRaces : public Loopback {
  protected:
   void SetUp() override {
-    gatekeeper.emplace(
-        io, parseConfig(configJson(discovery.text(), json::array({entry("s-1", worker.text())})).dump()));
+    gatekeeper.emplace(io,
+                       parseConfig(configJson(discovery.addressText(),
+                                              json::array({endpointEntryJson("s-1", worker.addressText())}))
+                                       .dump()));
     gatekeeper->start();
   }
   // Serves another request, as a barrier: its response shows that all earlier events have been processed.
   void serveBarrierRequest(const std::string& id = "00000000000000ff") {
-    Ask request;
+    TestRequest request;
     request.id = id;
-    const auto client = dial(gatekeeper->address());
+    const auto client = connectTo(gatekeeper->address());
     client->send(request.text());
-    until([&] { return worker.count("Req-Id: " + request.id) == 1; }, "the barrier request at the worker");
-    worker.peers.back()->send(reply("200 OK", "another"));
-    until([&] { return client->has("another"); }, "the response to the barrier request");
+    waitUntil([&] { return worker.count("Req-Id: " + request.id) == 1; },
+              "the barrier request at the worker");
+    worker.peers.back()->send(httpResponse("200 OK", "another"));
+    waitUntil([&] { return client->has("another"); }, "the response to the barrier request");
   }
 
   Listener discovery{io}, worker{io}, other{io};
@@ -248,10 +252,10 @@
 TEST_F(GatekeeperRaces, ADisconnectedClientStartsNoFirstAttempt) {
   serveBarrierRequest("00000000000000f0");
   const auto deadline = Steady::now() + 20ms;
-  until([&] { return Steady::now() >= deadline; }, "the end of the quarantine");
-  const auto client = dial(gatekeeper->address());
-  client->send(Ask().text());
-  client->end();
+  waitUntil([&] { return Steady::now() >= deadline; }, "the end of the quarantine");
+  const auto client = connectTo(gatekeeper->address());
+  client->send(TestRequest().text());
+  client->close();
   serveBarrierRequest();
   EXPECT_EQ(worker.count("Req-Id: 00000000000000a1"), 0u);
   EXPECT_EQ(gatekeeper->requestsInFlight(), 0u);
@@ -260,17 +264,17 @@
 // The client's pipelined requests fill the read-ahead buffer, so that its close is queued behind bytes
 // that are not read.
 TEST_F(GatekeeperRaces, AClientDisconnectedBehindPipelinedRequestsStartsNoFurtherAttempt) {
-  const auto client = dial(gatekeeper->address());
-  client->send(Ask().text());
-  until([&] { return worker.count("Req-Id: 00000000000000a1") == 1 && worker.count("\r\n\r\n") == 1; },
-        "its request at the worker");
-  Ask pipelined;
+  const auto client = connectTo(gatekeeper->address());
+  client->send(TestRequest().text());
+  waitUntil([&] { return worker.count("Req-Id: 00000000000000a1") == 1 && worker.count("\r\n\r\n") == 1; },
+            "its request at the worker");
+  TestRequest pipelined;
   pipelined.id = "00000000000000a2";
   for (int i = 0; i < 200; ++i) client->send(pipelined.text());
   for (int i = 0; i < 20; ++i) io.restart(), io.poll();
-  client->end();
+  client->close();
   worker.peers[0]->reset();
-  until([&] { return gatekeeper->requestsInFlight() == 0; }, "no request in flight");
+  waitUntil([&] { return gatekeeper->requestsInFlight() == 0; }, "no request in flight");
   serveBarrierRequest();
   EXPECT_EQ(worker.count("Req-Id: 00000000000000a1"), 1u);
 }
@@ -279,10 +283,11 @@
 // endpoint lists received before the reload.
 TEST_F(GatekeeperRaces, ZoneIndexesStayValidAcrossAReload) {
   const auto config = [&](const char* first, const char* second, int ownZone) {
-    json otherZoneEntry = entry("s-2", other.text());
+    json otherZoneEntry = endpointEntryJson("s-2", other.addressText());
     otherZoneEntry["zone"] = "b";
     json configuration =
-        configJson(discovery.text(), json::array({entry("s-1", worker.text()), otherZoneEntry}));
+        configJson(discovery.addressText(),
+                   json::array({endpointEntryJson("s-1", worker.addressText()), otherZoneEntry}));
     configuration["settings"]["localities"] = {first, second};
     configuration["settings"]["locality"] = ownZone;
     configuration["settings"]["prices"]["crossZone"] = 100.0;
@@ -292,33 +297,35 @@
   zoned.start();
   zoned.reload(config("b", "a", 1));  // this gatekeeper is still in zone a
   for (int i = 0; i < 4; ++i) {
-    Ask request;
+    TestRequest request;
     request.id = "00000000000000b" + std::to_string(i);
-    const auto client = dial(zoned.address());
+    const auto client = connectTo(zoned.address());
     client->send(request.text());
-    until([&] { return worker.count("Req-Id: " + request.id) + other.count("Req-Id: " + request.id) == 1; },
-          "a request");
+    waitUntil(
+        [&] { return worker.count("Req-Id: " + request.id) + other.count("Req-Id: " + request.id) == 1; },
+        "a request");
     ASSERT_EQ(other.count("Req-Id: "), 0u) << "sent to the other zone";
-    worker.peers.back()->send(reply("200 OK", "done"));
-    until([&] { return client->has("done"); }, "a response");
+    worker.peers.back()->send(httpResponse("200 OK", "done"));
+    waitUntil([&] { return client->has("done"); }, "a response");
   }
 }
 
 // A request that waits for the first endpoint list must retain the class and plan it named when a reload
 // reorders them.
 TEST_F(GatekeeperRaces, ARequestBeforeTheFirstEndpointListRetainsItsClassAndPlanAcrossAReload) {
-  json configuration = configJson(discovery.text(), json::array({entry("s-1", worker.text())}));
+  json configuration =
+      configJson(discovery.addressText(), json::array({endpointEntryJson("s-1", worker.addressText())}));
   Gatekeeper unlistedGatekeeper(io, parseConfig(configuration.dump()));
   unlistedGatekeeper.start();
-  const auto client = dial(unlistedGatekeeper.address());
-  client->send(Ask().text());
-  until([&] { return unlistedGatekeeper.requestsInFlight() == 1; }, "the request is in flight");
+  const auto client = connectTo(unlistedGatekeeper.address());
+  client->send(TestRequest().text());
+  waitUntil([&] { return unlistedGatekeeper.requestsInFlight() == 1; }, "the request is in flight");
   std::swap(configuration["settings"]["profiles"][0], configuration["settings"]["profiles"][2]);
   std::swap(configuration["settings"]["plans"][0], configuration["settings"]["plans"][1]);
   unlistedGatekeeper.reload(parseConfig(configuration.dump()));
-  until([&] { return worker.count("Req-Id: 00000000000000a1") == 1; }, "the attempt");
-  worker.peers[0]->end();  // a retry is allowed, because its class is safe to repeat
-  until([&] { return worker.count("Req-Id: 00000000000000a1") == 2; }, "another attempt");
+  waitUntil([&] { return worker.count("Req-Id: 00000000000000a1") == 1; }, "the attempt");
+  worker.peers[0]->close();  // a retry is allowed, because its class is safe to repeat
+  waitUntil([&] { return worker.count("Req-Id: 00000000000000a1") == 2; }, "another attempt");
 }
 
 }  // namespace
--- a/tests/upstream_pool_fixture.hpp
+++ b/tests/upstream_pool_fixture.hpp
@@ -53,10 +53,10 @@
   // The number of requests that the worker has received.
   std::size_t requestsReceived() const { return worker.count("\r\n\r\n"); }
   void waitForRequests(std::size_t n) {
-    until([&] { return requestsReceived() == n; }, "a request at the worker");
+    waitUntil([&] { return requestsReceived() == n; }, "a request at the worker");
   }
   void waitForEnds(std::size_t n) {
-    until([&] { return attemptEnds.size() == n; }, "the end of an attempt");
+    waitUntil([&] { return attemptEnds.size() == n; }, "the end of an attempt");
   }
 
   Listener worker{io};
--- a/tests/upstream_pool_test.cpp
+++ b/tests/upstream_pool_test.cpp
@@ -15,7 +15,7 @@
   startAttempt(1);
   waitForRequests(1);
   worker.peers[0]->send(
-      reply("200 OK", "body", "Srv-Load: inflight=7,queue=2,util=0.61\r\nX-RateLimit-Used: 85\r\n"));
+      httpResponse("200 OK", "body", "Srv-Load: inflight=7,queue=2,util=0.61\r\nX-RateLimit-Used: 85\r\n"));
   waitForEnds(1);
   EXPECT_EQ(attemptEnds[0].outcome.result, AttemptResult::ok);
   EXPECT_EQ(attemptEnds[0].outcome.loadReport, (std::vector<double>{0.61, 2}));
@@ -32,7 +32,7 @@
     attemptEnds.clear();
     startAttempt(1);
     waitForRequests(worker.count("\r\n\r\n") + 1);
-    worker.peers[0]->send(reply("200 OK", "", header));
+    worker.peers[0]->send(httpResponse("200 OK", "", header));
     waitForEnds(1);
     EXPECT_EQ(attemptEnds[0].outcome.actualUnits, units) << header;
   }
@@ -44,7 +44,7 @@
     attemptEnds.clear();
     startAttempt(1);
     waitForRequests(worker.count("\r\n\r\n") + 1);
-    worker.peers[0]->send(reply("200 OK", "", load));
+    worker.peers[0]->send(httpResponse("200 OK", "", load));
     waitForEnds(1);
     EXPECT_TRUE(attemptEnds[0].outcome.loadReport.empty()) << load;
     EXPECT_EQ(attemptEnds[0].outcome.quotaUsePercent, -1);
@@ -56,7 +56,8 @@
   startAttempt(1, 50ms);
   waitForEnds(1);
   EXPECT_EQ(attemptEnds[0].outcome.result, AttemptResult::timeout);
-  until([&] { return worker.peers.size() == 1 && worker.peers[0]->ended; }, "the connection is closed");
+  waitUntil([&] { return worker.peers.size() == 1 && worker.peers[0]->closedByPeer; },
+            "the connection is closed");
   EXPECT_EQ(pool->connections(), 0u);
   EXPECT_FALSE(pool->cancelAttempt(1, AttemptResult::timeout));
 }
@@ -66,7 +67,7 @@
   startAttempt(1);
   waitForRequests(1);
   worker.peers[0]->send("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf");
-  worker.peers[0]->end();
+  worker.peers[0]->close();
   waitForEnds(1);
   EXPECT_EQ(attemptEnds[0].outcome.result, AttemptResult::reset);
 }
@@ -90,8 +91,8 @@
     createPool({});
     startAttempt(1);
     const auto connectionsBefore = worker.peers.size();
-    until([&] { return worker.peers.size() > connectionsBefore && worker.peers.back()->has("\r\n\r\n"); },
-          "a request");
+    waitUntil([&] { return worker.peers.size() > connectionsBefore && worker.peers.back()->has("\r\n\r\n"); },
+              "a request");
     worker.peers.back()->send(std::string("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n") + prefix);
     for (int i = 0; i < 20; ++i) worker.peers.back()->send(std::string(1000, 'x'));
     waitForEnds(1);
@@ -113,7 +114,7 @@
   startAttempt(2);
   waitForRequests(1);
   pool->retireWorker(1);  // the request has been sent: its attempt continues
-  worker.peers.back()->send(reply("200 OK", "done"));
+  worker.peers.back()->send(httpResponse("200 OK", "done"));
   waitForEnds(2);
   EXPECT_EQ(attemptEnds[1].outcome.result, AttemptResult::ok);
 }
@@ -135,10 +136,10 @@
   createPool(limits);
   startAttempt(1);
   waitForRequests(1);
-  worker.peers[0]->send(reply("200 OK", ""));
+  worker.peers[0]->send(httpResponse("200 OK", ""));
   waitForEnds(1);
   EXPECT_EQ(pool->connections(), 1u);
-  until([&] { return worker.peers[0]->ended; }, "the connection is closed");
+  waitUntil([&] { return worker.peers[0]->closedByPeer; }, "the connection is closed");
   EXPECT_EQ(pool->connections(), 0u);
 }
 
@@ -165,15 +166,16 @@
     pool->setWorkerAddress(id, {others.back()->address()});
     pool->startAttempt(static_cast<decision::RequestId>(id), 0, id, bufferedRequest("GET / HTTP/1.1\r\n\r\n"),
                        {});
-    until([&] { return others.back()->count("\r\n\r\n") == 1; }, "a request");
-    others.back()->peers[0]->send(reply("200 OK", ""));
+    waitUntil([&] { return others.back()->count("\r\n\r\n") == 1; }, "a request");
+    others.back()->peers[0]->send(httpResponse("200 OK", ""));
     waitForEnds(others.size());
   }
   EXPECT_EQ(pool->connections(), 8u);
   for (std::size_t round = 0; round < 3; ++round) {
     startAttempt(static_cast<decision::RequestId>(100 + round));
-    until([&] { return others[round]->peers[0]->ended; }, "the oldest connection is closed");
-    for (std::size_t i = round + 1; i < others.size(); ++i) EXPECT_FALSE(others[i]->peers[0]->ended) << i;
+    waitUntil([&] { return others[round]->peers[0]->closedByPeer; }, "the oldest connection is closed");
+    for (std::size_t i = round + 1; i < others.size(); ++i)
+      EXPECT_FALSE(others[i]->peers[0]->closedByPeer) << i;
   }
   EXPECT_EQ(pool->connections(), 8u);
   EXPECT_EQ(pool->localResourceShortages(), 0u);
@@ -201,12 +203,12 @@
   startAttempt(1);
   pool->startAttempt(2, 0, 2, bufferedRequest("GET / HTTP/1.1\r\n\r\n"), {});
   waitForRequests(1);
-  until([&] { return other.count("\r\n\r\n") == 1; }, "a request at the other worker");
+  waitUntil([&] { return other.count("\r\n\r\n") == 1; }, "a request at the other worker");
   pool->setWorkerAddress(1, {worker.address(), std::chrono::steady_clock::now() + 1h});
   waitForEnds(1);
   EXPECT_EQ(attemptEnds[0].outcome.id, 1u);
   EXPECT_EQ(attemptEnds[0].outcome.result, AttemptResult::reset);
-  other.peers[0]->send(reply("200 OK", ""));
+  other.peers[0]->send(httpResponse("200 OK", ""));
   waitForEnds(2);
   EXPECT_EQ(attemptEnds[1].outcome.result, AttemptResult::ok);
   EXPECT_EQ(pool->connections(), 1u);
@@ -225,10 +227,10 @@
   Listener second(io);
   pool->setWorkerAddress(2, {second.address()});
   waitForRequests(1);
-  worker.peers[0]->send(reply("200 OK", ""));
+  worker.peers[0]->send(httpResponse("200 OK", ""));
   waitForEnds(2);
   pool->startAttempt(3, 0, 2, bufferedRequest("GET / HTTP/1.1\r\n\r\n"), {});  // evicts the idle connection
-  until([&] { return second.count("\r\n\r\n") == 1; }, "a request at the other worker");
+  waitUntil([&] { return second.count("\r\n\r\n") == 1; }, "a request at the other worker");
   EXPECT_EQ(pool->connections(), 1u);
 }
 
