--- a/tests/config_said.hpp
+++ b/tests/config_error.hpp
@@ -10,7 +10,7 @@
 
 // Parses a configuration whose section `key` is `json` and whose other sections are valid. Returns the error
 // that rejects the section, or "" if it is accepted.
-inline std::string saidOf(const std::string& key, const std::string& json) {
+inline std::string configErrorOf(const std::string& key, const std::string& json) {
   try {
     parseConfig(R"({"name": "g", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "settings":
       {"permissions": {"attemptsCap": 3}, "profiles": [{"name": "look", "deadline": 100, "repeat": "safe"}]},
--- a/tests/leader_election_test.cpp
+++ b/tests/leader_election_test.cpp
@@ -7,7 +7,7 @@
 #include <cstdio>
 #include <thread>
 
-#include "config_said.hpp"
+#include "config_error.hpp"
 #include "growth.hpp"
 #include "leader_election/base64.hpp"
 #include "leader_election/membership_record.hpp"
@@ -272,11 +272,11 @@
         store + R"(, "ttl_ms": "10s"})", store + R"(, "lock_delay_ms": -1})", store + R"(, "prefix": "/a"})",
         store + R"(, "prefix": "a b"})", store + R"(, "prefix": 5})", store + R"(, "prefix": ""})",
         store + R"(, "ttl": 5})"}) {
-    EXPECT_NE(saidOf("coordination", invalid), "") << invalid;
+    EXPECT_NE(configErrorOf("coordination", invalid), "") << invalid;
   }
   for (const std::string& valid :
        {std::string("null"), store + "}", store + R"(, "prefix": "a/b-c_1.d", "ttl_ms": 1000})"}) {
-    EXPECT_EQ(saidOf("coordination", valid), "") << valid;
+    EXPECT_EQ(configErrorOf("coordination", valid), "") << valid;
   }
 }
 
--- a/tests/replication_test.cpp
+++ b/tests/replication_test.cpp
@@ -12,7 +12,7 @@
 #include <memory>
 #include <nlohmann/json.hpp>
 
-#include "config_said.hpp"
+#include "config_error.hpp"
 #include "growth.hpp"
 #include "replication/replica_node.hpp"
 #include "replication/snapshot.hpp"
@@ -352,7 +352,7 @@
 // Guards against accepting an invalid `replica` section: addresses, peers, limits, or unknown fields.
 TEST(ReplicaInputValidation, InvalidConfigurationIsRejected) {
   const std::string validPrefix = R"({"listen": "127.0.0.1:7", "peers": {"h": "127.0.0.1:8"})";
-  EXPECT_EQ(saidOf("replica", validPrefix + "}"), "");
+  EXPECT_EQ(configErrorOf("replica", validPrefix + "}"), "");
   for (const std::string& invalidSection :
        {std::string("[]"), std::string("{}"), std::string(R"({"listen": "x", "peers": {}})"),
         std::string(R"({"listen": "127.0.0.1:7", "peers": {"g": "127.0.0.1:8"}})"),
@@ -361,7 +361,7 @@
         std::string(R"({"listen": "127.0.0.1:0", "peers": {}})"), validPrefix + R"(, "fanout": 0})",
         validPrefix + R"(, "probe_every_ms": 1})", validPrefix + R"(, "fleet": ""})",
         validPrefix + R"(, "probe": 5})"}) {
-    EXPECT_NE(saidOf("replica", invalidSection), "") << invalidSection;
+    EXPECT_NE(configErrorOf("replica", invalidSection), "") << invalidSection;
   }
 }
 
