--- a/src/gatekeeper/client_server.cpp
+++ b/src/gatekeeper/client_server.cpp
@@ -41,8 +41,8 @@
       overflowTimer_(io),
       overloadManager_(overloadManager),
       jitter_(config.seed ^ 0x5bd1e995) {
-  overloadManager_.waitQueues().setReader(WaitQueue::acceptBacklog, [this](double now) {
-    WaitQueues::Figures out;
+  overloadManager_.waitQueues().setExternalSource(WaitQueue::acceptBacklog, [this](double now) {
+    WaitQueues::Statistics out;
     out.waiting = acceptBacklogLength(acceptor_);
     if (out.waiting > 0 && capacityWait_.isIn(WaitQueue::freeConnection))
       out.oldestMs = now - capacityWait_.since();
@@ -56,15 +56,15 @@
 
 ClientServer::~ClientServer() {
   overloadManager_.setConnectionRetry(nullptr);
-  overloadManager_.waitQueues().setReader(WaitQueue::acceptBacklog, nullptr);
+  overloadManager_.waitQueues().setExternalSource(WaitQueue::acceptBacklog, nullptr);
   for (const auto& connection : connections_) connection->abandon();
 }
 
 void ClientServer::start() {
-  const bool platformListens = config_.acceptFd >= 0;
+  const bool platformListens = config_.inheritedListenFd >= 0;
   try {
     if (platformListens) {
-      acceptor_.assign(config_.listen.protocol(), config_.acceptFd);
+      acceptor_.assign(config_.listen.protocol(), config_.inheritedListenFd);
       reportAbortedConnections(acceptor_);
     } else {
       openListener(acceptor_, config_.listen);
@@ -124,7 +124,7 @@
     if (waited == asio::error::operation_aborted) return;
     acceptPending_ = false;
     if (!acceptEnabled_ || acceptedSocket_) return;
-    overloadManager_.noteActivity();
+    overloadManager_.onActivity();
     Error error;
     tcp::socket socket(acceptor_.get_executor());
     acceptor_.accept(socket, error);
@@ -230,7 +230,7 @@
          std::uniform_real_distribution<>(0.5, 1.0)(jitter_);
 }
 
-double ClientServer::busyShare() const {
+double ClientServer::busyFraction() const {
   const auto& queues = overloadManager_.waitQueues();
   const std::size_t busy =
       queues.waiting(WaitQueue::incompleteRequest) + queues.waiting(WaitQueue::inFlight) +
@@ -239,7 +239,7 @@
   return static_cast<double>(busy) / static_cast<double>(std::max<std::size_t>(1, maxRegular()));
 }
 
-void ClientServer::closeLongIdle() {
+void ClientServer::closeLongIdleConnections() {
   const auto cutoff = Clock::now() - limits_.minIdleTime;
   while (const auto oldest = static_cast<Connection*>(idle_.oldest())) {
     if (oldest->idleSince() >= cutoff) return;
@@ -252,7 +252,7 @@
   connections_.erase(connection);
   overflowCount_ -= connection->isOverflow();
   reserveOverflowMemory();
-  overloadManager_.noteDescriptorUse();
+  overloadManager_.onDescriptorUseChanged();
   accept();
   if (connections_.empty() && !acceptor_.is_open() && done_) done_();
 }
@@ -281,7 +281,7 @@
   overflowTimer_.cancel();
   capacityWait_.leave();
   if (acceptedSocket_) addWhileStopping(*std::exchange(acceptedSocket_, std::nullopt));
-  if (config_.acceptFd < 0) return drainAcceptQueue();
+  if (config_.inheritedListenFd < 0) return drainAcceptQueue();
   closeListener();
 }
 
@@ -329,12 +329,12 @@
   add(std::move(socket));
 }
 
-void ClientServer::closeIdle() {
+void ClientServer::closeIdleConnections() {
   for (const auto& connection : std::vector(connections_.begin(), connections_.end()))
     connection->closeIfIdle();
 }
 
-void ClientServer::whenEmpty(std::function<void()> done) {
+void ClientServer::notifyWhenEmpty(std::function<void()> done) {
   done_ = std::move(done);
   if (connections_.empty() && !acceptor_.is_open()) done_();
 }
--- a/src/gatekeeper/gatekeeper.cpp
+++ b/src/gatekeeper/gatekeeper.cpp
@@ -36,13 +36,13 @@
 constexpr std::size_t kMaxCountedClasses = 512;  // request classes with counts of their own
 
 invariant::WorkerRules workerRules(const decision::Settings& settings) {
-  return {settings.drainGraceMs, settings.overloadMultiple, settings.slowStartShare,
+  return {settings.drainGraceMs, settings.overloadMultiple, settings.slowStartInitialShare,
           settings.overloadWindowMs, settings.slowStartMs};
 }
 
 std::chrono::steady_clock::time_point processStartOf(const WorkerStart& start) {
   if (start.processStartedAt <= 0) return std::chrono::steady_clock::time_point::min();
-  return DecisionClock::steady(start.processStartedAt);
+  return DecisionClock::toSteady(start.processStartedAt);
 }
 
 }  // namespace
@@ -70,17 +70,17 @@
          onResponseStart(id, type, length);
        },
        [this](RequestId id, std::string&& piece) { forwardPiece(id, std::move(piece)); }});
-  overloadManager_.start([this] { return std::max(server_.busyShare(), pool_.busyShare()); },
+  overloadManager_.start([this] { return std::max(server_.busyFraction(), pool_.busyFraction()); },
                          [this](double excess) { onOverload(excess); });
   if (config_.ops)
     ops_.emplace(io, OpsServer::Limits{}, static_cast<OperatorCalls&>(*this), overloadManager_);
   for (const std::string& name : config_.host.classes) metrics_.classes.try_emplace(name);
   monitor_.setRules(workerRules(config_.settings));
-  exclusions_.applyAll();
+  exclusions_.reportAll();
   applyHandover();
   EndpointList cachedList;
-  if (!config_.known.empty()) {
-    cachedList = parseEndpointList(config_.known);
+  if (!config_.initialEndpointList.empty()) {
+    cachedList = parseEndpointList(config_.initialEndpointList);
     onEndpointList(cachedList, EndpointUpdate::cached);
   }
   discovery_ = std::make_unique<DiscoveryClient>(
@@ -101,11 +101,11 @@
   startTimer_.async_wait([this](const Error& error) {
     if (!error) onEndpointsKnown();
   });
-  if (config_.acceptFd >= 0) {
+  if (config_.inheritedListenFd >= 0) {
     acceptOnceReady();
     handoverWriter_.start([this] { return currentHandover(); });
   }
-  if (!config_.stateDir.empty()) exclusions_.follow([this] { startServing(); });
+  if (!config_.stateDir.empty()) exclusions_.startPeriodicSync([this] { startServing(); });
   fleet_.startCoordinator();
   fleet_.startReplica();
   reportTimer_.start();
@@ -125,12 +125,12 @@
 // Without the handover a new process would have to relearn the rate of warm workers, and workers in slow
 // start would receive almost no requests until then.
 void Gatekeeper::applyHandover() {
-  if (config_.acceptFd < 0) return;
+  if (config_.inheritedListenFd < 0) return;
   const Time now = clock_.now();
   const auto handover = readHandover(config_.stateDir);
-  if (!handover || std::abs(now - handover->at) >= kMaxHandoverAgeMs) return;
-  if (handover->warmRate > 0) gateway_.seedWarmWorkerRate(now, handover->warmRate);
-  startTimes_ = StartTimes(handover->clockOffset);
+  if (!handover || std::abs(now - handover->writtenAt) >= kMaxHandoverAgeMs) return;
+  if (handover->warmWorkerRatePerMs > 0) gateway_.seedWarmWorkerRate(now, handover->warmWorkerRatePerMs);
+  startTimes_ = StartTimes(handover->clockOffsetMs);
 }
 
 std::optional<Handover> Gatekeeper::currentHandover() const {
@@ -144,7 +144,7 @@
 // than a working one can be is down; the configured list is used then.
 //
 // Requests also wait until the operators' exclusions are loaded: an unreadable file is retried
-// (ExclusionControl::follow) for kExclusionsTimeout.
+// (ExclusionControl::startPeriodicSync) for kExclusionsTimeout.
 void Gatekeeper::onEndpointsKnown() {
   endpointsKnown_ = true;
   if (exclusions_.isLoaded()) return startServing();
@@ -171,7 +171,7 @@
 // since they use descriptors without serving a request.
 void Gatekeeper::onOverload(double excess) {
   const OverloadState& state = overloadManager_.state();
-  if (overloadManager_.areDescriptorsOverloaded()) server_.closeLongIdle();
+  if (overloadManager_.areDescriptorsOverloaded()) server_.closeLongIdleConnections();
   gateway_.onOverload(clock_.now(),
                       {state.level() != OverloadLevel::none, overloadManager_.isMemoryOverloaded(),
                        state.rejectShare(), excess, state.expectedDurationMs(OverloadManager::now())});
@@ -222,11 +222,11 @@
   config_.discovery = config.discovery;
   pool_.updateSettings(poolLimits(config_), config_.settings.loadReportFields);
   overloadManager_.setLimits(overloadLimits(config_));
-  if (config.memoryMb != config_.memoryMb)
+  if (config.memoryLimitMib != config_.memoryLimitMib)
     processLog().warn(
         "event=reload text=\"limits.memory_mb cannot change at a reload; the value of the start stays in "
         "effect\" memory_mb={}",
-        config_.memoryMb);
+        config_.memoryLimitMib);
   for (const std::string& name : config_.host.classes)
     if (metrics_.classes.size() < kMaxCountedClasses) metrics_.classes.try_emplace(name);
   reloadFleetServices(config);
@@ -259,7 +259,7 @@
   fleet_.drain();
   done = [this, done = std::move(done)] { fleet_.leave(done); };
   server_.startDrain();
-  const bool nextProcessAccepts = config_.acceptFd >= 0;
+  const bool nextProcessAccepts = config_.inheritedListenFd >= 0;
   if (nextProcessAccepts) server_.stopAccepting();
   Time longestDeadlineMs = 0;
   for (const auto& requestClass : config_.settings.classes)
@@ -286,8 +286,8 @@
 }
 
 void Gatekeeper::closeIdleClients(const std::function<void()>& done) {
-  server_.closeIdle();
-  server_.whenEmpty([this, done] { finishDrain(done); });
+  server_.closeIdleConnections();
+  server_.notifyWhenEmpty([this, done] { finishDrain(done); });
 }
 
 // The process exits: requests in flight without a response are reported to the invariant monitor, since each
@@ -299,7 +299,7 @@
   for (auto& [id, request] : requests_)
     if (!request.responseStarted) monitor_.requestReleased(request.trace, now);
   if (server_.connections() == 0)
-    monitor_.checkNothingHeld(
+    monitor_.checkNoneRemaining(
         requests_.size(),
         std::to_string(requests_.size()) + " requests in flight without a client connection", now);
   done();
@@ -331,7 +331,7 @@
 void Gatekeeper::onEndpointList(const EndpointList& list, EndpointUpdate kind) {
   const Time now = clock_.now();
   const bool live = endpointsKnown_ && kind != EndpointUpdate::cached;
-  for (const EndpointEntry& entry : list.entries) startTimes_.observe(entry.startedAtMs, now);
+  for (const EndpointEntry& entry : list.entries) startTimes_.correctClockOffset(entry.startedAtMs, now);
   std::vector<Endpoint> endpoints;
   std::unordered_set<WorkerId> unlisted;
   if (kind != EndpointUpdate::delta) unlisted = readyWorkers_;
@@ -340,7 +340,7 @@
     const WorkerId worker = workerIdOf(entry.id);
     const WorkerStart start = startTimes_.startOf(worker, entry.startedAtMs, now, live);
     endpoints.push_back(endpointOf(entry, start, zones, machineTypes));
-    exclusions_.addNamed(entry.id);
+    exclusions_.addListedWorker(entry.id);
     unlisted.erase(worker);
     if (entry.phase == decision::WorkerPhase::ready) {
       readyWorkers_.insert(worker);
@@ -351,7 +351,7 @@
     }
   }
   for (const WorkerId worker : unlisted) onWorkerRetired(worker, decision::WorkerPhase::removed, now);
-  startTimes_.forgetUnlisted([this](WorkerId worker) { return readyWorkers_.contains(worker); });
+  startTimes_.removeUnlisted([this](WorkerId worker) { return readyWorkers_.contains(worker); });
   gateway_.onEndpoints(now, kind, endpoints);
   workersKnown_ = workersKnown_ || !readyWorkers_.empty();
   if (kind != EndpointUpdate::cached) onEndpointsKnown();
--- a/src/gatekeeper/gatekeeper_requests.cpp
+++ b/src/gatekeeper/gatekeeper_requests.cpp
@@ -47,7 +47,7 @@
   // body.
   const Time uploadMs = request.body.streamed ? kMaxUploadMs : 0;
   const decision::ClassSettings& requestClass = config_.settings.classes[parsed.classIndex];
-  request.trace.requestId = std::string(view(request.message["Req-Id"]));
+  request.trace.requestId = std::string(toStringView(request.message["Req-Id"]));
   request.trace.idempotency = requestClass.idempotency;
   request.trace.idempotencyWindowMs = requestClass.idempotencyWindowMs;
   request.trace.maxAttempts = config_.settings.maxAttempts;
@@ -55,14 +55,14 @@
   monitor_.requestReceived(request.trace, now);
   request.expiresAt = now + request.clientWaitMs + uploadMs;
   if (!request.body.streamed) startDeadlineTimer(id, request);
-  overloadManager_.noteActivity();
+  overloadManager_.onActivity();
   const decision::Request decisionRequest{id,
                                           parsed.classIndex,
                                           parsed.planIndex,
                                           parsed.customer,
                                           request.expiresAt,
                                           parsed.units,
-                                          parsed.customerGateways,
+                                          parsed.customerGatewayCount,
                                           static_cast<double>(parsed.memoryBytes)};
   if (serving_) return gateway_.onRequest(now, decisionRequest);
   earlyRequests_.push_back(decisionRequest);
@@ -166,7 +166,7 @@
   recordAttemptEnd(outcome);
   const bool inFlight = requests_.contains(outcome.id);
   outcome.requestFinished = !inFlight || outcome.result == AttemptResult::ok;
-  overloadManager_.noteActivity();
+  overloadManager_.onActivity();
   if (inFlight && requests_.at(outcome.id).responseStarted) {
     finishStreamedResponse(end);
   } else if (inFlight && outcome.result == AttemptResult::ok) {
@@ -209,7 +209,7 @@
   const auto responder = conclude(
       end.outcome.id, complete ? invariant::RequestState::answered : invariant::RequestState::truncated);
   if (complete) {
-    responder->holdMemory(std::move(end.bodyMemory));
+    responder->chargeFinalPiece(std::move(end.bodyMemory));
     responder->sendPiece(std::move(end.body), true, nullptr);
   } else {
     responder->abortStream();
--- a/src/replication/replica_node.cpp
+++ b/src/replication/replica_node.cpp
@@ -31,7 +31,7 @@
   return decode(reinterpret_cast<const std::uint8_t*>(body.data()), body.size());
 }
 
-Timing timingOf(const Replication& config) {
+Timing timingOf(const ReplicationConfig& config) {
   Timing out;
   out.probePeriodMs = config.probeEveryMs;
   out.gossipPeriodMs = config.gossipEveryMs;
@@ -42,7 +42,7 @@
 
 }  // namespace
 
-ReplicaNode::ReplicaNode(asio::io_context& io, const Replication& config, const std::string& name,
+ReplicaNode::ReplicaNode(asio::io_context& io, const ReplicationConfig& config, const std::string& name,
                          const std::string& stateDir, std::uint64_t seed, OverloadManager& overload,
                          RowCallback onRowChanged)
     : io_(io),
@@ -88,7 +88,7 @@
 
 void ReplicaNode::listen() {
   if (const Error error = openAcceptor()) {
-    log_.say("cannot listen; retrying: " + error.message());
+    log_.warn("cannot listen; retrying: " + error.message());
     Error ignored;
     acceptor_.close(ignored);
     listenTimer_.expires_after(kListenRetryPeriod);
@@ -194,8 +194,8 @@
   replica_->tick(now());
   if (replica_->caughtUp() && caughtUpAt_ < 0) {
     caughtUpAt_ = now();
-    log_.say("copy caught up with another member after " +
-             std::to_string(static_cast<long>(caughtUpAt_ - startedAt_)) + " ms");
+    log_.warn("copy caught up with another member after " +
+              std::to_string(static_cast<long>(caughtUpAt_ - startedAt_)) + " ms");
   }
   scheduleTick();
 }
@@ -269,10 +269,10 @@
   return telemetryText({*replica_, transportCounts_, now(), startedAt_, caughtUpAt_});
 }
 
-std::string ReplicaNode::members() const {
+std::string ReplicaNode::membersResponse() const {
   return membersText({*replica_, transportCounts_, now(), startedAt_, caughtUpAt_});
 }
 
-std::string ReplicaNode::state() const { return stateText(*replica_); }
+std::string ReplicaNode::stateResponse() const { return stateText(*replica_); }
 
 }  // namespace wingslip::replication
--- a/src/replication/replica_node.hpp
+++ b/src/replication/replica_node.hpp
@@ -33,7 +33,7 @@
   /// @param stateDir directory of the snapshot; if empty, no snapshot is read or written.
   /// @param seed of the random number generator.
   /// @param overload outlives the node.
-  ReplicaNode(boost::asio::io_context& io, const Replication& config, const std::string& name,
+  ReplicaNode(boost::asio::io_context& io, const ReplicationConfig& config, const std::string& name,
               const std::string& stateDir, std::uint64_t seed, OverloadManager& overload,
               RowCallback onRowChanged);
   ~ReplicaNode() override;
@@ -55,13 +55,13 @@
 
   /// Metrics and operator responses; replica_report.hpp describes their texts.
   std::string telemetry() const;
-  std::string members() const;
-  std::string state() const;
+  std::string membersResponse() const;
+  std::string stateResponse() const;
 
  private:
   void send(const OutgoingRequest& request) override;
   void onRowChanged(const Row& row) override { rowCallback_(row); }
-  void log(const std::string& line) override { log_.say(line); }
+  void log(const std::string& line) override { log_.warn(line); }
   std::int64_t unixMs() const override;
   std::optional<std::string> onRequestBody(const std::string& body) override;
   void onMalformedRequest(const std::string& reason) override { log(reason); }
@@ -81,7 +81,7 @@
   void writeSnapshot();
 
   boost::asio::io_context& io_;
-  const Replication config_;
+  const ReplicationConfig config_;
   OverloadManager& overload_;
   const RowCallback rowCallback_;
   SnapshotFile snapshotFile_;
--- a/tests/replication_test.cpp
+++ b/tests/replication_test.cpp
@@ -12,7 +12,7 @@
 #include <memory>
 #include <nlohmann/json.hpp>
 
-#include "config_said.hpp"
+#include "config_error.hpp"
 #include "growth.hpp"
 #include "replication/replica_node.hpp"
 #include "replication/snapshot.hpp"
@@ -195,23 +195,23 @@
 
 // Guards against work quadratic in the number of rows, as from one search of the table per evicted row.
 TEST(Replica, RestoringRowsBeyondLimitIsNotQuadratic) {
-  const double factor = growth::between(1000, [](std::size_t n) {
+  const double factor = growth::growthFactor(1000, [](std::size_t n) {
     std::vector<Row> rows;
     for (std::size_t i = 0; i < n; ++i)
       rows.push_back({"t", "k" + std::to_string(i), "", {std::int64_t(i), 0, "g"}, false});
     RecordingEnvironment environment;
     Replica copy = startedReplica(environment);
-    const double before = growth::processorTime();
+    const double before = growth::threadCpuTimeMs();
     copy.restore({}, rows);
-    return growth::processorTime() - before;
+    return growth::threadCpuTimeMs() - before;
   });
-  EXPECT_LT(factor, growth::kMost);
+  EXPECT_LT(factor, growth::kMaxFactor);
 }
 
 // Guards against work quadratic in the number of suspects. When half of a fleet is partitioned off, all its
 // members become suspect at the same time.
 TEST(Replica, ExpiringSuspectsIsNotQuadratic) {
-  const double factor = growth::between(63, [](std::size_t n) {
+  const double factor = growth::growthFactor(63, [](std::size_t n) {
     std::vector<MemberRecord> suspects;
     for (std::size_t i = 0; i < n; ++i)
       suspects.push_back({"g" + std::to_string(i), "a", 1, 0, MemberState::suspect});
@@ -219,11 +219,11 @@
     Replica copy = startedReplica(environment);
     copy.restore(suspects, {});
     for (int i = 0; i < 10; ++i) copy.tick(1);
-    const double before = growth::processorTime();
+    const double before = growth::threadCpuTimeMs();
     for (int i = 0; i < 200; ++i) copy.tick(1);
-    return growth::processorTime() - before;
+    return growth::threadCpuTimeMs() - before;
   });
-  EXPECT_LT(factor, growth::kMost);
+  EXPECT_LT(factor, growth::kMaxFactor);
 }
 
 // Guards against a truncated or invalid message being accepted in part.
@@ -297,7 +297,7 @@
   using boost::asio::ip::tcp;
   const std::string dir = ::testing::TempDir() + "replica_" + std::to_string(::getpid());
   std::filesystem::create_directories(dir);
-  Replication config;
+  ReplicationConfig config;
   {
     tcp::acceptor portFinder(io, {boost::asio::ip::address_v4::loopback(), 0});
     config.listen = portFinder.local_endpoint();
@@ -352,7 +352,7 @@
 // Guards against accepting an invalid `replica` section: addresses, peers, limits, or unknown fields.
 TEST(ReplicaInputValidation, InvalidConfigurationIsRejected) {
   const std::string validPrefix = R"({"listen": "127.0.0.1:7", "peers": {"h": "127.0.0.1:8"})";
-  EXPECT_EQ(saidOf("replica", validPrefix + "}"), "");
+  EXPECT_EQ(configErrorOf("replica", validPrefix + "}"), "");
   for (const std::string& invalidSection :
        {std::string("[]"), std::string("{}"), std::string(R"({"listen": "x", "peers": {}})"),
         std::string(R"({"listen": "127.0.0.1:7", "peers": {"g": "127.0.0.1:8"}})"),
@@ -361,7 +361,7 @@
         std::string(R"({"listen": "127.0.0.1:0", "peers": {}})"), validPrefix + R"(, "fanout": 0})",
         validPrefix + R"(, "probe_every_ms": 1})", validPrefix + R"(, "fleet": ""})",
         validPrefix + R"(, "probe": 5})"}) {
-    EXPECT_NE(saidOf("replica", invalidSection), "") << invalidSection;
+    EXPECT_NE(configErrorOf("replica", invalidSection), "") << invalidSection;
   }
 }
 
