--- a/tests/lab_test.cpp
+++ b/tests/lab_test.cpp
@@ -8,8 +8,8 @@
 #include <map>
 
 #include "figures.hpp"
-#include "judge.hpp"
 #include "plot.hpp"
+#include "run_verifier.hpp"
 #include "scenario.hpp"
 
 namespace wingslip::lab {
--- a/tools/lab/discovery_agent.hpp
+++ b/tools/lab/discovery_agent.hpp
@@ -11,8 +11,8 @@
 #include <string>
 #include <vector>
 
-#include "judge.hpp"
 #include "loopback_listener.hpp"
+#include "run_verifier.hpp"
 
 namespace wingslip::lab {
 
--- a/tools/lab/expectations.hpp
+++ b/tools/lab/expectations.hpp
@@ -9,7 +9,7 @@
 
 #include "figures.hpp"
 #include "idle_clients.hpp"
-#include "judge.hpp"
+#include "run_verifier.hpp"
 #include "scenario.hpp"
 
 namespace wingslip::lab {
--- a/tools/lab/open_load.hpp
+++ b/tools/lab/open_load.hpp
@@ -8,9 +8,9 @@
 #include <string>
 #include <vector>
 
-#include "judge.hpp"
 #include "process.hpp"
 #include "run_clock.hpp"
+#include "run_verifier.hpp"
 #include "scenario.hpp"
 
 namespace wingslip::lab {
--- a/tools/lab/plot.hpp
+++ b/tools/lab/plot.hpp
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-#include "judge.hpp"
+#include "run_verifier.hpp"
 
 namespace wingslip::lab {
 
--- a/tools/lab/run_report.hpp
+++ b/tools/lab/run_report.hpp
@@ -9,9 +9,9 @@
 #include <vector>
 
 #include "idle_clients.hpp"
-#include "judge.hpp"
 #include "plot.hpp"
 #include "process.hpp"
+#include "run_verifier.hpp"
 #include "scenario.hpp"
 
 namespace wingslip::lab {
--- a/tools/lab/judge.cpp
+++ b/tools/lab/run_verifier.cpp
@@ -1,4 +1,4 @@
-#include "judge.hpp"
+#include "run_verifier.hpp"
 
 #include <algorithm>
 #include <array>
--- a/tools/lab/stand_in_worker.hpp
+++ b/tools/lab/stand_in_worker.hpp
@@ -9,8 +9,8 @@
 #include <random>
 #include <set>
 
-#include "judge.hpp"
 #include "loopback_listener.hpp"
+#include "run_verifier.hpp"
 
 namespace wingslip::lab {
 
