--- a/tools/lab/rough_clients.cpp
+++ b/tools/lab/misbehaving_clients.cpp
@@ -1,4 +1,4 @@
-#include "rough_clients.hpp"
+#include "misbehaving_clients.hpp"
 
 #include <algorithm>
 #include <array>
--- a/tools/lab/scenario.hpp
+++ b/tools/lab/scenario.hpp
@@ -64,8 +64,8 @@
   double partShare = 0.05;  ///< share of the clients that send part of a request; the others send nothing
 };
 
-/// Misbehaving clients on persistent connections (`rough_clients.hpp`). Each share is a part, 0 to 1, of the
-/// exchanges; the remaining exchanges are well-formed.
+/// Misbehaving clients on persistent connections (`misbehaving_clients.hpp`). Each share is a part, 0 to 1,
+/// of the exchanges; the remaining exchanges are well-formed.
 struct RoughLoad {
   int clients = 0;       ///< in total over all gatekeepers
   double thinkMs = 200;  ///< mean time between two exchanges
