--- a/tools/lab/scale_cases_replica.cpp
+++ b/tools/lab/scale_cases_replica.cpp
@@ -2,9 +2,9 @@
 #include <algorithm>
 #include <stdexcept>
 
-#include "hollow_replica.hpp"
 #include "probe.hpp"
 #include "scale_cases.hpp"
+#include "simulated_replica.hpp"
 
 namespace wingslip::lab {
 namespace {
--- a/tools/lab/hollow_replica.cpp
+++ b/tools/lab/simulated_replica.cpp
@@ -1,4 +1,4 @@
-#include "hollow_replica.hpp"
+#include "simulated_replica.hpp"
 
 #include <algorithm>
 #include <cmath>
