--- a/tools/lab/front.cpp
+++ b/tools/lab/load_balancer.cpp
@@ -1,5 +1,5 @@
 /// Health checks of the load balancer in front of the gatekeepers.
-#include "front.hpp"
+#include "load_balancer.hpp"
 
 #include <spdlog/spdlog.h>
 
