--- a/tests/lab_test.cpp
+++ b/tests/lab_test.cpp
@@ -22,7 +22,7 @@
   std::ofstream(path) << text;
   try {
     readScenario(path.string());
-  } catch (const BadScenario& error) {
+  } catch (const InvalidScenario& error) {
     const std::string what = error.what();
     return what.substr(what.find(".toml:") + 6);
   }
@@ -91,7 +91,7 @@
   const std::string path = std::string(LAB_SCENARIOS) + "/random.toml";
   const auto describe = [](const Scenario& s) {
     std::string out;
-    for (const Step& step : s.steps) out += step.what + "@" + std::to_string(step.atS) + ";";
+    for (const Step& step : s.steps) out += step.kind + "@" + std::to_string(step.atS) + ";";
     return out;
   };
   const Scenario scenario = readScenario(path, 0, 0, 1);
@@ -105,8 +105,8 @@
     const std::string target =
         (step.gatekeeper ? "g" : "w") + std::to_string(step.gatekeeper.value_or(step.worker.value_or(-1)));
     const bool repair =
-        step.what == "restart" || step.what == "cont" || step.what == "heal" || step.what == "revive";
-    EXPECT_EQ(open[target], repair ? 1 : 0) << step.what << " at " << step.atS;
+        step.kind == "restart" || step.kind == "cont" || step.kind == "heal" || step.kind == "revive";
+    EXPECT_EQ(open[target], repair ? 1 : 0) << step.kind << " at " << step.atS;
     open[target] += repair ? -1 : 1;
   }
   for (const auto& [target, n] : open) EXPECT_EQ(n, 0) << target;
--- a/tools/lab/expectations.cpp
+++ b/tools/lab/expectations.cpp
@@ -10,12 +10,12 @@
 const std::string kRosterPrefix = "roster_";
 const std::string kRosterAgreed = "roster_agreed";
 
-bool holds(const Expect& expect, std::optional<long> count) {
+bool holds(const Expectation& expect, std::optional<long> count) {
   return count && (!expect.min || *count >= *expect.min) && (!expect.max || *count <= *expect.max);
 }
 
-std::string unmetLine(const Expect& expect, std::optional<long> count) {
-  return "line " + std::to_string(expect.line) + ": " + expect.fate +
+std::string unmetLine(const Expectation& expect, std::optional<long> count) {
+  return "line " + std::to_string(expect.line) + ": " + expect.countName +
          (expect.figure.empty() ? "" : " " + expect.figure) + " " +
          (count ? std::to_string(*count) : "not reported") + " not within " +
          std::to_string(expect.min.value_or(0)) + ".." + (expect.max ? std::to_string(*expect.max) : "any");
@@ -25,13 +25,13 @@
 
 std::vector<std::string> expectedFigures(const Scenario& scenario) {
   std::vector<std::string> out;
-  for (const Expect& expect : scenario.expects)
-    if (expect.fate == "figure" && std::find(out.begin(), out.end(), expect.figure) == out.end())
+  for (const Expectation& expect : scenario.expects)
+    if (expect.countName == "figure" && std::find(out.begin(), out.end(), expect.figure) == out.end())
       out.push_back(expect.figure);
   return out;
 }
 
-std::optional<long> Expectations::figure(const Expect& expect) const {
+std::optional<long> Expectations::figure(const Expectation& expect) const {
   std::optional<long> most;
   for (int g = 0; g < scenario_.gatekeepers; ++g) {
     if (expect.gatekeeper && *expect.gatekeeper != g) continue;
@@ -45,7 +45,7 @@
 
 std::vector<std::string> Expectations::unmet() const {
   std::vector<std::string> out;
-  for (const Expect& expect : scenario_.expects) {
+  for (const Expectation& expect : scenario_.expects) {
     const std::optional<long> counted = count(expect);
     if (!holds(expect, counted)) out.push_back(unmetLine(expect, counted));
   }
@@ -53,18 +53,18 @@
 }
 
 // None if a gatekeeper did not report the figure.
-std::optional<long> Expectations::count(const Expect& expect) const {
+std::optional<long> Expectations::count(const Expectation& expect) const {
   const double afterMs = expect.afterS * kMsPerS, beforeMs = expect.beforeS * kMsPerS;
-  if (expect.fate == "figure") return figure(expect);
-  if (expect.fate == "idle_opened") return idleClients(expect.gatekeeper).opened;
-  if (expect.fate == "idle_closed") return idleClients(expect.gatekeeper).closed;
-  if (expect.fate == "idle_refused") return idleClients(expect.gatekeeper).refused;
-  if (expect.fate == "attempts") return attempts(expect);
-  if (const auto outcome = requestOutcomeOf(expect.fate))
+  if (expect.countName == "figure") return figure(expect);
+  if (expect.countName == "idle_opened") return idleClients(expect.gatekeeper).opened;
+  if (expect.countName == "idle_closed") return idleClients(expect.gatekeeper).closed;
+  if (expect.countName == "idle_refused") return idleClients(expect.gatekeeper).refused;
+  if (expect.countName == "attempts") return attempts(expect);
+  if (const auto outcome = requestOutcomeOf(expect.countName))
     return verifier_.count(*outcome, expect.gatekeeper, afterMs, beforeMs);
-  if (expect.fate == "copies_equal") return mostEqualCopies();
-  if (expect.fate.rfind(kRosterPrefix, 0) == 0 && expect.fate != kRosterAgreed)
-    return namesInRoster(expect.fate.substr(kRosterPrefix.size()), beforeMs);
+  if (expect.countName == "copies_equal") return mostEqualCopies();
+  if (expect.countName.rfind(kRosterPrefix, 0) == 0 && expect.countName != kRosterAgreed)
+    return namesInRoster(expect.countName.substr(kRosterPrefix.size()), beforeMs);
   return noted(expect);
 }
 
@@ -80,7 +80,7 @@
   return out;
 }
 
-long Expectations::attempts(const Expect& expect) const {
+long Expectations::attempts(const Expectation& expect) const {
   const auto matches = [&](int worker) {
     return expect.worker ? worker == *expect.worker
                          : scenario_.zones[scenario_.zoneOf(worker)] == *expect.zone;
@@ -104,13 +104,14 @@
   return out;
 }
 
-long Expectations::noted(const Expect& expect) const {
+long Expectations::noted(const Expectation& expect) const {
   const double afterMs = expect.afterS * kMsPerS, beforeMs = expect.beforeS * kMsPerS;
-  return std::count_if(
-      observations_.noted.begin(), observations_.noted.end(), [&](const ObservedEvent& noted) {
-        return noted.what == expect.fate && (!expect.gatekeeper || *expect.gatekeeper == noted.gatekeeper) &&
-               noted.atMs >= afterMs && noted.atMs < beforeMs;
-      });
+  return std::count_if(observations_.noted.begin(), observations_.noted.end(),
+                       [&](const ObservedEvent& noted) {
+                         return noted.what == expect.countName &&
+                                (!expect.gatekeeper || *expect.gatekeeper == noted.gatekeeper) &&
+                                noted.atMs >= afterMs && noted.atMs < beforeMs;
+                       });
 }
 
 }  // namespace wingslip::lab
--- a/tools/lab/expectations.hpp
+++ b/tools/lab/expectations.hpp
@@ -44,18 +44,18 @@
       : scenario_(scenario), verifier_(verifier), observations_(observations) {}
 
   /// The maximum of a figure over the gatekeepers of the expectation; none if one of them did not report it.
-  std::optional<long> figure(const Expect& expect) const;
+  std::optional<long> figure(const Expectation& expect) const;
 
   /// One line of text for each expectation that is not met.
   std::vector<std::string> unmet() const;
 
  private:
-  std::optional<long> count(const Expect& expect) const;
+  std::optional<long> count(const Expectation& expect) const;
   IdleClientCounts idleClients(std::optional<int> gatekeeper) const;
-  long attempts(const Expect& expect) const;
+  long attempts(const Expectation& expect) const;
   long mostEqualCopies() const;
   long namesInRoster(const std::string& state, double beforeMs) const;
-  long noted(const Expect& expect) const;
+  long noted(const Expectation& expect) const;
 
   const Scenario& scenario_;
   const Judge& verifier_;
--- a/tools/lab/fleet.cpp
+++ b/tools/lab/fleet.cpp
@@ -40,7 +40,7 @@
   const long requests = std::lround(s.rate * s.deadlineMs / 1000);
   const auto needed = static_cast<rlim_t>(
       s.idle.each * gatekeepersWithIdle + links + kDescriptorsPerConnection * connections +
-      std::min<long>(requests, s.mostInFlight) + s.rough.clients + kOtherDescriptors);
+      std::min<long>(requests, s.mostInFlight) + s.misbehavingLoad.clients + kOtherDescriptors);
   rlimit limit{};
   ::getrlimit(RLIMIT_NOFILE, &limit);
   if (limit.rlim_max < needed)
@@ -81,9 +81,9 @@
       rough_(io_, scenario, gatekeepers_, clock_, judge_, options.seed ^ kRoughSeed) {
   double delay = 0;
   for (const Step& step : scenario.steps)
-    if (step.what == "delay" || step.what == "throttle") delay = std::max(delay, step.delayMs + kThrottledMs);
+    if (step.kind == "delay" || step.kind == "throttle") delay = std::max(delay, step.delayMs + kThrottledMs);
   judge_.linksDelay(delay);
-  judge_.lateIsExcusedWhileDown(scenario.clientsMayWait);
+  judge_.lateIsExcusedWhileDown(scenario.toleratesLateAnswers);
 }
 
 int Fleet::run() {
@@ -168,10 +168,10 @@
   fs::remove(gatekeeper.log);  // left by an earlier run in this directory
   if (scenario_.faultLibrary)
     gatekeeper.faults = std::make_shared<FaultFile>(out / (name + ".faults"), scenario_.system);
-  if (scenario_.heldSockets) {
+  if (scenario_.inheritedSockets) {
     gatekeeper.held = openListeningSocket(gatekeeper.port);
   }
-  if (scenario_.heldSockets || scenario_.stateFolders) {
+  if (scenario_.inheritedSockets || scenario_.stateDirectories) {
     gatekeeper.state = out / (name + ".state");
     fs::remove_all(gatekeeper.state);
     fs::create_directories(gatekeeper.state);
@@ -196,8 +196,8 @@
   for (const auto& [g, clients] : idleClients_) observed_.idleClients[g] = clients->counts();
   runRecord_.idleClients = observed_.idleClients;
   const Expectations expectations(scenario_, judge_, observed_);
-  for (const Expect& e : scenario_.expects)
-    if (e.fate == "figure") runRecord_.figures.push_back({e.line, e.figure, expectations.figure(e)});
+  for (const Expectation& e : scenario_.expects)
+    if (e.countName == "figure") runRecord_.figures.push_back({e.line, e.figure, expectations.figure(e)});
   runRecord_.unmet = expectations.unmet();
   writeReport(options_.out, scenario_, judge_, runRecord_);
   return printReport(options_.out);
--- a/tools/lab/fleet_run.hpp
+++ b/tools/lab/fleet_run.hpp
@@ -55,10 +55,10 @@
   void callOperator(const Step& step);
   void checkOperatorAnswer(const Step& step, pid_t pid, const std::string& answer);
   void applyGatekeeperFault(const Step& step);
-  static void applyAgentFault(Agent& agent, const std::string& what);
+  static void applyAgentFault(Agent& agent, const std::string& kind);
   void applyWorkerFault(const Step& step);
-  void applyWorkerFault(const std::string& what, int index);
-  void applyStoreFault(const std::string& what);
+  void applyWorkerFault(const std::string& kind, int index);
+  void applyStoreFault(const std::string& kind);
   /// Applies a system fault to the step's gatekeeper, or to all if it names none.
   void applySystemFault(const Step& step);
   /// Records for the agents whether gatekeepers can reach them over links in this mode.
--- a/tools/lab/fleet_steps.cpp
+++ b/tools/lab/fleet_steps.cpp
@@ -12,14 +12,14 @@
   Step step = planned;
   if (step.role == "holder") roleTarget_ = leader_;
   if (!step.role.empty()) step.gatekeeper = roleTarget_;
-  spdlog::info("event=step at_s={} do={} gatekeeper={} worker={} zone={}", step.atS, step.what,
+  spdlog::info("event=step at_s={} do={} gatekeeper={} worker={} zone={}", step.atS, step.kind,
                step.gatekeeper.value_or(-1), step.worker.value_or(-1), step.zone.value_or("-"));
-  runRecord_.steps.push_back({step.atS, step.what, step.line});
+  runRecord_.steps.push_back({step.atS, step.kind, step.line});
   runRecord_.marks.push_back({step.atS, labelOf(step)});
-  if (step.what.rfind("store_", 0) == 0) return applyStoreFault(step.what);
-  if (const auto mode = linkModeOf(step.what)) return applyLinkFault(step, *mode);
-  if (step.what == "exclude" || step.what == "include") return callOperator(step);
-  if (step.what == "calls" || step.what == "clock_step" || step.what == "disk") return applySystemFault(step);
+  if (step.kind.rfind("store_", 0) == 0) return applyStoreFault(step.kind);
+  if (const auto mode = linkModeOf(step.kind)) return applyLinkFault(step, *mode);
+  if (step.kind == "exclude" || step.kind == "include") return callOperator(step);
+  if (step.kind == "calls" || step.kind == "clock_step" || step.kind == "disk") return applySystemFault(step);
   if (step.gatekeeper && !step.worker && !step.zone) return applyGatekeeperFault(step);
   applyWorkerFault(step);
 }
@@ -32,9 +32,9 @@
 void Fleet::callOperator(const Step& step) {
   const int index = *step.gatekeeper;
   const int worker = *step.worker;
-  if (step.what == "include") judge_.included(index, worker);
+  if (step.kind == "include") judge_.included(index, worker);
   const pid_t pid = gatekeepers_[index].now.pid;
-  askOps(io_, gatekeepers_[index].now.ops, step.what + " w" + std::to_string(worker),
+  askOps(io_, gatekeepers_[index].now.ops, step.kind + " w" + std::to_string(worker),
          [this, step, pid](const std::string& answer) { checkOperatorAnswer(step, pid, answer); });
 }
 
@@ -42,55 +42,55 @@
   const int index = *step.gatekeeper;
   const bool accepted = answer.rfind("200", 0) == 0;
   const bool inForce = accepted || answer.find("not kept yet") != std::string::npos;
-  if (step.what == "exclude" && inForce) judge_.excluded(index, *step.worker, clock_.nowMs());
+  if (step.kind == "exclude" && inForce) judge_.excluded(index, *step.worker, clock_.nowMs());
   const bool processEnded = pid <= 0 || gatekeepers_[index].now.pid != pid || gatekeepers_[index].stopped;
   if (accepted || processEnded || diskFaults_.contains(index)) return;
-  runRecord_.crashes.push_back("line " + std::to_string(step.line) + ": " + step.what + " was answered " +
+  runRecord_.crashes.push_back("line " + std::to_string(step.line) + ": " + step.kind + " was answered " +
                                (answer.empty() ? "nothing" : answer.substr(0, 60)));
 }
 
 void Fleet::applyGatekeeperFault(const Step& step) {
   Gatekeeper& gatekeeper = gatekeepers_[*step.gatekeeper];
-  const std::string& what = step.what;
-  if (what == "kill") return endByLab(gatekeeper, SIGKILL);
-  if (what == "term") return endByLab(gatekeeper, SIGTERM);
-  if (what == "stop") return stopProcess(gatekeeper);
-  if (what == "cont") return continueProcess(gatekeeper);
-  if (what == "restart") return restartProcess(gatekeeper);
-  if (what == "pause") return pauseProcess(gatekeeper, step.forMs);
-  if (what == "finish") return shutDownGracefully(gatekeeper);
-  if (what == "hup") return reloadConfig(gatekeeper, step.patch);
-  if (what == "upgrade") return upgrade(gatekeeper);
-  if (what == "invalidate") return store_->invalidate("g" + std::to_string(gatekeeper.index));
-  applyAgentFault(*agents_[gatekeeper.index], what);
+  const std::string& kind = step.kind;
+  if (kind == "kill") return endByLab(gatekeeper, SIGKILL);
+  if (kind == "term") return endByLab(gatekeeper, SIGTERM);
+  if (kind == "stop") return stopProcess(gatekeeper);
+  if (kind == "cont") return continueProcess(gatekeeper);
+  if (kind == "restart") return restartProcess(gatekeeper);
+  if (kind == "pause") return pauseProcess(gatekeeper, step.forMs);
+  if (kind == "finish") return shutDownGracefully(gatekeeper);
+  if (kind == "hup") return reloadConfig(gatekeeper, step.patch);
+  if (kind == "upgrade") return upgrade(gatekeeper);
+  if (kind == "invalidate") return store_->invalidate("g" + std::to_string(gatekeeper.index));
+  applyAgentFault(*agents_[gatekeeper.index], kind);
 }
 
-void Fleet::applyAgentFault(Agent& agent, const std::string& what) {
-  if (what == "watch_end") agent.endWatches();
-  if (what == "watch_silent") agent.silenceWatches();
-  if (what == "discovery_crowded") agent.setCrowded(true);
-  if (what == "discovery_ok") agent.setCrowded(false);
-  if (what == "agent_down") agent.setDown(true);
-  if (what == "agent_up") agent.setDown(false);
+void Fleet::applyAgentFault(Agent& agent, const std::string& kind) {
+  if (kind == "watch_end") agent.endWatches();
+  if (kind == "watch_silent") agent.silenceWatches();
+  if (kind == "discovery_crowded") agent.setCrowded(true);
+  if (kind == "discovery_ok") agent.setCrowded(false);
+  if (kind == "agent_down") agent.setDown(true);
+  if (kind == "agent_up") agent.setDown(false);
 }
 
 void Fleet::applyWorkerFault(const Step& step) {
   for (int w = 0; w < scenario_.workers; ++w) {
     const bool isTarget =
         step.worker ? *step.worker == w : scenario_.zones[scenario_.zoneOf(w)] == *step.zone;
-    if (isTarget) applyWorkerFault(step.what, w);
+    if (isTarget) applyWorkerFault(step.kind, w);
   }
 }
 
-void Fleet::applyWorkerFault(const std::string& what, int index) {
+void Fleet::applyWorkerFault(const std::string& kind, int index) {
   Worker& worker = *workers_[index];
-  if (what == "drain" || what == "revive") {
-    worker.mode.draining = what == "drain";
+  if (kind == "drain" || kind == "revive") {
+    worker.mode.draining = kind == "drain";
     worker.mode.silent = false;
     for (auto& agent : agents_) agent->change(index, worker.mode.draining ? "Terminating" : "Ready", 0);
   }
-  if (what == "silent") worker.mode.silent = true;
-  if (what == "restart_worker") {
+  if (kind == "silent") worker.mode.silent = true;
+  if (kind == "restart_worker") {
     worker.restart();
     const double wallMs =
         std::chrono::duration<double, std::milli>(std::chrono::system_clock::now().time_since_epoch())
@@ -99,24 +99,24 @@
   }
 }
 
-void Fleet::applyStoreFault(const std::string& what) {
-  if (what == "store_stop") store_->stop();
-  if (what == "store_start") store_->resume();
-  if (what == "store_wipe") store_->wipe();
-  if (what == "store_save") store_->save();
-  if (what == "store_old") store_->restore();
-  if (what == "store_silent") store_->set(Store::Mode::silent);
-  if (what == "store_errors") store_->set(Store::Mode::errors);
-  if (what == "store_lose") store_->set(Store::Mode::losesAnswers);
-  if (what == "store_ok") store_->set(Store::Mode::normal);
+void Fleet::applyStoreFault(const std::string& kind) {
+  if (kind == "store_stop") store_->stop();
+  if (kind == "store_start") store_->resume();
+  if (kind == "store_wipe") store_->wipe();
+  if (kind == "store_save") store_->save();
+  if (kind == "store_old") store_->restore();
+  if (kind == "store_silent") store_->set(Store::Mode::silent);
+  if (kind == "store_errors") store_->set(Store::Mode::errors);
+  if (kind == "store_lose") store_->set(Store::Mode::losesAnswers);
+  if (kind == "store_ok") store_->set(Store::Mode::normal);
 }
 
 void Fleet::applySystemFault(const Step& step) {
   for (const Gatekeeper& gatekeeper : gatekeepers_) {
     if (step.gatekeeper && *step.gatekeeper != gatekeeper.index) continue;
     if (step.call) gatekeeper.faults->setShare(*step.call, step.share);
-    if (step.what == "clock_step") gatekeeper.faults->stepWallClock(step.stepMs);
-    if (step.what != "disk") continue;
+    if (step.kind == "clock_step") gatekeeper.faults->stepWallClock(step.stepMs);
+    if (step.kind != "disk") continue;
     gatekeeper.faults->setDiskError(step.diskError);
     step.diskError != 0 ? void(diskFaults_.insert(gatekeeper.index))
                         : void(diskFaults_.erase(gatekeeper.index));
@@ -130,7 +130,7 @@
 }
 
 std::string Fleet::labelOf(const Step& step) {
-  std::string out = step.what;
+  std::string out = step.kind;
   if (step.gatekeeper) out += " g" + std::to_string(*step.gatekeeper);
   if (step.worker) out += " w" + std::to_string(*step.worker);
   if (step.zone) out += " zone " + *step.zone;
--- a/tools/lab/gatekeeper_config.cpp
+++ b/tools/lab/gatekeeper_config.cpp
@@ -30,7 +30,7 @@
 
 json settingsOf(const Scenario& s, int me) {
   return json{{"me", me},
-              {"nInstances", s.settingsFor},
+              {"nInstances", s.configuredGatekeepers},
               {"locality", 0},
               {"localities", s.zones},
               {"shapes", {"m"}},
--- a/tools/lab/growth_command.cpp
+++ b/tools/lab/growth_command.cpp
@@ -53,7 +53,7 @@
   Scenario s;
   s.name = "growth";
   s.lengthS = o.seconds;
-  s.gatekeepers = s.settingsFor = o.gatekeepers;
+  s.gatekeepers = s.configuredGatekeepers = o.gatekeepers;
   s.workers = o.workers * times;
   s.rate = o.rateEach * o.gatekeepers;
   s.workerInFlight = std::max(1, s.workerInFlight / times);
@@ -61,7 +61,7 @@
   for (int w = 0; w < s.workers; w += 8) {
     Step drain, revive;
     drain.worker = revive.worker = w;
-    drain.what = "drain", revive.what = "revive";
+    drain.kind = "drain", revive.kind = "revive";
     drain.atS = o.seconds / 4, revive.atS = o.seconds / 2;
     s.steps.push_back(drain);
     s.steps.push_back(revive);
--- a/tools/lab/main.cpp
+++ b/tools/lab/main.cpp
@@ -56,7 +56,7 @@
              0;
     options.out = out;
     return wingslip::lab::play(scenario, options);
-  } catch (const wingslip::lab::BadScenario& error) {
+  } catch (const wingslip::lab::InvalidScenario& error) {
     std::cerr << "wingslip-lab: " << error.what() << "\n";
     return 2;
   } catch (const std::exception& error) {
--- a/tools/lab/misbehaving_clients.cpp
+++ b/tools/lab/misbehaving_clients.cpp
@@ -55,7 +55,7 @@
       : parent_(parent), random_(parent.random_()), socket_(parent.io_), timer_(parent.io_) {}
 
   void scheduleExchange() {
-    wait(std::exponential_distribution<double>(1 / parent_.scenario_.rough.thinkMs)(random_),
+    wait(std::exponential_distribution<double>(1 / parent_.scenario_.misbehavingLoad.thinkMs)(random_),
          [this] { connected() ? exchange() : connect(); });
   }
 
@@ -116,12 +116,12 @@
   }
 
   Behaviour chooseBehaviour() {
-    const RoughLoad& rough = parent_.scenario_.rough;
+    const MisbehavingLoad& load = parent_.scenario_.misbehavingLoad;
     double drawn = uniform();
     for (const auto& [behaviour, share] :
-         {std::pair{Behaviour::disconnect, rough.leave}, std::pair{Behaviour::pipeline, rough.pipeline},
-          std::pair{Behaviour::stall, rough.stop}, std::pair{Behaviour::slow, rough.slow},
-          std::pair{Behaviour::malformed, rough.malformed}})
+         {std::pair{Behaviour::disconnect, load.leave}, std::pair{Behaviour::pipeline, load.pipeline},
+          std::pair{Behaviour::stall, load.stop}, std::pair{Behaviour::slow, load.slow},
+          std::pair{Behaviour::malformed, load.malformed}})
       if ((drawn -= share) < 0) return behaviour;
     return Behaviour::plain;
   }
@@ -321,7 +321,7 @@
 }
 
 void RoughClients::start() {
-  for (int i = 0; i < scenario_.rough.clients; ++i) {
+  for (int i = 0; i < scenario_.misbehavingLoad.clients; ++i) {
     clients_.push_back(std::make_shared<Client>(*this));
     clients_.back()->scheduleExchange();
   }
--- a/tools/lab/random_faults.cpp
+++ b/tools/lab/random_faults.cpp
@@ -58,10 +58,10 @@
   auto operator<=>(const Target&) const = default;
 };
 
-Step stepOn(Target target, double atS, const std::string& what) {
+Step stepOn(Target target, double atS, const std::string& kind) {
   Step step;
   step.atS = atS;
-  step.what = what;
+  step.kind = kind;
   (target.isGatekeeper ? step.gatekeeper : step.worker) = target.index;
   return step;
 }
@@ -72,18 +72,18 @@
   std::map<Target, double> faultyUntilS;
   for (double atS = faults.fromS + gapS(random); faults.ratePerS > 0 && atS < faults.untilS;
        atS += gapS(random)) {
-    const std::string& what = faults.faults[random() % faults.faults.size()];
-    const bool onGatekeeper = isGatekeeperFault(what);
+    const std::string& kind = faults.faults[random() % faults.faults.size()];
+    const bool onGatekeeper = isGatekeeperFault(kind);
     const auto targets = static_cast<std::uint64_t>(onGatekeeper ? scenario.gatekeepers : scenario.workers);
     const Target target{onGatekeeper, static_cast<int>(random() % targets)};
     double& untilS = faultyUntilS[target];
     if (untilS > atS) continue;
     untilS = std::min(atS + faults.healAfterS, scenario.lengthS);
-    Step fault = stepOn(target, atS, what);
-    if (what == "delay") fault.delayMs = kDelayMs;
-    if (what == "throttle") fault.bytesPerS = kThrottleBytesPerS;
+    Step fault = stepOn(target, atS, kind);
+    if (kind == "delay") fault.delayMs = kDelayMs;
+    if (kind == "throttle") fault.bytesPerS = kThrottleBytesPerS;
     scenario.steps.push_back(fault);
-    scenario.steps.push_back(stepOn(target, untilS, kRepairs.at(what)));
+    scenario.steps.push_back(stepOn(target, untilS, kRepairs.at(kind)));
   }
 }
 
--- a/tools/lab/random_faults.hpp
+++ b/tools/lab/random_faults.hpp
@@ -13,7 +13,7 @@
 /// Reads the optional table `[random]` and adds the faults that it describes to the steps of the scenario,
 /// each with the step that repairs it. Afterwards the steps are sorted by time. These faults never overlap on
 /// one target.
-/// @throws BadScenario for the first error in the table.
+/// @throws InvalidScenario for the first error in the table.
 void addRandomFaults(const TableReader& reader, const toml::table& file, std::uint64_t seed,
                      Scenario& scenario);
 
--- a/tools/lab/scenario.cpp
+++ b/tools/lab/scenario.cpp
@@ -21,7 +21,7 @@
     std::ostringstream out;
     out << path << ":" << error.source().begin.line << ":" << error.source().begin.column
         << ": not TOML: " << error.description();
-    throw BadScenario(out.str());
+    throw InvalidScenario(out.str());
   }
 }
 
--- a/tools/lab/scenario.hpp
+++ b/tools/lab/scenario.hpp
@@ -13,11 +13,11 @@
 namespace wingslip::lab {
 
 /// The scenario file is invalid. The message starts with file, line and column ("crash.toml:7:1: ...").
-struct BadScenario : std::runtime_error {
+struct InvalidScenario : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-/// A scheduled fault or repair. The kind of step, `what`, decides which target fields are set:
+/// A scheduled fault or repair. `kind` decides which target fields are set:
 /// - gatekeeper faults (kill, stop, cont, pause, term, finish, restart, upgrade, hup) set `gatekeeper`. Both
 ///   `term` and `finish` send SIGTERM; only `term` exempts the requests in flight from the rules;
 /// - link faults (cut, blackhole, oneway, delay, throttle, heal) set `worker`, `zone` or `link`, and may set
@@ -30,7 +30,7 @@
 ///   store_lose, store_ok) have no target.
 struct Step {
   double atS = 0;    ///< seconds after the start of the load
-  std::string what;  ///< the kind of step, the file's key `do`
+  std::string kind;  ///< the file's key `do`
   std::optional<int> gatekeeper, worker;
   /// Set when the file names a role in place of a gatekeeper's number. "holder": the leader at the time of
   /// the step; "former": the gatekeeper that the last "holder" step resolved to.
@@ -66,7 +66,7 @@
 
 /// Misbehaving clients on persistent connections (`misbehaving_clients.hpp`). Each share is a part, 0 to 1,
 /// of the exchanges; the remaining exchanges are well-formed.
-struct RoughLoad {
+struct MisbehavingLoad {
   int clients = 0;       ///< in total over all gatekeepers
   double thinkMs = 200;  ///< mean time between two exchanges
   double leave = 0;      ///< disconnect while the request is being sent or is in flight
@@ -77,7 +77,7 @@
 };
 
 /// Misbehaviour of the stand-in workers. Each value is a share, 0 to 1, of the exchanges.
-struct RoughWorkers {
+struct MisbehavingWorkers {
   double twice = 0;     ///< sends a second answer some milliseconds after the first
   double unframed = 0;  ///< answers without a length and closes the connection
   double broken = 0;    ///< resets the connection in the middle of the answer
@@ -87,7 +87,7 @@
   double closes = 0;    ///< closes the connection some time after the answer
 };
 
-/// An expected count, checked after the run. `fate` names the count:
+/// An expected count, checked after the run. `countName` names the count:
 /// - served, refused, failed, closed, unreachable, lost, wrong: requests with that outcome, of those sent in
 ///   [afterS, beforeS), at one gatekeeper or all;
 /// - attempts: those that arrived at a worker, or at the workers of a zone, in that time;
@@ -100,9 +100,9 @@
 /// - idle_opened, idle_closed, idle_refused: connections of the idle clients;
 /// - figure: the largest value of that figure that one gatekeeper or all reported to operators in
 ///   [afterS, beforeS).
-struct Expect {
-  std::string fate;
-  std::string figure;  ///< `figure` only: its name in the gatekeepers' telemetry, without "svc."
+struct Expectation {
+  std::string countName;  ///< the file's key `fate`
+  std::string figure;     ///< `figure` only: its name in the gatekeepers' telemetry, without "svc."
   std::optional<int> gatekeeper, worker;
   std::optional<std::string> zone;
   double afterS = 0, beforeS = 1e9;  ///< seconds after the start of the load
@@ -115,7 +115,7 @@
   double lengthS = 10;  ///< duration of the load in seconds
   int gatekeepers = 3, workers = 4;
   /// Number of gatekeepers given in the settings (`nInstances`); never below the number started.
-  int settingsFor = 0;
+  int configuredGatekeepers = 0;
   std::vector<std::string> zones{"a"};  ///< assigned round-robin: worker w is in zones[w % size]
   // Load: open-loop Poisson arrivals.
   double rate = 50;  ///< requests a second over the whole fleet
@@ -130,7 +130,7 @@
   int attemptsCap = 3;
   /// The lab owns the clients' listening sockets and passes them on, as a platform with in-place upgrades
   /// does. `upgrade` steps require it.
-  bool heldSockets = false;
+  bool inheritedSockets = false;
   /// `[store]`: gatekeepers use a coordination store.
   bool store = false;
   double storeTtlMs = 2000, storeLockDelayMs = 200;  ///< of the sessions
@@ -138,20 +138,20 @@
   /// it only and discovers the others through them.
   bool replica = false;
   double probeEveryMs = 300, gossipEveryMs = 100, repairEveryMs = 1500;
-  IdleLoad idle;               ///< `[idle_clients]`
-  RoughLoad rough;             ///< `[rough_clients]`
-  RoughWorkers roughWorkers;   ///< `[rough_workers]`
+  IdleLoad idle;                          ///< `[idle_clients]`
+  MisbehavingLoad misbehavingLoad;        ///< `[rough_clients]`
+  MisbehavingWorkers misbehavingWorkers;  ///< `[rough_workers]`
   bool directWorkers = false;  ///< connect to workers without fault proxies, which saves cost with many links
-  /// Every gatekeeper has a $TMPDIR that persists over restarts. `heldSockets` implies one.
-  bool stateFolders = false;
+  /// Every gatekeeper has a $TMPDIR that persists over restarts. `inheritedSockets` implies one.
+  bool stateDirectories = false;
   /// Exempts late answers of a gatekeeper whose process was stopped, which delays them by as much.
-  bool clientsMayWait = false;
+  bool toleratesLateAnswers = false;
   /// Every gatekeeper runs with the fault library. Set by `[system]` and by steps with system faults.
   bool faultLibrary = false;
   SystemFaults system;      ///< active from each start of a gatekeeper
   std::string configPatch;  ///< JSON merge patch for every gatekeeper's configuration; empty: none
   std::vector<Step> steps;
-  std::vector<Expect> expects;
+  std::vector<Expectation> expects;
 
   /// Index in `zones` of the worker's zone.
   int zoneOf(int worker) const { return worker % static_cast<int>(zones.size()); }
@@ -162,7 +162,7 @@
 /// adds faults at Poisson times drawn from `seed`. Each hits a random target that has no other active fault,
 /// and is undone after heal_after_s: kill and term by restart, stop by cont, link faults by heal, drain and
 /// silent by revive, agent_down by agent_up. The steps are returned sorted by time.
-/// @throws BadScenario with file:line:column of the first error in the file.
+/// @throws InvalidScenario with file:line:column of the first error in the file.
 Scenario readScenario(const std::string& path, int gatekeepers = 0, int workers = 0, std::uint64_t seed = 1);
 
 }  // namespace wingslip::lab
--- a/tools/lab/scenario_expectations.cpp
+++ b/tools/lab/scenario_expectations.cpp
@@ -22,21 +22,21 @@
   return *fate->value<std::string>();
 }
 
-Expect readExpectation(const TableReader& reader, const toml::table& table, const Scenario& scenario) {
+Expectation readExpectation(const TableReader& reader, const toml::table& table, const Scenario& scenario) {
   reader.onlyKeys(table,
                   {"fate", "figure", "gatekeeper", "worker", "zone", "after_s", "before_s", "min", "max"});
-  Expect expect;
+  Expectation expect;
   expect.line = static_cast<int>(table.source().begin.line);
-  expect.fate = readFate(reader, table);
+  expect.countName = readFate(reader, table);
   expect.figure = table["figure"].value_or(std::string());
-  if (expect.figure.empty() == (expect.fate == "figure"))
+  if (expect.figure.empty() == (expect.countName == "figure"))
     reader.fail(table.source(), "a figure is named by figure = \"...\", and only it");
-  if (expect.fate.starts_with("idle_") && scenario.idle.each == 0)
-    reader.fail(table.get("fate")->source(), expect.fate + " needs [idle_clients]");
+  if (expect.countName.starts_with("idle_") && scenario.idle.each == 0)
+    reader.fail(table.get("fate")->source(), expect.countName + " needs [idle_clients]");
   expect.gatekeeper = reader.index(table, "gatekeeper", scenario.gatekeepers, "gatekeeper");
   expect.worker = reader.index(table, "worker", scenario.workers, "worker");
   expect.zone = reader.zone(table, scenario.zones);
-  if ((expect.worker || expect.zone) != (expect.fate == "attempts"))
+  if ((expect.worker || expect.zone) != (expect.countName == "attempts"))
     reader.fail(table.source(), "fate = \"attempts\" needs a worker or a zone; no other fate takes one");
   expect.afterS = reader.number(table, "after_s", 0.0, 0, 1e9);
   expect.beforeS = reader.number(table, "before_s", 1e9, 0, 1e9);
--- a/tools/lab/scenario_expectations.hpp
+++ b/tools/lab/scenario_expectations.hpp
@@ -9,7 +9,7 @@
 namespace wingslip::lab {
 
 /// Reads all `[[expect]]` tables into the scenario, whose sections must have been read before.
-/// @throws BadScenario for the first error in the file.
+/// @throws InvalidScenario for the first error in the file.
 void readExpectations(const TableReader& reader, const toml::table& file, Scenario& scenario);
 
 }  // namespace wingslip::lab
--- a/tools/lab/scenario_sections.cpp
+++ b/tools/lab/scenario_sections.cpp
@@ -27,11 +27,12 @@
                           "settings_for", "config_patch"});
   scenario.gatekeepers = reader.number(table, "gatekeepers", scenario.gatekeepers, 1, 1024);
   scenario.workers = reader.number(table, "workers", scenario.workers, 1, 1024);
-  scenario.settingsFor = reader.number(table, "settings_for", scenario.settingsFor, 1, 1024);
+  scenario.configuredGatekeepers =
+      reader.number(table, "settings_for", scenario.configuredGatekeepers, 1, 1024);
   scenario.attemptsCap = reader.number(table, "attempts_cap", scenario.attemptsCap, 1, 10);
   scenario.configPatch = reader.jsonObject(table, "config_patch");
   scenario.directWorkers = reader.boolean(table, "direct_workers", scenario.directWorkers);
-  scenario.heldSockets = reader.boolean(table, "held_sockets", scenario.heldSockets);
+  scenario.inheritedSockets = reader.boolean(table, "held_sockets", scenario.inheritedSockets);
   scenario.zones = readZones(reader, table, scenario.zones);
 }
 
@@ -87,9 +88,9 @@
   return out;
 }
 
-RoughLoad readRoughLoad(const TableReader& reader, const toml::table& table) {
+MisbehavingLoad readMisbehavingLoad(const TableReader& reader, const toml::table& table) {
   reader.onlyKeys(table, {"clients", "think_ms", "leave", "pipeline", "stop", "slow", "malformed"});
-  RoughLoad out;
+  MisbehavingLoad out;
   out.clients = reader.number(table, "clients", out.clients, 1, 10000);
   out.thinkMs = reader.number(table, "think_ms", out.thinkMs, 1, 60000);
   out.leave = reader.number(table, "leave", out.leave, 0, 1);
@@ -102,9 +103,9 @@
   return out;
 }
 
-RoughWorkers readRoughWorkers(const TableReader& reader, const toml::table& table) {
+MisbehavingWorkers readMisbehavingWorkers(const TableReader& reader, const toml::table& table) {
   reader.onlyKeys(table, {"twice", "unframed", "broken", "reset", "hang", "error", "closes"});
-  RoughWorkers out;
+  MisbehavingWorkers out;
   out.twice = reader.number(table, "twice", out.twice, 0, 1);
   out.unframed = reader.number(table, "unframed", out.unframed, 0, 1);
   out.broken = reader.number(table, "broken", out.broken, 0, 1);
@@ -133,7 +134,7 @@
   if (const toml::table* fleet = file["fleet"].as_table()) readFleet(reader, *fleet, scenario);
   if (size.gatekeepers > 0) scenario.gatekeepers = size.gatekeepers;
   if (size.workers > 0) scenario.workers = size.workers;
-  scenario.settingsFor = std::max(scenario.settingsFor, scenario.gatekeepers);
+  scenario.configuredGatekeepers = std::max(scenario.configuredGatekeepers, scenario.gatekeepers);
   if (const toml::table* load = file["load"].as_table()) readLoad(reader, *load, scenario);
   if (scenario.rate * scenario.lengthS > kMaxArrivals)
     reader.fail(file.source(), "more than 200,000 requests: lower load.rate or length_s");
@@ -143,9 +144,9 @@
   if (const toml::table* store = file["store"].as_table()) readStore(reader, *store, scenario);
   if (const toml::table* replica = file["replica"].as_table()) readReplica(reader, *replica, scenario);
   if (const toml::table* clients = file["rough_clients"].as_table())
-    scenario.rough = readRoughLoad(reader, *clients);
+    scenario.misbehavingLoad = readMisbehavingLoad(reader, *clients);
   if (const toml::table* workers = file["rough_workers"].as_table())
-    scenario.roughWorkers = readRoughWorkers(reader, *workers);
+    scenario.misbehavingWorkers = readMisbehavingWorkers(reader, *workers);
   if (const toml::table* system = file["system"].as_table()) {
     scenario.faultLibrary = true;
     scenario.system = readSystemFaults(reader, *system);
--- a/tools/lab/scenario_sections.hpp
+++ b/tools/lab/scenario_sections.hpp
@@ -16,7 +16,7 @@
 
 /// Reads `[fleet]`, `[load]`, `[idle_clients]`, `[worker]`, `[store]`, `[replica]`, `[rough_clients]`,
 /// `[rough_workers]` and `[system]` into the scenario.
-/// @throws BadScenario for the first error in the file.
+/// @throws InvalidScenario for the first error in the file.
 void readSections(const TableReader& reader, const toml::table& file, FleetSize size, Scenario& scenario);
 
 }  // namespace wingslip::lab
--- a/tools/lab/scenario_steps.cpp
+++ b/tools/lab/scenario_steps.cpp
@@ -32,12 +32,12 @@
     readTime(earliestS);
     kind_ = table_.get("do");
     if (!kind_ || !kind_->is_string()) reader_.fail(table_.source(), "a step has no do = \"...\"");
-    step_.what = *kind_->value<std::string>();
+    step_.kind = *kind_->value<std::string>();
     readTargets();
     checkTargets();
     checkKind();
-    if (step_.what == "throttle" && !(step_.bytesPerS > 0)) fail("throttle needs bytes_per_s");
-    if (step_.what == "delay" && !(step_.delayMs > 0)) fail("delay needs delay_ms above 0");
+    if (step_.kind == "throttle" && !(step_.bytesPerS > 0)) fail("throttle needs bytes_per_s");
+    if (step_.kind == "delay" && !(step_.delayMs > 0)) fail("delay needs delay_ms above 0");
     return step_;
   }
 
@@ -72,59 +72,60 @@
   }
 
   void checkTargets() {
-    if (!step_.patch.empty() && step_.what != "hup") fail("only hup takes a patch");
+    if (!step_.patch.empty() && step_.kind != "hup") fail("only hup takes a patch");
     if (isOnWorkers() && !step_.link.empty())
       fail("a link fault takes either a worker or zone, or link, not both");
     step_.below = reader_.number(table_, "below", 0, 1, scenario_.gatekeepers - 1);
     const bool namesPeers = step_.gatekeeper || step_.below != 0;
     if (step_.link == "peers" && (!scenario_.replica || !namesPeers))
       fail("link = \"peers\" needs [replica], and gatekeeper or below");
-    const bool isOperatorsCall = step_.what == "exclude" || step_.what == "include";
-    if (isOperatorsCall && !step_.worker) fail(step_.what + " needs a worker");
+    const bool isOperatorsCall = step_.kind == "exclude" || step_.kind == "include";
+    if (isOperatorsCall && !step_.worker) fail(step_.kind + " needs a worker");
     const bool needsStore =
-        kStoreFaults.contains(step_.what) || step_.what == "invalidate" || step_.link == "store";
-    if (needsStore && !scenario_.store) fail(step_.what + " needs a [store]");
+        kStoreFaults.contains(step_.kind) || step_.kind == "invalidate" || step_.link == "store";
+    if (needsStore && !scenario_.store) fail(step_.kind + " needs a [store]");
   }
 
   void checkKind() {
-    if (kStoreFaults.contains(step_.what)) return checkStoreFault();
-    if (kGatekeeperFaults.contains(step_.what)) return checkGatekeeperFault();
-    if (kSystemFaults.contains(step_.what)) return readSystemFault();
-    const bool isNamedLink = kLinkFaults.contains(step_.what) && !step_.link.empty();
+    if (kStoreFaults.contains(step_.kind)) return checkStoreFault();
+    if (kGatekeeperFaults.contains(step_.kind)) return checkGatekeeperFault();
+    if (kSystemFaults.contains(step_.kind)) return readSystemFault();
+    const bool isNamedLink = kLinkFaults.contains(step_.kind) && !step_.link.empty();
     if (isNamedLink) return;  // the gatekeeper is optional
-    if (kLinkFaults.contains(step_.what)) return checkLinkFault();
-    if (kWorkerFaults.contains(step_.what)) return checkWorkerFault();
-    fail("unknown fault " + step_.what);
+    if (kLinkFaults.contains(step_.kind)) return checkLinkFault();
+    if (kWorkerFaults.contains(step_.kind)) return checkWorkerFault();
+    fail("unknown fault " + step_.kind);
   }
 
   void checkStoreFault() const {
     if (step_.gatekeeper || isOnWorkers())
-      fail(step_.what + " applies to the store: it takes no gatekeeper, worker or zone");
+      fail(step_.kind + " applies to the store: it takes no gatekeeper, worker or zone");
   }
 
   void checkGatekeeperFault() {
-    if (!step_.gatekeeper) fail(step_.what + " needs a gatekeeper");
+    if (!step_.gatekeeper) fail(step_.kind + " needs a gatekeeper");
     step_.forMs = reader_.number(table_, "for_ms", 100.0, 1, 60000);
-    if (step_.what == "upgrade" && !scenario_.heldSockets) fail("upgrade needs fleet.held_sockets = true");
+    if (step_.kind == "upgrade" && !scenario_.inheritedSockets)
+      fail("upgrade needs fleet.held_sockets = true");
   }
 
   void checkLinkFault() const {
     if (scenario_.directWorkers)
-      fail(step_.what + " needs fault proxies, and fleet.direct_workers = true has none");
-    if (!isOnWorkers()) fail(step_.what + " needs a worker or a zone");
+      fail(step_.kind + " needs fault proxies, and fleet.direct_workers = true has none");
+    if (!isOnWorkers()) fail(step_.kind + " needs a worker or a zone");
   }
 
   void checkWorkerFault() const {
-    if (!isOnWorkers()) fail(step_.what + " needs a worker or a zone");
-    if (step_.gatekeeper) fail(step_.what + " applies to workers: it takes no gatekeeper");
+    if (!isOnWorkers()) fail(step_.kind + " needs a worker or a zone");
+    if (step_.gatekeeper) fail(step_.kind + " applies to workers: it takes no gatekeeper");
   }
 
   void readSystemFault() {
-    if (isOnWorkers()) fail(step_.what + " applies to gatekeepers: it takes no worker or zone");
+    if (isOnWorkers()) fail(step_.kind + " applies to gatekeepers: it takes no worker or zone");
     scenario_.faultLibrary = true;
-    if (step_.what == "calls") readFailingCalls();
+    if (step_.kind == "calls") readFailingCalls();
     step_.stepMs = reader_.number(table_, "step_ms", 0.0, -1e9, 1e9);
-    if (step_.what == "disk") readDiskError();
+    if (step_.kind == "disk") readDiskError();
   }
 
   void readFailingCalls() {
@@ -151,7 +152,7 @@
 
 }  // namespace
 
-bool isGatekeeperFault(const std::string& what) { return kGatekeeperFaults.contains(what); }
+bool isGatekeeperFault(const std::string& kind) { return kGatekeeperFaults.contains(kind); }
 
 void readSteps(const TableReader& reader, const toml::table& file, Scenario& scenario) {
   const toml::array* steps = file["step"].as_array();
--- a/tools/lab/scenario_steps.hpp
+++ b/tools/lab/scenario_steps.hpp
@@ -10,11 +10,11 @@
 
 namespace wingslip::lab {
 
-/// Whether the step kind `what` targets a gatekeeper.
-bool isGatekeeperFault(const std::string& what);
+/// Whether steps of this kind target a gatekeeper.
+bool isGatekeeperFault(const std::string& kind);
 
 /// Reads all `[[step]]` tables into the scenario, whose sections must have been read before.
-/// @throws BadScenario for the first error in the file.
+/// @throws InvalidScenario for the first error in the file.
 void readSteps(const TableReader& reader, const toml::table& file, Scenario& scenario);
 
 }  // namespace wingslip::lab
--- a/tools/lab/soak/plan.cpp
+++ b/tools/lab/soak/plan.cpp
@@ -48,17 +48,17 @@
   }
 
  private:
-  Step gatekeeperStep(int gatekeeper, double atS, const char* what) const {
+  Step gatekeeperStep(int gatekeeper, double atS, const char* kind) const {
     Step out;
     out.atS = atS;
-    out.what = what;
+    out.kind = kind;
     out.gatekeeper = gatekeeper;
     return out;
   }
-  Step workerStep(int worker, double atS, const char* what) const {
+  Step workerStep(int worker, double atS, const char* kind) const {
     Step out;
     out.atS = atS;
-    out.what = what;
+    out.kind = kind;
     out.worker = worker;
     return out;
   }
@@ -124,7 +124,7 @@
   }
 
   InjectedFault upgrade(double atS) {
-    if (!base_.heldSockets) return terminate(atS);
+    if (!base_.inheritedSockets) return terminate(atS);
     const int g = unusedGatekeeper();
     return {faultName("upgrade gatekeeper", g), {gatekeeperStep(g, atS, "upgrade")}};
   }
@@ -137,7 +137,7 @@
     if (kind == CallFault::aborted) kind = CallFault::interrupted;
     Step begin, end;
     if (chance(0.5)) begin.gatekeeper = static_cast<int>(below(size_.gatekeepers));
-    begin.atS = atS, begin.what = "calls", begin.call = kind;
+    begin.atS = atS, begin.kind = "calls", begin.call = kind;
     begin.share = kind == CallFault::accept_full ? 1 : between(0.05, 0.4);
     end = begin;
     end.atS = atS + (kind == CallFault::accept_full ? between(0.2, 0.8) : between(1, 4));
@@ -151,7 +151,7 @@
     constexpr double kSteps[] = {2000, -2000, kHourMs, -kHourMs};
     Step step;
     if (chance(0.5)) step.gatekeeper = static_cast<int>(below(size_.gatekeepers));
-    step.atS = atS, step.what = "clock_step", step.stepMs = kSteps[below(std::size(kSteps))];
+    step.atS = atS, step.kind = "clock_step", step.stepMs = kSteps[below(std::size(kSteps))];
     InjectedFault out{"wall clock " + std::to_string(static_cast<long>(step.stepMs)) + " ms", {step}};
     if (chance(0.5)) {
       step.atS += between(0.5, 3);
@@ -250,7 +250,7 @@
     begin.bytesPerS = 4000;
     Step end = begin;
     end.atS = atS + between(0.5, 3.5);
-    end.what = "heal";
+    end.kind = "heal";
     return {std::string(mode) + (toDiscovery ? faultName(" to discovery of gatekeeper", target)
                                              : faultName(" to worker", target)),
             {begin, end}};
@@ -268,17 +268,17 @@
   Scenario out;
   out.name = "soak " + std::to_string(seed);
   out.lengthS = size.seconds;
-  out.gatekeepers = out.settingsFor = size.gatekeepers;
+  out.gatekeepers = out.configuredGatekeepers = size.gatekeepers;
   out.workers = size.workers;
   out.zones = chance(0.5) ? std::vector<std::string>{"a", "b", "c"} : std::vector<std::string>{"a"};
   out.rate = size.rate;
   out.deadlineMs = 1500;
   out.serviceMs = 25;
   out.coldS = 1;
-  out.heldSockets = chance(0.4);
-  out.stateFolders = out.faultLibrary = out.clientsMayWait = true;
-  out.rough = {size.misbehavingClients, 150, 0.15, 0.1, 0.03, 0.1, 0.03};
-  if (chance(0.5)) out.roughWorkers = {0.02, 0.02, 0.01, 0.01, 0.003, 0.01, 0.1};
+  out.inheritedSockets = chance(0.4);
+  out.stateDirectories = out.faultLibrary = out.toleratesLateAnswers = true;
+  out.misbehavingLoad = {size.misbehavingClients, 150, 0.15, 0.1, 0.03, 0.1, 0.03};
+  if (chance(0.5)) out.misbehavingWorkers = {0.02, 0.02, 0.01, 0.01, 0.003, 0.01, 0.1};
   if (chance(0.3)) {
     out.idle.each = 150;
     out.idle.gatekeeper = static_cast<int>(random() % static_cast<std::uint64_t>(size.gatekeepers));
@@ -317,7 +317,7 @@
   // Over a throttled link a duplicate answer arrives after the time for which a gatekeeper waits for one.
   for (const InjectedFault& fault : out.faults)
     for (const Step& step : fault.steps)
-      if (step.what == "throttle") out.base.roughWorkers.twice = 0;
+      if (step.kind == "throttle") out.base.misbehavingWorkers.twice = 0;
   return out;
 }
 
--- a/tools/lab/stand_in_worker.cpp
+++ b/tools/lab/stand_in_worker.cpp
@@ -58,9 +58,9 @@
     if (w_.mode.silent) return;  // the connection stays open without an answer
     if (w_.mode.draining || w_.inFlight >= w_.s_.workerInFlight)
       return answer(http::status::service_unavailable, "declined\n", true);
-    const RoughWorkers& rough = w_.s_.roughWorkers;
-    if (w_.drawFault(rough.hang)) return;
-    if (w_.drawFault(rough.reset)) return reset(*socket_), end();
+    const MisbehavingWorkers& misbehaviour = w_.s_.misbehavingWorkers;
+    if (w_.drawFault(misbehaviour.hang)) return;
+    if (w_.drawFault(misbehaviour.reset)) return reset(*socket_), end();
     ++w_.inFlight;
     std::lognormal_distribution<double> service(std::log(std::max(w_.s_.serviceMs, 0.01)), w_.s_.spread);
     double ms = service(w_.random_);
@@ -77,17 +77,18 @@
   }
 
   void answerWithFaults(const std::string& body) {
-    const RoughWorkers& rough = w_.s_.roughWorkers;
-    if (w_.drawFault(rough.error)) return answer(http::status::internal_server_error, "error\n", false);
-    if (w_.drawFault(rough.broken))
+    const MisbehavingWorkers& misbehaviour = w_.s_.misbehavingWorkers;
+    if (w_.drawFault(misbehaviour.error))
+      return answer(http::status::internal_server_error, "error\n", false);
+    if (w_.drawFault(misbehaviour.broken))
       return writeAndClose("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" +
                                body.substr(0, body.size() / 2),
                            true);
-    if (w_.drawFault(rough.unframed))
+    if (w_.drawFault(misbehaviour.unframed))
       return writeAndClose("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + body, false);
-    if (w_.drawFault(rough.twice)) writeSecondAnswer(body);
+    if (w_.drawFault(misbehaviour.twice)) writeSecondAnswer(body);
     answer(http::status::ok, body, false);
-    if (w_.drawFault(rough.closes)) closeLater();
+    if (w_.drawFault(misbehaviour.closes)) closeLater();
   }
 
   // Writes the text, then closes the connection, by a reset if `byReset`.
--- a/tools/lab/table_reader.hpp
+++ b/tools/lab/table_reader.hpp
@@ -22,11 +22,11 @@
  public:
   explicit TableReader(std::string path) : path_(std::move(path)) {}
 
-  /// @throws BadScenario always, with the region's position and the message.
+  /// @throws InvalidScenario always, with the region's position and the message.
   [[noreturn]] void fail(const toml::source_region& region, const std::string& message) const {
     std::ostringstream out;
     out << path_ << ":" << region.begin.line << ":" << region.begin.column << ": " << message;
-    throw BadScenario(out.str());
+    throw InvalidScenario(out.str());
   }
 
   /// The number under `key`, which must be within [min, max]; `fallback` if the key is absent.
@@ -94,7 +94,7 @@
   }
 
   /// Rejects the table if it has a key that is not in `keys`.
-  /// @throws BadScenario with the position of the first unknown key.
+  /// @throws InvalidScenario with the position of the first unknown key.
   void onlyKeys(const toml::table& table, const std::set<std::string>& keys) const {
     for (const auto& [key, node] : table)
       if (!keys.contains(std::string(key.str())))
