--- a/tests/lab_test.cpp
+++ b/tests/lab_test.cpp
@@ -113,9 +113,9 @@
 }
 
 TEST(RunVerifier, A200MustCarryTheWorkersBodyForThatRequest) {
-  Judge verifier(2);
+  RunVerifier verifier(2);
   verifier.sent(1, 0, 0, 1000), verifier.sent(2, 0, 0, 1000), verifier.sent(3, 0, 0, 1000);
-  verifier.attempt(1, 0, 0, 10, "body one"), verifier.attempt(2, 0, 0, 10, "body two");
+  verifier.attemptReceived(1, 0, 0, 10, "body one"), verifier.attemptReceived(2, 0, 0, 10, "body two");
   verifier.answered(1, 20, 200, "body one");
   verifier.answered(2, 20, 200, "body one");  // the body of another request
   verifier.answered(3, 20, 200, "made here");
@@ -125,27 +125,28 @@
 }
 
 TEST(RunVerifier, AttemptsPastTheCapOrAfterADrainAreViolations) {
-  Judge verifier(2);
+  RunVerifier verifier(2);
   verifier.sent(1, 0, 0, 1000);
-  verifier.attempt(1, 0, 0, 10, "a"), verifier.attempt(1, 1, 0, 20, "a");
+  verifier.attemptReceived(1, 0, 0, 10, "a"), verifier.attemptReceived(1, 1, 0, 20, "a");
   EXPECT_EQ(verifier.violationCount(), 0);
-  verifier.attempt(1, 2, 0, 30, "a");
+  verifier.attemptReceived(1, 2, 0, 30, "a");
   EXPECT_EQ(verifier.violationCount(), 1);
-  verifier.drainTold(0, 3, 100);
+  verifier.drainReported(0, 3, 100);
   verifier.sent(2, 0, 0, 5000), verifier.sent(3, 1, 0, 5000);
-  verifier.attempt(2, 3, 0, 2100, "b");  // within 2 s
-  verifier.attempt(3, 3, 1, 2500, "c");  // another gatekeeper, which had no report that the worker drains
+  verifier.attemptReceived(2, 3, 0, 2100, "b");  // within 2 s
+  // Another gatekeeper, which had no report that the worker drains.
+  verifier.attemptReceived(3, 3, 1, 2500, "c");
   EXPECT_EQ(verifier.violationCount(), 1);
-  verifier.attempt(2, 3, 0, 2101, "b");
+  verifier.attemptReceived(2, 3, 0, 2101, "b");
   EXPECT_EQ(verifier.violationCount(), 2);
   EXPECT_EQ(verifier.attempts([](int w) { return w == 3; }, 0, 1e9), 3);
 }
 
 TEST(RunVerifier, ACloseWithoutAnswerIsAViolationUnlessItsGatekeeperWasDown) {
-  Judge verifier(3);
+  RunVerifier verifier(3);
   verifier.sent(1, 0, 0, 1000), verifier.sent(2, 1, 0, 1000), verifier.sent(3, 1, 500, 1000),
       verifier.sent(4, 1, 1600, 1000);
-  verifier.down(1, 100), verifier.up(1, 1500);
+  verifier.gatekeeperDown(1, 100), verifier.gatekeeperUp(1, 1500);
   verifier.ended(1, 50, RequestOutcome::closed);
   verifier.ended(2, 200, RequestOutcome::closed);
   verifier.ended(3, 1400, RequestOutcome::timedOut);
@@ -154,20 +155,20 @@
   EXPECT_EQ(verifier.violationCount(), 2);
   EXPECT_EQ(verifier.count(RequestOutcome::closed, 1), 1);
   verifier.sent(5, 0, 3000, 1000);
-  verifier.close(5000);
+  verifier.endRun(5000);
   EXPECT_EQ(verifier.count(RequestOutcome::timedOut), 2);
   EXPECT_EQ(verifier.violationCount(), 3);
 }
 
 TEST(RunVerifier, TokensOnlyIncreaseAndHaveOneHolderEach) {
-  Judge verifier(3);
-  EXPECT_TRUE(verifier.recorded(1, "a", 0));
-  EXPECT_FALSE(verifier.recorded(1, "a", 1));
-  EXPECT_TRUE(verifier.recorded(3, "b", 2));
+  RunVerifier verifier(3);
+  EXPECT_TRUE(verifier.dutyRecordWritten(1, "a", 0));
+  EXPECT_FALSE(verifier.dutyRecordWritten(1, "a", 1));
+  EXPECT_TRUE(verifier.dutyRecordWritten(3, "b", 2));
   EXPECT_EQ(verifier.violationCount(), 0);
-  EXPECT_FALSE(verifier.recorded(2, "a", 3));
+  EXPECT_FALSE(verifier.dutyRecordWritten(2, "a", 3));
   EXPECT_EQ(verifier.violationCount(), 1);
-  EXPECT_FALSE(verifier.recorded(3, "a", 4));
+  EXPECT_FALSE(verifier.dutyRecordWritten(3, "a", 4));
   EXPECT_EQ(verifier.violationCount(), 2);
 }
 
--- a/tools/lab/discovery_agent.cpp
+++ b/tools/lab/discovery_agent.cpp
@@ -28,12 +28,12 @@
   bool writing = false;
 };
 
-Agent::Agent(asio::io_context& io, int gatekeeper, std::vector<Entry> list, Judge& judge,
+Agent::Agent(asio::io_context& io, int gatekeeper, std::vector<Entry> list, RunVerifier& verifier,
              std::function<double()> nowMs)
     : io_(io),
       gatekeeper_(gatekeeper),
       list_(std::move(list)),
-      judge_(judge),
+      verifier_(verifier),
       nowMs_(std::move(nowMs)),
       acceptor_(listenAt(io)),
       port_(acceptor_.local_endpoint().port()),
@@ -159,7 +159,8 @@
 void Agent::onGatekeeperStart() {
   if (!down_) return;
   startedWhileDown_ = true;
-  for (std::size_t w = 0; w < list_.size(); ++w) judge_.drainUndone(gatekeeper_, static_cast<int>(w));
+  for (std::size_t w = 0; w < list_.size(); ++w)
+    verifier_.drainReportDiscarded(gatekeeper_, static_cast<int>(w));
 }
 
 void Agent::setReachable(bool reachable) {
@@ -170,11 +171,11 @@
 
 void Agent::recordDelivery(std::size_t worker) {
   if (list_[worker].lifecycle == "Ready")
-    judge_.drainUndone(gatekeeper_, static_cast<int>(worker));
+    verifier_.drainReportDiscarded(gatekeeper_, static_cast<int>(worker));
   else if (reachable_)
-    judge_.drainTold(gatekeeper_, static_cast<int>(worker),
-                     std::max({nowMs_(), silentSince_ ? *silentSince_ + kSilentWatchMs : 0.0,
-                               crowdedUntil_ + kSilentWatchMs}));
+    verifier_.drainReported(gatekeeper_, static_cast<int>(worker),
+                            std::max({nowMs_(), silentSince_ ? *silentSince_ + kSilentWatchMs : 0.0,
+                                      crowdedUntil_ + kSilentWatchMs}));
 }
 
 void Agent::send(const std::vector<std::size_t>& changed) {
--- a/tools/lab/discovery_agent.hpp
+++ b/tools/lab/discovery_agent.hpp
@@ -25,8 +25,8 @@
     std::string id, hostPort, zone, lifecycle = "Ready";
     double startedAtMs = 0;  ///< wall clock
   };
-  /// `io` and `judge` must outlive the agent. `nowMs` gives the run's time.
-  Agent(asio::io_context& io, int gatekeeper, std::vector<Entry> list, Judge& judge,
+  /// `io` and `verifier` must outlive the agent. `nowMs` gives the run's time.
+  Agent(asio::io_context& io, int gatekeeper, std::vector<Entry> list, RunVerifier& verifier,
         std::function<double()> nowMs);
   unsigned short port() const { return port_; }
   /// Changes a worker's entry. `startedAtMs` 0 keeps the old start time. The watches get the change
@@ -66,7 +66,7 @@
   asio::io_context& io_;
   int gatekeeper_;
   std::vector<Entry> list_;
-  Judge& judge_;
+  RunVerifier& verifier_;
   std::function<double()> nowMs_;
   tcp::acceptor acceptor_;
   unsigned short port_;
--- a/tools/lab/expectations.hpp
+++ b/tools/lab/expectations.hpp
@@ -40,7 +40,7 @@
 class Expectations {
  public:
   /// All arguments must outlive it.
-  Expectations(const Scenario& scenario, const Judge& verifier, const Observations& observations)
+  Expectations(const Scenario& scenario, const RunVerifier& verifier, const Observations& observations)
       : scenario_(scenario), verifier_(verifier), observations_(observations) {}
 
   /// The maximum of a figure over the gatekeepers of the expectation; none if one of them did not report it.
@@ -58,7 +58,7 @@
   long noted(const Expectation& expect) const;
 
   const Scenario& scenario_;
-  const Judge& verifier_;
+  const RunVerifier& verifier_;
   const Observations& observations_;
 };
 
--- a/tools/lab/fleet.cpp
+++ b/tools/lab/fleet.cpp
@@ -71,19 +71,19 @@
 Fleet::Fleet(const Scenario& scenario, const RunOptions& options)
     : scenario_(scenario),
       options_(options),
-      judge_(scenario.attemptsCap),
+      verifier_(scenario.attemptsCap),
       ports_(io_),
       links_(io_, scenario),
       clock_(io_),
       observed_{{}, {}, {}, {}, Figures(expectedFigures(scenario))},
       front_(io_, gatekeepers_, clock_),
-      load_(io_, scenario, gatekeepers_, clock_, judge_, options.seed),
-      rough_(io_, scenario, gatekeepers_, clock_, judge_, options.seed ^ kRoughSeed) {
+      load_(io_, scenario, gatekeepers_, clock_, verifier_, options.seed),
+      rough_(io_, scenario, gatekeepers_, clock_, verifier_, options.seed ^ kRoughSeed) {
   double delay = 0;
   for (const Step& step : scenario.steps)
     if (step.kind == "delay" || step.kind == "throttle") delay = std::max(delay, step.delayMs + kThrottledMs);
-  judge_.linksDelay(delay);
-  judge_.lateIsExcusedWhileDown(scenario.toleratesLateAnswers);
+  verifier_.setLinkDelay(delay);
+  verifier_.exemptLateAnswersWhileDown(scenario.toleratesLateAnswers);
 }
 
 int Fleet::run() {
@@ -93,7 +93,7 @@
   if (scenario_.store) startStore();
   for (int w = 0; w < scenario_.workers; ++w)
     workers_.push_back(std::make_unique<Worker>(
-        io_, w, scenario_, judge_, links_.origins(), [this] { return clock_.nowMs(); },
+        io_, w, scenario_, verifier_, links_.origins(), [this] { return clock_.nowMs(); },
         options_.seed * 1000 + w));
   if (scenario_.replica) addPeerLinks();
   for (int g = 0; g < scenario_.gatekeepers; ++g) {
@@ -104,7 +104,7 @@
       list.push_back({std::string("w").append(std::to_string(w)), "127.0.0.1:" + std::to_string(port),
                       scenario_.zones[scenario_.zoneOf(w)], "Ready", 0});
     }
-    agents_.push_back(std::make_unique<Agent>(io_, g, list, judge_, [this] { return clock_.nowMs(); }));
+    agents_.push_back(std::make_unique<Agent>(io_, g, list, verifier_, [this] { return clock_.nowMs(); }));
     gatekeepers_.push_back(makeGatekeeper(g));
   }
   for (Gatekeeper& gatekeeper : gatekeepers_) launch(gatekeeper);
@@ -195,11 +195,11 @@
   if (store_) runRecord_.store = StoreUse{store_->calls(), store_->callsBySecond(), claims_};
   for (const auto& [g, clients] : idleClients_) observed_.idleClients[g] = clients->counts();
   runRecord_.idleClients = observed_.idleClients;
-  const Expectations expectations(scenario_, judge_, observed_);
+  const Expectations expectations(scenario_, verifier_, observed_);
   for (const Expectation& e : scenario_.expects)
     if (e.countName == "figure") runRecord_.figures.push_back({e.line, e.figure, expectations.figure(e)});
   runRecord_.unmet = expectations.unmet();
-  writeReport(options_.out, scenario_, judge_, runRecord_);
+  writeReport(options_.out, scenario_, verifier_, runRecord_);
   return printReport(options_.out);
 }
 
--- a/tools/lab/fleet_observers.cpp
+++ b/tools/lab/fleet_observers.cpp
@@ -23,7 +23,7 @@
     const json record = json::parse(value, nullptr, false);
     if (key != "lab/duties/roster/record" || !record.is_object()) return;
     const std::string holder = record.value("holder", "");
-    if (judge_.recorded(record.value("token", std::uint64_t{0}), holder, clock_.nowMs())) {
+    if (verifier_.dutyRecordWritten(record.value("token", std::uint64_t{0}), holder, clock_.nowMs())) {
       // The holder is an instance; the key members/gN/INSTANCE maps it to its gatekeeper.
       int gatekeeper = -1;
       for (const std::string& member : members)
@@ -88,8 +88,9 @@
     spdlog::info(
         "event=progress at_s={:.0f} of_s={} sent={} in_flight={} not_sent={} running={} each_kb={:.0f} "
         "each_descriptors={:.1f}",
-        clock_.nowMs() / 1000, scenario_.lengthS, judge_.requests().size(), load_.inFlight(), load_.notSent(),
-        running, static_cast<double>(all.residentKb) / n, static_cast<double>(all.descriptors) / n);
+        clock_.nowMs() / 1000, scenario_.lengthS, verifier_.requests().size(), load_.inFlight(),
+        load_.notSent(), running, static_cast<double>(all.residentKb) / n,
+        static_cast<double>(all.descriptors) / n);
     logProgress();
   });
 }
--- a/tools/lab/fleet_processes.cpp
+++ b/tools/lab/fleet_processes.cpp
@@ -116,7 +116,7 @@
     return;
   gatekeeper.now = {};
   if (gatekeeper.shuttingDown) {
-    judge_.down(gatekeeper.index, clock_.nowMs());
+    verifier_.gatekeeperDown(gatekeeper.index, clock_.nowMs());
     if (status != 0)
       runRecord_.crashes.push_back("gatekeeper " + std::to_string(gatekeeper.index) +
                                    " exited after SIGTERM with wait status " + std::to_string(status));
@@ -124,7 +124,7 @@
   if (endedByLab_.contains(gatekeeper.index) || runIsEnding_) return;
   runRecord_.crashes.push_back("gatekeeper " + std::to_string(gatekeeper.index) +
                                " exited unexpectedly with wait status " + std::to_string(status));
-  judge_.down(gatekeeper.index, clock_.nowMs());
+  verifier_.gatekeeperDown(gatekeeper.index, clock_.nowMs());
 }
 
 void Fleet::checkHealth() {
@@ -151,7 +151,7 @@
     if (gatekeeper.stopped) sendSignal(gatekeeper, SIGCONT);
     sendSignal(gatekeeper, SIGTERM);
   }
-  judge_.close(clock_.nowMs());
+  verifier_.endRun(clock_.nowMs());
   const auto limit = Clock::now() + kEndTimeout;
   for (Gatekeeper& gatekeeper : gatekeepers_) {
     awaitEnd(gatekeeper.index, gatekeeper.now, limit);
@@ -174,12 +174,12 @@
 
 void Fleet::endByLab(Gatekeeper& gatekeeper, int signalNumber) {
   endedByLab_.insert(gatekeeper.index);
-  judge_.down(gatekeeper.index, clock_.nowMs());
+  verifier_.gatekeeperDown(gatekeeper.index, clock_.nowMs());
   sendSignal(gatekeeper, signalNumber);
 }
 
 void Fleet::stopProcess(Gatekeeper& gatekeeper) {
-  judge_.down(gatekeeper.index, clock_.nowMs());
+  verifier_.gatekeeperDown(gatekeeper.index, clock_.nowMs());
   sendSignal(gatekeeper, SIGSTOP);
   gatekeeper.stopped = true;
   longStopped_.insert(gatekeeper.index);
@@ -187,7 +187,7 @@
 
 void Fleet::continueProcess(Gatekeeper& gatekeeper) {
   sendSignal(gatekeeper, SIGCONT);
-  judge_.up(gatekeeper.index, clock_.nowMs());
+  verifier_.gatekeeperUp(gatekeeper.index, clock_.nowMs());
   gatekeeper.stopped = false;
 }
 
@@ -198,9 +198,9 @@
     gatekeeper.now = {};
   }
   endedByLab_.erase(gatekeeper.index);
-  judge_.down(gatekeeper.index, clock_.nowMs());
+  verifier_.gatekeeperDown(gatekeeper.index, clock_.nowMs());
   launch(gatekeeper);
-  judge_.up(gatekeeper.index, clock_.nowMs());
+  verifier_.gatekeeperUp(gatekeeper.index, clock_.nowMs());
 }
 
 }  // namespace wingslip::lab
--- a/tools/lab/fleet_run.hpp
+++ b/tools/lab/fleet_run.hpp
@@ -118,7 +118,7 @@
   const Scenario& scenario_;
   const RunOptions& options_;
   asio::io_context io_;
-  Judge judge_;
+  RunVerifier verifier_;
   Ports ports_;
   Links links_;
   RunClock clock_;
--- a/tools/lab/fleet_steps.cpp
+++ b/tools/lab/fleet_steps.cpp
@@ -32,7 +32,7 @@
 void Fleet::callOperator(const Step& step) {
   const int index = *step.gatekeeper;
   const int worker = *step.worker;
-  if (step.kind == "include") judge_.included(index, worker);
+  if (step.kind == "include") verifier_.workerIncluded(index, worker);
   const pid_t pid = gatekeepers_[index].now.pid;
   askOps(io_, gatekeepers_[index].now.ops, step.kind + " w" + std::to_string(worker),
          [this, step, pid](const std::string& answer) { checkOperatorAnswer(step, pid, answer); });
@@ -42,7 +42,7 @@
   const int index = *step.gatekeeper;
   const bool accepted = answer.rfind("200", 0) == 0;
   const bool inForce = accepted || answer.find("not kept yet") != std::string::npos;
-  if (step.kind == "exclude" && inForce) judge_.excluded(index, *step.worker, clock_.nowMs());
+  if (step.kind == "exclude" && inForce) verifier_.workerExcluded(index, *step.worker, clock_.nowMs());
   const bool processEnded = pid <= 0 || gatekeepers_[index].now.pid != pid || gatekeepers_[index].stopped;
   if (accepted || processEnded || diskFaults_.contains(index)) return;
   runRecord_.crashes.push_back("line " + std::to_string(step.line) + ": " + step.kind + " was answered " +
--- a/tools/lab/misbehaving_clients.cpp
+++ b/tools/lab/misbehaving_clients.cpp
@@ -307,7 +307,7 @@
 };
 
 RoughClients::RoughClients(asio::io_context& io, const Scenario& scenario,
-                           const std::vector<Gatekeeper>& gatekeepers, RunClock& clock, Judge& verifier,
+                           const std::vector<Gatekeeper>& gatekeepers, RunClock& clock, RunVerifier& verifier,
                            std::uint64_t seed)
     : io_(io),
       scenario_(scenario),
--- a/tools/lab/misbehaving_clients.hpp
+++ b/tools/lab/misbehaving_clients.hpp
@@ -20,7 +20,7 @@
 class RoughClients {
  public:
   RoughClients(boost::asio::io_context& io, const Scenario& scenario,
-               const std::vector<Gatekeeper>& gatekeepers, RunClock& clock, Judge& verifier,
+               const std::vector<Gatekeeper>& gatekeepers, RunClock& clock, RunVerifier& verifier,
                std::uint64_t seed);
   ~RoughClients();
 
@@ -35,7 +35,7 @@
   const Scenario& scenario_;
   const std::vector<Gatekeeper>& gatekeepers_;
   RunClock& clock_;
-  Judge& verifier_;
+  RunVerifier& verifier_;
   std::mt19937_64 random_;
   std::vector<std::shared_ptr<Client>> clients_;
 };
--- a/tools/lab/open_load.cpp
+++ b/tools/lab/open_load.cpp
@@ -82,7 +82,7 @@
 };
 
 OpenLoad::OpenLoad(asio::io_context& io, const Scenario& scenario, const std::vector<Gatekeeper>& gatekeepers,
-                   RunClock& clock, Judge& verifier, std::uint64_t seed)
+                   RunClock& clock, RunVerifier& verifier, std::uint64_t seed)
     : io_(io),
       scenario_(scenario),
       gatekeepers_(gatekeepers),
--- a/tools/lab/open_load.hpp
+++ b/tools/lab/open_load.hpp
@@ -21,7 +21,7 @@
  public:
   /// `seed` determines the arrival times, the choice of gatekeepers and customers, and the ids of requests.
   OpenLoad(boost::asio::io_context& io, const Scenario& scenario, const std::vector<Gatekeeper>& gatekeepers,
-           RunClock& clock, Judge& verifier, std::uint64_t seed);
+           RunClock& clock, RunVerifier& verifier, std::uint64_t seed);
 
   /// Schedules the next arrival; each arrival schedules the one after it until the end of the load.
   void arrive();
@@ -43,7 +43,7 @@
   const Scenario& scenario_;
   const std::vector<Gatekeeper>& gatekeepers_;
   RunClock& clock_;
-  Judge& verifier_;
+  RunVerifier& verifier_;
   std::mt19937_64 random_;
   double nextS_ = 0;
   int inFlight_ = 0;
--- a/tools/lab/run_report.cpp
+++ b/tools/lab/run_report.cpp
@@ -16,7 +16,7 @@
 
 constexpr double kServedQuantiles[] = {0.5, 0.9, 0.99};
 
-void writeEvents(const fs::path& file, const Judge& verifier) {
+void writeEvents(const fs::path& file, const RunVerifier& verifier) {
   std::ofstream events(file);
   for (const auto& [id, r] : verifier.requests())
     events << json{{"id", id},           {"gatekeeper", r.gatekeeper}, {"sent_ms", r.sentMs},
@@ -26,7 +26,7 @@
            << "\n";
 }
 
-void writePlot(const fs::path& file, const Scenario& s, const Judge& verifier,
+void writePlot(const fs::path& file, const Scenario& s, const RunVerifier& verifier,
                const std::vector<PlotMark>& marks) {
   std::vector<Request> all;
   all.reserve(verifier.requests().size());
@@ -43,7 +43,7 @@
               {"most_kb", self.ru_maxrss}};
 }
 
-json outcomeCounts(const Judge& verifier) {
+json outcomeCounts(const RunVerifier& verifier) {
   json out;
   for (RequestOutcome outcome :
        {RequestOutcome::served, RequestOutcome::refused, RequestOutcome::failed, RequestOutcome::closed,
@@ -53,7 +53,7 @@
   return out;
 }
 
-json servedQuantiles(const Judge& verifier) {
+json servedQuantiles(const RunVerifier& verifier) {
   std::vector<double> times = verifier.servedLatenciesMs();
   std::sort(times.begin(), times.end());
   json out;
@@ -99,7 +99,7 @@
   return out;
 }
 
-json summaryOf(const Scenario& s, const Judge& verifier, const RunRecord& record) {
+json summaryOf(const Scenario& s, const RunVerifier& verifier, const RunRecord& record) {
   json out{{"scenario", s.name},
            {"seed", record.seed},
            {"gatekeepers", s.gatekeepers},
@@ -127,7 +127,7 @@
   if (!record.crashes.empty()) byRule["process"] = static_cast<long>(record.crashes.size());
   if (!record.invariants.empty()) byRule["invariant"] = static_cast<long>(record.invariants.size());
   out["broken_by_rule"] = byRule;
-  std::vector<std::string> broken = verifier.broken();
+  std::vector<std::string> broken = verifier.violations();
   broken.insert(broken.end(), record.invariants.begin(), record.invariants.end());
   broken.insert(broken.end(), record.crashes.begin(), record.crashes.end());
   out["broken"] = broken;
@@ -140,7 +140,7 @@
 
 }  // namespace
 
-void writeReport(const fs::path& out, const Scenario& scenario, const Judge& verifier,
+void writeReport(const fs::path& out, const Scenario& scenario, const RunVerifier& verifier,
                  const RunRecord& record) {
   writeEvents(out / "events.jsonl", verifier);
   writePlot(out / "plot.svg", scenario, verifier, record.marks);
--- a/tools/lab/run_report.hpp
+++ b/tools/lab/run_report.hpp
@@ -67,7 +67,7 @@
 };
 
 /// Writes the report files into the directory `out`.
-void writeReport(const std::filesystem::path& out, const Scenario& scenario, const Judge& verifier,
+void writeReport(const std::filesystem::path& out, const Scenario& scenario, const RunVerifier& verifier,
                  const RunRecord& record);
 
 /// Prints the summary of a run from `out`/summary.json. Returns 0 if there is no violation and every
--- a/tools/lab/run_verifier.cpp
+++ b/tools/lab/run_verifier.cpp
@@ -46,17 +46,17 @@
 
 const char* nameOf(Rule rule) { return kRuleNames[static_cast<std::size_t>(rule)]; }
 
-void Judge::recordViolation(Rule rule, std::string text) {
+void RunVerifier::recordViolation(Rule rule, std::string text) {
   ++violationCount_;
   ++violationsByRule_[nameOf(rule)];
   if (violations_.size() < kMaxReportedViolations) violations_.push_back(std::move(text));
 }
 
-void Judge::sent(std::uint64_t id, int gatekeeper, double atMs, double deadlineMs) {
+void RunVerifier::sent(std::uint64_t id, int gatekeeper, double atMs, double deadlineMs) {
   requests_[id] = Request{id, gatekeeper, atMs, deadlineMs, 0, RequestOutcome::pending, 0, false};
 }
 
-void Judge::answered(std::uint64_t id, double atMs, int status, const std::string& body) {
+void RunVerifier::answered(std::uint64_t id, double atMs, int status, const std::string& body) {
   const auto found = requests_.find(id);
   if (found == requests_.end())
     return recordViolation(Rule::answered_twice, "an answer to a request that was never sent");
@@ -83,7 +83,7 @@
                                     std::to_string(atMs - r.sentMs) + " ms after it was sent");
 }
 
-void Judge::ended(std::uint64_t id, double atMs, RequestOutcome outcome) {
+void RunVerifier::ended(std::uint64_t id, double atMs, RequestOutcome outcome) {
   const auto found = requests_.find(id);
   if (found == requests_.end() || found->second.outcome != RequestOutcome::pending) return;
   Request& r = found->second;
@@ -97,7 +97,8 @@
                                           " without an answer");
 }
 
-void Judge::attempt(std::uint64_t id, int worker, int gatekeeper, double atMs, const std::string& body) {
+void RunVerifier::attemptReceived(std::uint64_t id, int worker, int gatekeeper, double atMs,
+                                  const std::string& body) {
   workerBodies_[id].push_back(body);
   attemptLog_.emplace_back(worker, atMs);
   if (++attemptCounts_[id] > attemptsCap_)
@@ -123,7 +124,7 @@
                                             " ms after its client disconnected");
 }
 
-void Judge::closedUndelivered(std::uint64_t id, double atMs) {
+void RunVerifier::closedUndelivered(std::uint64_t id, double atMs) {
   const auto found = requests_.find(id);
   if (found == requests_.end() || found->second.outcome != RequestOutcome::pending) return;
   Request& r = found->second;
@@ -135,31 +136,33 @@
                         ": its connection was closed without an answer although a worker had received it");
 }
 
-void Judge::clientLeft(std::uint64_t id, double atMs) {
+void RunVerifier::clientLeft(std::uint64_t id, double atMs) {
   const auto found = requests_.find(id);
   if (found == requests_.end() || found->second.outcome != RequestOutcome::pending) return;
   found->second.outcome = RequestOutcome::clientLeft, found->second.endMs = atMs;
   clientLeftAtMs_[id] = atMs;
 }
 
-void Judge::peerUnanswered(int gatekeeper, double sinceMs, double atMs) {
+void RunVerifier::peerUnanswered(int gatekeeper, double sinceMs, double atMs) {
   if (wasDown(gatekeeper, sinceMs, atMs)) return;
   recordViolation(Rule::peer_left_hanging, "gatekeeper " + std::to_string(gatekeeper) +
                                                " sent a peer neither an error nor a close for " +
                                                std::to_string(atMs - sinceMs) + " ms");
 }
 
-void Judge::excluded(int gatekeeper, int worker, double atMs) {
+void RunVerifier::workerExcluded(int gatekeeper, int worker, double atMs) {
   excludedSinceMs_.try_emplace({gatekeeper, worker}, atMs);
 }
-void Judge::included(int gatekeeper, int worker) { excludedSinceMs_.erase({gatekeeper, worker}); }
+void RunVerifier::workerIncluded(int gatekeeper, int worker) { excludedSinceMs_.erase({gatekeeper, worker}); }
 
-void Judge::drainTold(int gatekeeper, int worker, double atMs) {
+void RunVerifier::drainReported(int gatekeeper, int worker, double atMs) {
   drainingSinceMs_.try_emplace({gatekeeper, worker}, atMs);
 }
-void Judge::drainUndone(int gatekeeper, int worker) { drainingSinceMs_.erase({gatekeeper, worker}); }
+void RunVerifier::drainReportDiscarded(int gatekeeper, int worker) {
+  drainingSinceMs_.erase({gatekeeper, worker});
+}
 
-bool Judge::recorded(std::uint64_t token, const std::string& holder, double atMs) {
+bool RunVerifier::dutyRecordWritten(std::uint64_t token, const std::string& holder, double atMs) {
   if (token < highestToken_)
     recordViolation(Rule::fencing, "a write under token " + std::to_string(token) + " took effect at " +
                                        std::to_string(atMs) + " ms, after token " +
@@ -172,30 +175,30 @@
   return true;
 }
 
-void Judge::down(int gatekeeper, double fromMs) {
+void RunVerifier::gatekeeperDown(int gatekeeper, double fromMs) {
   auto& spans = downIntervals_[gatekeeper];
   if (spans.empty() || spans.back().second < fromMs) spans.emplace_back(fromMs, 1e18);
 }
 
-void Judge::up(int gatekeeper, double atMs) {
+void RunVerifier::gatekeeperUp(int gatekeeper, double atMs) {
   auto& spans = downIntervals_[gatekeeper];
   if (!spans.empty() && spans.back().second > atMs) spans.back().second = atMs;
 }
 
-bool Judge::wasDown(int gatekeeper, double fromMs, double toMs) const {
+bool RunVerifier::wasDown(int gatekeeper, double fromMs, double toMs) const {
   const auto found = downIntervals_.find(gatekeeper);
   if (found == downIntervals_.end()) return false;
   return std::any_of(found->second.begin(), found->second.end(),
                      [&](const auto& span) { return span.first <= toMs && span.second >= fromMs; });
 }
 
-void Judge::close(double atMs) {
+void RunVerifier::endRun(double atMs) {
   for (auto& [id, r] : requests_)
     if (r.outcome == RequestOutcome::pending) ended(id, atMs, RequestOutcome::timedOut);
 }
 
-long Judge::count(RequestOutcome outcome, std::optional<int> gatekeeper, double afterMs,
-                  double beforeMs) const {
+long RunVerifier::count(RequestOutcome outcome, std::optional<int> gatekeeper, double afterMs,
+                        double beforeMs) const {
   return std::count_if(requests_.begin(), requests_.end(), [&](const auto& item) {
     const Request& r = item.second;
     return r.outcome == outcome && (!gatekeeper || r.gatekeeper == *gatekeeper) && r.sentMs >= afterMs &&
@@ -203,7 +206,7 @@
   });
 }
 
-std::vector<double> Judge::servedLatenciesMs() const {
+std::vector<double> RunVerifier::servedLatenciesMs() const {
   std::vector<double> out;
   for (const auto& [id, r] : requests_)
     if (r.outcome == RequestOutcome::served) out.push_back(r.endMs - r.sentMs);
--- a/tools/lab/run_verifier.hpp
+++ b/tools/lab/run_verifier.hpp
@@ -63,11 +63,11 @@
 const char* nameOf(Rule rule);
 
 /// Collects the events of one run and records the violations of the rules. Not thread-safe.
-class Judge {
+class RunVerifier {
  public:
   /// `attemptsCap`: the value of `permissions.attemptsCap` in the settings. More attempts than that for one
   /// request are a violation.
-  explicit Judge(int attemptsCap) : attemptsCap_(attemptsCap) {}
+  explicit RunVerifier(int attemptsCap) : attemptsCap_(attemptsCap) {}
 
   // Events seen by clients.
   /// The complete request was sent to `gatekeeper`; `deadlineMs` counts from `atMs`.
@@ -88,38 +88,38 @@
 
   /// `worker` has received a complete attempt over the link of `gatekeeper`. `body` is the body of its answer
   /// if it answers 200.
-  void attempt(std::uint64_t id, int worker, int gatekeeper, double atMs, const std::string& body);
+  void attemptReceived(std::uint64_t id, int worker, int gatekeeper, double atMs, const std::string& body);
   /// The discovery agent of `gatekeeper` has reported `worker` as draining or removed. Only the first report
   /// counts.
-  void drainTold(int gatekeeper, int worker, double atMs);
+  void drainReported(int gatekeeper, int worker, double atMs);
   /// Discards the report: the agent has reported `worker` as ready, or `gatekeeper` starts a new process that
   /// has not received the report.
-  void drainUndone(int gatekeeper, int worker);
-  /// An operator has excluded `worker` at `gatekeeper` from `atMs` on; included() ends the exclusion.
-  void excluded(int gatekeeper, int worker, double atMs);
-  void included(int gatekeeper, int worker);
+  void drainReportDiscarded(int gatekeeper, int worker);
+  /// An operator has excluded `worker` at `gatekeeper` from `atMs` on; workerIncluded() ends the exclusion.
+  void workerExcluded(int gatekeeper, int worker, double atMs);
+  void workerIncluded(int gatekeeper, int worker);
   /// Sets by how many milliseconds slow links may delay the arrival of an attempt at its worker.
-  void linksDelay(double ms) { linkDelayMs_ = ms; }
+  void setLinkDelay(double ms) { linkDelayMs_ = ms; }
   /// Sets whether a late answer is exempt if its gatekeeper was stopped while the request was in flight.
-  void lateIsExcusedWhileDown(bool exempt) { lateExemptWhileDown_ = exempt; }
-  /// A process fault (kill, stop, term) of `gatekeeper` starts at `fromMs`; up() marks the time at which it
-  /// serves again.
-  void down(int gatekeeper, double fromMs);
-  void up(int gatekeeper, double atMs);
+  void exemptLateAnswersWhileDown(bool exempt) { lateExemptWhileDown_ = exempt; }
+  /// A process fault (kill, stop, term) of `gatekeeper` starts at `fromMs`; gatekeeperUp() marks the time at
+  /// which it serves again.
+  void gatekeeperDown(int gatekeeper, double fromMs);
+  void gatekeeperUp(int gatekeeper, double atMs);
 
   /// `holder` has written the record of a duty under `token`. Tokens only increase, and each has one holder.
   /// Returns true for the first write under this token.
-  bool recorded(std::uint64_t token, const std::string& holder, double atMs);
+  bool dutyRecordWritten(std::uint64_t token, const std::string& holder, double atMs);
 
   /// Ends the run: pending requests become timedOut. The counts and violations below are final after this
   /// call.
-  void close(double atMs);
+  void endRun(double atMs);
   /// The number of requests with this outcome that were sent within [afterMs, beforeMs), at one gatekeeper or
   /// at all.
   long count(RequestOutcome outcome, std::optional<int> gatekeeper = {}, double afterMs = 0,
              double beforeMs = 1e18) const;
   /// Texts of the first violations, in the order of their detection.
-  const std::vector<std::string>& broken() const { return violations_; }
+  const std::vector<std::string>& violations() const { return violations_; }
   /// The number of all violations, including those without a text.
   long violationCount() const { return violationCount_; }
   /// The number of violations by rule; rules without a violation are omitted.
--- a/tools/lab/scale_cases_process.cpp
+++ b/tools/lab/scale_cases_process.cpp
@@ -156,9 +156,9 @@
 std::vector<Figure> measureProcess(std::size_t workers, const CaseLimits& limits) {
   boost::asio::io_context io;
   const Ports ports(io);
-  Judge judge(1);
+  RunVerifier verifier(1);
   const auto startedAt = Clock::now();
-  Agent agent(io, 0, entriesFor(workers), judge,
+  Agent agent(io, 0, entriesFor(workers), verifier,
               [&] { return std::chrono::duration<double, std::milli>(Clock::now() - startedAt).count(); });
   json file = baseConfiguration();
   file["discovery"] = loopbackAt(agent.port());
--- a/tools/lab/stand_in_worker.cpp
+++ b/tools/lab/stand_in_worker.cpp
@@ -54,7 +54,7 @@
     const auto link = error ? w_.links_.end() : w_.links_.find({w_.port_, from.port()});
     const int gatekeeper = link == w_.links_.end() ? -1 : link->second;
     const std::string body = "lab worker " + std::to_string(w_.index_) + " answers " + idText + "\n";
-    w_.judge_.attempt(id, w_.index_, gatekeeper, w_.nowMs_(), body);
+    w_.verifier_.attemptReceived(id, w_.index_, gatekeeper, w_.nowMs_(), body);
     if (w_.mode.silent) return;  // the connection stays open without an answer
     if (w_.mode.draining || w_.inFlight >= w_.s_.workerInFlight)
       return answer(http::status::service_unavailable, "declined\n", true);
@@ -151,9 +151,15 @@
   http::request<http::string_body> request_;
 };
 
-Worker::Worker(asio::io_context& io, int index, const Scenario& s, Judge& judge, const LinkOrigins& links,
-               std::function<double()> nowMs, std::uint64_t seed)
-    : io_(io), index_(index), s_(s), judge_(judge), links_(links), nowMs_(std::move(nowMs)), random_(seed) {
+Worker::Worker(asio::io_context& io, int index, const Scenario& s, RunVerifier& verifier,
+               const LinkOrigins& links, std::function<double()> nowMs, std::uint64_t seed)
+    : io_(io),
+      index_(index),
+      s_(s),
+      verifier_(verifier),
+      links_(links),
+      nowMs_(std::move(nowMs)),
+      random_(seed) {
   acceptor_ = std::make_unique<tcp::acceptor>(listenAt(io));
   port_ = acceptor_->local_endpoint().port();
   startedMs_ = -1e9;  // far in the past: the worker is warm at first
--- a/tools/lab/stand_in_worker.hpp
+++ b/tools/lab/stand_in_worker.hpp
@@ -24,8 +24,9 @@
 /// requests and while draining; 404 without a Req-Id. Runs on the given loop; not thread-safe.
 class Worker {
  public:
-  /// Keeps references: `io`, `s`, `judge` and `links` must outlive the worker. `nowMs` gives the run's time.
-  Worker(asio::io_context& io, int index, const Scenario& s, Judge& judge, const LinkOrigins& links,
+  /// Keeps references: `io`, `s`, `verifier` and `links` must outlive the worker. `nowMs` gives the run's
+  /// time.
+  Worker(asio::io_context& io, int index, const Scenario& s, RunVerifier& verifier, const LinkOrigins& links,
          std::function<double()> nowMs, std::uint64_t seed);
   unsigned short port() const { return port_; }
   /// Number of connections accepted since construction.
@@ -43,7 +44,7 @@
   asio::io_context& io_;
   int index_;
   const Scenario& s_;
-  Judge& judge_;
+  RunVerifier& verifier_;
   const LinkOrigins& links_;
   std::function<double()> nowMs_;
   std::mt19937_64 random_;
