--- a/tests/lab_test.cpp
+++ b/tests/lab_test.cpp
@@ -182,17 +182,17 @@
 
 TEST(Figures, MaximumPerGatekeeperAndIntervalOrNoneWithoutSamples) {
   Figures figures({"inflight"});
-  figures.told(0, 1000, "svc.inflight:3|g\nsvc.other:90|g\n");
-  figures.told(0, 2000, "svc.inflight:7|g\n");
-  figures.told(0, 3000, "svc.inflight:9|g\n");
-  figures.told(0, 3500, "");  // no answer
-  figures.told(1, 1500, "svc.inflight:5|g\n");
-  EXPECT_EQ(figures.most("inflight", 0, 0, 3000), 7);
-  EXPECT_EQ(figures.most("inflight", 0, 0, 3001), 9);
-  EXPECT_EQ(figures.most("inflight", 1, 0, 4000), 5);
-  EXPECT_EQ(figures.most("inflight", 1, 1501, 4000), std::nullopt);
-  EXPECT_EQ(figures.most("inflight", 0, 3200, 4000), std::nullopt);
-  EXPECT_EQ(figures.most("other", 0, 0, 4000), std::nullopt) << "not selected";
+  figures.addSamples(0, 1000, "svc.inflight:3|g\nsvc.other:90|g\n");
+  figures.addSamples(0, 2000, "svc.inflight:7|g\n");
+  figures.addSamples(0, 3000, "svc.inflight:9|g\n");
+  figures.addSamples(0, 3500, "");  // no answer
+  figures.addSamples(1, 1500, "svc.inflight:5|g\n");
+  EXPECT_EQ(figures.maximum("inflight", 0, 0, 3000), 7);
+  EXPECT_EQ(figures.maximum("inflight", 0, 0, 3001), 9);
+  EXPECT_EQ(figures.maximum("inflight", 1, 0, 4000), 5);
+  EXPECT_EQ(figures.maximum("inflight", 1, 1501, 4000), std::nullopt);
+  EXPECT_EQ(figures.maximum("inflight", 0, 3200, 4000), std::nullopt);
+  EXPECT_EQ(figures.maximum("other", 0, 0, 4000), std::nullopt) << "not selected";
 }
 
 // A second with twice as many requests has a bar twice as high; a fault is drawn at its time, with its label.
--- a/tools/lab/expectations.cpp
+++ b/tools/lab/expectations.cpp
@@ -36,7 +36,7 @@
   for (int g = 0; g < scenario_.gatekeepers; ++g) {
     if (expect.gatekeeper && *expect.gatekeeper != g) continue;
     const std::optional<long> maximum =
-        observations_.figures.most(expect.figure, g, expect.afterS * kMsPerS, expect.beforeS * kMsPerS);
+        observations_.figures.maximum(expect.figure, g, expect.afterS * kMsPerS, expect.beforeS * kMsPerS);
     if (!maximum) return std::nullopt;
     most = std::max(most.value_or(*maximum), *maximum);
   }
@@ -65,7 +65,7 @@
   if (expect.countName == "copies_equal") return mostEqualCopies();
   if (expect.countName.rfind(kRosterPrefix, 0) == 0 && expect.countName != kRosterAgreed)
     return namesInRoster(expect.countName.substr(kRosterPrefix.size()), beforeMs);
-  return noted(expect);
+  return eventCount(expect);
 }
 
 // The counts of one gatekeeper, or the sum over all.
@@ -104,13 +104,13 @@
   return out;
 }
 
-long Expectations::noted(const Expectation& expect) const {
+long Expectations::eventCount(const Expectation& expect) const {
   const double afterMs = expect.afterS * kMsPerS, beforeMs = expect.beforeS * kMsPerS;
-  return std::count_if(observations_.noted.begin(), observations_.noted.end(),
-                       [&](const ObservedEvent& noted) {
-                         return noted.what == expect.countName &&
-                                (!expect.gatekeeper || *expect.gatekeeper == noted.gatekeeper) &&
-                                noted.atMs >= afterMs && noted.atMs < beforeMs;
+  return std::count_if(observations_.events.begin(), observations_.events.end(),
+                       [&](const ObservedEvent& event) {
+                         return event.what == expect.countName &&
+                                (!expect.gatekeeper || *expect.gatekeeper == event.gatekeeper) &&
+                                event.atMs >= afterMs && event.atMs < beforeMs;
                        });
 }
 
--- a/tools/lab/expectations.hpp
+++ b/tools/lab/expectations.hpp
@@ -29,7 +29,7 @@
 
 /// The observations that expectations count, other than the outcomes of requests.
 struct Observations {
-  std::vector<ObservedEvent> noted;
+  std::vector<ObservedEvent> events;
   std::vector<RecordedRoster> rosters;  ///< in order of time
   std::map<std::string, long> copies;  ///< number of gatekeepers by their copy of the shared state at the end
   std::map<int, IdleClientCounts> idleClients;  ///< by gatekeeper
@@ -55,7 +55,7 @@
   long attempts(const Expectation& expect) const;
   long mostEqualCopies() const;
   long namesInRoster(const std::string& state, double beforeMs) const;
-  long noted(const Expectation& expect) const;
+  long eventCount(const Expectation& expect) const;
 
   const Scenario& scenario_;
   const RunVerifier& verifier_;
--- a/tools/lab/figures.cpp
+++ b/tools/lab/figures.cpp
@@ -27,7 +27,7 @@
   return out;
 }
 
-void Figures::told(int gatekeeper, double atMs, const std::string& telemetry) {
+void Figures::addSamples(int gatekeeper, double atMs, const std::string& telemetry) {
   const std::map<std::string, long> figures = readFigures(telemetry);
   for (const std::string& name : names_) {
     const auto found = figures.find(name);
@@ -35,8 +35,8 @@
   }
 }
 
-std::optional<long> Figures::most(const std::string& name, int gatekeeper, double afterMs,
-                                  double beforeMs) const {
+std::optional<long> Figures::maximum(const std::string& name, int gatekeeper, double afterMs,
+                                     double beforeMs) const {
   std::optional<long> out;
   for (const Sample& sample : samples_) {
     const bool matches = sample.gatekeeper == gatekeeper && sample.name == name;
--- a/tools/lab/figures.hpp
+++ b/tools/lab/figures.hpp
@@ -18,13 +18,13 @@
   /// `names`: the figures to record; others are ignored.
   explicit Figures(std::vector<std::string> names) : names_(std::move(names)) {}
 
-  bool wanted() const { return !names_.empty(); }
+  bool hasSelection() const { return !names_.empty(); }
 
   /// Records the figures of a telemetry answer of `gatekeeper`.
-  void told(int gatekeeper, double atMs, const std::string& telemetry);
+  void addSamples(int gatekeeper, double atMs, const std::string& telemetry);
 
   /// The maximum that `gatekeeper` reported within [afterMs, beforeMs); none without a sample.
-  std::optional<long> most(const std::string& name, int gatekeeper, double afterMs, double beforeMs) const;
+  std::optional<long> maximum(const std::string& name, int gatekeeper, double afterMs, double beforeMs) const;
 
  private:
   struct Sample {
--- a/tools/lab/fleet.cpp
+++ b/tools/lab/fleet.cpp
@@ -25,7 +25,7 @@
 constexpr int kDescriptorsPerConnection = 3;  // the proxy's two sockets and the worker's
 constexpr int kOtherDescriptors = 500;        // of the lab, beside links, connections and clients
 constexpr double kThrottledMs = 300;          // longest delay of a request by a throttled link
-constexpr std::uint64_t kRoughSeed = 0x2545f4914f6cdd1dULL;  // XORed with the run's seed
+constexpr std::uint64_t kMisbehavingClientsSeed = 0x2545f4914f6cdd1dULL;  // XORed with the run's seed
 constexpr std::uint64_t kIdleSeedStep = 104729;  // distance between the idle clients' seeds of two runs
 
 // Estimates the lab's own descriptors: a listener for each link, three descriptors for each connection
@@ -78,7 +78,8 @@
       observed_{{}, {}, {}, {}, Figures(expectedFigures(scenario))},
       front_(io_, gatekeepers_, clock_),
       load_(io_, scenario, gatekeepers_, clock_, verifier_, options.seed),
-      rough_(io_, scenario, gatekeepers_, clock_, verifier_, options.seed ^ kRoughSeed) {
+      misbehavingClients_(io_, scenario, gatekeepers_, clock_, verifier_,
+                          options.seed ^ kMisbehavingClientsSeed) {
   double delay = 0;
   for (const Step& step : scenario.steps)
     if (step.kind == "delay" || step.kind == "throttle") delay = std::max(delay, step.delayMs + kThrottledMs);
@@ -114,8 +115,8 @@
   waitForFront();
   clock_.restart();
   for (const Step& step : scenario_.steps) clock_.at(step.atS, [this, step] { apply(step); });
-  load_.arrive();
-  rough_.start();
+  load_.scheduleNextArrival();
+  misbehavingClients_.start();
   scheduleIdleClients();
   pollFigures();
   logProgress();
@@ -192,7 +193,7 @@
   runRecord_.failedCalls = failedCalls();
   for (const auto& worker : workers_) runRecord_.workerConnections += worker->accepted();
   for (const auto& agent : agents_) runRecord_.listBytes += agent->bytesSent();
-  if (store_) runRecord_.store = StoreUse{store_->calls(), store_->callsBySecond(), claims_};
+  if (store_) runRecord_.store = StoreLoad{store_->calls(), store_->callsBySecond(), claims_};
   for (const auto& [g, clients] : idleClients_) observed_.idleClients[g] = clients->counts();
   runRecord_.idleClients = observed_.idleClients;
   const Expectations expectations(scenario_, verifier_, observed_);
--- a/tools/lab/fleet_observers.cpp
+++ b/tools/lab/fleet_observers.cpp
@@ -32,7 +32,7 @@
       spdlog::info("event=claim token={} gatekeeper={} at_ms={:.0f}", record["token"].dump(), gatekeeper,
                    clock_.nowMs());
       leader_ = std::max(0, gatekeeper);
-      observed_.noted.push_back({"claims", gatekeeper, clock_.nowMs()});
+      observed_.events.push_back({"claims", gatekeeper, clock_.nowMs()});
       claims_.push_back({clock_.nowMs(), gatekeeper, record["token"].get<std::uint64_t>()});
       runRecord_.marks.push_back({clock_.nowMs() / 1000, "g" + std::to_string(gatekeeper) + " holds"});
     }
@@ -51,7 +51,7 @@
       askOps(io_, gatekeeper.now.ops, "roster", [this, g = gatekeeper.index](const std::string& answer) {
         const std::string version = " version=" + std::to_string(rosterVersion_) + " ";
         if (answer.rfind("200" + version, 0) == 0)
-          observed_.noted.push_back({"roster_agreed", g, clock_.nowMs()});
+          observed_.events.push_back({"roster_agreed", g, clock_.nowMs()});
       });
 }
 
@@ -64,11 +64,11 @@
 }
 
 void Fleet::pollFigures() {
-  if (runIsEnding_ || !observed_.figures.wanted()) return;
+  if (runIsEnding_ || !observed_.figures.hasSelection()) return;
   for (const Gatekeeper& gatekeeper : gatekeepers_)
     if (gatekeeper.now.pid > 0)
       askOps(io_, gatekeeper.now.ops, "telemetry", [this, g = gatekeeper.index](const std::string& answer) {
-        observed_.figures.told(g, clock_.nowMs(), answer);
+        observed_.figures.addSamples(g, clock_.nowMs(), answer);
       });
   clock_.at(clock_.nowMs() / 1000 + kFigurePollPeriodS, [this] { pollFigures(); });
 }
@@ -109,11 +109,11 @@
 void Fleet::recordUsage(const Gatekeeper& gatekeeper) {
   if (gatekeeper.now.pid <= 0) return;
   const ProcessUse use = readProcessUse(gatekeeper.now.pid);
-  runRecord_.mostKb = std::max(runRecord_.mostKb, use.peakKb);
-  runRecord_.mostDescriptors = std::max(runRecord_.mostDescriptors, use.descriptors);
-  ++runRecord_.measured;
-  runRecord_.all.cpuS += use.cpuS, runRecord_.all.peakKb += use.peakKb,
-      runRecord_.all.descriptors += use.descriptors;
+  runRecord_.maxPeakKb = std::max(runRecord_.maxPeakKb, use.peakKb);
+  runRecord_.maxDescriptors = std::max(runRecord_.maxDescriptors, use.descriptors);
+  ++runRecord_.measuredGatekeepers;
+  runRecord_.totalUse.cpuS += use.cpuS, runRecord_.totalUse.peakKb += use.peakKb,
+      runRecord_.totalUse.descriptors += use.descriptors;
 }
 
 }  // namespace wingslip::lab
--- a/tools/lab/fleet_processes.cpp
+++ b/tools/lab/fleet_processes.cpp
@@ -104,7 +104,7 @@
     return;
   gatekeeper.old = {};
   if (status == 0)
-    observed_.noted.push_back({"upgrades", gatekeeper.index, clock_.nowMs()});
+    observed_.events.push_back({"upgrades", gatekeeper.index, clock_.nowMs()});
   else
     runRecord_.crashes.push_back("upgrade of gatekeeper " + std::to_string(gatekeeper.index) +
                                  ": the old process exited with wait status " + std::to_string(status));
--- a/tools/lab/fleet_run.hpp
+++ b/tools/lab/fleet_run.hpp
@@ -130,7 +130,7 @@
   Observations observed_;
   Front front_;
   OpenLoad load_;
-  RoughClients rough_;
+  MisbehavingClients misbehavingClients_;
   std::set<int> endedByLab_;   ///< gatekeepers whose process the lab ended on purpose
   std::set<int> longStopped_;  ///< gatekeepers that were stopped, or paused for longer than kShortPauseMs
   std::set<int> diskFaults_;   ///< gatekeepers whose file writes fail
--- a/tools/lab/misbehaving_clients.cpp
+++ b/tools/lab/misbehaving_clients.cpp
@@ -41,7 +41,7 @@
 }  // namespace
 
 /// One client, with one connection at a time.
-class RoughClients::Client : public std::enable_shared_from_this<Client> {
+class MisbehavingClients::Client : public std::enable_shared_from_this<Client> {
   template <class Handler>
   auto guard(Handler handler) {
     return [self = shared_from_this(), exchangeNumber = exchangeNumber_, handler](const Error& error,
@@ -51,7 +51,7 @@
   }
 
  public:
-  explicit Client(RoughClients& parent)
+  explicit Client(MisbehavingClients& parent)
       : parent_(parent), random_(parent.random_()), socket_(parent.io_), timer_(parent.io_) {}
 
   void scheduleExchange() {
@@ -292,7 +292,7 @@
                             guard([this](const Error&, std::size_t) { endConnection(); }));
   }
 
-  RoughClients& parent_;
+  MisbehavingClients& parent_;
   std::mt19937_64 random_;
   tcp::socket socket_;
   asio::steady_timer timer_;
@@ -306,9 +306,9 @@
   unsigned exchangeNumber_ = 0;   // handlers of an earlier exchange are ignored
 };
 
-RoughClients::RoughClients(asio::io_context& io, const Scenario& scenario,
-                           const std::vector<Gatekeeper>& gatekeepers, RunClock& clock, RunVerifier& verifier,
-                           std::uint64_t seed)
+MisbehavingClients::MisbehavingClients(asio::io_context& io, const Scenario& scenario,
+                                       const std::vector<Gatekeeper>& gatekeepers, RunClock& clock,
+                                       RunVerifier& verifier, std::uint64_t seed)
     : io_(io),
       scenario_(scenario),
       gatekeepers_(gatekeepers),
@@ -316,11 +316,11 @@
       verifier_(verifier),
       random_(seed) {}
 
-RoughClients::~RoughClients() {
+MisbehavingClients::~MisbehavingClients() {
   for (const auto& client : clients_) client->stop();
 }
 
-void RoughClients::start() {
+void MisbehavingClients::start() {
   for (int i = 0; i < scenario_.misbehavingLoad.clients; ++i) {
     clients_.push_back(std::make_shared<Client>(*this));
     clients_.back()->scheduleExchange();
--- a/tools/lab/misbehaving_clients.hpp
+++ b/tools/lab/misbehaving_clients.hpp
@@ -17,12 +17,12 @@
 
 /// The misbehaving clients of one run. Single-threaded, on the event loop `io`. All constructor arguments
 /// passed by reference must outlive it; `seed` determines every random choice.
-class RoughClients {
+class MisbehavingClients {
  public:
-  RoughClients(boost::asio::io_context& io, const Scenario& scenario,
-               const std::vector<Gatekeeper>& gatekeepers, RunClock& clock, RunVerifier& verifier,
-               std::uint64_t seed);
-  ~RoughClients();
+  MisbehavingClients(boost::asio::io_context& io, const Scenario& scenario,
+                     const std::vector<Gatekeeper>& gatekeepers, RunClock& clock, RunVerifier& verifier,
+                     std::uint64_t seed);
+  ~MisbehavingClients();
 
   /// Starts all clients. Each repeats exchanges until the end of the load.
   void start();
--- a/tools/lab/open_load.cpp
+++ b/tools/lab/open_load.cpp
@@ -90,13 +90,13 @@
       verifier_(verifier),
       random_(seed) {}
 
-void OpenLoad::arrive() {
+void OpenLoad::scheduleNextArrival() {
   std::exponential_distribution<double> gap(scenario_.rate);
   nextS_ += scenario_.rate > 0 ? gap(random_) : kNoArrivalS;
   if (nextS_ >= scenario_.lengthS) return;
   clock_.at(nextS_, [this] {
     send();
-    arrive();
+    scheduleNextArrival();
   });
 }
 
--- a/tools/lab/open_load.hpp
+++ b/tools/lab/open_load.hpp
@@ -24,7 +24,7 @@
            RunClock& clock, RunVerifier& verifier, std::uint64_t seed);
 
   /// Schedules the next arrival; each arrival schedules the one after it until the end of the load.
-  void arrive();
+  void scheduleNextArrival();
 
   /// The number of requests sent and not yet ended.
   int inFlight() const { return inFlight_; }
--- a/tools/lab/probe.hpp
+++ b/tools/lab/probe.hpp
@@ -22,7 +22,7 @@
 // The minimum processor time in seconds over `repeats` calls. Other processes share the machine, so any
 // excess over the minimum is attributed to them.
 template <class Call>
-double leastProcessor(int repeats, Call call) {
+double minProcessorSeconds(int repeats, Call call) {
   double least = std::numeric_limits<double>::infinity();
   for (int i = 0; i < repeats; ++i) {
     const double start = processorSeconds();
@@ -49,6 +49,6 @@
 }
 
 // Resets the peak resident size (VmHWM) of this process to its present size.
-inline void resetPeak() { std::ofstream("/proc/self/clear_refs") << 5; }
+inline void resetPeakResidentSize() { std::ofstream("/proc/self/clear_refs") << 5; }
 
 }  // namespace wingslip::lab
--- a/tools/lab/run_report.cpp
+++ b/tools/lab/run_report.cpp
@@ -70,7 +70,7 @@
   return out;
 }
 
-json storeJson(const StoreUse& store) {
+json storeJson(const StoreLoad& store) {
   const auto& seconds = store.callsBySecond;
   json claims = json::array();
   for (const Claim& claim : store.claims)
@@ -107,15 +107,15 @@
            {"faults", stepsJson(record.steps)},
            {"not_sent", record.notSent},
            {"lab", labResourceUse()},
-           {"gatekeeper_most", {{"kb", record.mostKb}, {"descriptors", record.mostDescriptors}}},
+           {"gatekeeper_most", {{"kb", record.maxPeakKb}, {"descriptors", record.maxDescriptors}}},
            {"fates", outcomeCounts(verifier)},
            {"served_ms", servedQuantiles(verifier)},
            {"unmet", record.unmet}};
-  if (record.measured > 0) {
-    const double n = record.measured;
-    out["each"] = {{"cpu_s", record.all.cpuS / n},
-                   {"peak_kb", static_cast<double>(record.all.peakKb) / n},
-                   {"descriptors", static_cast<double>(record.all.descriptors) / n},
+  if (record.measuredGatekeepers > 0) {
+    const double n = record.measuredGatekeepers;
+    out["each"] = {{"cpu_s", record.totalUse.cpuS / n},
+                   {"peak_kb", static_cast<double>(record.totalUse.peakKb) / n},
+                   {"descriptors", static_cast<double>(record.totalUse.descriptors) / n},
                    {"worker_connections", static_cast<double>(record.workerConnections) / n},
                    {"list_bytes", static_cast<double>(record.listBytes) / n}};
   }
--- a/tools/lab/run_report.hpp
+++ b/tools/lab/run_report.hpp
@@ -31,7 +31,7 @@
 };
 
 /// The load on the coordination store during the run.
-struct StoreUse {
+struct StoreLoad {
   long calls = 0;
   std::vector<long> callsBySecond;
   std::vector<Claim> claims;
@@ -48,17 +48,17 @@
 struct RunRecord {
   std::uint64_t seed = 1;
   long notSent = 0;  ///< requests not sent: no gatekeeper received client traffic, or too many were in flight
-  long mostKb = 0;   ///< largest peak memory of a gatekeeper, kB
-  ProcessUse all;    ///< sum over all gatekeepers that were running at the end
-  int measured = 0;  ///< number of gatekeepers in `all`
-  long workerConnections = 0;  ///< made to workers by all gatekeepers
-  long listBytes = 0;          ///< sent by all discovery agents
-  long mostDescriptors = 0;    ///< largest number of open descriptors of a gatekeeper at the end
+  long maxPeakKb = 0;           ///< largest peak memory of a gatekeeper, kB
+  ProcessUse totalUse;          ///< sum over all gatekeepers that were running at the end
+  int measuredGatekeepers = 0;  ///< number of gatekeepers in `totalUse`
+  long workerConnections = 0;   ///< made to workers by all gatekeepers
+  long listBytes = 0;           ///< sent by all discovery agents
+  long maxDescriptors = 0;      ///< largest number of open descriptors of a gatekeeper at the end
   /// Calls failed by the fault library in all gatekeepers, by kind.
   std::map<std::string, std::uint64_t> failedCalls;
   std::vector<ExecutedStep> steps;
   std::vector<PlotMark> marks;
-  std::optional<StoreUse> store;
+  std::optional<StoreLoad> store;
   std::map<int, IdleClientCounts> idleClients;  ///< by gatekeeper
   std::vector<FigureMaximum> figures;
   std::vector<std::string> crashes;     ///< violations that the verifier cannot observe
--- a/tools/lab/scale_cases_decision.cpp
+++ b/tools/lab/scale_cases_decision.cpp
@@ -131,9 +131,9 @@
     harness.now += 1;
     harness.gateway.onEndpoints(harness.now, EndpointUpdate::delta, {member});
   };
-  const double singleCallSeconds = std::max(leastProcessor(1, change), 1e-9);
+  const double singleCallSeconds = std::max(minProcessorSeconds(1, change), 1e-9);
   const int repeats = static_cast<int>(std::clamp(kMinTimedSeconds / singleCallSeconds, 1.0, 1000.0));
-  const double seconds = leastProcessor(kRepeats, [&] {
+  const double seconds = minProcessorSeconds(kRepeats, [&] {
     for (int i = 0; i < repeats; ++i) change();
   });
   return {{"processor", "s", seconds / repeats}};
@@ -151,7 +151,7 @@
     harness.now += 1;
     harness.gateway.onEndpoints(harness.now, EndpointUpdate::delta, zone);
   };
-  const double seconds = leastProcessor(2, [&] {
+  const double seconds = minProcessorSeconds(2, [&] {
     setPhase(WorkerPhase::removed);
     setPhase(WorkerPhase::ready);
   });
@@ -176,7 +176,7 @@
 std::vector<Figure> measureSettings(std::size_t classes, const CaseLimits&) {
   GatewayHarness harness(classes);
   decision::Settings changed = settingsWith(classes);
-  const double seconds = leastProcessor(2, [&] {
+  const double seconds = minProcessorSeconds(2, [&] {
     changed.classes.back().priorityWeight += 1;
     harness.now += 1;
     harness.gateway.onSettings(harness.now, changed);
--- a/tools/lab/scale_cases_reading.cpp
+++ b/tools/lab/scale_cases_reading.cpp
@@ -20,7 +20,7 @@
 // Returns how much peak resident memory grows while `call` runs, in bytes.
 template <class Call>
 double peakBytesDuring(Call call) {
-  resetPeak();
+  resetPeakResidentSize();
   const double before = statusBytes("self", "VmHWM");
   call();
   return std::max(0.0, statusBytes("self", "VmHWM") - before);
@@ -41,8 +41,8 @@
 std::vector<Figure> measureListText(std::size_t workers, const CaseLimits&) {
   const std::string text = listText(workers);
   const double peak = peakBytesDuring([&] { wingslip::parseEndpointList(text); });
-  const double parseSeconds = leastProcessor(kRepeats, [&] { wingslip::parseEndpointList(text); });
-  const double framingSeconds = leastProcessor(kRepeats, [&] {
+  const double parseSeconds = minProcessorSeconds(kRepeats, [&] { wingslip::parseEndpointList(text); });
+  const double framingSeconds = minProcessorSeconds(kRepeats, [&] {
     wingslip::JsonObjectFramer framer;
     framer.next(text);
   });
@@ -54,7 +54,7 @@
 std::vector<Figure> measureConfiguration(std::size_t classes, const CaseLimits&) {
   const std::string text = configurationText(classes);
   const double peak = peakBytesDuring([&] { wingslip::parseConfig(text); });
-  const double parseSeconds = leastProcessor(kRepeats, [&] { wingslip::parseConfig(text); });
+  const double parseSeconds = minProcessorSeconds(kRepeats, [&] { wingslip::parseConfig(text); });
   return {
       {"text", "B", static_cast<double>(text.size())}, {"peak", "B", peak}, {"processor", "s", parseSeconds}};
 }
