--- a/tools/lab/client_request.cpp
+++ b/tools/lab/client_request.cpp
@@ -7,7 +7,7 @@
 namespace wingslip::lab {
 namespace http = boost::beast::http;
 
-HttpRequest requestOf(const Scenario& scenario, std::uint64_t id, int customer, bool edit) {
+HttpRequest makeRequest(const Scenario& scenario, std::uint64_t id, int customer, bool edit) {
   char text[17], client[17];
   std::snprintf(text, sizeof text, "%016llx", static_cast<unsigned long long>(id));
   std::snprintf(client, sizeof client, "%016x", customer);
--- a/tools/lab/client_request.hpp
+++ b/tools/lab/client_request.hpp
@@ -12,6 +12,6 @@
 using HttpRequest = boost::beast::http::request<boost::beast::http::string_body>;
 
 /// Builds a request with this id for this customer: a keyed POST with a body if `edit`, else a safe GET.
-HttpRequest requestOf(const Scenario& scenario, std::uint64_t id, int customer, bool edit);
+HttpRequest makeRequest(const Scenario& scenario, std::uint64_t id, int customer, bool edit);
 
 }  // namespace wingslip::lab
--- a/tools/lab/fleet.cpp
+++ b/tools/lab/fleet.cpp
@@ -76,7 +76,7 @@
       links_(io_, scenario),
       clock_(io_),
       observed_{{}, {}, {}, {}, Figures(expectedFigures(scenario))},
-      front_(io_, gatekeepers_, clock_),
+      loadBalancer_(io_, gatekeepers_, clock_),
       load_(io_, scenario, gatekeepers_, clock_, verifier_, options.seed),
       misbehavingClients_(io_, scenario, gatekeepers_, clock_, verifier_,
                           options.seed ^ kMisbehavingClientsSeed) {
@@ -112,7 +112,7 @@
   if (scenario_.idle.each > 0) addIdleClients();
   checkHealth();
   // The load starts when the load balancer has every gatekeeper in rotation, or after 15 s with those it has.
-  waitForFront();
+  waitForRotation();
   clock_.restart();
   for (const Step& step : scenario_.steps) clock_.at(step.atS, [this, step] { apply(step); });
   load_.scheduleNextArrival();
@@ -170,7 +170,7 @@
   if (scenario_.faultLibrary)
     gatekeeper.faults = std::make_shared<FaultFile>(out / (name + ".faults"), scenario_.system);
   if (scenario_.inheritedSockets) {
-    gatekeeper.held = openListeningSocket(gatekeeper.port);
+    gatekeeper.listenFd = openListeningSocket(gatekeeper.port);
   }
   if (scenario_.inheritedSockets || scenario_.stateDirectories) {
     gatekeeper.state = out / (name + ".state");
--- a/tools/lab/fleet_observers.cpp
+++ b/tools/lab/fleet_observers.cpp
@@ -47,18 +47,19 @@
 
 void Fleet::queryRosters() {
   for (const Gatekeeper& gatekeeper : gatekeepers_)
-    if (gatekeeper.now.pid > 0)
-      askOps(io_, gatekeeper.now.ops, "roster", [this, g = gatekeeper.index](const std::string& answer) {
-        const std::string version = " version=" + std::to_string(rosterVersion_) + " ";
-        if (answer.rfind("200" + version, 0) == 0)
-          observed_.events.push_back({"roster_agreed", g, clock_.nowMs()});
-      });
+    if (gatekeeper.current.pid > 0)
+      callOperatorsPort(io_, gatekeeper.current.ops, "roster",
+                        [this, g = gatekeeper.index](const std::string& answer) {
+                          const std::string version = " version=" + std::to_string(rosterVersion_) + " ";
+                          if (answer.rfind("200" + version, 0) == 0)
+                            observed_.events.push_back({"roster_agreed", g, clock_.nowMs()});
+                        });
 }
 
 void Fleet::queryCopies() {
   for (const Gatekeeper& gatekeeper : gatekeepers_)
-    if (gatekeeper.now.pid > 0)
-      askOps(io_, gatekeeper.now.ops, "replica", [this](const std::string& answer) {
+    if (gatekeeper.current.pid > 0)
+      callOperatorsPort(io_, gatekeeper.current.ops, "replica", [this](const std::string& answer) {
         if (answer.rfind("200 copy=", 0) == 0) ++observed_.copies[answer.substr(9, 16)];
       });
 }
@@ -66,10 +67,11 @@
 void Fleet::pollFigures() {
   if (runIsEnding_ || !observed_.figures.hasSelection()) return;
   for (const Gatekeeper& gatekeeper : gatekeepers_)
-    if (gatekeeper.now.pid > 0)
-      askOps(io_, gatekeeper.now.ops, "telemetry", [this, g = gatekeeper.index](const std::string& answer) {
-        observed_.figures.addSamples(g, clock_.nowMs(), answer);
-      });
+    if (gatekeeper.current.pid > 0)
+      callOperatorsPort(io_, gatekeeper.current.ops, "telemetry",
+                        [this, g = gatekeeper.index](const std::string& answer) {
+                          observed_.figures.addSamples(g, clock_.nowMs(), answer);
+                        });
   clock_.at(clock_.nowMs() / 1000 + kFigurePollPeriodS, [this] { pollFigures(); });
 }
 
@@ -79,8 +81,8 @@
     ProcessUse all;
     int running = 0;
     for (const Gatekeeper& gatekeeper : gatekeepers_) {
-      if (gatekeeper.now.pid <= 0) continue;
-      const ProcessUse use = readProcessUse(gatekeeper.now.pid);
+      if (gatekeeper.current.pid <= 0) continue;
+      const ProcessUse use = readProcessUse(gatekeeper.current.pid);
       all.residentKb += use.residentKb, all.descriptors += use.descriptors;
       ++running;
     }
@@ -107,8 +109,8 @@
 }
 
 void Fleet::recordUsage(const Gatekeeper& gatekeeper) {
-  if (gatekeeper.now.pid <= 0) return;
-  const ProcessUse use = readProcessUse(gatekeeper.now.pid);
+  if (gatekeeper.current.pid <= 0) return;
+  const ProcessUse use = readProcessUse(gatekeeper.current.pid);
   runRecord_.maxPeakKb = std::max(runRecord_.maxPeakKb, use.peakKb);
   runRecord_.maxDescriptors = std::max(runRecord_.maxDescriptors, use.descriptors);
   ++runRecord_.measuredGatekeepers;
--- a/tools/lab/fleet_processes.cpp
+++ b/tools/lab/fleet_processes.cpp
@@ -17,8 +17,8 @@
 
 namespace {
 
-constexpr double kShortPauseMs = 200;       // no rule is relaxed for a process paused for up to this
-constexpr double kFrontReactionS = 0.3;     // new connections arrive for this long after SIGTERM
+constexpr double kShortPauseMs = 200;           // no rule is relaxed for a process paused for up to this
+constexpr double kLoadBalancerReactionS = 0.3;  // new connections arrive for this long after SIGTERM
 constexpr double kTermTimeoutS = 0.7 + 3;   // a platform sends SIGKILL then, counted for the longest deadline
 constexpr double kReadyPollPeriodS = 0.05;  // between two readiness checks of a new process
 constexpr std::chrono::seconds kStartTimeout{15};
@@ -28,29 +28,30 @@
 }  // namespace
 
 void Fleet::launch(Gatekeeper& gatekeeper) {
-  gatekeeper.now = start(gatekeeper, ports_, options_.gatekeeperProgram);
+  gatekeeper.current = startProcess(gatekeeper, ports_, options_.gatekeeperProgram);
   agents_[gatekeeper.index]->onGatekeeperStart();
   gatekeeper.stopped = false;
-  gatekeeper.inFront = false;
+  gatekeeper.inRotation = false;
   gatekeeper.shuttingDown = false;
   gatekeeper.failedChecks = 0;
-  std::ofstream(fs::path(options_.out) / "pids", std::ios::app) << gatekeeper.now.pid << "\n";
+  std::ofstream(fs::path(options_.out) / "pids", std::ios::app) << gatekeeper.current.pid << "\n";
 }
 
 void Fleet::upgrade(Gatekeeper& gatekeeper) {
-  if (gatekeeper.old.pid > 0) return;  // one upgrade at a time
-  gatekeeper.old = std::exchange(gatekeeper.now, start(gatekeeper, ports_, options_.gatekeeperProgram));
-  std::ofstream(fs::path(options_.out) / "pids", std::ios::app) << gatekeeper.now.pid << "\n";
-  awaitReady(gatekeeper.index, gatekeeper.now.pid);
+  if (gatekeeper.previous.pid > 0) return;  // one upgrade at a time
+  gatekeeper.previous =
+      std::exchange(gatekeeper.current, startProcess(gatekeeper, ports_, options_.gatekeeperProgram));
+  std::ofstream(fs::path(options_.out) / "pids", std::ios::app) << gatekeeper.current.pid << "\n";
+  awaitReady(gatekeeper.index, gatekeeper.current.pid);
 }
 
 void Fleet::awaitReady(int g, pid_t pid) {
-  askOps(io_, gatekeepers_[g].now.ops, "readyz", [this, g, pid](const std::string& answer) {
+  callOperatorsPort(io_, gatekeepers_[g].current.ops, "readyz", [this, g, pid](const std::string& answer) {
     Gatekeeper& gatekeeper = gatekeepers_[g];
-    if (runIsEnding_ || gatekeeper.now.pid != pid) return;
+    if (runIsEnding_ || gatekeeper.current.pid != pid) return;
     if (answer.rfind("200", 0) == 0) {
       spdlog::info("event=upgraded gatekeeper={} at_ms={:.0f}", g, clock_.nowMs());
-      if (gatekeeper.old.pid > 0) ::kill(gatekeeper.old.pid, SIGTERM);
+      if (gatekeeper.previous.pid > 0) ::kill(gatekeeper.previous.pid, SIGTERM);
       return;
     }
     clock_.at(clock_.nowMs() / 1000 + kReadyPollPeriodS, [this, g, pid] { awaitReady(g, pid); });
@@ -63,32 +64,32 @@
 }
 
 void Fleet::pauseProcess(Gatekeeper& gatekeeper, double forMs) {
-  if (gatekeeper.now.pid <= 0 || gatekeeper.stopped) return;
+  if (gatekeeper.current.pid <= 0 || gatekeeper.stopped) return;
   if (forMs > kShortPauseMs) longStopped_.insert(gatekeeper.index);
   sendSignal(gatekeeper, SIGSTOP);
-  clock_.at(clock_.nowMs() / 1000 + forMs / 1000, [this, &gatekeeper, pid = gatekeeper.now.pid] {
-    if (gatekeeper.now.pid == pid && !gatekeeper.stopped) sendSignal(gatekeeper, SIGCONT);
+  clock_.at(clock_.nowMs() / 1000 + forMs / 1000, [this, &gatekeeper, pid = gatekeeper.current.pid] {
+    if (gatekeeper.current.pid == pid && !gatekeeper.stopped) sendSignal(gatekeeper, SIGCONT);
   });
 }
 
 void Fleet::shutDownGracefully(Gatekeeper& gatekeeper) {
-  if (gatekeeper.now.pid <= 0 || gatekeeper.shuttingDown) return;
+  if (gatekeeper.current.pid <= 0 || gatekeeper.shuttingDown) return;
   endedByLab_.insert(gatekeeper.index);
   gatekeeper.shuttingDown = true;
   sendSignal(gatekeeper, SIGTERM);
-  const pid_t pid = gatekeeper.now.pid;
-  clock_.at(clock_.nowMs() / 1000 + kFrontReactionS, [&gatekeeper, pid] {
-    if (gatekeeper.now.pid == pid) gatekeeper.inFront = false;
+  const pid_t pid = gatekeeper.current.pid;
+  clock_.at(clock_.nowMs() / 1000 + kLoadBalancerReactionS, [&gatekeeper, pid] {
+    if (gatekeeper.current.pid == pid) gatekeeper.inRotation = false;
   });
   clock_.at(clock_.nowMs() / 1000 + kTermTimeoutS, [this, &gatekeeper, pid] {
-    if (gatekeeper.now.pid != pid || runIsEnding_) return;
+    if (gatekeeper.current.pid != pid || runIsEnding_) return;
     runRecord_.crashes.push_back("gatekeeper " + std::to_string(gatekeeper.index) + " has not exited " +
                                  std::to_string(kTermTimeoutS) + " s after SIGTERM");
   });
 }
 
 void Fleet::sendSignal(Gatekeeper& gatekeeper, int number) {
-  if (gatekeeper.now.pid > 0) ::kill(gatekeeper.now.pid, number);
+  if (gatekeeper.current.pid > 0) ::kill(gatekeeper.current.pid, number);
 }
 
 void Fleet::reap() {
@@ -100,9 +101,10 @@
 
 void Fleet::reapOldProcess(Gatekeeper& gatekeeper) {
   int status = 0;
-  if (gatekeeper.old.pid <= 0 || ::waitpid(gatekeeper.old.pid, &status, WNOHANG) != gatekeeper.old.pid)
+  if (gatekeeper.previous.pid <= 0 ||
+      ::waitpid(gatekeeper.previous.pid, &status, WNOHANG) != gatekeeper.previous.pid)
     return;
-  gatekeeper.old = {};
+  gatekeeper.previous = {};
   if (status == 0)
     observed_.events.push_back({"upgrades", gatekeeper.index, clock_.nowMs()});
   else
@@ -112,9 +114,10 @@
 
 void Fleet::reapProcess(Gatekeeper& gatekeeper) {
   int status = 0;
-  if (gatekeeper.now.pid <= 0 || ::waitpid(gatekeeper.now.pid, &status, WNOHANG) != gatekeeper.now.pid)
+  if (gatekeeper.current.pid <= 0 ||
+      ::waitpid(gatekeeper.current.pid, &status, WNOHANG) != gatekeeper.current.pid)
     return;
-  gatekeeper.now = {};
+  gatekeeper.current = {};
   if (gatekeeper.shuttingDown) {
     verifier_.gatekeeperDown(gatekeeper.index, clock_.nowMs());
     if (status != 0)
@@ -129,17 +132,17 @@
 
 void Fleet::checkHealth() {
   reap();
-  front_.check();
+  loadBalancer_.check();
   if (runIsEnding_) return;
   auto next = std::make_shared<asio::steady_timer>(io_, kHealthCheckPeriod);
   next->async_wait([this, next](const Error&) { checkHealth(); });
 }
 
-void Fleet::waitForFront() {
+void Fleet::waitForRotation() {
   const auto limit = Clock::now() + kStartTimeout;
   while (Clock::now() < limit) {
     io_.run_for(std::chrono::milliseconds(100));
-    if (front_.allInRotation()) return;
+    if (loadBalancer_.allInRotation()) return;
   }
   spdlog::warn("event=not_all_ready after_s={}", kStartTimeout.count());
 }
@@ -154,8 +157,8 @@
   verifier_.endRun(clock_.nowMs());
   const auto limit = Clock::now() + kEndTimeout;
   for (Gatekeeper& gatekeeper : gatekeepers_) {
-    awaitEnd(gatekeeper.index, gatekeeper.now, limit);
-    awaitEnd(gatekeeper.index, gatekeeper.old, limit);
+    awaitEnd(gatekeeper.index, gatekeeper.current, limit);
+    awaitEnd(gatekeeper.index, gatekeeper.previous, limit);
   }
   fs::remove(fs::path(options_.out) / "pids");
   io_.stop();
@@ -192,10 +195,10 @@
 }
 
 void Fleet::restartProcess(Gatekeeper& gatekeeper) {
-  if (gatekeeper.now.pid > 0) {
+  if (gatekeeper.current.pid > 0) {
     sendSignal(gatekeeper, SIGKILL);
-    ::waitpid(gatekeeper.now.pid, nullptr, 0);
-    gatekeeper.now = {};
+    ::waitpid(gatekeeper.current.pid, nullptr, 0);
+    gatekeeper.current = {};
   }
   endedByLab_.erase(gatekeeper.index);
   verifier_.gatekeeperDown(gatekeeper.index, clock_.nowMs());
--- a/tools/lab/fleet_run.hpp
+++ b/tools/lab/fleet_run.hpp
@@ -92,7 +92,7 @@
   /// Reaps exited processes and starts the load balancer's health checks, once per `kHealthCheckPeriod`.
   void checkHealth();
   /// Runs the loop until the load balancer has all gatekeepers in rotation, or until the start timeout.
-  void waitForFront();
+  void waitForRotation();
   /// Ends all processes and stops the event loop.
   void finish();
   /// Waits for the process to exit until `limit`, then kills it.
@@ -128,7 +128,7 @@
   std::vector<Gatekeeper> gatekeepers_;
   std::map<int, std::unique_ptr<IdleClients>> idleClients_;  // by gatekeeper
   Observations observed_;
-  Front front_;
+  LoadBalancer loadBalancer_;
   OpenLoad load_;
   MisbehavingClients misbehavingClients_;
   std::set<int> endedByLab_;   ///< gatekeepers whose process the lab ended on purpose
--- a/tools/lab/fleet_steps.cpp
+++ b/tools/lab/fleet_steps.cpp
@@ -33,9 +33,9 @@
   const int index = *step.gatekeeper;
   const int worker = *step.worker;
   if (step.kind == "include") verifier_.workerIncluded(index, worker);
-  const pid_t pid = gatekeepers_[index].now.pid;
-  askOps(io_, gatekeepers_[index].now.ops, step.kind + " w" + std::to_string(worker),
-         [this, step, pid](const std::string& answer) { checkOperatorAnswer(step, pid, answer); });
+  const pid_t pid = gatekeepers_[index].current.pid;
+  callOperatorsPort(io_, gatekeepers_[index].current.ops, step.kind + " w" + std::to_string(worker),
+                    [this, step, pid](const std::string& answer) { checkOperatorAnswer(step, pid, answer); });
 }
 
 void Fleet::checkOperatorAnswer(const Step& step, pid_t pid, const std::string& answer) {
@@ -43,7 +43,7 @@
   const bool accepted = answer.rfind("200", 0) == 0;
   const bool inForce = accepted || answer.find("not kept yet") != std::string::npos;
   if (step.kind == "exclude" && inForce) verifier_.workerExcluded(index, *step.worker, clock_.nowMs());
-  const bool processEnded = pid <= 0 || gatekeepers_[index].now.pid != pid || gatekeepers_[index].stopped;
+  const bool processEnded = pid <= 0 || gatekeepers_[index].current.pid != pid || gatekeepers_[index].stopped;
   if (accepted || processEnded || diskFaults_.contains(index)) return;
   runRecord_.crashes.push_back("line " + std::to_string(step.line) + ": " + step.kind + " was answered " +
                                (answer.empty() ? "nothing" : answer.substr(0, 60)));
--- a/tools/lab/load_balancer.cpp
+++ b/tools/lab/load_balancer.cpp
@@ -23,10 +23,13 @@
 }  // namespace
 
 // A single request for a gatekeeper's /health/ready on a new connection.
-class Front::HealthCheck : public std::enable_shared_from_this<HealthCheck> {
+class LoadBalancer::HealthCheck : public std::enable_shared_from_this<HealthCheck> {
  public:
-  HealthCheck(Front& front, int gatekeeper)
-      : front_(front), gatekeeper_(gatekeeper), socket_(front.io_), timer_(front.io_, kHealthCheckPeriod) {}
+  HealthCheck(LoadBalancer& loadBalancer, int gatekeeper)
+      : loadBalancer_(loadBalancer),
+        gatekeeper_(gatekeeper),
+        socket_(loadBalancer.io_),
+        timer_(loadBalancer.io_, kHealthCheckPeriod) {}
 
   void start(unsigned short port) {
     timer_.async_wait([self = shared_from_this()](const Error& error) {
@@ -57,12 +60,12 @@
   void end(bool ready) {
     timer_.cancel();
     if (ready)
-      front_.recordSuccess(gatekeeper_);
+      loadBalancer_.recordSuccess(gatekeeper_);
     else
-      front_.recordFailure(gatekeeper_);
+      loadBalancer_.recordFailure(gatekeeper_);
   }
 
-  Front& front_;
+  LoadBalancer& loadBalancer_;
   const int gatekeeper_;
   tcp::socket socket_;
   asio::steady_timer timer_;
@@ -71,27 +74,27 @@
   http::response<http::string_body> reply_;
 };
 
-void Front::check() {
+void LoadBalancer::check() {
   for (const Gatekeeper& gatekeeper : gatekeepers_)
     std::make_shared<HealthCheck>(*this, gatekeeper.index)->start(gatekeeper.port);
 }
 
-bool Front::allInRotation() const {
+bool LoadBalancer::allInRotation() const {
   return std::all_of(gatekeepers_.begin(), gatekeepers_.end(),
-                     [](const Gatekeeper& gatekeeper) { return gatekeeper.inFront; });
+                     [](const Gatekeeper& gatekeeper) { return gatekeeper.inRotation; });
 }
 
-void Front::recordSuccess(int gatekeeper) {
+void LoadBalancer::recordSuccess(int gatekeeper) {
   Gatekeeper& gk = gatekeepers_[gatekeeper];
   gk.failedChecks = 0;
-  if (!gk.inFront) spdlog::info("event=in_front gatekeeper={} at_ms={:.0f}", gatekeeper, clock_.nowMs());
-  gk.inFront = true;
+  if (!gk.inRotation) spdlog::info("event=in_front gatekeeper={} at_ms={:.0f}", gatekeeper, clock_.nowMs());
+  gk.inRotation = true;
 }
 
-void Front::recordFailure(int gatekeeper) {
+void LoadBalancer::recordFailure(int gatekeeper) {
   Gatekeeper& gk = gatekeepers_[gatekeeper];
-  if (++gk.failedChecks < kUnhealthyThreshold || !gk.inFront) return;
-  gk.inFront = false;
+  if (++gk.failedChecks < kUnhealthyThreshold || !gk.inRotation) return;
+  gk.inRotation = false;
   spdlog::info("event=out_of_front gatekeeper={} at_ms={:.0f}", gatekeeper, clock_.nowMs());
 }
 
--- a/tools/lab/load_balancer.hpp
+++ b/tools/lab/load_balancer.hpp
@@ -14,12 +14,12 @@
 /// Period of the health checks of one gatekeeper, and the time-out of a check.
 constexpr auto kHealthCheckPeriod = std::chrono::milliseconds(250);
 
-/// Maintains `Gatekeeper::inFront`: a gatekeeper enters the rotation at the first answer 200 and leaves it
+/// Maintains `Gatekeeper::inRotation`: a gatekeeper enters the rotation at the first answer 200 and leaves it
 /// after several consecutive failed checks. Runs on the given loop; not thread-safe. Keeps references: the
 /// arguments of the constructor must outlive it.
-class Front {
+class LoadBalancer {
  public:
-  Front(boost::asio::io_context& io, std::vector<Gatekeeper>& gatekeepers, const RunClock& clock)
+  LoadBalancer(boost::asio::io_context& io, std::vector<Gatekeeper>& gatekeepers, const RunClock& clock)
       : io_(io), gatekeepers_(gatekeepers), clock_(clock) {}
 
   /// Starts one health check of each gatekeeper.
--- a/tools/lab/misbehaving_clients.cpp
+++ b/tools/lab/misbehaving_clients.cpp
@@ -103,7 +103,7 @@
     if (loadEnded()) return;
     std::vector<int> candidates;
     for (const Gatekeeper& gatekeeper : parent_.gatekeepers_)
-      if (gatekeeper.inFront) candidates.push_back(gatekeeper.index);
+      if (gatekeeper.inRotation) candidates.push_back(gatekeeper.index);
     if (candidates.empty()) return scheduleExchange();
     gatekeeper_ = candidates[random_() % candidates.size()];
     socket_.async_connect(
@@ -130,8 +130,8 @@
     const std::uint64_t id = random_() >> 1 | 1;
     const bool edit = uniform() < parent_.scenario_.editShare;
     pending_.push_back(id);
-    return textOf(requestOf(parent_.scenario_, id,
-                            1 + static_cast<int>(random_() % parent_.scenario_.customers), edit));
+    return textOf(makeRequest(parent_.scenario_, id,
+                              1 + static_cast<int>(random_() % parent_.scenario_.customers), edit));
   }
 
   /// Records all pending requests as sent now.
--- a/tools/lab/open_load.cpp
+++ b/tools/lab/open_load.cpp
@@ -100,15 +100,15 @@
   });
 }
 
-std::vector<int> OpenLoad::gatekeepersInFront() const {
+std::vector<int> OpenLoad::gatekeepersInRotation() const {
   std::vector<int> out;
   for (const Gatekeeper& gatekeeper : gatekeepers_)
-    if (gatekeeper.inFront) out.push_back(gatekeeper.index);
+    if (gatekeeper.inRotation) out.push_back(gatekeeper.index);
   return out;
 }
 
 void OpenLoad::send() {
-  const std::vector<int> candidates = gatekeepersInFront();
+  const std::vector<int> candidates = gatekeepersInRotation();
   if (candidates.empty() || inFlight_ >= scenario_.mostInFlight) return void(++notSent_);
   const int gatekeeper =
       candidates[std::uniform_int_distribution<std::size_t>(0, candidates.size() - 1)(random_)];
@@ -117,7 +117,7 @@
   const std::uint64_t id = random_() >> 1 | 1;
   verifier_.sent(id, gatekeeper, clock_.nowMs(), scenario_.deadlineMs);
   ++inFlight_;
-  std::make_shared<Exchange>(*this, id, requestOf(scenario_, id, customer, edit))
+  std::make_shared<Exchange>(*this, id, makeRequest(scenario_, id, customer, edit))
       ->start(gatekeepers_[gatekeeper].port);
 }
 
--- a/tools/lab/open_load.hpp
+++ b/tools/lab/open_load.hpp
@@ -37,7 +37,7 @@
   class Exchange;
 
   void send();
-  std::vector<int> gatekeepersInFront() const;
+  std::vector<int> gatekeepersInRotation() const;
 
   boost::asio::io_context& io_;
   const Scenario& scenario_;
--- a/tools/lab/process.cpp
+++ b/tools/lab/process.cpp
@@ -83,7 +83,7 @@
                                      static_cast<unsigned>(start) % kOpsPorts);
 }
 
-Process start(Gatekeeper& gk, const Ports& ports, const std::string& program) {
+Process startProcess(Gatekeeper& gk, const Ports& ports, const std::string& program) {
   Process out;
   out.ops = ports.ops(gk.index, gk.starts++);
   const std::string ops = "127.0.0.1:" + std::to_string(out.ops);
@@ -96,8 +96,8 @@
     std::FILE* log = std::fopen(gk.log.c_str(), "a");
     if (log) ::dup2(::fileno(log), 2), ::dup2(::fileno(log), 1);
     unsigned firstClosed = 3;
-    if (gk.held >= 0) {
-      ::dup2(gk.held, kInheritedFd);
+    if (gk.listenFd >= 0) {
+      ::dup2(gk.listenFd, kInheritedFd);
       for (int fd = 3; fd < kInheritedFd; ++fd) ::close(fd);
       firstClosed = kInheritedFd + 1;
       ::setenv("BALANCER_ACCEPT_FD", std::to_string(kInheritedFd).c_str(), 1);
@@ -168,8 +168,8 @@
   }
 }
 
-void askOps(asio::io_context& io, unsigned short port, const std::string& call,
-            std::function<void(const std::string&)> then) {
+void callOperatorsPort(asio::io_context& io, unsigned short port, const std::string& call,
+                       std::function<void(const std::string&)> then) {
   struct Call {
     explicit Call(asio::io_context& loop) : socket(loop), timer(loop, std::chrono::seconds(1)) {}
     tcp::socket socket;
--- a/tools/lab/process.hpp
+++ b/tools/lab/process.hpp
@@ -47,12 +47,12 @@
   unsigned short port = 0;
   std::filesystem::path config, log, state;  ///< state: the $TMPDIR directory; empty: none is set
   std::shared_ptr<FaultFile> faults;         ///< control file of the fault library; null: runs without it
-  int held = -1;                          ///< descriptor of the clients' listening socket if the lab owns it
-  Process now, old;                       ///< old: the process being replaced by an upgrade, until it exits
-  int starts = 0;                         ///< number of processes started so far
-  bool inFront = false, stopped = false;  ///< in the load balancer's rotation; stopped by SIGSTOP
-  bool shuttingDown = false;              ///< SIGTERM was sent for a graceful shutdown; not restarted since
-  int failedChecks = 0;                   ///< consecutive failed health checks
+  int listenFd = -1;          ///< descriptor of the clients' listening socket if the lab owns it
+  Process current, previous;  ///< previous: the process being replaced by an upgrade, until it exits
+  int starts = 0;             ///< number of processes started so far
+  bool inRotation = false, stopped = false;  ///< in the load balancer's rotation; stopped by SIGSTOP
+  bool shuttingDown = false;  ///< SIGTERM was sent for a graceful shutdown; not restarted since
+  int failedChecks = 0;       ///< consecutive failed health checks
 };
 
 /// Resource usage of a process since its start.
@@ -66,7 +66,7 @@
 
 /// Starts `program` as a process of the gatekeeper. The kernel kills it when the lab exits.
 /// @throws std::runtime_error if fork fails.
-Process start(Gatekeeper& gatekeeper, const Ports& ports, const std::string& program);
+Process startProcess(Gatekeeper& gatekeeper, const Ports& ports, const std::string& program);
 
 /// Opens a listening socket on 127.0.0.1 for gatekeeper processes to inherit. The caller owns the descriptor.
 /// @throws std::runtime_error if the port cannot be bound.
@@ -78,7 +78,7 @@
 
 /// Makes one call to the operators' listener on the port. `then` gets the complete answer, or "" on an error
 /// or after a time-out of 1 s.
-void askOps(boost::asio::io_context& io, unsigned short port, const std::string& call,
-            std::function<void(const std::string&)> then);
+void callOperatorsPort(boost::asio::io_context& io, unsigned short port, const std::string& call,
+                       std::function<void(const std::string&)> then);
 
 }  // namespace wingslip::lab
--- a/tools/lab/scale_cases_process.cpp
+++ b/tools/lab/scale_cases_process.cpp
@@ -88,19 +88,19 @@
     file["name"] = name;
     file["listen"] = loopbackAt(gatekeeper_.port);
     std::ofstream(gatekeeper_.config) << file.dump();
-    gatekeeper_.now = start(gatekeeper_, ports, limits.gatekeeperProgram);
+    gatekeeper_.current = startProcess(gatekeeper_, ports, limits.gatekeeperProgram);
   }
   RealGatekeeper(const RealGatekeeper&) = delete;
   RealGatekeeper& operator=(const RealGatekeeper&) = delete;
   ~RealGatekeeper() {
-    ::kill(gatekeeper_.now.pid, SIGKILL);
-    ::waitpid(gatekeeper_.now.pid, nullptr, 0);
+    ::kill(gatekeeper_.current.pid, SIGKILL);
+    ::waitpid(gatekeeper_.current.pid, nullptr, 0);
   }
 
   std::string telemetry() {
     std::string out;
     bool answered = false;
-    askOps(io_, gatekeeper_.now.ops, "telemetry", [&](const std::string& answer) {
+    callOperatorsPort(io_, gatekeeper_.current.ops, "telemetry", [&](const std::string& answer) {
       out = answer;
       answered = true;
     });
@@ -112,16 +112,16 @@
   bool waitForMetric(const std::string& name, double value, milliseconds timeout) {
     const auto until = Clock::now() + timeout;
     while (Clock::now() < until) {
-      if (::waitpid(gatekeeper_.now.pid, nullptr, WNOHANG) != 0)
+      if (::waitpid(gatekeeper_.current.pid, nullptr, WNOHANG) != 0)
         throw std::runtime_error("the gatekeeper ended by itself; see " + gatekeeper_.log.string());
       if (metricOf(telemetry(), name) == value) return true;
       io_.run_for(kPollInterval);
     }
     return false;
   }
-  double processorSeconds() const { return processorSecondsOf(gatekeeper_.now.pid); }
-  double residentBytes() const { return statusBytes(std::to_string(gatekeeper_.now.pid), "VmRSS"); }
-  double peakBytes() const { return statusBytes(std::to_string(gatekeeper_.now.pid), "VmHWM"); }
+  double processorSeconds() const { return processorSecondsOf(gatekeeper_.current.pid); }
+  double residentBytes() const { return statusBytes(std::to_string(gatekeeper_.current.pid), "VmRSS"); }
+  double peakBytes() const { return statusBytes(std::to_string(gatekeeper_.current.pid), "VmHWM"); }
 
  private:
   boost::asio::io_context& io_;
