--- a/tools/lab/scale_cases_decision.cpp
+++ b/tools/lab/scale_cases_decision.cpp
@@ -61,7 +61,7 @@
     request.classIndex = 0;
     request.customer = customer;
     request.expiresAt = now + kDeadlineMs;
-    request.customerGateways = kGatekeepersPerCustomer;
+    request.customerGatewayCount = kGatekeepersPerCustomer;
     gateway.onRequest(now, request);
     return recorder.lastSentId == lastRequestId;
   }
@@ -219,7 +219,7 @@
   out.maxRetryAfterMs = 2000;
   out.quotaReadingPeriodMs = 1000;
   out.drainGraceMs = 2000;
-  out.slowStartShare = 0.2;
+  out.slowStartInitialShare = 0.2;
   out.slowStartMs = 10000;
   out.overloadMultiple = 2;
   out.overloadWindowMs = 1000;
--- a/tools/lab/scale_cases_process.cpp
+++ b/tools/lab/scale_cases_process.cpp
@@ -202,7 +202,7 @@
   }
   void add(boost::asio::io_context& io, const Ports& ports, unsigned index, unsigned first) {
     const std::string address = loopbackAt(ports.peers(static_cast<int>(index)));
-    wingslip::Replication settings;
+    wingslip::ReplicationConfig settings;
     settings.listen = wingslip::parseEndpoint(address);
     settings.advertise = address;
     settings.fleet = "scale";
--- a/tools/lab/simulated_candidates.cpp
+++ b/tools/lab/simulated_candidates.cpp
@@ -66,13 +66,13 @@
       armTimer();
     });
   }
-  bool isLeading() const { return !crashed && election->mayAct(fleet.events_.now(), kTask); }
+  bool isLeading() const { return !crashed && election->isLeaderWithValidLease(fleet.events_.now(), kTask); }
 
   void callStore(const StoreCall& call) override { fleet.call(*this, call); }
   void cancelCall(std::uint64_t callId) override { unanswered.erase(callId); }
   void logEvent(const std::string&) override {}
   void onElected(Time, FencingToken, const std::string&) override {}
-  void onDeposed(Time) override {}
+  void onLeadershipLost(Time) override {}
   void onRecord(Time, FencingToken, const std::string&, const std::string&) override {}
   void onRegistrations(Time, const std::vector<Registration>&) override {}
 
