--- a/tests/lab_test.cpp
+++ b/tests/lab_test.cpp
@@ -8,8 +8,8 @@
 #include <map>
 
 #include "figures.hpp"
-#include "judge.hpp"
 #include "plot.hpp"
+#include "run_verifier.hpp"
 #include "scenario.hpp"
 
 namespace wingslip::lab {
@@ -22,7 +22,7 @@
   std::ofstream(path) << text;
   try {
     readScenario(path.string());
-  } catch (const BadScenario& error) {
+  } catch (const InvalidScenario& error) {
     const std::string what = error.what();
     return what.substr(what.find(".toml:") + 6);
   }
@@ -91,7 +91,7 @@
   const std::string path = std::string(LAB_SCENARIOS) + "/random.toml";
   const auto describe = [](const Scenario& s) {
     std::string out;
-    for (const Step& step : s.steps) out += step.what + "@" + std::to_string(step.atS) + ";";
+    for (const Step& step : s.steps) out += step.kind + "@" + std::to_string(step.atS) + ";";
     return out;
   };
   const Scenario scenario = readScenario(path, 0, 0, 1);
@@ -105,17 +105,17 @@
     const std::string target =
         (step.gatekeeper ? "g" : "w") + std::to_string(step.gatekeeper.value_or(step.worker.value_or(-1)));
     const bool repair =
-        step.what == "restart" || step.what == "cont" || step.what == "heal" || step.what == "revive";
-    EXPECT_EQ(open[target], repair ? 1 : 0) << step.what << " at " << step.atS;
+        step.kind == "restart" || step.kind == "cont" || step.kind == "heal" || step.kind == "revive";
+    EXPECT_EQ(open[target], repair ? 1 : 0) << step.kind << " at " << step.atS;
     open[target] += repair ? -1 : 1;
   }
   for (const auto& [target, n] : open) EXPECT_EQ(n, 0) << target;
 }
 
 TEST(RunVerifier, A200MustCarryTheWorkersBodyForThatRequest) {
-  Judge verifier(2);
+  RunVerifier verifier(2);
   verifier.sent(1, 0, 0, 1000), verifier.sent(2, 0, 0, 1000), verifier.sent(3, 0, 0, 1000);
-  verifier.attempt(1, 0, 0, 10, "body one"), verifier.attempt(2, 0, 0, 10, "body two");
+  verifier.attemptReceived(1, 0, 0, 10, "body one"), verifier.attemptReceived(2, 0, 0, 10, "body two");
   verifier.answered(1, 20, 200, "body one");
   verifier.answered(2, 20, 200, "body one");  // the body of another request
   verifier.answered(3, 20, 200, "made here");
@@ -125,27 +125,28 @@
 }
 
 TEST(RunVerifier, AttemptsPastTheCapOrAfterADrainAreViolations) {
-  Judge verifier(2);
+  RunVerifier verifier(2);
   verifier.sent(1, 0, 0, 1000);
-  verifier.attempt(1, 0, 0, 10, "a"), verifier.attempt(1, 1, 0, 20, "a");
+  verifier.attemptReceived(1, 0, 0, 10, "a"), verifier.attemptReceived(1, 1, 0, 20, "a");
   EXPECT_EQ(verifier.violationCount(), 0);
-  verifier.attempt(1, 2, 0, 30, "a");
+  verifier.attemptReceived(1, 2, 0, 30, "a");
   EXPECT_EQ(verifier.violationCount(), 1);
-  verifier.drainTold(0, 3, 100);
+  verifier.drainReported(0, 3, 100);
   verifier.sent(2, 0, 0, 5000), verifier.sent(3, 1, 0, 5000);
-  verifier.attempt(2, 3, 0, 2100, "b");  // within 2 s
-  verifier.attempt(3, 3, 1, 2500, "c");  // another gatekeeper, which had no report that the worker drains
+  verifier.attemptReceived(2, 3, 0, 2100, "b");  // within 2 s
+  // Another gatekeeper, which had no report that the worker drains.
+  verifier.attemptReceived(3, 3, 1, 2500, "c");
   EXPECT_EQ(verifier.violationCount(), 1);
-  verifier.attempt(2, 3, 0, 2101, "b");
+  verifier.attemptReceived(2, 3, 0, 2101, "b");
   EXPECT_EQ(verifier.violationCount(), 2);
   EXPECT_EQ(verifier.attempts([](int w) { return w == 3; }, 0, 1e9), 3);
 }
 
 TEST(RunVerifier, ACloseWithoutAnswerIsAViolationUnlessItsGatekeeperWasDown) {
-  Judge verifier(3);
+  RunVerifier verifier(3);
   verifier.sent(1, 0, 0, 1000), verifier.sent(2, 1, 0, 1000), verifier.sent(3, 1, 500, 1000),
       verifier.sent(4, 1, 1600, 1000);
-  verifier.down(1, 100), verifier.up(1, 1500);
+  verifier.gatekeeperDown(1, 100), verifier.gatekeeperUp(1, 1500);
   verifier.ended(1, 50, RequestOutcome::closed);
   verifier.ended(2, 200, RequestOutcome::closed);
   verifier.ended(3, 1400, RequestOutcome::timedOut);
@@ -154,20 +155,20 @@
   EXPECT_EQ(verifier.violationCount(), 2);
   EXPECT_EQ(verifier.count(RequestOutcome::closed, 1), 1);
   verifier.sent(5, 0, 3000, 1000);
-  verifier.close(5000);
+  verifier.endRun(5000);
   EXPECT_EQ(verifier.count(RequestOutcome::timedOut), 2);
   EXPECT_EQ(verifier.violationCount(), 3);
 }
 
 TEST(RunVerifier, TokensOnlyIncreaseAndHaveOneHolderEach) {
-  Judge verifier(3);
-  EXPECT_TRUE(verifier.recorded(1, "a", 0));
-  EXPECT_FALSE(verifier.recorded(1, "a", 1));
-  EXPECT_TRUE(verifier.recorded(3, "b", 2));
+  RunVerifier verifier(3);
+  EXPECT_TRUE(verifier.dutyRecordWritten(1, "a", 0));
+  EXPECT_FALSE(verifier.dutyRecordWritten(1, "a", 1));
+  EXPECT_TRUE(verifier.dutyRecordWritten(3, "b", 2));
   EXPECT_EQ(verifier.violationCount(), 0);
-  EXPECT_FALSE(verifier.recorded(2, "a", 3));
+  EXPECT_FALSE(verifier.dutyRecordWritten(2, "a", 3));
   EXPECT_EQ(verifier.violationCount(), 1);
-  EXPECT_FALSE(verifier.recorded(3, "a", 4));
+  EXPECT_FALSE(verifier.dutyRecordWritten(3, "a", 4));
   EXPECT_EQ(verifier.violationCount(), 2);
 }
 
@@ -181,17 +182,17 @@
 
 TEST(Figures, MaximumPerGatekeeperAndIntervalOrNoneWithoutSamples) {
   Figures figures({"inflight"});
-  figures.told(0, 1000, "svc.inflight:3|g\nsvc.other:90|g\n");
-  figures.told(0, 2000, "svc.inflight:7|g\n");
-  figures.told(0, 3000, "svc.inflight:9|g\n");
-  figures.told(0, 3500, "");  // no answer
-  figures.told(1, 1500, "svc.inflight:5|g\n");
-  EXPECT_EQ(figures.most("inflight", 0, 0, 3000), 7);
-  EXPECT_EQ(figures.most("inflight", 0, 0, 3001), 9);
-  EXPECT_EQ(figures.most("inflight", 1, 0, 4000), 5);
-  EXPECT_EQ(figures.most("inflight", 1, 1501, 4000), std::nullopt);
-  EXPECT_EQ(figures.most("inflight", 0, 3200, 4000), std::nullopt);
-  EXPECT_EQ(figures.most("other", 0, 0, 4000), std::nullopt) << "not selected";
+  figures.addSamples(0, 1000, "svc.inflight:3|g\nsvc.other:90|g\n");
+  figures.addSamples(0, 2000, "svc.inflight:7|g\n");
+  figures.addSamples(0, 3000, "svc.inflight:9|g\n");
+  figures.addSamples(0, 3500, "");  // no answer
+  figures.addSamples(1, 1500, "svc.inflight:5|g\n");
+  EXPECT_EQ(figures.maximum("inflight", 0, 0, 3000), 7);
+  EXPECT_EQ(figures.maximum("inflight", 0, 0, 3001), 9);
+  EXPECT_EQ(figures.maximum("inflight", 1, 0, 4000), 5);
+  EXPECT_EQ(figures.maximum("inflight", 1, 1501, 4000), std::nullopt);
+  EXPECT_EQ(figures.maximum("inflight", 0, 3200, 4000), std::nullopt);
+  EXPECT_EQ(figures.maximum("other", 0, 0, 4000), std::nullopt) << "not selected";
 }
 
 // A second with twice as many requests has a bar twice as high; a fault is drawn at its time, with its label.
--- a/tools/lab/expectations.hpp
+++ b/tools/lab/expectations.hpp
@@ -9,7 +9,7 @@
 
 #include "figures.hpp"
 #include "idle_clients.hpp"
-#include "judge.hpp"
+#include "run_verifier.hpp"
 #include "scenario.hpp"
 
 namespace wingslip::lab {
@@ -29,7 +29,7 @@
 
 /// The observations that expectations count, other than the outcomes of requests.
 struct Observations {
-  std::vector<ObservedEvent> noted;
+  std::vector<ObservedEvent> events;
   std::vector<RecordedRoster> rosters;  ///< in order of time
   std::map<std::string, long> copies;  ///< number of gatekeepers by their copy of the shared state at the end
   std::map<int, IdleClientCounts> idleClients;  ///< by gatekeeper
@@ -40,25 +40,25 @@
 class Expectations {
  public:
   /// All arguments must outlive it.
-  Expectations(const Scenario& scenario, const Judge& verifier, const Observations& observations)
+  Expectations(const Scenario& scenario, const RunVerifier& verifier, const Observations& observations)
       : scenario_(scenario), verifier_(verifier), observations_(observations) {}
 
   /// The maximum of a figure over the gatekeepers of the expectation; none if one of them did not report it.
-  std::optional<long> figure(const Expect& expect) const;
+  std::optional<long> figure(const Expectation& expect) const;
 
   /// One line of text for each expectation that is not met.
   std::vector<std::string> unmet() const;
 
  private:
-  std::optional<long> count(const Expect& expect) const;
+  std::optional<long> count(const Expectation& expect) const;
   IdleClientCounts idleClients(std::optional<int> gatekeeper) const;
-  long attempts(const Expect& expect) const;
+  long attempts(const Expectation& expect) const;
   long mostEqualCopies() const;
   long namesInRoster(const std::string& state, double beforeMs) const;
-  long noted(const Expect& expect) const;
+  long eventCount(const Expectation& expect) const;
 
   const Scenario& scenario_;
-  const Judge& verifier_;
+  const RunVerifier& verifier_;
   const Observations& observations_;
 };
 
--- a/tools/lab/fleet.cpp
+++ b/tools/lab/fleet.cpp
@@ -25,7 +25,7 @@
 constexpr int kDescriptorsPerConnection = 3;  // the proxy's two sockets and the worker's
 constexpr int kOtherDescriptors = 500;        // of the lab, beside links, connections and clients
 constexpr double kThrottledMs = 300;          // longest delay of a request by a throttled link
-constexpr std::uint64_t kRoughSeed = 0x2545f4914f6cdd1dULL;  // XORed with the run's seed
+constexpr std::uint64_t kMisbehavingClientsSeed = 0x2545f4914f6cdd1dULL;  // XORed with the run's seed
 constexpr std::uint64_t kIdleSeedStep = 104729;  // distance between the idle clients' seeds of two runs
 
 // Estimates the lab's own descriptors: a listener for each link, three descriptors for each connection
@@ -40,7 +40,7 @@
   const long requests = std::lround(s.rate * s.deadlineMs / 1000);
   const auto needed = static_cast<rlim_t>(
       s.idle.each * gatekeepersWithIdle + links + kDescriptorsPerConnection * connections +
-      std::min<long>(requests, s.mostInFlight) + s.rough.clients + kOtherDescriptors);
+      std::min<long>(requests, s.mostInFlight) + s.misbehavingLoad.clients + kOtherDescriptors);
   rlimit limit{};
   ::getrlimit(RLIMIT_NOFILE, &limit);
   if (limit.rlim_max < needed)
@@ -71,19 +71,20 @@
 Fleet::Fleet(const Scenario& scenario, const RunOptions& options)
     : scenario_(scenario),
       options_(options),
-      judge_(scenario.attemptsCap),
+      verifier_(scenario.attemptsCap),
       ports_(io_),
       links_(io_, scenario),
       clock_(io_),
       observed_{{}, {}, {}, {}, Figures(expectedFigures(scenario))},
-      front_(io_, gatekeepers_, clock_),
-      load_(io_, scenario, gatekeepers_, clock_, judge_, options.seed),
-      rough_(io_, scenario, gatekeepers_, clock_, judge_, options.seed ^ kRoughSeed) {
+      loadBalancer_(io_, gatekeepers_, clock_),
+      load_(io_, scenario, gatekeepers_, clock_, verifier_, options.seed),
+      misbehavingClients_(io_, scenario, gatekeepers_, clock_, verifier_,
+                          options.seed ^ kMisbehavingClientsSeed) {
   double delay = 0;
   for (const Step& step : scenario.steps)
-    if (step.what == "delay" || step.what == "throttle") delay = std::max(delay, step.delayMs + kThrottledMs);
-  judge_.linksDelay(delay);
-  judge_.lateIsExcusedWhileDown(scenario.clientsMayWait);
+    if (step.kind == "delay" || step.kind == "throttle") delay = std::max(delay, step.delayMs + kThrottledMs);
+  verifier_.setLinkDelay(delay);
+  verifier_.exemptLateAnswersWhileDown(scenario.toleratesLateAnswers);
 }
 
 int Fleet::run() {
@@ -93,7 +94,7 @@
   if (scenario_.store) startStore();
   for (int w = 0; w < scenario_.workers; ++w)
     workers_.push_back(std::make_unique<Worker>(
-        io_, w, scenario_, judge_, links_.origins(), [this] { return clock_.nowMs(); },
+        io_, w, scenario_, verifier_, links_.origins(), [this] { return clock_.nowMs(); },
         options_.seed * 1000 + w));
   if (scenario_.replica) addPeerLinks();
   for (int g = 0; g < scenario_.gatekeepers; ++g) {
@@ -104,18 +105,18 @@
       list.push_back({std::string("w").append(std::to_string(w)), "127.0.0.1:" + std::to_string(port),
                       scenario_.zones[scenario_.zoneOf(w)], "Ready", 0});
     }
-    agents_.push_back(std::make_unique<Agent>(io_, g, list, judge_, [this] { return clock_.nowMs(); }));
+    agents_.push_back(std::make_unique<Agent>(io_, g, list, verifier_, [this] { return clock_.nowMs(); }));
     gatekeepers_.push_back(makeGatekeeper(g));
   }
   for (Gatekeeper& gatekeeper : gatekeepers_) launch(gatekeeper);
   if (scenario_.idle.each > 0) addIdleClients();
   checkHealth();
   // The load starts when the load balancer has every gatekeeper in rotation, or after 15 s with those it has.
-  waitForFront();
+  waitForRotation();
   clock_.restart();
   for (const Step& step : scenario_.steps) clock_.at(step.atS, [this, step] { apply(step); });
-  load_.arrive();
-  rough_.start();
+  load_.scheduleNextArrival();
+  misbehavingClients_.start();
   scheduleIdleClients();
   pollFigures();
   logProgress();
@@ -168,10 +169,10 @@
   fs::remove(gatekeeper.log);  // left by an earlier run in this directory
   if (scenario_.faultLibrary)
     gatekeeper.faults = std::make_shared<FaultFile>(out / (name + ".faults"), scenario_.system);
-  if (scenario_.heldSockets) {
-    gatekeeper.held = openListeningSocket(gatekeeper.port);
+  if (scenario_.inheritedSockets) {
+    gatekeeper.listenFd = openListeningSocket(gatekeeper.port);
   }
-  if (scenario_.heldSockets || scenario_.stateFolders) {
+  if (scenario_.inheritedSockets || scenario_.stateDirectories) {
     gatekeeper.state = out / (name + ".state");
     fs::remove_all(gatekeeper.state);
     fs::create_directories(gatekeeper.state);
@@ -192,14 +193,14 @@
   runRecord_.failedCalls = failedCalls();
   for (const auto& worker : workers_) runRecord_.workerConnections += worker->accepted();
   for (const auto& agent : agents_) runRecord_.listBytes += agent->bytesSent();
-  if (store_) runRecord_.store = StoreUse{store_->calls(), store_->callsBySecond(), claims_};
+  if (store_) runRecord_.store = StoreLoad{store_->calls(), store_->callsBySecond(), claims_};
   for (const auto& [g, clients] : idleClients_) observed_.idleClients[g] = clients->counts();
   runRecord_.idleClients = observed_.idleClients;
-  const Expectations expectations(scenario_, judge_, observed_);
-  for (const Expect& e : scenario_.expects)
-    if (e.fate == "figure") runRecord_.figures.push_back({e.line, e.figure, expectations.figure(e)});
+  const Expectations expectations(scenario_, verifier_, observed_);
+  for (const Expectation& e : scenario_.expects)
+    if (e.countName == "figure") runRecord_.figures.push_back({e.line, e.figure, expectations.figure(e)});
   runRecord_.unmet = expectations.unmet();
-  writeReport(options_.out, scenario_, judge_, runRecord_);
+  writeReport(options_.out, scenario_, verifier_, runRecord_);
   return printReport(options_.out);
 }
 
--- a/tools/lab/fleet_observers.cpp
+++ b/tools/lab/fleet_observers.cpp
@@ -23,7 +23,7 @@
     const json record = json::parse(value, nullptr, false);
     if (key != "lab/duties/roster/record" || !record.is_object()) return;
     const std::string holder = record.value("holder", "");
-    if (judge_.recorded(record.value("token", std::uint64_t{0}), holder, clock_.nowMs())) {
+    if (verifier_.dutyRecordWritten(record.value("token", std::uint64_t{0}), holder, clock_.nowMs())) {
       // The holder is an instance; the key members/gN/INSTANCE maps it to its gatekeeper.
       int gatekeeper = -1;
       for (const std::string& member : members)
@@ -32,7 +32,7 @@
       spdlog::info("event=claim token={} gatekeeper={} at_ms={:.0f}", record["token"].dump(), gatekeeper,
                    clock_.nowMs());
       leader_ = std::max(0, gatekeeper);
-      observed_.noted.push_back({"claims", gatekeeper, clock_.nowMs()});
+      observed_.events.push_back({"claims", gatekeeper, clock_.nowMs()});
       claims_.push_back({clock_.nowMs(), gatekeeper, record["token"].get<std::uint64_t>()});
       runRecord_.marks.push_back({clock_.nowMs() / 1000, "g" + std::to_string(gatekeeper) + " holds"});
     }
@@ -47,29 +47,31 @@
 
 void Fleet::queryRosters() {
   for (const Gatekeeper& gatekeeper : gatekeepers_)
-    if (gatekeeper.now.pid > 0)
-      askOps(io_, gatekeeper.now.ops, "roster", [this, g = gatekeeper.index](const std::string& answer) {
-        const std::string version = " version=" + std::to_string(rosterVersion_) + " ";
-        if (answer.rfind("200" + version, 0) == 0)
-          observed_.noted.push_back({"roster_agreed", g, clock_.nowMs()});
-      });
+    if (gatekeeper.current.pid > 0)
+      callOperatorsPort(io_, gatekeeper.current.ops, "roster",
+                        [this, g = gatekeeper.index](const std::string& answer) {
+                          const std::string version = " version=" + std::to_string(rosterVersion_) + " ";
+                          if (answer.rfind("200" + version, 0) == 0)
+                            observed_.events.push_back({"roster_agreed", g, clock_.nowMs()});
+                        });
 }
 
 void Fleet::queryCopies() {
   for (const Gatekeeper& gatekeeper : gatekeepers_)
-    if (gatekeeper.now.pid > 0)
-      askOps(io_, gatekeeper.now.ops, "replica", [this](const std::string& answer) {
+    if (gatekeeper.current.pid > 0)
+      callOperatorsPort(io_, gatekeeper.current.ops, "replica", [this](const std::string& answer) {
         if (answer.rfind("200 copy=", 0) == 0) ++observed_.copies[answer.substr(9, 16)];
       });
 }
 
 void Fleet::pollFigures() {
-  if (runIsEnding_ || !observed_.figures.wanted()) return;
+  if (runIsEnding_ || !observed_.figures.hasSelection()) return;
   for (const Gatekeeper& gatekeeper : gatekeepers_)
-    if (gatekeeper.now.pid > 0)
-      askOps(io_, gatekeeper.now.ops, "telemetry", [this, g = gatekeeper.index](const std::string& answer) {
-        observed_.figures.told(g, clock_.nowMs(), answer);
-      });
+    if (gatekeeper.current.pid > 0)
+      callOperatorsPort(io_, gatekeeper.current.ops, "telemetry",
+                        [this, g = gatekeeper.index](const std::string& answer) {
+                          observed_.figures.addSamples(g, clock_.nowMs(), answer);
+                        });
   clock_.at(clock_.nowMs() / 1000 + kFigurePollPeriodS, [this] { pollFigures(); });
 }
 
@@ -79,8 +81,8 @@
     ProcessUse all;
     int running = 0;
     for (const Gatekeeper& gatekeeper : gatekeepers_) {
-      if (gatekeeper.now.pid <= 0) continue;
-      const ProcessUse use = readProcessUse(gatekeeper.now.pid);
+      if (gatekeeper.current.pid <= 0) continue;
+      const ProcessUse use = readProcessUse(gatekeeper.current.pid);
       all.residentKb += use.residentKb, all.descriptors += use.descriptors;
       ++running;
     }
@@ -88,8 +90,9 @@
     spdlog::info(
         "event=progress at_s={:.0f} of_s={} sent={} in_flight={} not_sent={} running={} each_kb={:.0f} "
         "each_descriptors={:.1f}",
-        clock_.nowMs() / 1000, scenario_.lengthS, judge_.requests().size(), load_.inFlight(), load_.notSent(),
-        running, static_cast<double>(all.residentKb) / n, static_cast<double>(all.descriptors) / n);
+        clock_.nowMs() / 1000, scenario_.lengthS, verifier_.requests().size(), load_.inFlight(),
+        load_.notSent(), running, static_cast<double>(all.residentKb) / n,
+        static_cast<double>(all.descriptors) / n);
     logProgress();
   });
 }
@@ -106,13 +109,13 @@
 }
 
 void Fleet::recordUsage(const Gatekeeper& gatekeeper) {
-  if (gatekeeper.now.pid <= 0) return;
-  const ProcessUse use = readProcessUse(gatekeeper.now.pid);
-  runRecord_.mostKb = std::max(runRecord_.mostKb, use.peakKb);
-  runRecord_.mostDescriptors = std::max(runRecord_.mostDescriptors, use.descriptors);
-  ++runRecord_.measured;
-  runRecord_.all.cpuS += use.cpuS, runRecord_.all.peakKb += use.peakKb,
-      runRecord_.all.descriptors += use.descriptors;
+  if (gatekeeper.current.pid <= 0) return;
+  const ProcessUse use = readProcessUse(gatekeeper.current.pid);
+  runRecord_.maxPeakKb = std::max(runRecord_.maxPeakKb, use.peakKb);
+  runRecord_.maxDescriptors = std::max(runRecord_.maxDescriptors, use.descriptors);
+  ++runRecord_.measuredGatekeepers;
+  runRecord_.totalUse.cpuS += use.cpuS, runRecord_.totalUse.peakKb += use.peakKb,
+      runRecord_.totalUse.descriptors += use.descriptors;
 }
 
 }  // namespace wingslip::lab
--- a/tools/lab/fleet_run.hpp
+++ b/tools/lab/fleet_run.hpp
@@ -13,13 +13,13 @@
 #include "discovery_agent.hpp"
 #include "expectations.hpp"
 #include "fleet.hpp"
-#include "front.hpp"
 #include "gatekeeper_config.hpp"
 #include "idle_clients.hpp"
 #include "links.hpp"
+#include "load_balancer.hpp"
+#include "misbehaving_clients.hpp"
 #include "open_load.hpp"
 #include "process.hpp"
-#include "rough_clients.hpp"
 #include "run_clock.hpp"
 #include "run_report.hpp"
 #include "stand_in_worker.hpp"
@@ -55,10 +55,10 @@
   void callOperator(const Step& step);
   void checkOperatorAnswer(const Step& step, pid_t pid, const std::string& answer);
   void applyGatekeeperFault(const Step& step);
-  static void applyAgentFault(Agent& agent, const std::string& what);
+  static void applyAgentFault(Agent& agent, const std::string& kind);
   void applyWorkerFault(const Step& step);
-  void applyWorkerFault(const std::string& what, int index);
-  void applyStoreFault(const std::string& what);
+  void applyWorkerFault(const std::string& kind, int index);
+  void applyStoreFault(const std::string& kind);
   /// Applies a system fault to the step's gatekeeper, or to all if it names none.
   void applySystemFault(const Step& step);
   /// Records for the agents whether gatekeepers can reach them over links in this mode.
@@ -92,7 +92,7 @@
   /// Reaps exited processes and starts the load balancer's health checks, once per `kHealthCheckPeriod`.
   void checkHealth();
   /// Runs the loop until the load balancer has all gatekeepers in rotation, or until the start timeout.
-  void waitForFront();
+  void waitForRotation();
   /// Ends all processes and stops the event loop.
   void finish();
   /// Waits for the process to exit until `limit`, then kills it.
@@ -118,7 +118,7 @@
   const Scenario& scenario_;
   const RunOptions& options_;
   asio::io_context io_;
-  Judge judge_;
+  RunVerifier verifier_;
   Ports ports_;
   Links links_;
   RunClock clock_;
@@ -128,9 +128,9 @@
   std::vector<Gatekeeper> gatekeepers_;
   std::map<int, std::unique_ptr<IdleClients>> idleClients_;  // by gatekeeper
   Observations observed_;
-  Front front_;
+  LoadBalancer loadBalancer_;
   OpenLoad load_;
-  RoughClients rough_;
+  MisbehavingClients misbehavingClients_;
   std::set<int> endedByLab_;   ///< gatekeepers whose process the lab ended on purpose
   std::set<int> longStopped_;  ///< gatekeepers that were stopped, or paused for longer than kShortPauseMs
   std::set<int> diskFaults_;   ///< gatekeepers whose file writes fail
--- a/tools/lab/rough_clients.cpp
+++ b/tools/lab/misbehaving_clients.cpp
@@ -1,4 +1,4 @@
-#include "rough_clients.hpp"
+#include "misbehaving_clients.hpp"
 
 #include <algorithm>
 #include <array>
@@ -41,7 +41,7 @@
 }  // namespace
 
 /// One client, with one connection at a time.
-class RoughClients::Client : public std::enable_shared_from_this<Client> {
+class MisbehavingClients::Client : public std::enable_shared_from_this<Client> {
   template <class Handler>
   auto guard(Handler handler) {
     return [self = shared_from_this(), exchangeNumber = exchangeNumber_, handler](const Error& error,
@@ -51,11 +51,11 @@
   }
 
  public:
-  explicit Client(RoughClients& parent)
+  explicit Client(MisbehavingClients& parent)
       : parent_(parent), random_(parent.random_()), socket_(parent.io_), timer_(parent.io_) {}
 
   void scheduleExchange() {
-    wait(std::exponential_distribution<double>(1 / parent_.scenario_.rough.thinkMs)(random_),
+    wait(std::exponential_distribution<double>(1 / parent_.scenario_.misbehavingLoad.thinkMs)(random_),
          [this] { connected() ? exchange() : connect(); });
   }
 
@@ -103,7 +103,7 @@
     if (loadEnded()) return;
     std::vector<int> candidates;
     for (const Gatekeeper& gatekeeper : parent_.gatekeepers_)
-      if (gatekeeper.inFront) candidates.push_back(gatekeeper.index);
+      if (gatekeeper.inRotation) candidates.push_back(gatekeeper.index);
     if (candidates.empty()) return scheduleExchange();
     gatekeeper_ = candidates[random_() % candidates.size()];
     socket_.async_connect(
@@ -116,12 +116,12 @@
   }
 
   Behaviour chooseBehaviour() {
-    const RoughLoad& rough = parent_.scenario_.rough;
+    const MisbehavingLoad& load = parent_.scenario_.misbehavingLoad;
     double drawn = uniform();
     for (const auto& [behaviour, share] :
-         {std::pair{Behaviour::disconnect, rough.leave}, std::pair{Behaviour::pipeline, rough.pipeline},
-          std::pair{Behaviour::stall, rough.stop}, std::pair{Behaviour::slow, rough.slow},
-          std::pair{Behaviour::malformed, rough.malformed}})
+         {std::pair{Behaviour::disconnect, load.leave}, std::pair{Behaviour::pipeline, load.pipeline},
+          std::pair{Behaviour::stall, load.stop}, std::pair{Behaviour::slow, load.slow},
+          std::pair{Behaviour::malformed, load.malformed}})
       if ((drawn -= share) < 0) return behaviour;
     return Behaviour::plain;
   }
@@ -130,8 +130,8 @@
     const std::uint64_t id = random_() >> 1 | 1;
     const bool edit = uniform() < parent_.scenario_.editShare;
     pending_.push_back(id);
-    return textOf(requestOf(parent_.scenario_, id,
-                            1 + static_cast<int>(random_() % parent_.scenario_.customers), edit));
+    return textOf(makeRequest(parent_.scenario_, id,
+                              1 + static_cast<int>(random_() % parent_.scenario_.customers), edit));
   }
 
   /// Records all pending requests as sent now.
@@ -292,7 +292,7 @@
                             guard([this](const Error&, std::size_t) { endConnection(); }));
   }
 
-  RoughClients& parent_;
+  MisbehavingClients& parent_;
   std::mt19937_64 random_;
   tcp::socket socket_;
   asio::steady_timer timer_;
@@ -306,9 +306,9 @@
   unsigned exchangeNumber_ = 0;   // handlers of an earlier exchange are ignored
 };
 
-RoughClients::RoughClients(asio::io_context& io, const Scenario& scenario,
-                           const std::vector<Gatekeeper>& gatekeepers, RunClock& clock, Judge& verifier,
-                           std::uint64_t seed)
+MisbehavingClients::MisbehavingClients(asio::io_context& io, const Scenario& scenario,
+                                       const std::vector<Gatekeeper>& gatekeepers, RunClock& clock,
+                                       RunVerifier& verifier, std::uint64_t seed)
     : io_(io),
       scenario_(scenario),
       gatekeepers_(gatekeepers),
@@ -316,12 +316,12 @@
       verifier_(verifier),
       random_(seed) {}
 
-RoughClients::~RoughClients() {
+MisbehavingClients::~MisbehavingClients() {
   for (const auto& client : clients_) client->stop();
 }
 
-void RoughClients::start() {
-  for (int i = 0; i < scenario_.rough.clients; ++i) {
+void MisbehavingClients::start() {
+  for (int i = 0; i < scenario_.misbehavingLoad.clients; ++i) {
     clients_.push_back(std::make_shared<Client>(*this));
     clients_.back()->scheduleExchange();
   }
--- a/tools/lab/rough_clients.hpp
+++ b/tools/lab/misbehaving_clients.hpp
@@ -8,21 +8,21 @@
 #include <random>
 #include <vector>
 
-#include "judge.hpp"
 #include "process.hpp"
 #include "run_clock.hpp"
+#include "run_verifier.hpp"
 #include "scenario.hpp"
 
 namespace wingslip::lab {
 
 /// The misbehaving clients of one run. Single-threaded, on the event loop `io`. All constructor arguments
 /// passed by reference must outlive it; `seed` determines every random choice.
-class RoughClients {
+class MisbehavingClients {
  public:
-  RoughClients(boost::asio::io_context& io, const Scenario& scenario,
-               const std::vector<Gatekeeper>& gatekeepers, RunClock& clock, Judge& verifier,
-               std::uint64_t seed);
-  ~RoughClients();
+  MisbehavingClients(boost::asio::io_context& io, const Scenario& scenario,
+                     const std::vector<Gatekeeper>& gatekeepers, RunClock& clock, RunVerifier& verifier,
+                     std::uint64_t seed);
+  ~MisbehavingClients();
 
   /// Starts all clients. Each repeats exchanges until the end of the load.
   void start();
@@ -35,7 +35,7 @@
   const Scenario& scenario_;
   const std::vector<Gatekeeper>& gatekeepers_;
   RunClock& clock_;
-  Judge& verifier_;
+  RunVerifier& verifier_;
   std::mt19937_64 random_;
   std::vector<std::shared_ptr<Client>> clients_;
 };
--- a/tools/lab/open_load.hpp
+++ b/tools/lab/open_load.hpp
@@ -8,9 +8,9 @@
 #include <string>
 #include <vector>
 
-#include "judge.hpp"
 #include "process.hpp"
 #include "run_clock.hpp"
+#include "run_verifier.hpp"
 #include "scenario.hpp"
 
 namespace wingslip::lab {
@@ -21,10 +21,10 @@
  public:
   /// `seed` determines the arrival times, the choice of gatekeepers and customers, and the ids of requests.
   OpenLoad(boost::asio::io_context& io, const Scenario& scenario, const std::vector<Gatekeeper>& gatekeepers,
-           RunClock& clock, Judge& verifier, std::uint64_t seed);
+           RunClock& clock, RunVerifier& verifier, std::uint64_t seed);
 
   /// Schedules the next arrival; each arrival schedules the one after it until the end of the load.
-  void arrive();
+  void scheduleNextArrival();
 
   /// The number of requests sent and not yet ended.
   int inFlight() const { return inFlight_; }
@@ -37,13 +37,13 @@
   class Exchange;
 
   void send();
-  std::vector<int> gatekeepersInFront() const;
+  std::vector<int> gatekeepersInRotation() const;
 
   boost::asio::io_context& io_;
   const Scenario& scenario_;
   const std::vector<Gatekeeper>& gatekeepers_;
   RunClock& clock_;
-  Judge& verifier_;
+  RunVerifier& verifier_;
   std::mt19937_64 random_;
   double nextS_ = 0;
   int inFlight_ = 0;
--- a/tools/lab/scale_cases_process.cpp
+++ b/tools/lab/scale_cases_process.cpp
@@ -88,19 +88,19 @@
     file["name"] = name;
     file["listen"] = loopbackAt(gatekeeper_.port);
     std::ofstream(gatekeeper_.config) << file.dump();
-    gatekeeper_.now = start(gatekeeper_, ports, limits.gatekeeperProgram);
+    gatekeeper_.current = startProcess(gatekeeper_, ports, limits.gatekeeperProgram);
   }
   RealGatekeeper(const RealGatekeeper&) = delete;
   RealGatekeeper& operator=(const RealGatekeeper&) = delete;
   ~RealGatekeeper() {
-    ::kill(gatekeeper_.now.pid, SIGKILL);
-    ::waitpid(gatekeeper_.now.pid, nullptr, 0);
+    ::kill(gatekeeper_.current.pid, SIGKILL);
+    ::waitpid(gatekeeper_.current.pid, nullptr, 0);
   }
 
   std::string telemetry() {
     std::string out;
     bool answered = false;
-    askOps(io_, gatekeeper_.now.ops, "telemetry", [&](const std::string& answer) {
+    callOperatorsPort(io_, gatekeeper_.current.ops, "telemetry", [&](const std::string& answer) {
       out = answer;
       answered = true;
     });
@@ -112,16 +112,16 @@
   bool waitForMetric(const std::string& name, double value, milliseconds timeout) {
     const auto until = Clock::now() + timeout;
     while (Clock::now() < until) {
-      if (::waitpid(gatekeeper_.now.pid, nullptr, WNOHANG) != 0)
+      if (::waitpid(gatekeeper_.current.pid, nullptr, WNOHANG) != 0)
         throw std::runtime_error("the gatekeeper ended by itself; see " + gatekeeper_.log.string());
       if (metricOf(telemetry(), name) == value) return true;
       io_.run_for(kPollInterval);
     }
     return false;
   }
-  double processorSeconds() const { return processorSecondsOf(gatekeeper_.now.pid); }
-  double residentBytes() const { return statusBytes(std::to_string(gatekeeper_.now.pid), "VmRSS"); }
-  double peakBytes() const { return statusBytes(std::to_string(gatekeeper_.now.pid), "VmHWM"); }
+  double processorSeconds() const { return processorSecondsOf(gatekeeper_.current.pid); }
+  double residentBytes() const { return statusBytes(std::to_string(gatekeeper_.current.pid), "VmRSS"); }
+  double peakBytes() const { return statusBytes(std::to_string(gatekeeper_.current.pid), "VmHWM"); }
 
  private:
   boost::asio::io_context& io_;
@@ -156,9 +156,9 @@
 std::vector<Figure> measureProcess(std::size_t workers, const CaseLimits& limits) {
   boost::asio::io_context io;
   const Ports ports(io);
-  Judge judge(1);
+  RunVerifier verifier(1);
   const auto startedAt = Clock::now();
-  Agent agent(io, 0, entriesFor(workers), judge,
+  Agent agent(io, 0, entriesFor(workers), verifier,
               [&] { return std::chrono::duration<double, std::milli>(Clock::now() - startedAt).count(); });
   json file = baseConfiguration();
   file["discovery"] = loopbackAt(agent.port());
@@ -202,7 +202,7 @@
   }
   void add(boost::asio::io_context& io, const Ports& ports, unsigned index, unsigned first) {
     const std::string address = loopbackAt(ports.peers(static_cast<int>(index)));
-    wingslip::Replication settings;
+    wingslip::ReplicationConfig settings;
     settings.listen = wingslip::parseEndpoint(address);
     settings.advertise = address;
     settings.fleet = "scale";
