--- a/include/wingslip/decision/gateway.hpp
+++ b/include/wingslip/decision/gateway.hpp
@@ -3,7 +3,7 @@
 /// The host passes events to one Gateway object per gateway and executes the actions that it requests. The
 /// module is deterministic: it takes the time only from its events and randomness only from its random seed,
 /// does no I/O and has no threads, so the same events result in the same actions. A Gateway object must be
-/// used by one thread at a time; it calls `Actions` only from within its own event methods.
+/// used by one thread at a time; it calls `Actions` only from within its constructor and its event methods.
 #pragma once
 
 #include <cstdint>
@@ -20,10 +20,10 @@
 struct Endpoint {
   WorkerId worker = 0;
   WorkerPhase phase = WorkerPhase::ready;
-  unsigned zone = 0;
-  unsigned machineType = 0;
-  unsigned cell = 0;
-  Time startedAt = 0;  ///< start of the worker process; 0: unknown, treated as long ago
+  unsigned zone = 0;         ///< index of its zone, see Settings::zone
+  unsigned machineType = 0;  ///< index of its machine type
+  unsigned cell = 0;         ///< number of its cell, see DeduplicationScope
+  Time startedAt = 0;        ///< start of the worker process; 0: unknown, treated as long ago
 };
 
 /// A client's request.
@@ -41,7 +41,7 @@
 /// Overload of the host: it is short of memory, file descriptors or processing time.
 struct OverloadSignal {
   bool active = false;
-  bool isMemoryShort = false;   ///< requests that need much memory must be rejected
+  bool isMemoryShort = false;   ///< new requests that use more than 16 KiB must be rejected
   double shedFraction = 0;      ///< share of new requests to shed, from 0 to 1
   double excessBytes = 0;       ///< bytes to release now by ending requests in flight
   Time expectedDurationMs = 0;  ///< expected remaining duration of the overload
@@ -54,9 +54,11 @@
   unsigned attempt = 0;    ///< number of the attempt within the request, from 0
   double actualUnits = 0;  ///< units that the request used; 0: not in the answer
   WorkerId worker = 0;
-  int quotaUsePercent = -1;  ///< metered usage of the customer's quota; negative: not in the answer
-  Time latencyMs = 0;
-  bool requestFinished = false;    ///< the client needs no further answer
+  /// Quota reading: metered usage in percent of the plan's rate, or, for a plan without a rate, metered peak
+  /// of attempts in flight in percent of the cap. Can exceed 100; negative: not in the answer.
+  int quotaUsePercent = -1;
+  Time latencyMs = 0;              ///< duration of the attempt as measured by the host
+  bool requestFinished = false;    ///< the request has ended for the client: no retry, no final answer
   std::vector<double> loadReport;  ///< values in the order of Settings::loadReportFields
 };
 
@@ -66,19 +68,22 @@
   std::size_t unavailable = 0;  ///< of the listed: excluded by an operator, draining or ejected
 };
 
-/// Requests rejected since the start, by reason. Not counted are rejections by a hard ceiling or a
-/// concurrency cap, rejections of malformed requests, and rejections after an attempt that may not be
-/// retried.
+/// Requests rejected since the start, by reason; the reasons can overlap. Not counted are rejections by a
+/// hard ceiling or a concurrency cap, rejections of malformed requests, and rejections after the first
+/// attempt, except by the concurrency limit and under overload.
 struct RejectionCounts {
-  std::uint64_t localQuota = 0;        ///< too few tokens in the customer's bucket at this gateway
-  std::uint64_t fleetQuota = 0;        ///< the customer's quota over all gateways is estimated to be used up
-  std::uint64_t unknownCustomer = 0;   ///< the customer's quota use is unknown, and the request is too large
-  std::uint64_t noWorker = 0;          ///< no worker is available
-  std::uint64_t concurrencyLimit = 0;  ///< the gateway's concurrency limit, at first attempts and retries
+  std::uint64_t localQuota = 0;  ///< too few tokens in the customer's bucket at this gateway
+  std::uint64_t fleetQuota = 0;  ///< the customer's quota over all gateways is estimated to be used up
+  /// The customer's quota use is unknown. The choice is random; a larger request is more likely to be
+  /// rejected.
+  std::uint64_t unknownCustomer = 0;
+  std::uint64_t noWorker = 0;          ///< no worker for the first attempt, also because of concurrencyLimit
+  std::uint64_t concurrencyLimit = 0;  ///< first attempts and retries prevented by the gateway's limit
   std::uint64_t overload = 0;          ///< the host is overloaded; includes requests that ended as failures
 };
 
-/// Actions that the host must execute. The methods are called from within the event methods of Gateway.
+/// Actions that the host must execute. The methods are called from within the constructor and
+/// the event methods of Gateway.
 class Actions {
  public:
   virtual ~Actions() = default;
@@ -88,11 +93,12 @@
   /// Sends the final answer that the client may resend the request after `retryAfterMs`. This is safe,
   /// because the request has not run or running it again has no further effect.
   virtual void reject(RequestId id, Time retryAfterMs) = 0;
-  /// Sends the final answer that the request failed and may have run.
+  /// Sends the final answer that the request failed and may have run. If its response has started, the host
+  /// must abort it instead.
   virtual void fail(RequestId id) = 0;
   /// Calls Gateway::onTimer with `tag` after `waitMs`.
   virtual void setTimer(Time waitMs, std::uint64_t tag) = 0;
-  /// Requests the endpoint list and its changes; the result is reported with Gateway::onEndpoints.
+  /// Requests the endpoint list and its later changes; the result is reported with Gateway::onEndpoints.
   virtual void pollEndpoints() = 0;
   /// Writes a log line.
   virtual void log(const std::string& line) = 0;
@@ -109,14 +115,14 @@
   Gateway(Gateway&&) noexcept;
   Gateway& operator=(Gateway&&) noexcept;
 
-  /// Applies an endpoint list or its changes, or handles a failed poll for it. A worker whose start time has
-  /// changed is treated as a new process.
+  /// Applies an endpoint list or its changes, or handles a failed request for it. A worker whose start time
+  /// has changed is treated as a new process.
   void onEndpoints(Time now, EndpointUpdate kind, const std::vector<Endpoint>& endpoints);
   /// Starts the first attempt of a new request, or rejects it. Ignored if a request with this id is in
   /// flight.
   void onRequest(Time now, const Request& request);
-  /// The last byte of a request was received after its header: its latency is measured from now, and its
-  /// deadline becomes `expiresAt`.
+  /// The body of a request that was started on its header is complete. Its latency objective counts from now,
+  /// its deadline becomes `expiresAt`, and the idempotency window of the attempt in flight counts from now.
   void onRequestComplete(Time now, RequestId id, Time expiresAt);
   /// Ends an attempt; a second outcome of the same attempt is ignored. May start a retry or send the final
   /// answer.
@@ -125,12 +131,13 @@
   void onClientDisconnect(Time now, RequestId id);
   /// The response of the attempt in flight is being sent to the client.
   void onResponseStarted(Time now, RequestId id);
-  /// Sets the overload state, which applies until the next call. Initially the host is not overloaded.
+  /// Sets the overload state, which applies until the next call, and ends requests in flight until their
+  /// memory covers `signal.excessBytes`. Initially the host is not overloaded.
   void onOverload(Time now, const OverloadSignal& signal);
   /// A timer set by Actions::setTimer has expired. Ignored if its request has ended.
   void onTimer(Time now, std::uint64_t tag);
-  /// Applies changed settings, to requests from the next one on. A request in flight retains its class; its
-  /// maximum number of attempts can decrease but not increase.
+  /// Applies changed settings immediately. A request in flight retains its class and its plan; its maximum
+  /// number of attempts can decrease but not increase.
   /// @throws std::invalid_argument if a setting is invalid; the previous settings then remain.
   void onSettings(Time now, const Settings& settings);
 
@@ -149,7 +156,7 @@
   WorkerCounts workerCounts(Time now) const;
   /// Rejections since the start.
   RejectionCounts rejectionCounts() const;
-  /// Number of customers whose quota this gateway tracks; it has an upper bound.
+  /// Number of customers whose quota this gateway tracks; at most 4,096.
   std::size_t trackedCustomers() const;
   /// Number of admitted requests without a final answer.
   std::size_t requestsInFlight() const;
--- a/include/wingslip/decision/settings.hpp
+++ b/include/wingslip/decision/settings.hpp
@@ -14,10 +14,11 @@
   Time latencyObjectiveMs = 0;  ///< an answer within this time has its full value
   Time deadlineMs = 0;          ///< total time that a client waits for the answer
   Idempotency idempotency = Idempotency::notIdempotent;
-  DeduplicationScope deduplicationScope = DeduplicationScope::all;  ///< with a key: workers that recognise it
-  Time idempotencyWindowMs = 0;  ///< with a key: how long they recognise it
+  /// For Idempotency::withKey: workers that recognise a repeated key.
+  DeduplicationScope deduplicationScope = DeduplicationScope::all;
+  Time idempotencyWindowMs = 0;  ///< for Idempotency::withKey: time for which a key is recognised
   double priorityWeight = 1;     ///< value of one unit of work
-  double lateAnswerValue = 0;    ///< share of its value that an answer later than the objective has
+  double lateAnswerValue = 0;  ///< value of an answer later than the objective, as a share of its full value
 };
 
 /// Settings of a plan: the quotas of its customers and the value of their work.
@@ -28,10 +29,10 @@
   unsigned maxConcurrent = 0;  ///< attempts in flight per customer over all gateways; 0: no cap
   double ceilingRate = 0;      ///< units per second that must never be exceeded; 0: no hard ceiling
   double ceilingBurst = 0;     ///< units; capacity of the hard ceiling's token bucket
-  double ceilingSlack = 0;     ///< share; validated, not used
+  double ceilingSlack = 0;     ///< tolerated excess over the hard ceiling, as a share; validated, not used
   double price = 1;            ///< factor of the value of the customers' requests
-  double overQuotaValue = 0;   ///< share of its value that work beyond the quota has
-  double overQuotaCost = 0;    ///< cost of work beyond the quota, as a share of its value
+  double overQuotaValue = 0;   ///< value of work beyond the quota, as a share of its value within the quota
+  double overQuotaCost = 0;    ///< cost of work beyond the quota, as a share of its value within the quota
 };
 
 /// Settings of one gateway.
@@ -42,21 +43,25 @@
   std::vector<ClassSettings> classes;
   std::vector<PlanSettings> plans;
   std::vector<std::string> loadReportFields;  ///< names of the values of a load report, in order
-  bool pollsEndpoints = false;                ///< the endpoint list must be polled; else it is pushed
-  Time pollTimeoutMs = 0;                     ///< validated, not used
-  unsigned maxAttempts = 1;                   ///< per request
-  Time maxRetryAfterMs = 0;                   ///< upper bound of the retry delay of a rejection; 0: none
+  /// The endpoint list must be requested once, and its changes follow; else it is pushed without a request.
+  bool pollsEndpoints = false;
+  Time pollTimeoutMs = 0;    ///< time within which a requested list must arrive; validated, not used
+  unsigned maxAttempts = 1;  ///< per request
+  /// Upper bound of the retry delay of a rejection, except of a malformed request; 0: none. A bound below 1
+  /// ms counts as 1 ms.
+  Time maxRetryAfterMs = 0;
   Time quotaReadingPeriodMs = 0;  ///< metering period of quota readings; 0: answers have no readings
   bool correctsUnits = false;     ///< a request's units are an estimate that its answer corrects
   double maxUnits = 1;            ///< upper bound of the units of a request; enforced by the host
-  /// Maximum delay with which the endpoint list reports that a worker drains. The decisions stop sending to a
-  /// draining worker immediately; the endpoint watch and the invariants allow for this delay.
+  /// Time for which a draining worker may still be sent attempts, since the endpoint list reports the
+  /// draining with a delay. The decisions do not use it: they stop sending to a draining worker immediately.
+  /// The endpoint watch and the invariants allow for this delay.
   Time drainGraceMs = 0;
   double slowStartInitialShare = 1;  ///< share of its full capacity that a worker has when it starts
   Time slowStartMs = 0;              ///< time from a worker's start to its full capacity
-  double overloadMultiple = 1;  ///< multiple of its capacity that a warming worker withstands in the window
-  Time overloadWindowMs = 0;    ///< window of overloadMultiple
-  double crossZonePrice = 0;    ///< cost of an attempt in another zone, as a share of the request's value
+  double overloadMultiple = 1;       ///< multiple of its capacity above which a warming worker is overloaded
+  Time overloadWindowMs = 0;         ///< window over which overloadMultiple applies
+  double crossZonePrice = 0;  ///< cost of an attempt in another zone, as a share of the request's value
 };
 
 }  // namespace wingslip::decision
--- a/include/wingslip/decision/types.hpp
+++ b/include/wingslip/decision/types.hpp
@@ -42,7 +42,7 @@
 
 /// Kind of an endpoint update.
 enum class EndpointUpdate {
-  failed,    ///< the poll failed; there is no list
+  failed,    ///< the request for the list failed; there is no list
   delta,     ///< changes since the previous update
   cached,    ///< all endpoints as last known; may be outdated
   snapshot,  ///< all endpoints
--- a/src/decision/admission.cpp
+++ b/src/decision/admission.cpp
@@ -38,11 +38,12 @@
   }
 }
 
-std::optional<Rejection> Admission::check(Customer& customer, const Request& request, Time expectedLatencyMs,
-                                          bool isHostOverloaded) {
+std::optional<Rejection> Admission::decide(Customer& customer, const Request& request, Time usualLatencyMs,
+                                           bool isHostOverloaded) {
   const PlanSettings& plan = settings_.plans[customer.planIndex];
+  // 0: the customer's quota use is known.
   const double unknownAdmitProbability =
-      unknownCustomers_.isUnknown(customer) ? unknownCustomers_.admitProbability(request) : 0;
+      unknownCustomers_.isUsageUnknown(customer) ? unknownCustomers_.admitProbability(request) : 0;
   const double units = std::max(0.0, request.units);
   if (plan.ceilingRate > 0 && customer.ceilingTokens < units)
     return Rejection{RejectionReason::hardCeiling, 1000 * (units - customer.ceilingTokens) *
@@ -53,21 +54,21 @@
   if (plan.rate > 0 && customer.localTokens < tokensNeeded)
     return Rejection{RejectionReason::localQuota, 1000 * (tokensNeeded - customer.localTokens) / plan.rate};
   if (concurrency_cap::isReached(customer, plan) || isCapLikelyReached(customer, plan))
-    return Rejection{RejectionReason::concurrencyCap, expectedLatencyMs};
-  return checkFleetQuota(customer, request, tokensNeeded, unknownAdmitProbability, isHostOverloaded);
+    return Rejection{RejectionReason::concurrencyCap, usualLatencyMs};
+  return decideByFleetQuota(customer, request, tokensNeeded, unknownAdmitProbability, isHostOverloaded);
 }
 
-std::optional<Rejection> Admission::checkFleetQuota(Customer& customer, const Request& request,
-                                                    double tokensNeeded, double unknownAdmitProbability,
-                                                    bool isHostOverloaded) {
+std::optional<Rejection> Admission::decideByFleetQuota(Customer& customer, const Request& request,
+                                                       double tokensNeeded, double unknownAdmitProbability,
+                                                       bool isHostOverloaded) {
   const PlanSettings& plan = settings_.plans[customer.planIndex];
   const double units = std::max(0.0, request.units);
   FleetQuota::addDemand(customer, units, 0);
   const bool isUsedUp = plan.rate > 0 && isFleetQuotaUsedUp(customer, tokensNeeded);
-  FleetQuota::recordAdmitFraction(customer, isUsedUp ? customer.admitFraction : 1);
-  // The admit fraction times the demand equals the rate. Credit accrues over time at this gateway's share of
-  // the rate, so that errors in the demand estimates of several gateways do not add up to more than the
-  // quota.
+  FleetQuota::recordAdmitFraction(customer, isUsedUp ? customer.assumedAdmitFraction : 1);
+  // While the quota is used up, requests are admitted from a credit that accrues at this gateway's share of
+  // the rate, not by the demand estimate, so that errors in the demand estimates of several gateways do not
+  // add up to more than the quota.
   if (isUsedUp && (isHostOverloaded || customer.admitCredit < units))
     return Rejection{RejectionReason::fleetQuota, 1000 * std::max(units - customer.admitCredit, 0.0) /
                                                       (plan.rate * FleetQuota::share(customer))};
@@ -95,7 +96,7 @@
   double errorCostRatio =
       (plan.overQuotaCost - plan.overQuotaValue + workerShortage_) / (1 - workerShortage_);
   if (errorCostRatio <= 0) return false;
-  if (unknownCustomers_.canOverrunQuota(customer) && !unknownCustomers_.isUnknown(customer))
+  if (unknownCustomers_.canOverrunQuota(customer) && !unknownCustomers_.isUsageUnknown(customer))
     errorCostRatio /= std::min(unknownCustomers_.assumedBurstShare(), 1.0);
   return customer.fleetTokens < tokensNeeded + fleetQuota_.safetyMargin(customer, errorCostRatio);
 }
--- a/src/decision/admission.hpp
+++ b/src/decision/admission.hpp
@@ -16,9 +16,9 @@
   localQuota,       ///< too few tokens in the customer's bucket at this gateway
   concurrencyCap,   ///< the customer's attempts in flight have reached the cap, or probably have
   fleetQuota,       ///< the customer's quota over all gateways is estimated to be used up
-  unknownCustomer,  ///< the customer's quota use is unknown, and the request is too large
+  unknownCustomer,  ///< the customer's quota use is unknown; random, more likely for a larger request
   overload,         ///< the host is short of memory, file descriptors or processing time
-  noWorker,         ///< no worker is available
+  noWorker,         ///< no worker for the first attempt
 };
 
 /// Rejection of a request.
@@ -37,13 +37,13 @@
             Random& random)
       : settings_(settings), fleetQuota_(fleetQuota), unknownCustomers_(unknownCustomers), random_(random) {}
 
-  /// Checks a request against the customer's quota without debiting its units.
-  /// @param expectedLatencyMs usual latency of the request's class. It is the retry delay at the concurrency
-  /// cap,
-  ///   since an attempt in flight has probably ended by then.
+  /// Decides on a request by the customer's quota. Records its demand and may spend admit credit if it is
+  /// admitted; the buckets are debited by CustomerQuota::debit.
+  /// @param usualLatencyMs usual latency of the request's class. It is returned as the retry delay at the
+  ///   concurrency cap, since an attempt in flight has probably ended by then.
   /// @return the rejection; empty if the quota admits the request.
-  [[nodiscard]] std::optional<Rejection> check(Customer& customer, const Request& request,
-                                               Time expectedLatencyMs, bool isHostOverloaded);
+  [[nodiscard]] std::optional<Rejection> decide(Customer& customer, const Request& request,
+                                                Time usualLatencyMs, bool isHostOverloaded);
 
   /// Records whether a worker was found for a request that the quota admitted.
   void recordWorkerChoice(Time now, bool foundWorker);
@@ -52,8 +52,8 @@
   double workerShortage() const { return workerShortage_; }
 
  private:
-  std::optional<Rejection> checkFleetQuota(Customer& customer, const Request& request, double tokensNeeded,
-                                           double unknownAdmitProbability, bool isHostOverloaded);
+  std::optional<Rejection> decideByFleetQuota(Customer& customer, const Request& request, double tokensNeeded,
+                                              double unknownAdmitProbability, bool isHostOverloaded);
   bool isCapLikelyReached(const Customer& customer, const PlanSettings& plan) const;
   bool isFleetQuotaUsedUp(const Customer& customer, double tokensNeeded) const;
 
--- a/src/decision/concurrency_cap.cpp
+++ b/src/decision/concurrency_cap.cpp
@@ -36,12 +36,15 @@
 
 void recordReading(Customer& customer, const PlanSettings& plan, int percent) {
   const double peak = std::max(0.0, percent / 100.0 * plan.maxConcurrent - kPeakOffset);
+  // Solves mean + kPeakDeviations * sqrt(mean) = peak for sqrt(mean).
   const double rootOfMean = std::sqrt(kPeakDeviations * kPeakDeviations / 4 + peak) - kPeakDeviations / 2;
   customer.fleetMeanAttemptsInFlight +=
       kPeakWeight * (rootOfMean * rootOfMean - customer.fleetMeanAttemptsInFlight);
 }
 
 double probabilityWithinCap(const Customer& customer, const PlanSettings& plan, double share) {
+  // With a rate quota this gateway's share is estimated, so the others' mean follows from its own; without
+  // one, the mean over all gateways is estimated from the metered peaks.
   const double othersMean = plan.rate > 0 ? customer.meanAttemptsInFlight * (1 - share) / share
                                           : customer.fleetMeanAttemptsInFlight * (1 - share);
   return probabilityBelow(plan.maxConcurrent - customer.attemptsInFlight, othersMean);
--- a/src/decision/concurrency_limit.cpp
+++ b/src/decision/concurrency_limit.cpp
@@ -9,20 +9,23 @@
 namespace wingslip::decision {
 namespace {
 
-constexpr double kLateLatencyShare = 0.5;    // an answer is late above this share of the latency objective
+constexpr double kLateLatencyShare = 0.5;    // an attempt is late above this share of the latency objective
 constexpr double kEarlyLatencyShare = 0.25;  // an answer is early below this share of the latency objective
-constexpr double kInitialLimit = 12;         // attempts in flight at a worker, of all gateways together
-constexpr double kMaxWorkerLimit = 200;      // attempts in flight of this gateway at one worker
+constexpr double kInitialAttemptsPerWorker = 12;  // attempts in flight at a worker, of all gateways together
+constexpr double kMaxWorkerLimit = 200;           // attempts in flight of this gateway at one worker
 // Attempts; above 0, because without any attempt the gateway could not detect that the workers have
 // recovered.
 constexpr double kMinGatewayLimit = 0.1;
 constexpr double kWorkerLimitCutFactor = 0.85;
-constexpr Time kMinCutIntervalMs = 200;  // late answers within this interval cause a single cut
+// Late outcomes at a worker within this interval cause a single cut of its limit. Also the upper bound of the
+// time for which one outcome changes the gateway's limit.
+constexpr Time kMinCutIntervalMs = 200;
 constexpr double kMinUtilization = 0.7;  // share of a limit that must be in use for it to grow
-// Rates at which the gateway's limit changes, in e-folds per second.
+// Rates at which the natural logarithm of the gateway's limit changes, per second.
 constexpr double kGatewayCutPerS = 2;       // while answers are late
 constexpr double kGatewayGrowthPerS = 0.6;  // while answers are early
-// A late answer cuts the gateway's limit to at most this multiple of one more than the recent peak in flight.
+// A late outcome cuts the gateway's limit to at most this factor times the recent peak of attempts in flight
+// plus 1: kPeakHeadroomFactor * (peak + 1).
 constexpr double kPeakHeadroomFactor = 2;
 constexpr Time kPeakTimeConstantMs = 4000;
 constexpr Time kMinOverloadPauseMs = 150;  // doubles with each rejection while the worker stays overloaded
@@ -30,8 +33,8 @@
 
 }  // namespace
 
-AnswerTiming timingOf(const AttemptOutcome& outcome, Time latencyObjectiveMs) {
-  AnswerTiming timing;
+OutcomeTiming timingOf(const AttemptOutcome& outcome, Time latencyObjectiveMs) {
+  OutcomeTiming timing;
   timing.isLate = outcome.result == AttemptResult::overloaded ||
                   outcome.latencyMs > kLateLatencyShare * latencyObjectiveMs;
   timing.isEarly =
@@ -39,9 +42,11 @@
   return timing;
 }
 
-double initialWorkerLimit(unsigned gatewayCount) { return std::max(1.0, kInitialLimit / gatewayCount); }
+double initialWorkerLimit(unsigned gatewayCount) {
+  return std::max(1.0, kInitialAttemptsPerWorker / gatewayCount);
+}
 
-void updateWorkerLimit(UpstreamWorker& worker, Time now, AnswerTiming timing) {
+void updateWorkerLimit(UpstreamWorker& worker, Time now, OutcomeTiming timing) {
   if (timing.isLate && now - worker.limitCutAt >= kMinCutIntervalMs) {
     worker.limit = std::max(1.0, kWorkerLimitCutFactor * std::min(worker.limit, worker.inFlight + 1.0));
     worker.limitCutAt = now;
@@ -56,7 +61,7 @@
 }
 
 void GatewayConcurrencyLimit::initialize(std::size_t workers, unsigned gatewayCount) {
-  if (limit_ <= 0) limit_ = kInitialLimit * static_cast<double>(workers) / gatewayCount;
+  if (limit_ <= 0) limit_ = kInitialAttemptsPerWorker * static_cast<double>(workers) / gatewayCount;
 }
 
 void GatewayConcurrencyLimit::recordAttemptStarted(Time now) {
@@ -68,7 +73,7 @@
   if (inFlight_ > 0) --inFlight_;
 }
 
-void GatewayConcurrencyLimit::update(Time now, AnswerTiming timing, bool isWorkerSpecific) {
+void GatewayConcurrencyLimit::update(Time now, OutcomeTiming timing, bool isWorkerSpecific) {
   const double seconds = std::min(now - updatedAt_, kMinCutIntervalMs) / 1000;
   updatedAt_ = now;
   updatePeak(now);
--- a/src/decision/concurrency_limit.hpp
+++ b/src/decision/concurrency_limit.hpp
@@ -14,18 +14,18 @@
 
 namespace wingslip::decision {
 
-/// The latency of an answer, compared with the latency objective of its class.
-struct AnswerTiming {
-  bool isLate = false;   ///< also set where the worker rejected the attempt as overloaded
+/// The latency of an attempt, compared with the latency objective of its class.
+struct OutcomeTiming {
+  bool isLate = false;   ///< for any result; always where the worker rejected the attempt as overloaded
   bool isEarly = false;  ///< only for a successful answer
 };
 /// Classifies an outcome as late, early or neither.
-AnswerTiming timingOf(const AttemptOutcome& outcome, Time latencyObjectiveMs);
+OutcomeTiming timingOf(const AttemptOutcome& outcome, Time latencyObjectiveMs);
 
 /// Limit of a worker without any outcome yet, in attempts of this gateway.
 double initialWorkerLimit(unsigned gatewayCount);
-/// Raises a worker's limit after an early answer and cuts it after a late one.
-void updateWorkerLimit(UpstreamWorker& worker, Time now, AnswerTiming timing);
+/// Raises a worker's limit after an early answer and cuts it after a late outcome.
+void updateWorkerLimit(UpstreamWorker& worker, Time now, OutcomeTiming timing);
 /// Whether the worker's limit permits one more attempt of this gateway.
 inline bool hasCapacity(const UpstreamWorker& worker) { return worker.inFlight + 1 <= worker.limit; }
 
@@ -47,10 +47,11 @@
   bool hasCapacity(Random& random) const { return inFlight_ + random.next() < limit_; }
   void recordAttemptStarted(Time now);
   void recordAttemptEnded();
-  /// Raises the limit after an early answer and cuts it after a late one.
-  /// @param isWorkerSpecific the answer is late because its worker is slow for its machine type or warming
-  /// up; such an answer does not change the limit.
-  void update(Time now, AnswerTiming timing, bool isWorkerSpecific);
+  /// Raises the limit after an early answer and cuts it after a late outcome.
+  /// @param isWorkerSpecific the outcome is late because its worker is slow for its machine type or is
+  /// warming
+  ///   up; such an outcome does not change the limit.
+  void update(Time now, OutcomeTiming timing, bool isWorkerSpecific);
 
   double limit() const { return limit_; }
   unsigned inFlight() const { return inFlight_; }
--- a/src/decision/customer.hpp
+++ b/src/decision/customer.hpp
@@ -8,22 +8,23 @@
 
 namespace wingslip::decision {
 
-/// Slots of the usage history, each a quarter of a reading period: four reading periods.
+/// Number of slots of the usage history. A slot is a quarter of a reading period, but at least 250 ms.
 constexpr int kHistorySlots = 16;
 constexpr int kSlotsPerPeriod = 4;
 
-/// Requested units and the seconds in which they were requested; both decay over time.
-struct DemandSample {
+/// Decaying sums whose quotient is the demand over all gateways: units, and the seconds in which they were
+/// requested, scaled by the share of the demand that the units were taken from.
+struct DemandSums {
   double units = 0;
   double seconds = 0;
 };
 
-/// Usage per quarter of a reading period: a ring buffer indexed by the slot number.
+/// Usage per slot: a ring buffer indexed by the slot number.
 struct UsageHistory {
-  std::array<double, kHistorySlots> ownUnits{};       ///< units admitted by this gateway
-  std::array<double, kHistorySlots> othersUnits{};    ///< estimated units used through the other gateways
-  std::array<double, kHistorySlots> admitFraction{};  ///< admit fraction in force during the slot
-  long slot = 0;                                      ///< number of the newest slot
+  std::array<double, kHistorySlots> ownUnits{};     ///< units admitted by this gateway
+  std::array<double, kHistorySlots> othersUnits{};  ///< estimated units used through the other gateways
+  std::array<double, kHistorySlots> assumedAdmitFraction{};  ///< fraction in force during the slot
+  long slot = 0;                                             ///< number of the newest slot
 
   static std::size_t indexOf(long slot) { return static_cast<std::size_t>(slot % kHistorySlots); }
   std::size_t newest() const { return indexOf(slot); }
@@ -35,17 +36,22 @@
   unsigned planIndex = 0;
   unsigned customerGatewayCount = 1;  ///< number of gateways that receive the customer's requests
   Time updatedAt = 0;                 ///< time as of which buckets and estimates are valid
-  double localTokens = 0;             ///< units in this gateway's token bucket; negative: in debt
-  double fleetTokens = 0;             ///< estimated units remaining over all gateways; negative: in debt
-  double ceilingTokens = 0;           ///< units in this gateway's share of the hard ceiling's bucket
-  double admitFraction = 1;           ///< share of its demand to admit when the fleet-wide quota is used up
-  int readingPercent = -1;            ///< the last quota reading, in percent; negative: none yet
-  Time readingAt = 0;
-  Time meanReadingIntervalMs = 0;   ///< moving average of the time between two readings
-  double admitCredit = 0;           ///< unused units that the admit fraction has granted at this gateway
+  /// Units in this gateway's token bucket, which has the plan's full rate and burst; negative: in debt.
+  double localTokens = 0;
+  double fleetTokens = 0;    ///< estimated units remaining over all gateways; negative: in debt
+  double ceilingTokens = 0;  ///< units in this gateway's share of the hard ceiling's bucket
+  /// Share of the demand that the gateways are assumed to admit while the fleet-wide quota is used up.
+  double assumedAdmitFraction = 1;
+  /// The last quota reading, in percent of the rate, or of the cap without a rate; negative: none yet.
+  int readingPercent = -1;
+  Time readingAt = 0;  ///< time of the last reading; initially the time at which the customer was added
+  Time meanReadingIntervalMs = 0;  ///< moving average of the time between two readings
+  /// Units that this gateway may still admit while the fleet-wide quota is used up. Accrues at this gateway's
+  /// share of the rate; negative: in debt.
+  double admitCredit = 0;
   double meanRequestUnits = 0;      ///< moving average of the units of a request
-  DemandSample shortTermDemand;     ///< over all gateways; follows changes of the demand quickly
-  DemandSample longTermDemand;      ///< over all gateways; the average level of the demand
+  DemandSums shortTermDemand;       ///< over all gateways; follows changes of the demand quickly
+  DemandSums longTermDemand;        ///< over all gateways; the average level of the demand
   double ownUsage = 0;              ///< units admitted by this gateway in metered periods, decaying
   double fleetUsage = 0;            ///< metered units over all gateways, decaying; ownUsage is a part of them
   unsigned attemptsInFlight = 0;    ///< of this gateway
--- a/src/decision/customer_quota.cpp
+++ b/src/decision/customer_quota.cpp
@@ -15,7 +15,7 @@
 constexpr double kFractionRecoveryIntervals = 3;
 constexpr double kFractionValidPeriods = 2;      // in reading periods after the last reading
 constexpr double kMaxAdmitCreditRequests = 1.5;  // upper bound of the admit credit, in requests of mean size
-// In reading periods since the last reading. Before that, a changed value does not count as a new reading.
+// A changed value counts as a new reading only after this many reading periods since the last one.
 constexpr double kChangedReadingPeriods = 0.3;
 constexpr double kReadingIntervalTimeConstant = 3;  // in readings
 
@@ -38,12 +38,14 @@
   customer.updatedAt = std::max(customer.updatedAt, now);
 }
 
-// A gateway that admits nothing gets no readings, so without recovery it would reject the customer forever.
+// Without readings the admit fraction is outdated, so it returns to 1. The fleet's mean of attempts in flight
+// decays, because a gateway that admits nothing at the concurrency cap gets no readings and would otherwise
+// reject the customer forever.
 void CustomerQuota::recoverAdmitFraction(Customer& customer, Time now, Time elapsedMs) const {
   if (now - customer.readingAt <= kFractionValidPeriods * settings_.quotaReadingPeriodMs) return;
   const Time recoveryMs =
       std::max(kFractionRecoveryMs, kFractionRecoveryIntervals * customer.meanReadingIntervalMs);
-  customer.admitFraction = std::min(1.0, customer.admitFraction + elapsedMs / recoveryMs);
+  customer.assumedAdmitFraction = std::min(1.0, customer.assumedAdmitFraction + elapsedMs / recoveryMs);
   concurrency_cap::decayFleetMean(customer, elapsedMs);
 }
 
@@ -56,7 +58,7 @@
   customer.ceilingTokens =
       std::min(customer.ceilingTokens, plan.ceilingBurst / customer.customerGatewayCount);
   customer.readingPercent = -1;
-  customer.admitFraction = 1;
+  customer.assumedAdmitFraction = 1;
 }
 
 void CustomerQuota::debit(Customer& customer, double units) {
@@ -66,7 +68,7 @@
   customer.history.ownUnits[customer.history.newest()] += units;
 }
 
-void CustomerQuota::creditBack(Customer& customer, Time now, double units) const {
+void CustomerQuota::correctUnits(Customer& customer, Time now, double units) const {
   advance(customer, now);
   const PlanSettings& plan = planOf(customer);
   customer.localTokens = std::min(plan.burst, customer.localTokens + units);
--- a/src/decision/customer_quota.hpp
+++ b/src/decision/customer_quota.hpp
@@ -15,15 +15,15 @@
 
   const FleetQuota& fleet() const { return fleet_; }
 
-  /// Refills all buckets and decays all averages up to `now`.
+  /// Refills all buckets and advances all time-based estimates to `now`.
   void advance(Customer& customer, Time now) const;
   /// Applies another plan's quota from now on, without refilling any bucket.
   void changePlan(Customer& customer, unsigned planIndex) const;
   /// Debits the units of an admitted request from all buckets.
   static void debit(Customer& customer, double units);
-  /// Credits units by which the estimate for a request exceeded its actual units; negative units if the
-  /// estimate was too low.
-  void creditBack(Customer& customer, Time now, double units) const;
+  /// Corrects the local and fleet buckets, not the hard ceiling, by the units by which the estimate for a
+  /// request exceeded its actual units; negative units if the estimate was too low.
+  void correctUnits(Customer& customer, Time now, double units) const;
 
   void recordAttemptStarted(Customer& customer, Time now) const;
   void recordAttemptEnded(Customer& customer, Time now) const;
--- a/src/decision/customer_registry.cpp
+++ b/src/decision/customer_registry.cpp
@@ -12,8 +12,8 @@
     : settings_(settings),
       quota_(quota),
       random_(random),
-      bucketsUnspentSince_(now),
-      ceilingsUnspentSince_(now) {}
+      untrackedBucketsUnspentSince_(now),
+      untrackedCeilingsUnspentSince_(now) {}
 
 unsigned CustomerRegistry::gatewaysOf(const Request& request) const {
   return std::max(1u, std::min(request.customerGatewayCount, settings_.gatewayCount));
@@ -44,22 +44,22 @@
   meanRequestSize_.record(customer.meanRequestUnits);
   customer.localTokens = initialTokens(plan, customer.customerGatewayCount, now);
   customer.admitCredit = random_.next() * customer.meanRequestUnits;
-  quota_.fleet().initialize(customer, now, now - bucketsUnspentSince_);
+  quota_.fleet().initialize(customer, now, now - untrackedBucketsUnspentSince_);
   // The ceiling must not be exceeded across restarts and evictions, so it starts only with the units that
   // have accrued since this gateway may last have sent requests of this customer.
   customer.ceilingTokens =
-      std::min(plan.ceilingBurst, plan.ceilingRate * (now - ceilingsUnspentSince_) / 1000) /
+      std::min(plan.ceilingBurst, plan.ceilingRate * (now - untrackedCeilingsUnspentSince_) / 1000) /
       customer.customerGatewayCount;
   return customer;
 }
 
-// Tokens in the bucket of a customer that is added now. A request is debited as a whole. With so
-// many gateways that a share of the burst is less than a request, all of them would reject the first requests
-// of a customer whose quota is full, so a bucket starts with at least one request of mean size.
+// Tokens in the bucket of a customer that is added now. A request is debited in full. If the burst's share
+// per gateway is less than a request, every gateway would reject the first requests of a customer whose quota
+// is full, so a bucket starts with at least one request of mean size.
 double CustomerRegistry::initialTokens(const PlanSettings& plan, unsigned customerGatewayCount,
                                        Time now) const {
   const double initial = std::max(plan.burst / customerGatewayCount, meanRequestSize_.units());
-  return std::min(plan.burst, initial + plan.rate * (now - bucketsUnspentSince_) / 1000);
+  return std::min(plan.burst, initial + plan.rate * (now - untrackedBucketsUnspentSince_) / 1000);
 }
 
 double CustomerRegistry::ceilingCapacity(const Customer& customer) const {
@@ -72,18 +72,18 @@
   };
   const auto canEvictWithoutLoss = [&](Customer& customer) {
     quota_.advance(customer, now);
-    return customer.attemptsInFlight == 0 && customer.admitFraction >= 1 &&
+    return customer.attemptsInFlight == 0 && customer.assumedAdmitFraction >= 1 &&
            customer.localTokens >= tokensIfNew(customer) &&
            customer.ceilingTokens >= ceilingCapacity(customer);
   };
   table_.evictOne(canEvictWithoutLoss, [&](const Customer& evicted) {
-    if (evicted.localTokens < tokensIfNew(evicted)) bucketsUnspentSince_ = now;
-    if (evicted.ceilingTokens < ceilingCapacity(evicted)) ceilingsUnspentSince_ = now;
+    if (evicted.localTokens < tokensIfNew(evicted)) untrackedBucketsUnspentSince_ = now;
+    if (evicted.ceilingTokens < ceilingCapacity(evicted)) untrackedCeilingsUnspentSince_ = now;
   });
 }
 
 void CustomerRegistry::applySettings(Time now, const Settings& next) {
-  std::unordered_map<std::string_view, unsigned> planIndexes;  // the first of equal names
+  std::unordered_map<std::string_view, unsigned> planIndexes;  // if names are equal, the first plan is used
   for (unsigned i = 0; i < next.plans.size(); ++i) planIndexes.try_emplace(next.plans[i].name, i);
   const bool isSamePeriod = next.quotaReadingPeriodMs == settings_.quotaReadingPeriodMs;
   table_.eraseIf([&](Customer& customer) {
@@ -93,8 +93,8 @@
       customer.planIndex = found->second;
       return false;
     }
-    bucketsUnspentSince_ = now;
-    ceilingsUnspentSince_ = now;
+    untrackedBucketsUnspentSince_ = now;
+    untrackedCeilingsUnspentSince_ = now;
     return true;
   });
 }
--- a/src/decision/customer_registry.hpp
+++ b/src/decision/customer_registry.hpp
@@ -43,8 +43,8 @@
   MeanRequestSize meanRequestSize_;
   // Since these times a customer that is not tracked cannot have spent any units here: the start of this
   // gateway, or the last time that a customer was erased whose bucket or ceiling may have been partly spent.
-  Time bucketsUnspentSince_;
-  Time ceilingsUnspentSince_;
+  Time untrackedBucketsUnspentSince_;
+  Time untrackedCeilingsUnspentSince_;
 };
 
 }  // namespace wingslip::decision
--- a/src/decision/customer_table.hpp
+++ b/src/decision/customer_table.hpp
@@ -12,7 +12,7 @@
 /// Owns the customers. A reference to a customer is valid until the customer is erased.
 class CustomerTable {
  public:
-  /// Bounds the memory for customers that send only one request.
+  /// Maximum number of customers. It bounds the memory that customers with only one request take.
   static constexpr std::size_t kMaxCustomers = 4096;
   /// Number of least recently used customers searched for one that can be evicted without loss of state.
   static constexpr std::size_t kEvictionScan = 32;
@@ -42,9 +42,9 @@
     return customers_.back();
   }
 
-  /// Evicts the first of the kEvictionScan oldest customers for which `canEvictWithoutLoss` is true, or else
-  /// the oldest, so that a stream of customers with one request each does not let heavy customers return with
-  /// full buckets. `beforeErase` is called with the customer before it is erased.
+  /// Evicts the first of the kEvictionScan least recently used customers for which `canEvictWithoutLoss` is
+  /// true, or else the least recently used one. A stream of customers with one request each thus does not let
+  /// heavy customers return with full buckets. `beforeErase` is called with the customer before it is erased.
   template <class CanEvictWithoutLoss, class BeforeErase>
   void evictOne(CanEvictWithoutLoss canEvictWithoutLoss, BeforeErase beforeErase) {
     auto evicted = customers_.begin();
--- a/src/decision/decision_log.hpp
+++ b/src/decision/decision_log.hpp
@@ -1,4 +1,4 @@
-/// Log of the decision module: a limited number of lines, each of limited length.
+/// Log of the decision module, limited in rate.
 #pragma once
 
 #include "wingslip/decision/gateway.hpp"
@@ -13,12 +13,12 @@
   unsigned overloaded = 0;
 };
 
-/// State behind the rejections of a summary.
+/// State of the gateway at a summary, which explains its rejections.
 struct DecisionGauges {
-  double assumedBurstShare = 0;  ///< as UnknownCustomers::assumedBurstShare
+  double assumedBurstShare = 0;  ///< see UnknownCustomers::assumedBurstShare
   double concurrencyLimit = 0;   ///< of the gateway, in attempts
   unsigned attemptsInFlight = 0;
-  double workerShortage = 0;  ///< as Admission::workerShortage
+  double workerShortage = 0;  ///< see Admission::workerShortage
   ReadyWorkerCounts workers;
 };
 
--- a/src/decision/fleet_quota.cpp
+++ b/src/decision/fleet_quota.cpp
@@ -12,11 +12,12 @@
 // With a shorter time constant the gateways' estimates oscillate against each other.
 constexpr Time kLongTermDemandTimeConstantMs = 60000;
 constexpr Time kShareTimeConstantMs = 10000;
-constexpr double kDemandPriorRequests = 0.5;  // weight of the prior demand estimate, in requests of mean size
-constexpr double kDemandPriorShare = 1;       // share of the rate: demand of a customer without history
-constexpr Time kReadingDelayMs = 800;         // from the end of a metered period to its reading
-constexpr double kTargetUtilization = 0.6;    // share of the rate at which the admit fraction aims
-constexpr double kMinAdmitFraction = 0.05;    // at 0 there would be no further readings to raise it
+constexpr double kDemandPriorRequests = 0.5;  // weight of the prior demand estimate, in meanRequestUnits
+// Assumed demand of a customer without history, as a share of the rate.
+constexpr double kDemandPriorShare = 1;
+constexpr Time kReadingDelayMs = 800;       // from the end of a metered period to its reading
+constexpr double kTargetUtilization = 0.6;  // share of the rate at which the admit fraction aims
+constexpr double kMinAdmitFraction = 0.05;  // at 0 the other gateways would be assumed to use nothing
 // In reading periods at the full rate. The estimate must be able to go into debt: with a lower bound of 0,
 // noise in the readings could only ever add quota.
 constexpr double kMaxDebtPeriods = 2;
@@ -44,7 +45,7 @@
 
 // Units per second that the other gateways use of the fleet-wide quota.
 double FleetQuota::othersRate(const Customer& customer, double ownShare) const {
-  return demand(customer) * (1 - ownShare) * customer.history.admitFraction[customer.history.newest()];
+  return demand(customer) * (1 - ownShare) * customer.history.assumedAdmitFraction[customer.history.newest()];
 }
 
 void FleetQuota::addDemand(Customer& customer, double units, double seconds) {
@@ -55,12 +56,12 @@
 }
 
 void FleetQuota::recordAdmitFraction(Customer& customer, double fraction) {
-  customer.history.admitFraction[customer.history.newest()] = fraction;
+  customer.history.assumedAdmitFraction[customer.history.newest()] = fraction;
 }
 
 void FleetQuota::initialize(Customer& customer, Time now, Time idleMs) const {
   customer.fleetTokens = planOf(customer).burst;
-  customer.history.admitFraction.fill(1);
+  customer.history.assumedAdmitFraction.fill(1);
   customer.history.slot = slotAt(now);
   customer.longTermDemand.seconds = share(customer) * idleMs / 1000;
   customer.shortTermDemand.seconds =
@@ -100,7 +101,7 @@
     const std::size_t nextIndex = UsageHistory::indexOf(++history.slot);
     history.ownUnits[nextIndex] = 0;
     history.othersUnits[nextIndex] = unitsPerSlot;
-    history.admitFraction[nextIndex] = history.admitFraction[lastIndex];
+    history.assumedAdmitFraction[nextIndex] = history.assumedAdmitFraction[lastIndex];
   }
 }
 
@@ -114,7 +115,7 @@
   for (int i = delaySlots; i < delaySlots + kSlotsPerPeriod && i < kHistorySlots; ++i) {
     const std::size_t index = UsageHistory::indexOf(history.slot - i + kHistorySlots);
     ownUnits += history.ownUnits[index];
-    meanAdmitFraction += history.admitFraction[index] / kSlotsPerPeriod;
+    meanAdmitFraction += history.assumedAdmitFraction[index] / kSlotsPerPeriod;
     estimatedOthersUnits += history.othersUnits[index];
   }
   const double periodS = settings_.quotaReadingPeriodMs / 1000;
@@ -126,10 +127,10 @@
   // The metered units were admitted under the admit fraction of the metered period, not under the current
   // one.
   addDemand(customer, meteredOthersUnits, periodS * (1 - ownShare) * meanAdmitFraction);
-  customer.admitFraction =
+  customer.assumedAdmitFraction =
       std::clamp(kTargetUtilization * plan.rate / demand(customer), kMinAdmitFraction, 1.0);
-  // Replaces the units estimated for the metered period by the metered ones, and those estimated for the time
-  // since then by the corrected rate of the other gateways.
+  // Replaces the units estimated for the metered period by the metered ones, and re-estimates the units used
+  // since then with the corrected rate of the other gateways.
   customer.fleetTokens += estimatedOthersUnits - meteredOthersUnits +
                           (othersRateBefore - othersRate(customer, ownShare)) * kReadingDelayMs / 1000;
   customer.fleetTokens = std::clamp(customer.fleetTokens, -maxDebt(plan), plan.burst);
--- a/src/decision/fleet_quota.hpp
+++ b/src/decision/fleet_quota.hpp
@@ -26,13 +26,14 @@
 
   /// Estimated demand over all gateways, in units per second.
   double demand(const Customer& customer) const;
-  /// Adds `units` requested within `seconds`, both over all gateways, to the demand averages.
+  /// Adds to the demand sums `units`, requested through some of the gateways, and `seconds`, a time scaled by
+  /// the share of the demand that the units were taken from.
   static void addDemand(Customer& customer, double units, double seconds);
   /// Records the admit fraction in force in the newest history slot.
   static void recordAdmitFraction(Customer& customer, double fraction);
 
-  /// Initializes estimate, history and demand of a new customer whose plan, request units and gateways are
-  /// set.
+  /// Initializes estimate, history and demand of a new customer whose planIndex, meanRequestUnits and
+  /// customerGatewayCount are set.
   /// @param idleMs time for which the customer is known to have sent nothing through this gateway.
   void initialize(Customer& customer, Time now, Time idleMs) const;
   /// Refills the estimated remaining quota for `elapsedMs` and decays demand and usage.
@@ -45,8 +46,8 @@
   /// rate.
   void applyReading(Customer& customer, int percent) const;
 
-  /// Safety margin in units: if less than this would remain beyond a request's units, the quota counts as
-  /// used up. It reflects the uncertainty of the other gateways' usage since the last metered period.
+  /// Safety margin in units: the quota counts as used up if admitting a request would leave less than this.
+  /// It reflects the uncertainty of the other gateways' usage since the last metered period.
   /// @param errorCostRatio cost of a wrong admission over that of a wrong rejection, above 0. The margin is
   ///   negative if the ratio is low.
   double safetyMargin(const Customer& customer, double errorCostRatio) const;
--- a/src/decision/gateway.cpp
+++ b/src/decision/gateway.cpp
@@ -33,8 +33,8 @@
 namespace wingslip::decision {
 namespace {
 
-constexpr Time kRetryAfterMs = 250;    // advised to clients when no worker is available
-constexpr Time kPollRetryMs = 250;     // delay before polling the endpoint list again after a failure
+constexpr Time kRetryAfterMs = 250;    // advised to clients where there is no better estimate
+constexpr Time kPollRetryMs = 250;     // delay before requesting the endpoint list again after a failure
 constexpr Time kWorkerRecheckMs = 40;  // interval between searches for a worker that may run the retry
 constexpr std::uint64_t kPollTimerTag = ~std::uint64_t{0};  // all other tags are request ids
 
@@ -98,7 +98,7 @@
     if (!pending) return;
     pending->hasAttemptInFlight = false;
     if (settings_.correctsUnits && outcome.result == AttemptResult::ok && customer && outcome.actualUnits > 0)
-      quota_.creditBack(*customer, now, pending->request.units - outcome.actualUnits);
+      quota_.correctUnits(*customer, now, pending->request.units - outcome.actualUnits);
     if (outcome.requestFinished || outcome.result == AttemptResult::ok) return requests_.erase(outcome.id);
     if (!provesNotRun(outcome.result)) recordPossibleRun(*pending, worker);
     if (outcome.result == AttemptResult::notSent || now >= pending->request.expiresAt)
@@ -184,9 +184,8 @@
 
   // Checks the customer's quota first, then the overload of the host.
   std::optional<Rejection> checkAdmission(Customer& customer, const Request& request) {
-    const Time expectedLatencyMs = classes_[request.classIndex]->expectedLatencyMs();
-    if (auto rejection =
-            admission_.check(customer, request, expectedLatencyMs, loadShedding_.signal().active))
+    const Time usualLatencyMs = classes_[request.classIndex]->usualLatencyMs();
+    if (auto rejection = admission_.decide(customer, request, usualLatencyMs, loadShedding_.signal().active))
       return rejection;
     if (loadShedding_.shouldReject(request, classes_[request.classIndex]->settings,
                                    settings_.plans[request.planIndex]))
@@ -274,8 +273,9 @@
     sendRejection(id, rejection.retryAfterMs);
   }
 
-  // Under overload the retry delay is at least the expected duration of the overload before it is randomized;
-  // the randomization keeps clients from retrying all at the same time.
+  // Under overload the retry delay is raised to the expected duration of the overload, bounded by
+  // maxRetryAfterMs, and multiplied by a random factor in (0.5, 1], so that clients do not all retry at the
+  // same time.
   void sendRejection(RequestId id, Time retryAfterMs) {
     const OverloadSignal& overload = loadShedding_.signal();
     if (overload.active) retryAfterMs = std::max(retryAfterMs, overload.expectedDurationMs);
@@ -284,7 +284,7 @@
     actions_.reject(id, overload.active ? retryAfterMs * (1 - random_.next() / 2) : retryAfterMs);
   }
 
-  // Ends a request to relieve the overloaded host, with or without an attempt in flight.
+  // Ends a request, with or without an attempt in flight, to relieve the overloaded host.
   void releaseForOverload(PendingRequest& pending) {
     countRejection(rejections_, RejectionReason::overload);
     if (pending.responseStarted) {
--- a/src/decision/load_balancer.cpp
+++ b/src/decision/load_balancer.cpp
@@ -14,7 +14,8 @@
 namespace {
 
 // Subsets.
-constexpr unsigned kGatewaysPerWorker = 20;  // desired number of gateways that have a worker in their subset
+// Preferred minimum number of gateways that have a worker in their subset.
+constexpr unsigned kPreferredGatewaysPerWorker = 20;
 // Minimum size of a subset; in a smaller one a single outlier takes a noticeable part of the traffic.
 constexpr unsigned kMinWorkersPerGateway = 8;
 // Maximum size of a subset, subject to kMinGatewaysPerWorker: it bounds a gateway's connections, since each
@@ -27,9 +28,10 @@
 // Factors of a worker's cost.
 constexpr double kCrossZoneWeight = 15;  // per unit of the cross-zone price
 constexpr double kOutsideSubsetFactor = 2.5;
-constexpr double kCostJitter = 0.02;      // without it, gateways in the same state would pick the same worker
-constexpr double kAvoidedFactor = 10000;  // ejected or unresponsive worker: used only where there is no other
-constexpr double kTriedFactor = 30;       // worker that an earlier attempt of this request was sent to
+constexpr double kCostJitter = 0.02;  // without it, gateways in the same state would pick the same worker
+// Worker that OutlierDetection::shouldAvoid names: practically used only where there is no other.
+constexpr double kAvoidedFactor = 10000;
+constexpr double kTriedFactor = 30;  // worker that an earlier attempt of this request was sent to
 
 // First index of a part: the lowest i with i * subsetCount / count == part.
 std::size_t partStart(std::size_t part, std::size_t count, unsigned subsetCount) {
@@ -39,9 +41,9 @@
 }  // namespace
 
 // Deterministic subsetting. The gateways are grouped into rounds of as many gateways as there are subsets.
-// Each round orders all workers by a hash of its own and divides them once among its gateways, so that every
-// worker is in equally many subsets and a change of the endpoint list moves few workers. Where there are few
-// gateways, all workers are in the subset.
+// Each round orders all workers by a hash of its own and divides them once among its gateways, so that
+// the numbers of subsets that two workers are in differ by at most one and a change of the endpoint list
+// moves few workers. Where there are few gateways or few workers, all workers are in the subset.
 void LoadBalancer::assignSubset() {
   // Draining workers are included, so that draining moves no other worker to another subset.
   std::vector<std::pair<std::uint64_t, UpstreamWorker*>> hashedWorkers;
@@ -67,11 +69,12 @@
   for (auto it = first; it != last; ++it) it->second->isInSubset = true;
 }
 
-// The largest count that gives each worker kGatewaysPerWorker gateways and each gateway kMinWorkersPerGateway
-// workers; a larger one, limited by kMinGatewaysPerWorker, where subsets would exceed kMaxWorkersPerGateway.
+// The largest count that gives each worker at least kPreferredGatewaysPerWorker gateways and each gateway at
+// least kMinWorkersPerGateway workers. Where subsets would then exceed kMaxWorkersPerGateway, the count is
+// larger, but gives each worker at least kMinGatewaysPerWorker gateways.
 unsigned LoadBalancer::chooseSubsetCount(unsigned workerCount) const {
   const unsigned preferred =
-      std::min(settings_.gatewayCount / kGatewaysPerWorker, workerCount / kMinWorkersPerGateway);
+      std::min(settings_.gatewayCount / kPreferredGatewaysPerWorker, workerCount / kMinWorkersPerGateway);
   const unsigned required = (workerCount + kMaxWorkersPerGateway - 1) / kMaxWorkersPerGateway;
   return std::max({1u, preferred, std::min(settings_.gatewayCount / kMinGatewaysPerWorker, required)});
 }
--- a/src/decision/load_balancer.hpp
+++ b/src/decision/load_balancer.hpp
@@ -25,13 +25,13 @@
   /// Marks the workers of this gateway's subset. To be called after each change of the endpoint list, the
   /// number of gateways or this gateway's index.
   void assignSubset();
-  /// Returns the eligible worker of lowest cost, or null where there is none. Ejected and unresponsive
-  /// workers are picked only where no other is eligible.
+  /// Returns the eligible worker of lowest cost, or null where there is none. Workers that
+  /// OutlierDetection::shouldAvoid names are practically picked only where no other is eligible.
   [[nodiscard]] UpstreamWorker* pick(Time now, const PendingRequest& pending);
 
  private:
-  // Declared inline and defined in the source file, their only user: they run for each worker of each
-  // request.
+  // Inline for speed, since they run for each worker of each request; defined in the source file, their only
+  // user.
   inline bool isEligible(UpstreamWorker& worker, Time now, const PendingRequest& pending,
                          double capacityShare);
   inline double cost(const UpstreamWorker& worker, Time now, const PendingRequest& pending,
--- a/src/decision/load_report.cpp
+++ b/src/decision/load_report.cpp
@@ -9,9 +9,9 @@
 namespace {
 
 constexpr double kSmoothingTimeConstantMs = 600;
-// Minimum interval that a report is weighted by; at 0, the second of two simultaneous reports would have no
-// weight.
-constexpr Time kMinReportIntervalMs = 50;
+// Added to the interval that a report is weighted by; at 0, the second of two simultaneous reports would have
+// no weight.
+constexpr Time kAddedReportIntervalMs = 50;
 constexpr std::size_t kMinMeanWindowReports = 10;  // minimum window of the mean over all workers
 
 // The other gateways' attempts in flight according to one figure of a report; no value where the figure is
@@ -36,7 +36,7 @@
                                                               worker.inFlight, settings_.gatewayCount);
     if (!sample) continue;
     worker.othersInFlight =
-        decayedAverage(worker.othersInFlight, *sample, now - worker.othersInFlightAt + kMinReportIntervalMs,
+        decayedAverage(worker.othersInFlight, *sample, now - worker.othersInFlightAt + kAddedReportIntervalMs,
                        kSmoothingTimeConstantMs);
     worker.othersInFlightAt = now;
     const double windowReports =
--- a/src/decision/load_report.hpp
+++ b/src/decision/load_report.hpp
@@ -1,4 +1,4 @@
-/// Load reports: the other gateways' attempts in flight at each worker, estimated from figures on the
+/// Load reports: the other gateways' attempts in flight at each worker, estimated from figures in the
 /// workers' answers.
 #pragma once
 
--- a/src/decision/load_shedding.cpp
+++ b/src/decision/load_shedding.cpp
@@ -8,9 +8,11 @@
 namespace wingslip::decision {
 namespace {
 
-constexpr double kThresholdStep = 0.1;  // e-folds by which a new request moves the threshold at most
-constexpr double kValueJitter = 0.02;   // without it, requests of equal value would be shed all or none
-// Requests below this size have the same weight: their cost is descriptors and time, not bytes.
+// Maximum change of the threshold's natural logarithm by one new request.
+constexpr double kThresholdStep = 0.1;
+constexpr double kValueJitter = 0.02;  // without it, requests of equal value would be shed all or none
+// Requests below this size count as this size: their cost is descriptors and time, not bytes. Larger ones are
+// rejected while the host is short of memory.
 constexpr double kMinWeighedBytes = 16384;
 
 }  // namespace
--- a/src/decision/load_shedding.hpp
+++ b/src/decision/load_shedding.hpp
@@ -10,9 +10,9 @@
 
 namespace wingslip::decision {
 
-/// A request in flight whose memory may be released. Candidates are released in this order: requests of
-/// customers over their quota first, then those of the lowest value per byte; requests whose response has
-/// been started come after all others.
+/// A request in flight whose memory may be released. Candidates are ordered by these keys: those whose
+/// response has not started first, then those of customers over their quota first, then the lowest value per
+/// byte first.
 struct ReleaseCandidate {
   bool responseStarted = false;
   bool isWithinQuota = true;
--- a/src/decision/outlier_detection.cpp
+++ b/src/decision/outlier_detection.cpp
@@ -12,7 +12,8 @@
 constexpr double kLatencyRetention = 0.8;   // factor on the weight of earlier samples at each new one
 constexpr double kMaxLatencyRatio = 20;     // upper bound on one sample, in usual latencies
 constexpr double kTypeSampleWeight = 0.02;  // weight of one sample in the slowness of its machine type
-constexpr double kSlowOutlierFactor = 2;    // slow is above this multiple of the machine type's slowness
+// A worker is slow above this multiple of its machine type's slowness.
+constexpr double kSlowOutlierFactor = 2;
 // At 1, one lost packet per worker would eject all workers.
 constexpr unsigned kConsecutiveFailuresToEject = 2;
 constexpr Time kMinEjectionMs = 1000;  // doubles with each further failure
@@ -26,8 +27,8 @@
 }
 
 void OutlierDetection::recordLatency(UpstreamWorker& worker, Time now, AttemptResult result, Time latencyMs,
-                                     Time expectedLatencyMs) {
-  const double ratio = std::min(kMaxLatencyRatio, latencyMs / expectedLatencyMs);
+                                     Time usualLatencyMs) {
+  const double ratio = std::min(kMaxLatencyRatio, latencyMs / usualLatencyMs);
   // An error may be answered quickly, so its latency is not used. A time-out is only a lower bound on the
   // latency, so it is used only where it exceeds the present estimate.
   const bool hasLatencySample =
--- a/src/decision/outlier_detection.hpp
+++ b/src/decision/outlier_detection.hpp
@@ -32,11 +32,12 @@
            isUnresponsive(worker, now);
   }
 
-  /// Processes the latency of an attempt; results other than an answer or a time-out have no effect.
+  /// Processes the latency of an attempt. Only a successful answer, or a time-out above the worker's present
+  /// slowness, has an effect.
   /// @param latencyMs latency of the answer, or the duration after which the attempt timed out.
-  /// @param expectedLatencyMs usual latency of the request class.
+  /// @param usualLatencyMs usual latency of the request class.
   void recordLatency(UpstreamWorker& worker, Time now, AttemptResult result, Time latencyMs,
-                     Time expectedLatencyMs);
+                     Time usualLatencyMs);
   /// Ends the ejection and resets the count of failures.
   static void recordSuccess(UpstreamWorker& worker);
   /// Counts a failed attempt.
@@ -45,15 +46,15 @@
 
  private:
   static constexpr double kTypeWeight = 1;  ///< weight of the machine type's slowness, in samples
-  /// Longest time without an answer of a worker with several attempts in flight, in multiples of the longest
-  /// usual latency; after it the worker is unresponsive.
+  /// A worker with several attempts in flight is unresponsive after this multiple of the largest usual
+  /// latency without an answer.
   static constexpr double kUnresponsiveLatencies = 3;
 
   // Detects a worker that is partitioned, suspended or dead, regardless of its listed phase and long before
   // its attempts time out. A single attempt may take very long, so at least two have to be in flight.
   bool isUnresponsive(const UpstreamWorker& worker, Time now) {
     if (worker.inFlight < 2) return false;
-    return now - worker.lastResponseAt > kUnresponsiveLatencies * classes_.longestLatencyMs();
+    return now - worker.lastResponseAt > kUnresponsiveLatencies * classes_.largestMeanLatencyMs();
   }
 
   RequestClasses& classes_;
--- a/src/decision/request_class.cpp
+++ b/src/decision/request_class.cpp
@@ -20,7 +20,8 @@
 }
 
 void RequestClasses::replace(const std::vector<ClassSettings>& settings, Time now) {
-  std::unordered_map<std::string_view, const RequestClass*> classesByName;  // the last of equal names
+  // If names are equal, the last class is used.
+  std::unordered_map<std::string_view, const RequestClass*> classesByName;
   for (const RequestClassPtr& oldClass : classes_) classesByName[oldClass->settings.name] = oldClass.get();
   std::vector<RequestClassPtr> classes;
   classes.reserve(settings.size());
@@ -32,7 +33,7 @@
     classes.back()->latencyUpdatedAt = match->second->latencyUpdatedAt;
   }
   classes_ = std::move(classes);
-  cachedLongestLatencyMs_ = kNotComputed;
+  cachedLargestMeanLatencyMs_ = kNotComputed;
 }
 
 void RequestClasses::recordLatency(RequestClass& requestClass, Time now, Time latencyMs) {
@@ -43,16 +44,16 @@
                            kLatencyTimeConstantMs)
           : latencyMs;
   requestClass.latencyUpdatedAt = now;
-  if (previousMs >= cachedLongestLatencyMs_ || requestClass.meanLatencyMs >= cachedLongestLatencyMs_)
-    cachedLongestLatencyMs_ = kNotComputed;
+  if (previousMs >= cachedLargestMeanLatencyMs_ || requestClass.meanLatencyMs >= cachedLargestMeanLatencyMs_)
+    cachedLargestMeanLatencyMs_ = kNotComputed;
 }
 
-Time RequestClasses::longestLatencyMs() {
-  if (cachedLongestLatencyMs_ != kNotComputed) return cachedLongestLatencyMs_;
-  cachedLongestLatencyMs_ = 0;
+Time RequestClasses::largestMeanLatencyMs() {
+  if (cachedLargestMeanLatencyMs_ != kNotComputed) return cachedLargestMeanLatencyMs_;
+  cachedLargestMeanLatencyMs_ = 0;
   for (const RequestClassPtr& requestClass : classes_)
-    cachedLongestLatencyMs_ = std::max(cachedLongestLatencyMs_, requestClass->meanLatencyMs);
-  return cachedLongestLatencyMs_;
+    cachedLargestMeanLatencyMs_ = std::max(cachedLargestMeanLatencyMs_, requestClass->meanLatencyMs);
+  return cachedLargestMeanLatencyMs_;
 }
 
 }  // namespace wingslip::decision
--- a/src/decision/request_class.hpp
+++ b/src/decision/request_class.hpp
@@ -1,4 +1,4 @@
-/// Request classes with the latency that this gateway has measured for each.
+/// Request classes with the usual latency of each, as measured by this gateway.
 #pragma once
 
 #include <cstddef>
@@ -9,7 +9,8 @@
 
 namespace wingslip::decision {
 
-/// A request class with its measured latency. A request in flight retains its class when the settings change.
+/// A request class with its usual latency: the mean of the measured ones, or an assumption without answers. A
+/// request in flight retains its class when the settings change.
 struct RequestClass {
   /// Usual latency of a class without answers, as a share of its latency objective.
   static constexpr double kInitialLatencyObjectiveShare = 0.2;
@@ -18,8 +19,8 @@
   Time meanLatencyMs = 0;  ///< moving average over successful answers; 0: none yet
   Time latencyUpdatedAt = 0;
 
-  /// Measured latency, or an assumed one as long as there are no answers.
-  Time expectedLatencyMs() const {
+  /// Mean latency, or an assumed one as long as there are no answers.
+  Time usualLatencyMs() const {
     return meanLatencyMs > 0 ? meanLatencyMs : settings.latencyObjectiveMs * kInitialLatencyObjectiveShare;
   }
 };
@@ -31,7 +32,7 @@
  public:
   RequestClasses(const std::vector<ClassSettings>& settings, Time now);
 
-  /// Replaces the classes. A class takes the measured latency of the previous class with the same name.
+  /// Replaces the classes. A class takes the mean latency of the previous class with the same name.
   void replace(const std::vector<ClassSettings>& settings, Time now);
   std::size_t size() const { return classes_.size(); }
   const RequestClassPtr& operator[](std::size_t index) const { return classes_[index]; }
@@ -39,14 +40,15 @@
   /// Records the latency of a successful answer. `requestClass` may be one that changed settings have
   /// replaced.
   void recordLatency(RequestClass& requestClass, Time now, Time latencyMs);
-  /// The longest measured latency of the current classes; 0: there are no answers yet.
-  Time longestLatencyMs();
+  /// The largest mean latency of the current classes; 0: there are no answers yet.
+  Time largestMeanLatencyMs();
 
  private:
-  static constexpr Time kNotComputed = -1;  ///< value of cachedLongestLatencyMs_ that requires a computation
+  /// Value of cachedLargestMeanLatencyMs_ that requires a computation.
+  static constexpr Time kNotComputed = -1;
 
   std::vector<RequestClassPtr> classes_;
-  Time cachedLongestLatencyMs_ = kNotComputed;
+  Time cachedLargestMeanLatencyMs_ = kNotComputed;
 };
 
 }  // namespace wingslip::decision
--- a/src/decision/retry_policy.cpp
+++ b/src/decision/retry_policy.cpp
@@ -9,7 +9,8 @@
 constexpr unsigned kMaxAttempts = 4;             // per request; more attempts only add load
 constexpr double kTimeoutUsualLatencies = 5;     // attempt time-out, in usual latencies of the class
 constexpr double kMinTimeoutObjectiveShare = 1;  // lower bound of the time-out, in latency objectives
-constexpr double kBudgetPerSuccess = 0.05;  // early time-outs earned per success; bounds the load they add
+// Time-outs added to the budget per success; bounds the load that retries add.
+constexpr double kBudgetPerSuccess = 0.05;
 
 unsigned attemptsAllowed(const PendingRequest& pending) {
   return std::min(pending.maxAttempts, kMaxAttempts);
@@ -47,7 +48,7 @@
   const ClassSettings& settings = pending.classSettings();
   const bool isLastAttempt = pending.attempts + 1 >= attemptsAllowed(pending);
   if (settings.idempotency == Idempotency::notIdempotent || isLastAttempt || !hasBudget()) return 0;
-  const Time timeoutMs = std::max(kTimeoutUsualLatencies * pending.requestClass->expectedLatencyMs(),
+  const Time timeoutMs = std::max(kTimeoutUsualLatencies * pending.requestClass->usualLatencyMs(),
                                   kMinTimeoutObjectiveShare * settings.latencyObjectiveMs);
   return timeoutMs >= pending.request.expiresAt - now ? 0 : timeoutMs;
 }
--- a/src/decision/retry_policy.hpp
+++ b/src/decision/retry_policy.hpp
@@ -11,8 +11,8 @@
          result == AttemptResult::notSent;
 }
 
-/// Whether the request can be sent to this worker without the risk that it runs twice: it has not run, it is
-/// idempotent, or the worker recognises its idempotency key.
+/// Whether a request that RetryPolicy::mayRetry permits can be sent to this worker without the risk that it
+/// runs twice: it has not run, it is idempotent, or the worker recognises its idempotency key.
 inline bool isInDeduplicationScope(const PendingRequest& pending, const Endpoint& endpoint) {
   const ClassSettings& settings = pending.classSettings();
   if (!pending.mayHaveRun || settings.idempotency == Idempotency::idempotent ||
@@ -23,10 +23,13 @@
 }
 
 /// Whether the final answer may advise the client to resend: the request has not run, it is idempotent, or
-/// every worker recognises its idempotency key. Otherwise the final answer is a failure.
+/// every worker recognises its idempotency key; the client is assumed to resend within the idempotency
+/// window. Otherwise the final answer is a failure.
 [[nodiscard]] bool isSafeToReject(const PendingRequest& pending);
 
 /// Rules for the attempts of a gateway's requests, with one budget of early time-outs for all requests.
+/// A time-out is early if it comes before the request's deadline. A time-out at the deadline takes from the
+/// budget too.
 class RetryPolicy {
  public:
   /// Updates the budget at the outcome of an attempt.
@@ -37,7 +40,7 @@
   [[nodiscard]] bool mayRetry(const PendingRequest& pending, Time now) const;
 
  private:
-  static constexpr double kMaxBudget = 5;  ///< maximum number of consecutive early time-outs
+  static constexpr double kMaxBudget = 5;  ///< upper bound of the budget, as a number of time-outs
   bool hasBudget() const { return budget_ >= 1; }
 
   // Remaining early time-outs. A retry of a request that may have run requires at least 1.
--- a/src/decision/settings_check.cpp
+++ b/src/decision/settings_check.cpp
@@ -33,7 +33,7 @@
 
 void checkSettings(const Settings& settings) {
   require(settings.gatewayCount >= 1 && settings.gatewayIndex < settings.gatewayCount,
-          "gateway index is not below the gateway count");
+          "gateway count is 0 or gateway index is not below it");
   require(!settings.classes.empty(), "there are no request classes");
   require(!settings.plans.empty(), "there are no plans");
   require(allFiniteNonNegative(settings.quotaReadingPeriodMs, settings.slowStartMs, settings.drainGraceMs,
--- a/src/decision/slow_start.hpp
+++ b/src/decision/slow_start.hpp
@@ -9,10 +9,11 @@
 namespace wingslip::decision {
 
 /// Limits this gateway's rate of attempts at a warming worker to the worker's capacity share of the rate of
-/// successful answers that this gateway gets from a warm worker. Since every gateway does so, all of them
-/// together stay below the warming worker's share of a warm worker's throughput, even while clients retry
-/// many times. A gateway without a known rate uses its part of the sustained rate of a worker that processes
-/// one request per overload window.
+/// successful answers that this gateway gets from a warm worker, less a safety margin. A gateway sends
+/// nothing to a warming worker outside its subset. Since every gateway does so, all of them together stay
+/// below the warming worker's share of a warm worker's throughput, even while clients retry many times. The
+/// rate of a warm worker is taken to be at least this gateway's part of Settings::overloadMultiple requests
+/// per overload window, which even a worker that processes one request per window withstands.
 class SlowStart {
  public:
   /// Refers to the settings, which must outlive it.
--- a/src/decision/unknown_customers.cpp
+++ b/src/decision/unknown_customers.cpp
@@ -14,14 +14,15 @@
 constexpr Time kReadingValidMs = 3000;            // a customer with a more recent reading is not unknown
 // Target cost of work beyond quotas, as a share of the value admitted within quotas.
 constexpr double kTargetOverQuotaCost = 0.09;
-// At up to this many gateways, a single large first request does not make a customer overrun its quota.
+// A customer of at most this many gateways counts as unable to overrun its quota with one request at each.
 constexpr double kMinOverrunGateways = 4;
-constexpr double kMinQuotaRequests = 12;  // lower bound of the assumed burst, in requests of mean size
+// Lower bound of the assumed burst, in first requests of mean size over all customers.
+constexpr double kMinQuotaRequests = 12;
 constexpr double kMinAssumedBurstShare = 0.08;
 constexpr double kMaxAssumedBurstShare = 1.5;
 constexpr double kAssumedBurstShareStep = 0.4;  // logarithmic change of the share per request of mean value
-// Half-width, as a share of the assumed burst, of the range of sizes over which the admit probability falls
-// from 1, so that there is no fixed size above which every request is rejected.
+// The admit probability falls linearly over relative sizes from 1 minus to 1 plus this, so that there is no
+// fixed size above which every request is rejected.
 constexpr double kAdmitRampHalfWidth = 1.0 / 3;
 constexpr double kMinAdmitProbability = 0.05;
 
@@ -39,7 +40,7 @@
              plan.burst;
 }
 
-bool UnknownCustomers::isUnknown(const Customer& customer) const {
+bool UnknownCustomers::isUsageUnknown(const Customer& customer) const {
   return canOverrunQuota(customer) &&
          (customer.readingPercent < 0 || customer.updatedAt - customer.readingAt > kReadingValidMs);
 }
--- a/src/decision/unknown_customers.hpp
+++ b/src/decision/unknown_customers.hpp
@@ -1,8 +1,8 @@
 /// Admission of customers with unknown usage of the fleet-wide quota.
 ///
-/// With so many gateways that each receives only one request of most customers, the first reading of a
-/// customer arrives only after that request, and together the gateways can admit more than the quota. A quota
-/// that is partly used up at other gateways has no room for large requests, so the quota of an unknown
+/// If there are many gateways, each receives only one request of most customers, and the first reading of a
+/// customer arrives only after that request. Together the gateways can then admit more than the quota. A
+/// quota that is partly used up at other gateways has no room for large requests, so the quota of an unknown
 /// customer is assumed to have the share `assumedBurstShare` of its burst remaining. The share is adjusted by
 /// the readings on the answers to admitted requests.
 #pragma once
@@ -32,7 +32,7 @@
   /// quota. Always false without quota readings, or if work beyond the quota costs no more than its value.
   bool canOverrunQuota(const Customer& customer) const;
   /// Whether the customer can overrun its quota and has no recent reading.
-  bool isUnknown(const Customer& customer) const;
+  bool isUsageUnknown(const Customer& customer) const;
   /// Probability of admitting a request of an unknown customer, in (0, 1].
   double admitProbability(const Request& request) const;
   /// Adjusts the assumed share by a reading, in percent of the rate, on the answer to a request of a customer
--- a/src/decision/upstream_worker.hpp
+++ b/src/decision/upstream_worker.hpp
@@ -5,14 +5,16 @@
 
 namespace wingslip::decision {
 
-/// Owned by WorkerTable. Each group of members belongs to the module that its comment names.
+/// Owned by WorkerTable. A member belongs to the module that its comment names, or else to that of
+/// the member before it.
 struct UpstreamWorker {
   Endpoint endpoint;
-  unsigned inFlight = 0;    ///< attempts of this gateway in flight
-  bool isInSubset = true;   ///< load balancer: in the subset that this gateway prefers
-  Time reincludedAt = 0;    ///< slow start: end of an operator's exclusion, from which it restarts; 0: none
-  Time lastResponseAt = 0;  ///< outlier detection: last answer, or the time since which one is due
-  double latencyRatioSum = 0;    ///< outlier detection: decaying sum of latency over usual latency
+  unsigned inFlight = 0;   ///< attempts of this gateway in flight
+  bool isInSubset = true;  ///< load balancer: in the subset that this gateway prefers
+  /// Slow start: end of an operator's exclusion, at which slow start restarts; 0: none.
+  Time reincludedAt = 0;
+  Time lastResponseAt = 0;     ///< outlier detection: last answer, or if later the start of the wait for one
+  double latencyRatioSum = 0;  ///< outlier detection: decaying sum of the ratios of latency to usual latency
   double latencyRatioCount = 0;  ///< outlier detection: decaying number of samples in the sum
   Time latencyRatioAt = 0;
   unsigned consecutiveFailures = 0;  ///< outlier detection: failed attempts since the last successful answer
--- a/src/decision/worker_feedback.cpp
+++ b/src/decision/worker_feedback.cpp
@@ -26,7 +26,7 @@
                                result != AttemptResult::notSent;
   if (!indicatesHealth) return false;
   if (result == AttemptResult::ok) classes_.recordLatency(requestClass, now, outcome.latencyMs);
-  outliers_.recordLatency(worker, now, result, outcome.latencyMs, requestClass.expectedLatencyMs());
+  outliers_.recordLatency(worker, now, result, outcome.latencyMs, requestClass.usualLatencyMs());
   if (result != AttemptResult::ok) return OutlierDetection::recordFailure(worker, now);
   recordSuccess(worker, now);
   return false;
@@ -34,7 +34,7 @@
 
 // Late answers of a worker that is slow for its machine type or warming up do not indicate overload of all
 // workers together.
-void WorkerFeedback::updateLimits(UpstreamWorker& worker, Time now, AnswerTiming timing) {
+void WorkerFeedback::updateLimits(UpstreamWorker& worker, Time now, OutcomeTiming timing) {
   updateWorkerLimit(worker, now, timing);
   const bool isWorkerSpecific =
       timing.isLate && (outliers_.isSlowForItsType(worker) || !slowStart_.isWarm(worker, now));
--- a/src/decision/worker_feedback.hpp
+++ b/src/decision/worker_feedback.hpp
@@ -31,7 +31,7 @@
                                     const AttemptOutcome& outcome);
 
  private:
-  void updateLimits(UpstreamWorker& worker, Time now, AnswerTiming timing);
+  void updateLimits(UpstreamWorker& worker, Time now, OutcomeTiming timing);
   void recordSuccess(UpstreamWorker& worker, Time now);
 
   RequestClasses& classes_;
--- a/src/settings/key_values.cpp
+++ b/src/settings/key_values.cpp
@@ -8,7 +8,7 @@
 namespace wingslip::settings {
 namespace {
 
-/// Maximum number of items in a list; a longer one indicates a damaged frame.
+/// Maximum number of items in a list; a longer one indicates damaged settings.
 constexpr unsigned kMaxItems = 4096;
 /// Maximum number of bytes of a malformed line that its error message quotes.
 constexpr std::size_t kMaxQuotedBytes = 60;
@@ -19,13 +19,13 @@
     case SettingsError::Kind::missingEqualsSign:
       return "settings: line without '='";
     case SettingsError::Kind::notANumber:
-      return "settings: value is not a number";
+      return "settings: value of the key is not a number";
     case SettingsError::Kind::outOfRange:
-      return "settings: value is outside the range of an unsigned 32-bit integer";
+      return "settings: value of the key is outside the range of an unsigned 32-bit integer";
     case SettingsError::Kind::notABoolean:
-      return "settings: value is neither true nor false";
+      return "settings: value of the key is neither true nor false";
     case SettingsError::Kind::unknownValue:
-      return "settings: unknown value";
+      return "settings: unknown value of the key";
     case SettingsError::Kind::tooManyItems:
       return "settings: list has too many items";
   }
--- a/src/settings/key_values.hpp
+++ b/src/settings/key_values.hpp
@@ -1,5 +1,5 @@
 /// Lines of `key=value` with typed access: the format in which the simulator's adapter receives its settings,
-/// and to which the gatekeeper's configuration flattens its JSON.
+/// and into which the gatekeeper's JSON configuration is converted.
 #pragma once
 
 #include <map>
@@ -30,8 +30,10 @@
   /// @throws SettingsError on a line without `=`.
   explicit KeyValues(std::string_view text);
 
-  /// Each of the following returns `fallback` where the key is missing.
-  /// @throws SettingsError where the value is not of the requested type.
+  // Each of the following returns `fallback` where the key is missing, and throws SettingsError where the
+  // value is not of the requested type.
+
+  /// Accepts `inf` and `nan`.
   double number(const std::string& key, double fallback) const;
   /// A fraction is truncated.
   unsigned wholeNumber(const std::string& key, unsigned fallback) const;
--- a/src/settings/settings_reader.cpp
+++ b/src/settings/settings_reader.cpp
@@ -24,7 +24,7 @@
   throw SettingsError(SettingsError::Kind::unknownValue, key);
 }
 
-/// Whether the gateway polls for the endpoint list, as opposed to discovery pushing it.
+/// Whether the gateway requests the endpoint list, as opposed to discovery pushing it.
 bool parsePollsEndpoints(const std::string& key, std::string_view word) {
   if (word == "on_request") return true;
   if (word == "pushed") return false;
--- a/src/settings/settings_reader.hpp
+++ b/src/settings/settings_reader.hpp
@@ -12,7 +12,7 @@
 
 /// Settings of the host that the decision module does not use.
 struct HostSettings {
-  /// Names as transmitted over sockets, at the indexes by which the decision module refers to them.
+  /// Names used in messages; their positions are the indexes that the decision module uses.
   std::vector<std::string> classes;
   std::vector<std::string> plans;
   std::vector<std::string> zones;
@@ -23,7 +23,7 @@
   decision::Time workerIdleTimeoutMs = 30000;
 };
 
-/// Reads the decision module's settings from `path=value` lines. Unknown keys are ignored, and missing ones
+/// Reads the decision module's settings from `key=value` lines. Unknown keys are ignored, and missing ones
 /// retain their defaults.
 /// @throws SettingsError on a malformed line or an invalid value.
 decision::Settings parseSettings(std::string_view text);
--- a/src/simulator_adapter/main.cpp
+++ b/src/simulator_adapter/main.cpp
@@ -23,7 +23,8 @@
 class Host : private EventSink {
  public:
   /// Processes one frame and returns the reply to it, which is valid until the next call.
-  /// @throws WireError on a malformed frame or an event for an instance that has not been started.
+  /// @throws WireError on a malformed frame or an event, other than a stop, for an instance that has not
+  /// been started.
   /// @throws settings::SettingsError, std::invalid_argument on invalid settings of an instance.
   const std::string& handleFrame(const FrameHeader& header, std::string_view body) {
     clock_ = header.clock;
@@ -41,9 +42,9 @@
     currentGateway_ = found == gateways_.end() ? nullptr : &found->second;
     reply_.setInstance(number);
   }
-  void onStart(std::uint64_t salt, std::string_view text) override {
+  void onStart(std::uint64_t randomSeed, std::string_view text) override {
     gateways_.erase(instanceNumber_);
-    Gateway gateway(settings::parseSettings(text), salt, clock_, reply_);
+    Gateway gateway(settings::parseSettings(text), randomSeed, clock_, reply_);
     currentGateway_ = &gateways_.emplace(instanceNumber_, std::move(gateway)).first->second;
   }
   void onEndpoints(decision::EndpointUpdate kind, const std::vector<decision::Endpoint>& list) override {
@@ -77,7 +78,7 @@
 /// Reads frames from standard input.
 class FrameReader {
  public:
-  /// Reads the header of the next frame; no value at the end of the input.
+  /// Reads the header of the next frame; no value at the end of the input or on a read error.
   /// @throws WireError where the header is truncated or malformed.
   std::optional<FrameHeader> nextHeader() {
     std::array<char, kFrameHeaderBytes> bytes{};
@@ -88,7 +89,7 @@
   }
 
   /// Reads the next `size` bytes. The result is valid until the next call.
-  /// @throws WireError where the input ends before.
+  /// @throws WireError where the input ends earlier.
   std::string_view readBody(std::size_t size) {
     // The buffer grows in chunks, so that a corrupt length cannot cause a single huge allocation.
     constexpr std::size_t kChunkBytes = std::size_t{1} << 22;
--- a/src/simulator_adapter/wire.cpp
+++ b/src/simulator_adapter/wire.cpp
@@ -166,6 +166,7 @@
   out.expiresAt = in.get<double>();
   out.units = in.get<float>();
   const float gateways = in.get<float>();
+  // 1 if it is out of range or not a number.
   out.customerGatewayCount = gateways >= 1 && gateways < kMaxGateways ? static_cast<unsigned>(gateways) : 1;
   in.skip<float>();          // first gateway of the customer's set
   in.skip<std::uint16_t>();  // state flags
@@ -187,8 +188,8 @@
 }
 
 void readStart(Cursor& in, EventSink& sink) {
-  const auto salt = in.get<std::uint64_t>();
-  sink.onStart(salt, in.bytes(in.get<std::uint32_t>()));
+  const auto randomSeed = in.get<std::uint64_t>();
+  sink.onStart(randomSeed, in.bytes(in.get<std::uint32_t>()));
 }
 
 /// Skips a record of a feature that the decision module does not use.
--- a/src/simulator_adapter/wire.hpp
+++ b/src/simulator_adapter/wire.hpp
@@ -1,5 +1,6 @@
-/// The simulator's wire protocol: little-endian binary frames with their length in the header, of events on
-/// input and of actions on output. This layer only decodes and encodes; it makes no decisions.
+/// The simulator's wire protocol: little-endian binary frames. Input frames contain events, output frames
+/// contain actions; the header contains the length. This layer only decodes and encodes; it makes no
+/// decisions.
 #pragma once
 
 #include <cstdint>
@@ -35,12 +36,14 @@
  public:
   virtual ~EventSink() = default;
   virtual void onInstance(unsigned number) = 0;
-  virtual void onStart(std::uint64_t salt, std::string_view settings) = 0;
+  /// Starts the instance, or restarts it, with these settings as `key=value` lines.
+  virtual void onStart(std::uint64_t randomSeed, std::string_view settings) = 0;
   virtual void onEndpoints(decision::EndpointUpdate kind, const std::vector<decision::Endpoint>& list) = 0;
   virtual void onRequest(const decision::Request& request) = 0;
   virtual void onAttemptOutcome(const decision::AttemptOutcome& outcome) = 0;
   virtual void onClientDisconnect(decision::RequestId id) = 0;
   virtual void onTimer(std::uint64_t tag) = 0;
+  /// Ends the instance.
   virtual void onStop() = 0;
 };
 
--- a/tests/decision_modules_test.cpp
+++ b/tests/decision_modules_test.cpp
@@ -164,7 +164,7 @@
   const auto reason = [&](unsigned planIndex, double units) -> std::optional<RejectionReason> {
     const Request request{1, 0, planIndex, 1 + planIndex, 3000, units};
     Customer& customer = customers.findOrAdd(0, request);
-    const auto rejection = admission.check(customer, request, 100, false);
+    const auto rejection = admission.decide(customer, request, 100, false);
     if (!rejection) {
       CustomerQuota::debit(customer, units);
       quota.recordAttemptStarted(customer, 0);
