--- a/src/gatekeeper/client_connection.cpp
+++ b/src/gatekeeper/client_connection.cpp
@@ -116,7 +116,7 @@
 bool ClientServer::Connection::discardInput() {
   discardedBytes_ += input_.size();
   input_.clear();
-  inBody_ = false;  // small reads from now on
+  inBody_ = false;  // `readSize` returns kReadBytes from now on
   if (!reading_) {
     input_.shrink_to_fit();
     memory_.shrinkTo(memoryBytes(0));
@@ -140,15 +140,15 @@
   if (state_ == State::reading && requestStarted() && pausedRead_.isRegistered())
     return rejectForCapacity(WaitQueue::pausedRead);
   if (state_ == State::reading && requestStarted()) {
-    recordTimeout(WaitQueue::incompleteRequest);
+    countRejection(WaitQueue::incompleteRequest);
     return reject({http::status::request_timeout, "too slow"});
   }
   if (state_ == State::inFlight && !bodyDone_) {
-    recordTimeout(WaitQueue::incompleteRequest);
+    countRejection(WaitQueue::incompleteRequest);
     return rejectSlowBody();
   }
-  if (state_ == State::streaming) recordTimeout(WaitQueue::responseBodyWindow);
-  if (state_ == State::responding) recordTimeout(WaitQueue::responseWrite);
+  if (state_ == State::streaming) countRejection(WaitQueue::responseBodyWindow);
+  if (state_ == State::responding) countRejection(WaitQueue::responseWrite);
   if (state_ == State::reading && hasUnreadData()) return;  // its read handler is due
   if (state_ == State::reading) return closeIdle();
   if (state_ == State::lingering) return close(CloseReason::lastResponse);
@@ -165,7 +165,7 @@
   continueHandled_ = false;
   inBody_ = false;
   bodyDone_ = true;
-  if (input_.size() == 0 && !reading_) input_.shrink_to_fit();  // a pending read writes into it
+  if (input_.size() == 0 && !reading_) input_.shrink_to_fit();  // a pending read retains the buffer
   releaseRequestMemory();
   idleSince_ = Clock::now();
   parser_.emplace();
@@ -187,11 +187,11 @@
   if (!std::exchange(overflow_, false)) return;
   --server_.overflowCount_;
   leaveOrder();
-  if (server_.connections_.size() - server_.overflowCount_ > server_.maxRegular())
-    server_.closeLeastRecentlyUsed();
+  if (server_.connections_.size() - server_.overflowCount_ > server_.maxRegular()) server_.evictConnection();
 }
 
-// The request is fully read or discarded, and its response is written.
+// The response is written. The request is fully read or discarded, except under memory overload: the
+// lingering close then discards the remaining body.
 void ClientServer::Connection::finishExchange() {
   if (closeAfterResponse_) return linger();
   startAwaitingRequest();
@@ -201,7 +201,8 @@
 
 // --- Memory ------------------------------------------------------------------------------------------------
 
-// Bytes to charge for the connection and its request, with `more` bytes to be read.
+// Bytes to charge for the connection and its request, with `more` bytes to be read. These count twice: in the
+// input buffer and as part of the request.
 std::size_t ClientServer::Connection::memoryBytes(std::size_t more) const {
   const std::size_t buffer = std::max(input_.capacity(), input_.size() + more);
   return std::max(kClientConnectionBytes, kBareConnectionBytes + buffer + requestBytes_ + more);
--- a/src/gatekeeper/client_connection.hpp
+++ b/src/gatekeeper/client_connection.hpp
@@ -80,8 +80,9 @@
   /// For use once accepting has stopped: closes the connection if it is idle. A new connection or an
   /// incomplete request header gets a short time limit instead.
   void closeIfIdle();
-  /// Closes an idle connection; if a response was written, with a lingering close. A request that arrives
-  /// during the lingering close is discarded; its client retries it on another connection.
+  /// Closes an idle connection: immediately, or with a lingering close if it has carried a response. A
+  /// request that arrives during the lingering close is discarded; its client retries it on another
+  /// connection.
   void closeIdle();
   /// Closes an overflow connection to free its slot; with a rejection if a request has started.
   void evictFromOverflow();
@@ -89,7 +90,7 @@
  private:
   enum class State {
     reading,         // idle, or a request is being read
-    inFlight,        // the request is with the handler
+    inFlight,        // the request is with the handler, or `reject` is about to respond to it
     streaming,       // the response is being streamed
     responding,      // the last bytes of the response are being written
     discardingBody,  // the response is written; the remaining request body is read and discarded
@@ -115,10 +116,10 @@
   // Lifecycle and time limits (client_connection.cpp)
   bool requestStarted() const { return requestStarted_ || input_.size() > 0; }
   bool hasUnansweredRequest() const;
-  void recordWait(WaitQueue reason) {
-    waitRecord_.enter(server_.overloadManager_.waitQueues(), reason, OverloadManager::now());
+  void recordWait(WaitQueue queue) {
+    waitRecord_.enter(server_.overloadManager_.waitQueues(), queue, OverloadManager::now());
   }
-  void recordTimeout(WaitQueue reason) { server_.overloadManager_.waitQueues().countRejection(reason); }
+  void countRejection(WaitQueue queue) { server_.overloadManager_.waitQueues().countRejection(queue); }
   void armTimer(std::chrono::milliseconds span);
   void onTimer();
   void startAwaitingRequest();
@@ -155,7 +156,7 @@
   // Writing a response (client_connection_writing.cpp)
   void respondReadiness(http::verb method);
   void reject(const ImmediateResponse& rejection, decision::Time retryAfterMs = 0);
-  void rejectForCapacity(WaitQueue reason);
+  void rejectForCapacity(WaitQueue queue);
   void rejectSlowBody();
   void write();
   void onWritten();
@@ -166,7 +167,7 @@
   WaitQueues::QueueEntry waitRecord_;    // the wait that is counted in the metrics
   OverloadManager::PausedRead pausedRead_;
   std::size_t requestBytes_ = 0;    // bytes of the request that are read and not yet released
-  std::size_t forwardedBytes_ = 0;  // those of them passed to the handler and not yet written to the worker
+  std::size_t forwardedBytes_ = 0;  // part of `requestBytes_` that the handler has, but the worker not yet
   bool overflow_;                   // beyond the limit of regular connections
   const Clock::time_point openedAt_ = Clock::now();
   Socket socket_;
@@ -174,7 +175,7 @@
   beast::flat_buffer input_;
   std::optional<http::request_parser<WindowBody>> parser_;
   BodyPieceHandler bodyPieceHandler_;     // called with the next piece of the request's body
-  std::function<void()> onPieceWritten_;  // called when the last piece sent is written
+  std::function<void()> onPieceWritten_;  // called when the most recent piece sent is written
   ResponseBuffer output_;
   State state_ = State::reading;
   Clock::time_point idleSince_;
@@ -184,8 +185,10 @@
   bool requestStarted_ = false;       // the first byte of a request has been parsed
   bool continueHandled_ = false;      // 100 Continue has been sent, or is not expected
   bool closeAfterResponse_ = false;
-  bool reading_ = false;          // a read is pending
-  bool tcpStateKnown_ = false;    // the kernel reports the TCP state, as on Linux
+  bool reading_ = false;  // a read is pending
+  // Whether the kernel's TCP state is used, as on Linux: at its start the connection was not reported as
+  // closed.
+  bool tcpStateKnown_ = false;
   bool inBody_ = false;           // the header is read, and a body follows
   bool bodyDone_ = true;          // no more of the body is expected
   unsigned requestVersion_ = 11;  // HTTP version; 11: HTTP/1.1
--- a/src/gatekeeper/client_connection_reading.cpp
+++ b/src/gatekeeper/client_connection_reading.cpp
@@ -45,8 +45,9 @@
                      guard([this](const Error& error, std::size_t) { onReadable(error); }));
 }
 
-// Pauses reading until memory is available, and the body's time limit with it. A request that is not in
-// flight yet is rejected if it gets no memory within `maxMemoryWait`.
+// Pauses reading, and the time limit of a body in flight, until memory is available. A request whose body is
+// still being buffered is rejected if it gets no memory within `maxMemoryWait`; the time limit of
+// a header is unchanged.
 void ClientServer::Connection::waitForMemory(bool awaitingBody) {
   if (state_ == State::reading && awaitingBody) armTimer(server_.limits_.maxMemoryWait);
   if (state_ == State::inFlight && awaitingBody) timer_.cancel();
@@ -77,7 +78,7 @@
 
 std::size_t ClientServer::Connection::readSize() const { return inBody_ ? kStreamReadBytes : kReadBytes; }
 
-// Under memory overload, a streamed body is not read any further, before the budget is exhausted.
+// Under memory overload, reading a streamed body stops even before the budget is exhausted.
 bool ClientServer::Connection::reserveReadMemory() {
   if (!bodyDone_ && state_ == State::inFlight && server_.overloadManager_.isMemoryOverloaded()) return false;
   return memory_.resize(memoryBytes(readSize()));
@@ -88,13 +89,13 @@
   return input_.size() < kMaxReadAhead;
 }
 
-// For use while no read is pending, which would detect a disconnect.
+// For use while no read is pending; a pending read detects a disconnect itself.
 void ClientServer::Connection::checkDisconnect() {
   if (state_ != State::closed && !reading_ && tcpStateKnown_ && hasPeerClosed(socket_))
     close(CloseReason::peerClosed);
 }
 
-// Returns false if the client sends the body too slowly; it is then handled like a time-out.
+// Returns false if the client sends the body too slowly; the request is then handled as timed out.
 bool ClientServer::Connection::checkBodyRate(std::size_t bytes) {
   bodyRate_.finishRead(bytes);
   const bool awaited = state_ == State::reading || state_ == State::inFlight;
@@ -191,7 +192,7 @@
   ParsedRequest& request = std::get<ParsedRequest>(parsed);
   if (overflow_ && !server_.hasCapacity()) {
     server_.handler_.onRequestRejected(request.classIndex);
-    recordTimeout(WaitQueue::freeConnection);
+    countRejection(WaitQueue::freeConnection);
     return reject(kNoCapacity, server_.rejectionRetryAfterMs());
   }
   request.memoryBytes = memoryBytes(0) + requestBytes_;
@@ -233,7 +234,7 @@
 void ClientServer::Connection::readBody(BodyPieceHandler onPiece) {
   if (state_ != State::inFlight) return;
   bodyPieceHandler_ = std::move(onPiece);
-  requestBytes_ -= std::min(requestBytes_, std::exchange(forwardedBytes_, 0));  // written to the worker
+  requestBytes_ -= std::min(requestBytes_, std::exchange(forwardedBytes_, 0));  // the worker has these
   recordWait(WaitQueue::incompleteRequest);
   sendContinue();
   asio::post(socket_.get_executor(), guardPosted([this] { deliverBody(); }));
--- a/src/gatekeeper/client_connection_writing.cpp
+++ b/src/gatekeeper/client_connection_writing.cpp
@@ -51,7 +51,8 @@
   if (state_ != State::closed) responseMemory_ = std::move(memory);
 }
 
-// The client detects the truncation by the missing end of a delimited body; any other body is reset.
+// The client detects the truncation of a delimited body by its missing end; otherwise the connection is
+// reset.
 void ClientServer::Connection::abortStream() {
   if (state_ != State::streaming) return;
   Error ignored;
@@ -59,7 +60,7 @@
   close(CloseReason::responseTruncated);
 }
 
-// --- Responses of this connection --------------------------------------------------------------------------
+// --- Responses without the handler -------------------------------------------------------------------------
 
 void ClientServer::Connection::respondReadiness(http::verb method) {
   if (method != http::verb::get) return reject({http::status::method_not_allowed, "only GET"});
@@ -83,8 +84,8 @@
   respond(std::move(response));
 }
 
-void ClientServer::Connection::rejectForCapacity(WaitQueue reason) {
-  recordTimeout(reason);
+void ClientServer::Connection::rejectForCapacity(WaitQueue queue) {
+  countRejection(queue);
   if (parser_->is_header_done()) {
     const auto parsed = parseClientRequest(parser_->get(), server_.config_);
     if (const auto* request = std::get_if<ParsedRequest>(&parsed))
@@ -95,7 +96,7 @@
   reject(kNoCapacity, server_.rejectionRetryAfterMs());
 }
 
-// For a streamed request body whose request is with the handler.
+// Ends the handler's request, whose streamed body arrives too slowly, and responds with 408.
 void ClientServer::Connection::rejectSlowBody() {
   server_.handler_.onClientDisconnect(requestId_);
   bodyDone_ = true;  // no more of the body is awaited
--- a/src/gatekeeper/client_request.cpp
+++ b/src/gatekeeper/client_request.cpp
@@ -43,14 +43,15 @@
   return {};
 }
 
-// Whether a header of the service is present twice: a worker might use the other value.
+// Whether a header of the service is present twice. Such a request is rejected, since a worker might use
+// another of the values than the gatekeeper.
 bool hasDuplicateHeader(const ClientMessage& message) {
   for (const char* name : {"Req-Id", "X-Tier", "Req-Deadline-Ms", "X-Call-Terms", "Idempotency-Key"})
     if (message.count(name) > 1) return true;
   return false;
 }
 
-bool isId(std::string_view text) {
+bool isRequestId(std::string_view text) {
   const auto isHexDigit = [](char c) {
     return (c >= '0' && c <= '9') || (c >= 'a' && c <= 'f') || (c >= 'A' && c <= 'F');
   };
@@ -63,7 +64,8 @@
   return static_cast<unsigned>(found - names.begin());
 }
 
-// Parses X-Call-Terms, such as `units=1,spread=2,first=1`. Returns false if it is malformed or out of range.
+// Parses X-Call-Terms, such as `units=1,spread=2,first=1`. `first` is only validated. Returns false if
+// the header is malformed or out of range.
 bool parseTerms(std::string_view terms, const decision::Settings& settings, ParsedRequest& request) {
   const auto units = parseNumber<double>(findValue(terms, ',', "units"));
   const auto spread = parseNumber<unsigned>(findValue(terms, ',', "spread"));
@@ -108,7 +110,7 @@
   if (!classIndex && !hasId) return ImmediateResponse{http::status::not_found, "no such path"};
   if (!classIndex) return ImmediateResponse{kBadRequest, "unknown class"};
   if (!hasId) return ImmediateResponse{kBadRequest, "no Req-Id"};
-  if (!isId(header(message, "Req-Id"))) return ImmediateResponse{kBadRequest, "bad Req-Id"};
+  if (!isRequestId(header(message, "Req-Id"))) return ImmediateResponse{kBadRequest, "bad Req-Id"};
   if (hasDuplicateHeader(message))
     return ImmediateResponse{kBadRequest, "a header of the service is there twice"};
   ParsedRequest request;
--- a/src/gatekeeper/client_request.hpp
+++ b/src/gatekeeper/client_request.hpp
@@ -30,7 +30,7 @@
 /// A response that is sent without calling a worker.
 struct ImmediateResponse {
   http::status status = http::status::bad_request;
-  std::string_view message;
+  std::string_view message;  ///< refers to static text
 };
 
 /// The path and query of a request target: removes scheme and host from a target in absolute form
--- a/src/gatekeeper/client_server.cpp
+++ b/src/gatekeeper/client_server.cpp
@@ -18,7 +18,7 @@
 using Clock = std::chrono::steady_clock;
 using namespace std::chrono_literals;
 
-constexpr double kMinRetryAfterMs = 250;            // minimum, if the overload is expected to end sooner
+constexpr double kMinExpectedOverloadMs = 250;      // lower bound of the expected overload, before the jitter
 constexpr auto kAcceptRetryDelay = 50ms;            // after an accept that failed for lack of descriptors
 constexpr auto kUnreadDataRetryDelay = 1ms;         // for a read handler that is due, before an eviction
 constexpr auto kAcceptQueueDrainRetryDelay = 10ms;  // retry of draining the accept queue
@@ -40,7 +40,7 @@
       acceptRetryTimer_(io),
       overflowTimer_(io),
       overloadManager_(overloadManager),
-      jitter_(config.seed ^ 0x5bd1e995) {
+      randomGenerator_(config.seed ^ 0x5bd1e995) {
   overloadManager_.waitQueues().setExternalSource(WaitQueue::acceptBacklog, [this](double now) {
     WaitQueues::Statistics out;
     out.waiting = acceptBacklogLength(acceptor_);
@@ -81,8 +81,9 @@
   accept();
 }
 
-// Whether one more connection may be accepted: below the limit, or by evicting an idle connection. Makes no
-// system call.
+// Whether one more connection may be accepted: there is memory for it, and the number of connections is below
+// the limit or there is an idle or lingering connection to evict. Makes no system call, so a request may
+// already have arrived on such an idle connection; its eviction then fails.
 bool ClientServer::hasCapacity() const {
   if (overloadManager_.memory().available(Account::clients) < kClientConnectionBytes) return false;
   return connections_.size() - overflowCount_ < maxRegular() || !idle_.empty() || !lingering_.empty();
@@ -107,7 +108,7 @@
 void ClientServer::admitAccepted() {
   tcp::socket socket = *std::exchange(acceptedSocket_, std::nullopt);
   const bool full = connections_.size() - overflowCount_ >= maxRegular();
-  if (!full || closeLeastRecentlyUsed()) return add(std::move(socket));
+  if (!full || evictConnection()) return add(std::move(socket));
   // Requests have arrived on all connections that were idle.
   acceptedSocket_ = std::move(socket);
   accept();
@@ -117,9 +118,9 @@
   if (acceptPending_) return;
   if (!acceptor_.is_open()) return;
   acceptPending_ = true;
-  // The connection is accepted in the handler, so that none is lost between the queue and the handler when
-  // accepting stops. One accept per iteration of the event loop: other sockets and timers are served in
-  // between, however long the accept queue is.
+  // The handler itself accepts the connection: with async_accept, a connection that is already accepted would
+  // be lost if accepting stopped before the handler ran. One accept per iteration of the event loop: other
+  // sockets and timers are served in between, however long the accept queue is.
   acceptor_.async_wait(tcp::acceptor::wait_read, [this](const Error& waited) {
     if (waited == asio::error::operation_aborted) return;
     acceptPending_ = false;
@@ -137,10 +138,10 @@
   });
 }
 
-// Out of descriptors: the connection stays in the accept queue, so the listener would become readable again
-// immediately.
+// Out of descriptors or kernel memory: the connection stays in the accept queue, so the listener would become
+// readable again immediately.
 void ClientServer::retryAccept() {
-  closeLeastRecentlyUsed();
+  evictConnection();
   acceptRetryTimer_.expires_after(kAcceptRetryDelay);
   acceptRetryTimer_.async_wait([this](const Error& error) {
     if (!error) accept();
@@ -149,16 +150,17 @@
 
 void ClientServer::add(tcp::socket socket) {
   auto memory = overloadManager_.memory().open(Account::clients);
-  if (!memory.resize(kClientConnectionBytes)) closeLeastRecentlyUsed();
+  if (!memory.resize(kClientConnectionBytes)) evictConnection();
   if (!memory.resize(kClientConnectionBytes))
-    return;  // only while draining: otherwise `hasCapacity` has been checked
+    return;  // closes the socket; only while draining: otherwise `hasCapacity` has been checked
   memory.markPermanent();
   const auto connection = std::make_shared<Connection>(*this, std::move(socket), std::move(memory), false);
   connections_.insert(connection);
   connection->start();  // calls accept
 }
 
-// The memory is reserved at start-up, so that overflow connections can be read when memory is short.
+// Reserved at start-up and again as soon as a slot is free, so that overflow connections can be read when
+// memory is short.
 void ClientServer::reserveOverflowMemory() {
   while (overflowMemory_.size() + overflowCount_ < limits_.overflowSlots()) {
     auto memory = overloadManager_.memory().open(Account::clients);
@@ -168,8 +170,8 @@
   }
 }
 
-// All connections are busy. New connections stay in the accept queue for `overflowDelay`, since most requests
-// end within it.
+// There is no capacity: all regular connections are busy or memory is short. New connections stay in the
+// accept queue for `overflowDelay`, since most requests end within it.
 void ClientServer::scheduleOverflow() {
   if (capacityWait_.isIn(WaitQueue::freeConnection)) return;
   capacityWait_.enter(overloadManager_.waitQueues(), WaitQueue::freeConnection, OverloadManager::now());
@@ -195,7 +197,8 @@
 }
 
 // Evicts the oldest overflow connection once it is `minOverflowTime` old; until then the accepted one waits.
-// Returns whether a slot is free now.
+// Returns whether a slot is free. After an eviction it returns false: `accept` has already been called again,
+// or is called when the evicted connection has been rejected and closed.
 bool ClientServer::freeOverflowSlot() {
   reserveOverflowMemory();
   if (!overflowMemory_.empty()) return true;
@@ -217,7 +220,7 @@
     return false;
   }
   overloadManager_.waitQueues().countRejection(WaitQueue::freeConnection);
-  oldest->evictFromOverflow();  // calls accept
+  oldest->evictFromOverflow();  // calls accept, possibly later
   return false;
 }
 
@@ -225,9 +228,9 @@
 decision::Time ClientServer::rejectionRetryAfterMs() const {
   const double maxMs = config_.settings.maxRetryAfterMs;
   const double overloadMs =
-      std::max(overloadManager_.state().expectedDurationMs(OverloadManager::now()), kMinRetryAfterMs);
+      std::max(overloadManager_.state().expectedDurationMs(OverloadManager::now()), kMinExpectedOverloadMs);
   return (maxMs > 0 ? std::min(maxMs, overloadMs) : overloadMs) *
-         std::uniform_real_distribution<>(0.5, 1.0)(jitter_);
+         std::uniform_real_distribution<>(0.5, 1.0)(randomGenerator_);
 }
 
 double ClientServer::busyFraction() const {
@@ -261,7 +264,7 @@
 // is neither. A connection with unread data is removed from the idle order; its read handler, which is due,
 // adds it again if the data is not a request. So the kernel is queried only once per idle period of a
 // connection.
-bool ClientServer::closeLeastRecentlyUsed() {
+bool ClientServer::evictConnection() {
   if (const auto lingering = static_cast<Connection*>(lingering_.oldest())) {
     lingering->close(CloseReason::evicted);
     return true;
@@ -295,7 +298,7 @@
     acceptor_.accept(socket, error);
     if (isQueueEmpty(error)) break;
     if (isShortage(error)) {
-      closeLeastRecentlyUsed();
+      evictConnection();
       return scheduleAcceptQueueDrain();
     }
     if (!error) addWhileStopping(std::move(socket));
@@ -313,7 +316,7 @@
 // Evicts idle connections until there is memory for one more connection. Returns false if there is not.
 bool ClientServer::freeMemoryWhileStopping() {
   while (overloadManager_.memory().available(Account::clients) < kClientConnectionBytes)
-    if (!closeLeastRecentlyUsed()) return false;
+    if (!evictConnection()) return false;
   return true;
 }
 
@@ -325,7 +328,7 @@
 
 // No other process would accept this connection, so it is added even beyond the limit if none is idle.
 void ClientServer::addWhileStopping(tcp::socket socket) {
-  if (connections_.size() - overflowCount_ >= maxRegular()) closeLeastRecentlyUsed();
+  if (connections_.size() - overflowCount_ >= maxRegular()) evictConnection();
   add(std::move(socket));
 }
 
--- a/src/gatekeeper/client_server.hpp
+++ b/src/gatekeeper/client_server.hpp
@@ -30,16 +30,18 @@
   struct Limits {
     /// Maximum number of open client connections, including the overflow connections.
     std::size_t maxConnections = 480;
-    /// Number of connections, out of `maxConnections`, that are reserved for overflow. They are used once all
-    /// regular connections have been busy for `overflowDelay`: the request is read up to the end of its
-    /// header and rejected, so that malformed and silent peers do not stay in the kernel's accept queue.
+    /// Number of connections, out of `maxConnections`, that are reserved for overflow. They are used once
+    /// there has been no capacity for `overflowDelay`: the request is read up to the end of its header and
+    /// rejected. Without them, malformed and silent peers would wait in the kernel's accept queue, without
+    /// the error or close that they must get (see `firstRequestTimeout`).
     std::size_t overflowSlots() const { return std::min<std::size_t>(8, maxConnections / 16); }
-    std::chrono::milliseconds overflowDelay{500};     ///< all regular connections busy, until overflow starts
-    std::chrono::milliseconds minOverflowTime{1000};  ///< minimum age of an overflow connection to evict
-    std::chrono::milliseconds maxMemoryWait{1000};    ///< for memory to read a request, then it is rejected
-    std::chrono::milliseconds minIdleTime{2000};   ///< idle time from which overload may close a connection
-    std::chrono::milliseconds idleTimeout{75000};  ///< between two requests of a connection
-    // A peer that sends no complete request must get an error or a close within 3 s of connecting.
+    std::chrono::milliseconds overflowDelay{500};     ///< time without capacity until overflow starts
+    std::chrono::milliseconds minOverflowTime{1000};  ///< age from which an overflow connection is evictable
+    std::chrono::milliseconds maxMemoryWait{1000};  ///< longest wait of a request body for memory to read it
+    std::chrono::milliseconds minIdleTime{2000};    ///< idle time from which overload may close a connection
+    std::chrono::milliseconds idleTimeout{75000};   ///< between two requests of a connection
+    // A peer that sends no complete request must get an error or a close within 3 s of connecting; the
+    // time-out runs only from the accept.
     std::chrono::milliseconds firstRequestTimeout{2500};  ///< from the accept to the end of the header
     std::chrono::milliseconds headerTimeout{2500};        ///< for later requests, from their first byte
     std::chrono::milliseconds bodyReadTimeout{1500};      ///< between two reads of a request body
@@ -51,10 +53,12 @@
     std::size_t maxLingerBytes = 256 * 1024;  ///< input discarded during the lingering close, bytes
   };
 
-  /// Counters and maxima since the last `takeStats`, for the service log.
+  /// Counters and maxima since the last `takeStats`, for the service log unless noted otherwise.
   struct Stats {
-    unsigned accepted = 0;  ///< connections accepted from the kernel's queue
-    unsigned rejected = 0;  ///< requests rejected by this server: malformed, too large, too slow, no capacity
+    unsigned accepted = 0;  ///< connections accepted, except while stopping; not logged
+    /// Requests rejected by this server: malformed, too large, too slow or no capacity; and readiness probes
+    /// not answered with 200.
+    unsigned rejected = 0;
     std::size_t maxBufferedBytes = 0;  ///< maximum of the bytes read and not yet parsed on one connection
     double maxUnreadWaitMs = 0;        ///< maximum time, ms, that a connection's first request was unread
   };
@@ -85,7 +89,7 @@
   /// Closed connections by reason, since the start of the process.
   const CloseCounts& closes() const { return closes_; }
 
-  /// From this call on, the connection is closed after each response.
+  /// From this call on, each connection is closed after its next response.
   void startDrain() { draining_ = true; }
   /// Stops accepting. With a listening socket of its own, the server first accepts the connections in the
   /// accept queue; a socket owned by the platform keeps listening, and the next process accepts its queue.
@@ -117,7 +121,7 @@
   bool freeMemoryWhileStopping();
   void closeListener();
   void remove(const std::shared_ptr<Connection>& connection);
-  bool closeLeastRecentlyUsed();
+  bool evictConnection();
 
   const Config& config_;
   const Limits limits_;
@@ -138,9 +142,9 @@
   std::function<void()> done_;
   Stats stats_;
   CloseCounts closes_;
-  mutable std::mt19937_64 jitter_;  // for Retry-After; seeded from the configuration
-  bool acceptEnabled_ = false;      // between `startAccepting` and `stopAccepting`
-  bool acceptPending_ = false;      // a wait for the listener to become readable is pending
+  mutable std::mt19937_64 randomGenerator_;  // jitter of Retry-After; seeded from the configuration
+  bool acceptEnabled_ = false;               // between `startAccepting` and `stopAccepting`
+  bool acceptPending_ = false;               // a wait for the listener to become readable is pending
   bool draining_ = false;
 };
 
--- a/src/gatekeeper/close_reason.hpp
+++ b/src/gatekeeper/close_reason.hpp
@@ -14,16 +14,16 @@
 enum class CloseReason : std::uint8_t {
   peerClosed,              ///< the client closed the connection or its sending side
   peerReset,               ///< reset by the client, or another network error
-  idleTimeout,             ///< no request within the idle time-out
-  evicted,                 ///< idle, closed to make room for another connection
+  idleTimeout,             ///< closed before its first request: time-out, drain or overload
+  evicted,                 ///< idle or lingering, closed to free a connection slot, descriptor or memory
   overflowEvicted,         ///< an overflow connection without a request, closed for another
-  lastResponse,            ///< the last response announced the close, or the process is draining
+  lastResponse,            ///< the client did not close within the lingering close after its last response
   sendsAfterLastResponse,  ///< too much input after the last response
   writeTimeout,            ///< the client did not read its response within the write time-out
   bodyTimeout,             ///< the remaining body of an answered request timed out
   malformedBody,           ///< the remaining body of an answered request is malformed
   responseTruncated,       ///< a streamed response could not be completed
-  processEnd,              ///< the process exits
+  processEnd,              ///< not counted; the metric's name remains
 };
 constexpr std::size_t kCloseReasonCount = static_cast<std::size_t>(CloseReason::processEnd) + 1;
 
--- a/src/gatekeeper/discovery_client.hpp
+++ b/src/gatekeeper/discovery_client.hpp
@@ -30,7 +30,8 @@
   };
 
   /// @param agent address of the discovery agent
-  /// @param initialList the list to start from; a generation below 0: none, a snapshot is requested first
+  /// @param initialList the list to start from; if its generation is below 0 there is none, and a
+  ///     snapshot is requested
   /// @param limits timeouts and backoff of the watch
   /// @param seed seed of the random backoff delays
   /// @param onEndpointList called with each list that is accepted; may call `stop`
--- a/src/gatekeeper/exclusion_control.hpp
+++ b/src/gatekeeper/exclusion_control.hpp
@@ -24,12 +24,13 @@
 /// Owns the exclusions and their file. Used from the event loop's thread only.
 class ExclusionControl {
  public:
-  /// Receives the workers that a change excludes and includes.
+  /// Receives the workers that a change excludes and includes; there may be none.
   using OnChange = std::function<void(const ExclusionChange&)>;
 
   /// Reads the file in `stateDir`.
   /// @param stateDir the state directory; empty: nothing is persisted
-  /// @param onChange called for each change, also from within calls of this object
+  /// @param onChange called after each call or synchronization that may change the exclusions, also from
+  ///     within calls of this object
   ExclusionControl(boost::asio::io_context& io, const std::string& stateDir, OnChange onChange);
 
   /// Reports every excluded worker to the callback.
@@ -39,7 +40,8 @@
   /// @param onLoaded called after each synchronization, once the file has been read
   void startPeriodicSync(std::function<void()> onLoaded);
 
-  /// False if the file has not been readable so far, so that the excluded workers are not known.
+  /// False while every read of the file has failed with an I/O error, so that the excluded workers are not
+  /// known. A missing, malformed or too large file counts as read.
   bool isLoaded() const { return exclusions_.isLoaded(); }
   /// Records that an endpoint list has named this worker: operators may exclude it. At most 8192 workers
   /// are recorded.
@@ -48,7 +50,7 @@
   /// excluded nor named by any list, and an exclusion beyond `Exclusions::kMaxExcluded`.
   ExclusionResult setExcluded(const std::string& id, bool excluded);
   /// Applies an exclusion or inclusion by another gatekeeper, or by this one before its restart. The next
-  /// synchronization writes the file.
+  /// synchronization writes the file. Ignores an exclusion beyond `Exclusions::kMaxExcluded`.
   void onReplicated(const std::string& id, bool excluded);
 
  private:
--- a/src/gatekeeper/exclusions.cpp
+++ b/src/gatekeeper/exclusions.cpp
@@ -80,7 +80,7 @@
   return ids_ != idsBefore;
 }
 
-// Writes under a lock, because the other process of a hot restart may change the file at the same time.
+// Writes under a lock, because the other process of an upgrade may change the file at the same time.
 std::error_code Exclusions::writeFileLocked() {
   if (path_.empty()) {
     persistedIds_ = ids_;
--- a/src/gatekeeper/exclusions.hpp
+++ b/src/gatekeeper/exclusions.hpp
@@ -11,7 +11,7 @@
 
 /// The set of excluded workers and its file. A change takes effect immediately. It counts as persisted only
 /// when the file and its directory have been flushed to disk; until then `sync` retries the write, and the
-/// change overrides the contents of the file. Both processes of a hot restart share the file. Blocks on disk
+/// change overrides the contents of the file. Both processes of an upgrade share the file. Blocks on disk
 /// I/O. Used from the event loop's thread only.
 class Exclusions {
  public:
@@ -24,7 +24,8 @@
 
   /// The ids of the excluded workers, pending changes included.
   const std::set<std::string>& ids() const { return ids_; }
-  /// False if the file has not been readable so far, so that the excluded workers are not known.
+  /// False while every read of the file has failed with an I/O error, so that the excluded workers are not
+  /// known. A missing, malformed or too large file counts as read.
   bool isLoaded() const { return loaded_; }
   /// Whether excluding the worker would stay within `kMaxExcluded`.
   bool canExclude(const std::string& id) const { return ids_.size() < kMaxExcluded || ids_.contains(id); }
--- a/src/gatekeeper/fleet_services.cpp
+++ b/src/gatekeeper/fleet_services.cpp
@@ -49,7 +49,7 @@
   if (coordinator_) coordinator_->drain();
 }
 
-void FleetServices::leave(const std::function<void()>& done) {
+void FleetServices::endStoreSession(const std::function<void()>& done) {
   if (!coordinator_) return done();
   coordinator_->shutDown(0, done);
 }
--- a/src/gatekeeper/fleet_services.hpp
+++ b/src/gatekeeper/fleet_services.hpp
@@ -34,11 +34,11 @@
   /// Switches to another replication configuration: the previous replica announces its departure.
   void restartReplica();
 
-  /// On SIGTERM: releases leadership and announces this member's departure.
+  /// On SIGTERM or SIGINT: releases leadership and announces this member's departure.
   void drain();
   /// After `drain`: ends the session with the coordination store, then calls `done`. Without a coordinator
   /// `done` is called before this returns.
-  void leave(const std::function<void()>& done);
+  void endStoreSession(const std::function<void()>& done);
 
   /// Writes or removes a replicated row; no effect if no replica is configured.
   void setRow(const std::string& table, const std::string& key, const std::string& value);
--- a/src/gatekeeper/gatekeeper.cpp
+++ b/src/gatekeeper/gatekeeper.cpp
@@ -22,18 +22,18 @@
 constexpr auto kAcceptAfterSigterm = 500ms;
 // In an upgrade, idle connections are closed at this time; their clients then connect to the new process.
 constexpr auto kCloseIdleAfterSigterm = 1200ms;
-// The platform may kill the process 700 ms after the longest deadline, of which at most kMaxDrainDeadlineMs
-// count. Requests still in flight kFailRemainingAfterMs after that deadline are failed, and the process exits
-// kExitAfterMs after it.
+// The platform may kill the process 700 ms after the longest deadline, counted from SIGTERM and limited to
+// kMaxDrainDeadlineMs. Requests still in flight kFailRemainingAfterMs after that deadline are failed, and the
+// process exits kExitAfterMs after it.
 constexpr Time kMaxDrainDeadlineMs = 3000;
 constexpr Time kFailRemainingAfterMs = 400;
 constexpr Time kExitAfterMs = 550;
 
 // Limits the wait for the exclusions at the start: the platform kills a process that is not ready after 30 s.
 constexpr auto kExclusionsTimeout = 20s;
-constexpr auto kReadyPollInterval = 20ms;  // until the process is ready and starts to accept connections
-constexpr Time kMaxHandoverAgeMs = 30000;  // no process has served since an older handover was written
-constexpr std::size_t kMaxCountedClasses = 512;  // request classes with counts of their own
+constexpr auto kReadyPollInterval = 20ms;        // of the check whether this process is ready to accept
+constexpr Time kMaxHandoverAgeMs = 30000;        // the process that wrote an older file has stopped serving
+constexpr std::size_t kMaxCountedClasses = 512;  // limit on classes with own counts, for those a reload adds
 
 invariant::WorkerRules workerRules(const decision::Settings& settings) {
   return {settings.drainGraceMs, settings.overloadMultiple, settings.slowStartInitialShare,
@@ -78,13 +78,13 @@
   monitor_.setRules(workerRules(config_.settings));
   exclusions_.reportAll();
   applyHandover();
-  EndpointList cachedList;
+  EndpointList configuredList;
   if (!config_.initialEndpointList.empty()) {
-    cachedList = parseEndpointList(config_.initialEndpointList);
-    onEndpointList(cachedList, EndpointUpdate::cached);
+    configuredList = parseEndpointList(config_.initialEndpointList);
+    onEndpointList(configuredList, EndpointUpdate::cached);
   }
   discovery_ = std::make_unique<DiscoveryClient>(
-      io, config_.discovery, std::move(cachedList), watchLimits(config_), config_.seed,
+      io, config_.discovery, std::move(configuredList), watchLimits(config_), config_.seed,
       [this](const EndpointList& list) {
         onEndpointList(list, list.isSnapshot ? EndpointUpdate::snapshot : EndpointUpdate::delta);
       },
@@ -99,7 +99,7 @@
   discovery_->start();
   startTimer_.expires_after(toDuration(EndpointWatch::maxUpdateDelayMs(watchLimits(config_))));
   startTimer_.async_wait([this](const Error& error) {
-    if (!error) onEndpointsKnown();
+    if (!error) onFirstListWaitOver();
   });
   if (config_.inheritedListenFd >= 0) {
     acceptOnceReady();
@@ -139,14 +139,15 @@
   return Handover{now, gateway_.warmWorkerRate(now), startTimes_.clockOffsetMs()};
 }
 
-// Requests are sent to workers only after the agent's first list: the gatekeeper is bound by what the agent
-// knew when the process started, and the configured list may be older. An agent that is silent for longer
-// than a working one can be is down; the configured list is used then.
+// Requests are sent to workers only after the agent's first list: the gatekeeper must use at least what the
+// agent knew when the process started, and the configured list may be older. If the agent sends no list
+// within `EndpointWatch::maxUpdateDelayMs`, longer than a working agent can be silent, it is assumed to be
+// down and the configured list is used.
 //
 // Requests also wait until the operators' exclusions are loaded: an unreadable file is retried
 // (ExclusionControl::startPeriodicSync) for kExclusionsTimeout.
-void Gatekeeper::onEndpointsKnown() {
-  endpointsKnown_ = true;
+void Gatekeeper::onFirstListWaitOver() {
+  firstListWaitOver_ = true;
   if (exclusions_.isLoaded()) return startServing();
   startTimer_.expires_at(startedAt_ + kExclusionsTimeout);
   startTimer_.async_wait([this](const Error& error) {
@@ -159,7 +160,7 @@
 }
 
 void Gatekeeper::startServing() {
-  if (!endpointsKnown_ || std::exchange(serving_, true)) return;
+  if (!firstListWaitOver_ || std::exchange(serving_, true)) return;
   startTimer_.cancel();
   for (const decision::Request& request : std::exchange(earlyRequests_, {}))
     if (requests_.contains(request.id)) gateway_.onRequest(clock_.now(), request);
@@ -180,7 +181,8 @@
 // --- Reload ----------------------------------------------------------------------------------------------
 
 // Translates the class and plan indexes of an early request from the previous settings to the new ones.
-// Returns false if the new settings lack its class or plan; the request is then rejected at its deadline.
+// Returns false if the new settings lack its class or plan; the request then gets no attempt; at its
+// deadline it is rejected, or failed if serving has started by then.
 bool Gatekeeper::remap(decision::Request& request, const NameIndex& classes, const NameIndex& plans) const {
   const unsigned classIndex = classes.indexOf(config_.host.classes[request.classIndex]);
   const unsigned planIndex = plans.indexOf(config_.host.plans[request.planIndex]);
@@ -236,7 +238,7 @@
 }
 
 // Does nothing while draining: both services have been notified that this process leaves, and the end of the
-// drain waits for the coordinator that was in use at its start.
+// drain waits for the coordinator that was in use at the drain's start.
 void Gatekeeper::reloadFleetServices(const Config& config) {
   if (draining_) return;
   if (config.coordination != config_.coordination) {
@@ -251,13 +253,13 @@
 
 // --- Drain -----------------------------------------------------------------------------------------------
 
-// If the platform owns the listening socket, the next process accepts already. This process's connections
+// If the platform owns the listening socket, the next process already accepts. This process's connections
 // stay open for kCloseIdleAfterSigterm, so that requests that clients are sending are still read.
 void Gatekeeper::drain(std::function<void()> done) {
   draining_ = true;
   processLog().info("event=drain held={} client_connections={}", requests_.size(), server_.connections());
   fleet_.drain();
-  done = [this, done = std::move(done)] { fleet_.leave(done); };
+  done = [this, done = std::move(done)] { fleet_.endStoreSession(done); };
   server_.startDrain();
   const bool nextProcessAccepts = config_.inheritedListenFd >= 0;
   if (nextProcessAccepts) server_.stopAccepting();
@@ -290,8 +292,8 @@
   server_.notifyWhenEmpty([this, done] { finishDrain(done); });
 }
 
-// The process exits: requests in flight without a response are reported to the invariant monitor, since each
-// should have had one.
+// Runs before the process exits, possibly twice. Requests in flight without a response are reported to the
+// invariant monitor, since each should have had one.
 void Gatekeeper::finishDrain(const std::function<void()>& done) {
   const Time now = clock_.now();
   processLog().info("event=drained held={} client_connections={} invariants_broken={}", requests_.size(),
@@ -321,7 +323,7 @@
   return out;
 }
 
-// The worker drains or was removed: no new attempt is sent to it.
+// The worker is draining or was removed from the list: no new attempt is sent to it.
 void Gatekeeper::onWorkerRetired(WorkerId worker, decision::WorkerPhase phase, Time now) {
   readyWorkers_.erase(worker);
   monitor_.workerRetired(worker, phase, now);
@@ -330,7 +332,7 @@
 
 void Gatekeeper::onEndpointList(const EndpointList& list, EndpointUpdate kind) {
   const Time now = clock_.now();
-  const bool live = endpointsKnown_ && kind != EndpointUpdate::cached;
+  const bool isUpdate = firstListWaitOver_ && kind != EndpointUpdate::cached;
   for (const EndpointEntry& entry : list.entries) startTimes_.correctClockOffset(entry.startedAtMs, now);
   std::vector<Endpoint> endpoints;
   std::unordered_set<WorkerId> unlisted;
@@ -338,7 +340,7 @@
   const NameIndex zones(config_.host.zones), machineTypes(config_.host.machineTypes);
   for (const EndpointEntry& entry : list.entries) {
     const WorkerId worker = workerIdOf(entry.id);
-    const WorkerStart start = startTimes_.startOf(worker, entry.startedAtMs, now, live);
+    const WorkerStart start = startTimes_.startOf(worker, entry.startedAtMs, now, isUpdate);
     endpoints.push_back(endpointOf(entry, start, zones, machineTypes));
     exclusions_.addListedWorker(entry.id);
     unlisted.erase(worker);
@@ -354,7 +356,7 @@
   startTimes_.removeUnlisted([this](WorkerId worker) { return readyWorkers_.contains(worker); });
   gateway_.onEndpoints(now, kind, endpoints);
   workersKnown_ = workersKnown_ || !readyWorkers_.empty();
-  if (kind != EndpointUpdate::cached) onEndpointsKnown();
+  if (kind != EndpointUpdate::cached) onFirstListWaitOver();
 }
 
 }  // namespace wingslip
--- a/src/gatekeeper/gatekeeper.hpp
+++ b/src/gatekeeper/gatekeeper.hpp
@@ -1,7 +1,8 @@
 /// The gatekeeper: connects the decision module with clients, workers and discovery. Translates socket events
-/// into the module's events and the module's actions into socket operations. It makes only three decisions of
-/// its own: whether an attempt may still be sent (`refusalOf`), the response at a request's deadline, and the
-/// responses before it starts serving.
+/// into the module's events and the module's actions into socket operations. It makes only few decisions of
+/// its own: whether an attempt may still be sent (`refusalOf`), the response at a request's deadline, the
+/// responses before it starts serving, the failure of the requests that remain at the end of a drain, and the
+/// closing of idle connections under overload. `ClientServer` rejects requests for which it has no capacity.
 #pragma once
 
 #include <chrono>
@@ -45,16 +46,16 @@
   /// Starts to listen and starts the timers.
   /// @throws std::runtime_error if it cannot listen.
   void start();
-  /// Applies the settings, the keys, and the addresses of discovery, the coordination store and the replica.
-  /// All other values stay those of the process's start.
+  /// Applies the settings, the set of configuration keys, and the addresses of discovery, the coordination
+  /// store and the replica. All other values remain as they were when the process started.
   /// @throws std::invalid_argument if the decision module rejects the settings; nothing has changed then.
   void reload(const Config& config);
   /// The configuration in effect.
   const Config& config() const { return config_; }
   /// Counts a changed configuration that could not be applied.
   void reloadFailed() { ++metrics_.reloadsFailed; }
-  /// On SIGTERM: accepts connections for a short time, finishes the requests in flight, then calls `done`,
-  /// possibly twice.
+  /// Drains, on SIGTERM or SIGINT: accepts connections for a short time, unless the platform owns the
+  /// listening socket; finishes the requests in flight, then calls `done`, possibly twice.
   void drain(std::function<void()> done);
 
   /// Where clients connect.
@@ -63,7 +64,7 @@
   boost::asio::ip::tcp::endpoint opsAddress() const { return ops_->address(); }
   /// Whether a list has named a ready worker and requests are served.
   bool ready() const override { return workersKnown_ && serving_; }
-  /// Requests without a final answer, including those received before serving started.
+  /// Requests without a final response, including those received before serving started.
   std::size_t requestsInFlight() const { return requests_.size(); }
   /// Owned by the gatekeeper.
   OverloadManager& overloadManager() { return overloadManager_; }
@@ -98,7 +99,7 @@
   void log(const std::string& line) override;
 
   // Start, and handover from the previous process (gatekeeper.cpp)
-  void onEndpointsKnown();
+  void onFirstListWaitOver();
   void startServing();
   void acceptOnceReady();
   void applyHandover();
@@ -165,7 +166,7 @@
   std::unordered_set<decision::WorkerId> excluded_;  // by an operator
   std::unique_ptr<DiscoveryClient> discovery_;
   Metrics metrics_;
-  ClassCounts overflowClassCounts_;  // of classes beyond kMaxCountedClasses; not reported
+  ClassCounts overflowClassCounts_;  // of classes without counts of their own; not reported
   ExclusionControl exclusions_;
   std::optional<OpsServer> ops_;
   FleetServices fleet_;
@@ -175,13 +176,14 @@
   boost::asio::steady_timer acceptTimer_;
   ReportTimer reportTimer_;
   HandoverWriter handoverWriter_;
-  FinalAnswerCounts finalAnswers_;
+  FinalResponseCounts finalResponses_;
   bool workersKnown_ = false;  // an endpoint list has named a ready worker
   const SteadyTime startedAt_ = std::chrono::steady_clock::now();
-  bool endpointsKnown_ = false;  // discovery has sent a list, or the wait for the first one timed out
-  bool serving_ = false;         // endpointsKnown_, and the exclusions are loaded or their wait timed out
+  bool firstListWaitOver_ = false;  // discovery has sent a list, or the wait for the first one timed out
+  bool serving_ = false;  // firstListWaitOver_, and the exclusions are loaded or their wait timed out
   bool draining_ = false;
-  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);  // expires with this, for posted handlers
+  // Posted handlers have a weak_ptr to this and do nothing once it has expired.
+  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
 }  // namespace wingslip
--- a/src/gatekeeper/gatekeeper_limits.cpp
+++ b/src/gatekeeper/gatekeeper_limits.cpp
@@ -9,26 +9,27 @@
 namespace wingslip {
 namespace {
 
-// Reserved file descriptors: for the listener, discovery, timers and standard streams; and, if configured,
-// for operators' calls, the coordination store and replication with the other gatekeepers.
-constexpr unsigned kReservedSockets = 24;
-constexpr unsigned kOpsSockets = 18;
-constexpr unsigned kStoreSockets = 8;
-constexpr unsigned kReplicaSockets = 50;
+// File descriptors reserved for the listener, discovery, timers and standard streams; and, if configured, for
+// operators' calls, the coordination store and replication with the other gatekeepers.
+constexpr unsigned kBaseDescriptors = 24;
+constexpr unsigned kOpsDescriptors = 18;
+constexpr unsigned kStoreDescriptors = 8;
+constexpr unsigned kReplicaDescriptors = 50;
 // Shares of all file descriptors that each of the two processes of an upgrade may use. Both processes
 // together stay below the limit.
 constexpr double kClientShare = 0.27;
 constexpr double kWorkerShare = 0.13;
-constexpr double kIdleTimeoutShare = 0.8;  // of the worker's idle timeout: closes before the worker does
+constexpr double kIdleTimeoutShare = 0.8;  // of the worker's idle time-out, so that this side closes first
 constexpr std::size_t kMinConnections = 8;
 
 std::size_t maxConnectionsFor(const Config& config, double descriptorShare) {
   if (config.inheritedListenFd >= 0)
     return std::max<std::size_t>(kMinConnections,
                                  static_cast<std::size_t>(config.maxFileDescriptors * descriptorShare));
-  const unsigned reserved = kReservedSockets + (config.ops ? kOpsSockets : 0) +
-                            (config.coordination ? kStoreSockets : 0) +
-                            (config.replication ? kReplicaSockets : 0);
+  const unsigned reserved = kBaseDescriptors + (config.ops ? kOpsDescriptors : 0) +
+                            (config.coordination ? kStoreDescriptors : 0) +
+                            (config.replication ? kReplicaDescriptors : 0);
+  // Client and worker connections get half of the remaining descriptors each.
   return std::max<std::size_t>(
       kMinConnections, (config.maxFileDescriptors - std::min(config.maxFileDescriptors / 2, reserved)) / 2);
 }
--- a/src/gatekeeper/gatekeeper_operators.cpp
+++ b/src/gatekeeper/gatekeeper_operators.cpp
@@ -75,7 +75,7 @@
   sample.upstream = pool_.takeStats();
   sample.clients = server_.takeStats();
   sample.discovery = discovery_->takeStats();
-  sample.answers = std::exchange(finalAnswers_, {});
+  sample.responses = std::exchange(finalResponses_, {});
   sample.requestsInFlight = requests_.size();
   sample.clientConnections = server_.connections();
   sample.workerConnections = pool_.connections();
--- a/src/gatekeeper/gatekeeper_requests.cpp
+++ b/src/gatekeeper/gatekeeper_requests.cpp
@@ -17,11 +17,11 @@
 using decision::Time;
 using decision::WorkerId;
 
-// Part of the client's deadline that is reserved for returning the response. Within the program that takes
-// 0.4 ms at the 99th percentile.
+// Part of the client's deadline that is reserved for returning the response to the client. This program's
+// part of it takes 0.4 ms at the 99th percentile.
 constexpr Time kResponseReserveMs = 10;
-constexpr Time kMaxUploadMs = 30 * 60 * 1000;  // longer than the slowest client takes to send a body
-constexpr Time kStartingRetryAfterMs = 250;    // for requests that ended before the gatekeeper served
+constexpr Time kMaxUploadMs = 30 * 60 * 1000;     // longer than the slowest client takes to send a body
+constexpr Time kRetryAfterBeforeServingMs = 250;  // Retry-After of requests rejected before serving starts
 
 invariant::RequestState stateOf(http::status status) {
   if (status == http::status::ok) return invariant::RequestState::answered;
@@ -41,10 +41,10 @@
   request.classCounts = &countsOf(parsed.classIndex);
   request.message = std::move(message);
   request.responder = responder;
-  request.clientWaitMs = std::max(0.0, parsed.clientWaitMs - kResponseReserveMs);
+  request.responseDueAfterMs = std::max(0.0, parsed.clientWaitMs - kResponseReserveMs);
   request.body = {!parsed.bodyComplete, parsed.contentLength};
-  // The deadline counts from the request's last byte. The client connection limits the time of a streamed
-  // body.
+  // The deadline counts from the request's last byte. While a streamed body arrives, no deadline timer runs
+  // here: `ClientServer::Connection` enforces its own time limits, and kMaxUploadMs is an upper bound.
   const Time uploadMs = request.body.streamed ? kMaxUploadMs : 0;
   const decision::ClassSettings& requestClass = config_.settings.classes[parsed.classIndex];
   request.trace.requestId = std::string(toStringView(request.message["Req-Id"]));
@@ -53,14 +53,14 @@
   request.trace.maxAttempts = config_.settings.maxAttempts;
   request.trace.deadline = now + parsed.clientWaitMs + uploadMs;
   monitor_.requestReceived(request.trace, now);
-  request.expiresAt = now + request.clientWaitMs + uploadMs;
+  request.responseDueAt = now + request.responseDueAfterMs + uploadMs;
   if (!request.body.streamed) startDeadlineTimer(id, request);
   overloadManager_.onActivity();
   const decision::Request decisionRequest{id,
                                           parsed.classIndex,
                                           parsed.planIndex,
                                           parsed.customer,
-                                          request.expiresAt,
+                                          request.responseDueAt,
                                           parsed.units,
                                           parsed.customerGatewayCount,
                                           static_cast<double>(parsed.memoryBytes)};
@@ -74,7 +74,7 @@
 }
 
 void Gatekeeper::onRequestRejected(unsigned classIndex) {
-  ++finalAnswers_.rejected;
+  ++finalResponses_.rejected;
   ++countsOf(classIndex).rejected;
 }
 
@@ -84,7 +84,7 @@
 }
 
 void Gatekeeper::startDeadlineTimer(RequestId id, RequestInFlight& request) {
-  request.deadlineTimer.expires_after(toDuration(request.expiresAt - clock_.now()));
+  request.deadlineTimer.expires_after(toDuration(request.responseDueAt - clock_.now()));
   request.deadlineTimer.async_wait([this, id](const Error& error) {
     if (!error) onDeadline(id);
   });
@@ -105,10 +105,10 @@
 
 void Gatekeeper::onRequestComplete(RequestId id, RequestInFlight& request) {
   const Time now = clock_.now();
-  request.expiresAt = now + request.clientWaitMs;
-  request.trace.deadline = request.expiresAt + kResponseReserveMs;
+  request.responseDueAt = now + request.responseDueAfterMs;
+  request.trace.deadline = request.responseDueAt + kResponseReserveMs;
   startDeadlineTimer(id, request);
-  gateway_.onRequestComplete(now, id, request.expiresAt);
+  gateway_.onRequestComplete(now, id, request.responseDueAt);
 }
 
 void Gatekeeper::onClientDisconnect(RequestId id) {
@@ -121,16 +121,16 @@
   if (auto end = pool_.cancelAttempt(id, AttemptResult::cancelled)) onAttemptDone(std::move(*end));
 }
 
-// An attempt in flight ends as timed out. The client gets a response now, even if the decision module then
-// starts another attempt.
+// An attempt in flight ends as timed out, at a time that is never before the deadline. The client gets a
+// response now, even if the decision module then starts another attempt, which `fail` cancels.
 void Gatekeeper::onDeadline(RequestId id) {
   const auto found = requests_.find(id);
   if (found == requests_.end() || found->second.responseStarted) return;
-  if (!serving_) return reject(id, kStartingRetryAfterMs);
+  if (!serving_) return reject(id, kRetryAfterBeforeServingMs);
   if (auto end = pool_.cancelAttempt(id, AttemptResult::timeout)) {
     end->outcome.requestFinished = false;
     recordAttemptEnd(end->outcome);
-    gateway_.onAttemptOutcome(std::max(clock_.now(), found->second.expiresAt), end->outcome);
+    gateway_.onAttemptOutcome(std::max(clock_.now(), found->second.responseDueAt), end->outcome);
   }
   if (!requests_.contains(id)) return;
   fail(id);
@@ -143,7 +143,7 @@
     if (!request.responseStarted) ids.push_back(id);  // a response being streamed may finish
   for (const RequestId id : ids) {
     if (!serving_) {
-      reject(id, kStartingRetryAfterMs);
+      reject(id, kRetryAfterBeforeServingMs);
       continue;
     }
     fail(id);
@@ -174,7 +174,7 @@
     response.body = std::move(end.body);
     response.contentType = std::move(end.contentType);
     response.bodyMemory = std::move(end.bodyMemory);
-    ++finalAnswers_.served;
+    ++finalResponses_.served;
     ++requests_.at(outcome.id).classCounts->success;
     respond(outcome.id, std::move(response));
   }
@@ -204,7 +204,7 @@
   end.outcome.requestFinished = true;
   const auto found = requests_.find(end.outcome.id);
   const bool complete = end.outcome.result == AttemptResult::ok;
-  ++(complete ? finalAnswers_.served : finalAnswers_.failed);
+  ++(complete ? finalResponses_.served : finalResponses_.failed);
   ++(complete ? found->second.classCounts->success : found->second.classCounts->failure);
   const auto responder = conclude(
       end.outcome.id, complete ? invariant::RequestState::answered : invariant::RequestState::truncated);
@@ -216,42 +216,44 @@
   }
 }
 
-// --- Actions of the decision module -----------------------------------------------------------------------
-// The module calls these while it handles an event, so none of them may pass it another event synchronously.
+// --- Attempts and final responses --------------------------------------------------------------------------
+// The decision module calls startAttempt, reject, fail, setTimer and log while it handles an event, so none
+// of these may pass it another event synchronously.
 
 void Gatekeeper::startAttempt(RequestId id, WorkerId worker, Time timeout) {
   const auto found = requests_.find(id);
   if (found == requests_.end()) return;
   RequestInFlight& request = found->second;
   const Time now = clock_.now();
-  const Time remainingMs = request.expiresAt - now;
-  // The client may have disconnected before any pending read noticed. The connection is closed from a posted
-  // handler, since closing it passes an event to the decision module.
+  const Time remainingMs = request.responseDueAt - now;
+  // The client may have disconnected although the pending read has not reported it yet. The connection is
+  // closed from a posted handler, since closing it passes an event to the decision module.
   const bool disconnected = request.responder->hasDisconnected();
   if (disconnected) asio::post(io_, [responder = request.responder] { responder->closeDisconnected(); });
   if (disconnected || remainingMs <= 0 || request.bodyForwarded)
     return reportNotSent(id, request.attemptCount++, worker);
   const bool beforeDeadline = timeout > 0 && timeout < remainingMs;
   if (request.attemptCount > 0) metrics_.retries.add(request.lastAttemptResult);
-  request.attemptExpiresAt = beforeDeadline ? now + timeout : request.expiresAt;
+  request.attemptExpiresAt = beforeDeadline ? now + timeout : request.responseDueAt;
   monitor_.attemptConnecting(request.trace, worker, now);
   pool_.startAttempt(id, request.attemptCount++, worker, attemptRequest(id, request, worker),
                      beforeDeadline ? std::optional(toDuration(timeout)) : std::nullopt);
 }
 
-// Checked again before the first byte is sent: establishing a connection may have taken time since the
-// decision.
+// `startAttempt` checks only a part of these conditions. All are checked before the first byte is sent:
+// establishing a connection may have taken time since the decision.
 SendRefusal Gatekeeper::refusalOf(RequestId id, WorkerId worker, Time now) const {
   const auto found = requests_.find(id);
   if (found == requests_.end()) return SendRefusal::requestOver;
   if (found->second.responder->hasDisconnected()) return SendRefusal::clientDisconnected;
-  if (found->second.expiresAt <= now) return SendRefusal::deadlinePassed;
+  if (found->second.responseDueAt <= now) return SendRefusal::deadlinePassed;
   if (!readyWorkers_.contains(worker)) return SendRefusal::workerNotReady;
   if (excluded_.contains(worker)) return SendRefusal::workerExcluded;
   return SendRefusal::none;
 }
 
-// The only place that permits a request to be sent to a worker, called when its first byte may be written.
+// The only place that permits a request to be sent to a worker, called immediately before its first byte is
+// written.
 // The deadline for the worker is computed here: computed earlier, it would be too long by the time that
 // connecting took.
 std::optional<std::string> Gatekeeper::authorizeSend(RequestId id, WorkerId worker) {
@@ -261,8 +263,8 @@
   if (refusal != SendRefusal::none) return std::nullopt;
   RequestInFlight& request = requests_.at(id);
   const Time remainingMs = request.body.streamed
-                               ? request.clientWaitMs
-                               : std::min(request.attemptExpiresAt, request.expiresAt) - now;
+                               ? request.responseDueAfterMs
+                               : std::min(request.attemptExpiresAt, request.responseDueAt) - now;
   const Time deadlineMs = std::max(1.0, std::floor(remainingMs));
   monitor_.attemptSending(request.trace, worker, now, deadlineMs);
   return serializeAttempt(request.message, request.body, deadlineMs);
@@ -284,7 +286,7 @@
   rejection.status = http::status::too_many_requests;
   rejection.body = "refused: try again later\n";
   rejection.retryAfterMs = retryAfter;
-  ++finalAnswers_.rejected;
+  ++finalResponses_.rejected;
   if (const auto found = requests_.find(id); found != requests_.end()) ++found->second.classCounts->rejected;
   cancelAttempt(id);
   respond(id, std::move(rejection));
@@ -294,7 +296,7 @@
   ClientResponse failure;
   failure.status = http::status::bad_gateway;
   failure.body = "failed\n";
-  ++finalAnswers_.failed;
+  ++finalResponses_.failed;
   cancelAttempt(id);
   if (const auto found = requests_.find(id); found != requests_.end()) {
     ++found->second.classCounts->failure;
@@ -340,8 +342,8 @@
   return out;
 }
 
-// Cancels the attempt in flight of a request that the decision module has ended. The module gets the outcome
-// from a posted handler.
+// Cancels the request's attempt in flight, if any, when the request gets its final response. The decision
+// module gets the outcome from a posted handler.
 void Gatekeeper::cancelAttempt(RequestId id) {
   auto end = pool_.cancelAttempt(id, AttemptResult::cancelled);
   if (!end) return;
--- a/src/gatekeeper/handover.cpp
+++ b/src/gatekeeper/handover.cpp
@@ -31,7 +31,7 @@
   const json file{{"at", handover.writtenAt},
                   {"warmRate", handover.warmWorkerRatePerMs},
                   {"clockOffset", handover.clockOffsetMs}};
-  // Not synced to disk: the file is written every second and is valid for some seconds only.
+  // Not synced to disk: the file is written every second and ignored once it is 30 s old.
   replaceFile(handoverPath(stateDir), file.dump(), Durability::pageCache);
 }
 
--- a/src/gatekeeper/handover.hpp
+++ b/src/gatekeeper/handover.hpp
@@ -1,5 +1,5 @@
-/// Handover in a hot restart: a file in the state directory by which a process passes values to the process
-/// that an upgrade starts. It has values that take long to learn or that only the older process can know.
+/// Handover in an upgrade: a file in the state directory by which a process passes values to the process that
+/// the upgrade starts. It has values that take long to learn or that only the older process can know.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -15,9 +15,9 @@
 /// The handed-over values. Times are valid in both processes, since both read the machine's monotonic clock
 /// (`DecisionClock`), which steps of the wall clock do not affect.
 struct Handover {
-  decision::Time writtenAt = 0;      ///< when it was written, ms of the monotonic clock
+  decision::Time writtenAt = 0;      ///< when it was written, ms of `DecisionClock`
   double warmWorkerRatePerMs = 0;    ///< successful responses per ms of one warm worker
-  decision::Time clockOffsetMs = 0;  ///< the monotonic clock minus the true Unix time, in ms (`StartTimes`)
+  decision::Time clockOffsetMs = 0;  ///< `DecisionClock` minus the true Unix time, in ms (`StartTimes`)
 };
 
 /// Replaces the file atomically. Does nothing if `stateDir` is empty. An error in writing is ignored: the
@@ -26,7 +26,7 @@
 /// Returns `nullopt` if `stateDir` is empty, or if the file cannot be read or is invalid.
 std::optional<Handover> readHandover(const std::string& stateDir);
 
-/// Writes the handover every second on the event loop until it is destroyed.
+/// Writes the handover every second on the event loop, until it is destroyed or has none to write.
 class HandoverWriter {
  public:
   /// @param stateDir empty: nothing is written
--- a/src/gatekeeper/main.cpp
+++ b/src/gatekeeper/main.cpp
@@ -1,5 +1,5 @@
 /// The gatekeeper program: one gatekeeper on one event loop. SIGHUP reloads the configuration; SIGTERM and
-/// SIGINT drain.
+/// SIGINT start a drain.
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/steady_timer.hpp>
 #include <chrono>
@@ -19,7 +19,8 @@
 constexpr int kMaxReads = 3;
 constexpr auto kReadInterval = std::chrono::milliseconds(100);
 
-// Reloads the configuration on SIGHUP. An invalid one changes nothing.
+// Reloads the configuration on SIGHUP. An invalid configuration is logged and counted, and changes
+// nothing else.
 class Reloader {
  public:
   Reloader(boost::asio::io_context& io, wingslip::Gatekeeper& gatekeeper)
--- a/src/gatekeeper/metrics.hpp
+++ b/src/gatekeeper/metrics.hpp
@@ -11,7 +11,8 @@
 
 namespace wingslip {
 
-/// Final responses to the requests of one request class.
+/// Final responses to the requests of one request class; `failure` also counts requests whose client
+/// disconnected.
 struct ClassCounts {
   std::uint64_t success = 0;
   std::uint64_t rejected = 0;
@@ -31,8 +32,9 @@
 struct Metrics {
   /// By the name of the request class. A class that a reload removes retains its counts.
   std::map<std::string, ClassCounts> classes;
-  std::uint64_t attemptsWritten = 0;         ///< attempts whose last byte was passed to the kernel
-  std::uint64_t localResourceShortages = 0;  ///< attempts not started for lack of descriptors or memory here
+  std::uint64_t attemptsWritten = 0;  ///< attempts whose last byte was passed to the kernel
+  /// Attempts not started because this process lacked a connection, descriptor or memory.
+  std::uint64_t localResourceShortages = 0;
   std::uint64_t reloadsOk = 0;
   std::uint64_t reloadsFailed = 0;
   RetryCounts retries;
@@ -42,8 +44,8 @@
 /// Present values.
 struct Gauges {
   std::size_t requestsInFlight = 0;
-  std::size_t workersListed = 0;   ///< workers on the endpoint list
-  std::size_t workersAvoided = 0;  ///< of these: excluded, draining or ejected
+  std::size_t workersListed = 0;       ///< workers on the endpoint list
+  std::size_t workersUnavailable = 0;  ///< of these: excluded, draining or ejected
 };
 
 /// The metrics as lines `svc.NAME:VALUE|c` (counts) and `svc.NAME:VALUE|g` (gauges), followed by `extraLines`
@@ -73,7 +75,7 @@
   line("refused.pressed", metrics.rejections.overload, "c");
   line("inflight", gauges.requestsInFlight, "g");
   line("hosts_listed", gauges.workersListed, "g");
-  line("hosts_down", gauges.workersAvoided, "g");
+  line("hosts_down", gauges.workersUnavailable, "g");
   return out + extraLines + "EOF\n";
 }
 
--- a/src/gatekeeper/ops_server.hpp
+++ b/src/gatekeeper/ops_server.hpp
@@ -1,6 +1,6 @@
 /// The operators' port: one call per connection, as a line of text. It is separate from the client-facing
-/// server, so that neither load nor idle connections delay a response. The names of the operators' calls are
-/// defined only here.
+/// server, so that client connections do not use up its connections or memory. The names of the operators'
+/// calls are defined only in `OpsServer::responseTo`.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -32,8 +32,8 @@
   bool isInEffect() const { return status == Status::done || status == Status::notPersisted; }
 };
 
-/// The calls that operators may make; implemented by the gatekeeper. A text that is returned is the
-/// complete response, its last line included.
+/// The calls that operators may make; implemented by the gatekeeper. Returned texts are complete
+/// responses, including the last line.
 class OperatorCalls {
  public:
   virtual ~OperatorCalls() = default;
@@ -60,7 +60,7 @@
  public:
   /// Limits of the operators' connections.
   struct Limits {
-    std::size_t connections = 16;  ///< the most at the same time; beyond it the oldest is closed
+    std::size_t connections = 16;  ///< maximum number open; a further one closes the oldest
     std::size_t lineBytes = 512;   ///< the longest line of a call
     /// From accepting a connection to closing it.
     std::chrono::milliseconds callTimeout{5000};
--- a/src/gatekeeper/reason_counts.hpp
+++ b/src/gatekeeper/reason_counts.hpp
@@ -10,7 +10,7 @@
 namespace wingslip {
 
 /// @tparam Reason an enumeration with values from 0 without gaps
-/// @tparam names the names of its values in their order, as the metrics have them
+/// @tparam names the names of its values in the metrics, in the order of the values
 template <class Reason, const auto& names>
 class ReasonCounts {
  public:
--- a/src/gatekeeper/request_in_flight.hpp
+++ b/src/gatekeeper/request_in_flight.hpp
@@ -22,12 +22,12 @@
   ClientMessage message;
   std::shared_ptr<Responder> responder;
   boost::asio::steady_timer deadlineTimer;
-  decision::Time expiresAt = 0;     ///< when the response is due; while a body is uploaded, an upper bound
-  decision::Time clientWaitMs = 0;  ///< from the last byte of the request until the response is due
-  BodyFraming body;                 ///< whether the body is streamed, and its length if known
-  bool bodyForwarded = false;       ///< a worker receives the streamed body; `message` lost it: no retry
-  bool responseStarted = false;     ///< a response is being streamed to the client
-  unsigned attemptCount = 0;        ///< attempts started, including those not sent
+  decision::Time responseDueAt = 0;  ///< when the response is due; while a body is uploaded, an upper bound
+  decision::Time responseDueAfterMs = 0;  ///< from the request's last byte until `responseDueAt`
+  BodyFraming body;                       ///< whether the body is streamed, and its length if known
+  bool bodyForwarded = false;             ///< streamed body no longer in `message`: no retry possible
+  bool responseStarted = false;           ///< a response is being streamed to the client
+  unsigned attemptCount = 0;              ///< attempts started, including those not sent
   decision::AttemptResult lastAttemptResult = decision::AttemptResult::ok;
   decision::Time attemptExpiresAt = 0;  ///< time limit of the attempt in flight
   ClassCounts* classCounts = nullptr;   ///< counts of its request class, owned by the gatekeeper
--- a/src/gatekeeper/send_guard.hpp
+++ b/src/gatekeeper/send_guard.hpp
@@ -10,8 +10,8 @@
 
 namespace wingslip {
 
-/// Checked when an attempt's first byte can be written: establishing a connection may have taken time since
-/// the decision.
+/// Determined immediately before an attempt's first byte is written: establishing a connection may have taken
+/// time since the decision.
 enum class SendRefusal : std::uint8_t {
   none,                ///< the attempt is sent
   requestOver,         ///< the request already has its final response
--- a/src/gatekeeper/service_report.cpp
+++ b/src/gatekeeper/service_report.cpp
@@ -23,7 +23,7 @@
   processLog().info(
       "event=requests served={} refused={} failed={} rejected={} held={} client_connections={} "
       "most_buffered_client={} most_waited_ms={:.0f}",
-      sample.answers.served, sample.answers.rejected, sample.answers.failed, sample.clients.rejected,
+      sample.responses.served, sample.responses.rejected, sample.responses.failed, sample.clients.rejected,
       sample.requestsInFlight, sample.clientConnections, sample.clients.maxBufferedBytes,
       sample.clients.maxUnreadWaitMs);
   processLog().info(
--- a/src/gatekeeper/service_report.hpp
+++ b/src/gatekeeper/service_report.hpp
@@ -15,7 +15,7 @@
 namespace wingslip {
 
 /// Final responses since the last report.
-struct FinalAnswerCounts {
+struct FinalResponseCounts {
   unsigned served = 0;
   unsigned rejected = 0;
   unsigned failed = 0;
@@ -23,7 +23,7 @@
 
 /// Content of one report: counts since the last report, and present values.
 struct ServiceSample {
-  FinalAnswerCounts answers;
+  FinalResponseCounts responses;
   UpstreamPool::Stats upstream;
   ClientServer::Stats clients;
   DiscoveryClient::Stats discovery;
--- a/src/gatekeeper/upstream_attempt.hpp
+++ b/src/gatekeeper/upstream_attempt.hpp
@@ -16,7 +16,7 @@
 
 namespace wingslip {
 
-/// The outcome of an attempt, with the response body if the worker's status was 200.
+/// The outcome of an attempt, with the response body. Only the body of a 200 is forwarded to the client.
 struct AttemptEnd {
   decision::AttemptOutcome outcome;
   std::string body;  ///< the complete body; only its last piece if the response was streamed
--- a/src/gatekeeper/upstream_connection.cpp
+++ b/src/gatekeeper/upstream_connection.cpp
@@ -76,8 +76,8 @@
 void UpstreamConnection::becomeIdle() {
   idleSince_ = Clock::now();
   // Acknowledges the response immediately. With Nagle's algorithm the worker's kernel may delay a second
-  // response until the first is acknowledged; without this, the next request would carry the acknowledgement
-  // and the second response would be taken for the response to it.
+  // response until the first is acknowledged. Without the immediate acknowledgement, the next request would
+  // carry it, and the second response would be taken for the response to that request.
   Error ignored;
   socket_.set_option(QuickAcknowledgement(true), ignored);
   waitRecord_.leave();
@@ -99,8 +99,8 @@
   socket_.close(ignored);
 }
 
-void UpstreamConnection::recordWait(WaitQueue reason) {
-  waitRecord_.enter(context_.overload.waitQueues(), reason, OverloadManager::now());
+void UpstreamConnection::recordWait(WaitQueue queue) {
+  waitRecord_.enter(context_.overload.waitQueues(), queue, OverloadManager::now());
 }
 
 void UpstreamConnection::armTimer(Clock::time_point at) {
@@ -121,10 +121,10 @@
     return serializeAndWrite();
   }
   if (!busy_) return owner_.closeConnection(*this);
-  WaitQueue reason = connected_ ? WaitQueue::awaitingResponse : WaitQueue::connecting;
-  if (hasStreamedBody()) reason = WaitQueue::requestBodyWindow;
-  context_.overload.waitQueues().countRejection(reason);
-  if (streaming_ || hasStreamedBody()) return endAttempt(AttemptResult::reset);
+  WaitQueue queue = connected_ ? WaitQueue::awaitingResponse : WaitQueue::connecting;
+  if (expectsBodyPieces()) queue = WaitQueue::requestBodyWindow;
+  context_.overload.waitQueues().countRejection(queue);
+  if (streaming_ || expectsBodyPieces()) return endAttempt(AttemptResult::reset);
   endAttempt(nothingSent() ? AttemptResult::connectFailed : AttemptResult::timeout);
 }
 
@@ -141,7 +141,7 @@
   serialize_ = std::move(request.serialize);
   readBody_ = std::move(request.readBody);
   chunkedBody_ = request.chunkedBody;
-  expiresAt_ = timeout && !hasStreamedBody() ? startedAt_ + *timeout : Clock::time_point::max();
+  expiresAt_ = timeout && !expectsBodyPieces() ? startedAt_ + *timeout : Clock::time_point::max();
   requestWritten_ = false;
   streaming_ = false;
   busy_ = true;
@@ -199,7 +199,7 @@
 }
 
 void UpstreamConnection::write() {
-  armTimer(hasStreamedBody() ? Clock::now() + context_.limits.streamStallTimeout : expiresAt_);
+  armTimer(expectsBodyPieces() ? Clock::now() + context_.limits.streamStallTimeout : expiresAt_);
   outputSent_ = 0;
   writeRemaining();
 }
@@ -215,7 +215,7 @@
                               guard([this, id = outcome_.id](const Error&, std::size_t) {
                                 if (busy_ && outcome_.id == id) writeRemaining();
                               }));
-  if (!error && !hasStreamedBody()) {
+  if (!error && !expectsBodyPieces()) {
     requestWritten_ = true;
     ++context_.attemptsWritten;
     return;
@@ -256,11 +256,11 @@
 
 void UpstreamConnection::read() {
   if (reading_) return;
-  if (!memory_.resize(memoryBytes(readStep()))) return waitForMemory();
+  if (!memory_.resize(memoryBytes(readSize()))) return waitForMemory();
   pausedRead_.clear();
   reading_ = true;
   if (streaming_) armTimer(Clock::now() + context_.limits.streamStallTimeout);
-  socket_.async_read_some(response_.prepare(readStep()), guard([this](const Error& error, std::size_t bytes) {
+  socket_.async_read_some(response_.prepare(readSize()), guard([this](const Error& error, std::size_t bytes) {
                             reading_ = false;
                             onRead(error, bytes);
                           }));
@@ -271,7 +271,7 @@
 void UpstreamConnection::waitForMemory() {
   const auto retry = [this] {
     if (ended() || reading_) return true;
-    if (!memory_.resize(memoryBytes(readStep()))) return false;
+    if (!memory_.resize(memoryBytes(readSize()))) return false;
     read();
     return true;
   };
@@ -293,8 +293,9 @@
                      }));
 }
 
-// If an attempt has started since the wait began, the bytes are its response. They are read synchronously, so
-// that the response takes precedence over a time-out that expires in the same iteration of the event loop.
+// If an attempt has started since the wait began and is not in quarantine, the bytes are its response. They
+// are read synchronously, so that the response takes precedence over a time-out that expires in the same
+// iteration of the event loop.
 void UpstreamConnection::onReadableWhileIdle() {
   if (!busy_) return owner_.closeConnection(*this);
   // The bytes are a late second response to the previous exchange; the new request has not been sent.
@@ -306,7 +307,7 @@
 }
 
 void UpstreamConnection::parseResponse() {
-  const auto state = response_.parse({requestWritten_, hasStreamedBody()});
+  const auto state = response_.parse({requestWritten_, expectsBodyPieces()});
   UpstreamStats& stats = context_.stats;
   stats.maxBufferedBytes = std::max(stats.maxBufferedBytes, response_.bufferedBytes());
   if (state == UpstreamResponse::State::malformed) {
--- a/src/gatekeeper/upstream_connection.hpp
+++ b/src/gatekeeper/upstream_connection.hpp
@@ -73,19 +73,20 @@
   /// it.
   [[nodiscard]] bool reserveMemory(const AttemptRequest& request);
   /// Starts an attempt on an idle or new connection for which `reserveMemory` has succeeded. `timeout`: from
-  /// now, or from the last byte of a streamed request body, to the end of the response. Never calls the owner
-  /// synchronously.
+  /// now, or from the last byte of a streamed request body, to the end of a buffered response or the start of
+  /// a streamed one. Never calls the owner synchronously.
   void startAttempt(decision::RequestId id, unsigned attempt, AttemptRequest request,
                     std::optional<Clock::duration> timeout);
   /// Ends the attempt with this result; the caller closes the connection. The result becomes connectFailed if
-  /// the last byte of the request was not written, because the worker cannot have executed it then. Only the
+  /// the last byte of the request was not written, because the worker cannot have executed it then. The
   /// result cancelled is never replaced.
   decision::AttemptOutcome stopAttempt(decision::AttemptResult result);
   /// Resumes reading a streamed response when its consumer is ready for the next piece.
   void resumeResponse();
 
   decision::RequestId requestId() const { return outcome_.id; }
-  /// Whether no byte of the current attempt has been sent: it is still connecting or in quarantine.
+  /// Whether the current attempt is still connecting or in quarantine, so that none of its bytes has been
+  /// sent.
   bool nothingSent() const { return !connected_ || quarantined_; }
   /// Whether a late second response to the previous exchange would have arrived by now.
   bool quarantineOver() const;
@@ -102,8 +103,8 @@
   std::optional<IdleList::iterator> idlePosition;
 
  private:
-  bool hasStreamedBody() const { return readBody_ != nullptr; }
-  void recordWait(WaitQueue reason);
+  bool expectsBodyPieces() const { return readBody_ != nullptr; }
+  void recordWait(WaitQueue queue);
   std::size_t memoryBytes(std::size_t nextReadBytes) const;
   void recordLatency();
   void armTimer(Clock::time_point at);
@@ -115,7 +116,7 @@
   void writeRemaining();
   void requestBodyPiece();
   void writeBodyPiece(std::string&& piece, bool last);
-  std::size_t readStep() const { return streaming_ ? kStreamReadBytes : kReadBytes; }
+  std::size_t readSize() const { return streaming_ ? kStreamReadBytes : kReadBytes; }
   void read();
   void waitForMemory();
   void onRead(const Error& error, std::size_t bytes);
@@ -146,7 +147,7 @@
   std::optional<Clock::duration> timeout_;
   decision::AttemptOutcome outcome_;
   Clock::time_point startedAt_;
-  Clock::time_point expiresAt_;  // time-out of the attempt or of the idle connection
+  Clock::time_point expiresAt_;  // when the attempt or idle connection times out; max: never
   Clock::time_point idleSince_;
   bool connected_ = false;
   bool quarantined_ = false;  // the attempt waits until `quarantineOver`
--- a/src/gatekeeper/upstream_pool.cpp
+++ b/src/gatekeeper/upstream_pool.cpp
@@ -40,7 +40,7 @@
       return connection.nothingSent() && connection.endpoint() != address.endpoint;
     });
   worker.address = address;
-  worker.removed = false;
+  worker.retired = false;
   if (!restarted) return;
   // The process that received these attempts has ended, even if the kernel has not yet reported the close.
   endAttempts(worker, [&](const UpstreamConnection& connection) {
@@ -51,7 +51,7 @@
 void UpstreamPool::retireWorker(WorkerId id) {
   const auto found = workers_.find(id);
   if (found == workers_.end()) return;
-  found->second.removed = true;
+  found->second.retired = true;
   stopSendingTo(id);
 }
 
@@ -156,7 +156,7 @@
 
 bool UpstreamPool::isReachable(WorkerId worker) const {
   const auto found = workers_.find(worker);
-  return found != workers_.end() && !found->second.removed;
+  return found != workers_.end() && !found->second.retired;
 }
 
 // Returns an idle connection or a new one; null if the connection limit is reached and no connection is idle.
@@ -213,7 +213,7 @@
 
 void UpstreamPool::onReusable(const ConnectionPtr& connection) {
   const auto found = workers_.find(connection->worker());
-  const bool reusable = found != workers_.end() && !found->second.removed &&
+  const bool reusable = found != workers_.end() && !found->second.retired &&
                         found->second.address.endpoint == connection->endpoint() &&
                         found->second.address.processStartedAt <= connection->openedAt() &&
                         found->second.idle.size() < context_.limits.maxIdlePerWorker;
--- a/src/gatekeeper/upstream_pool.hpp
+++ b/src/gatekeeper/upstream_pool.hpp
@@ -1,5 +1,5 @@
 /// The pool of connections to all workers: busy and idle connections, the connection limit, and the handling
-/// of removed or restarted workers.
+/// of retired or restarted workers.
 #pragma once
 
 #include <algorithm>
@@ -48,14 +48,14 @@
   /// Attempts at the previous process end as resets, or as connectFailed if their last byte was not written;
   /// attempts at the previous address of which nothing has been sent end as connectFailed.
   void setWorkerAddress(decision::WorkerId worker, const WorkerAddress& address);
-  /// Removes the worker: it receives no further attempts, and `stopSendingTo` is applied. Attempts already
-  /// sent continue.
+  /// Marks the worker as retired: it receives no further attempts, and `stopSendingTo` is applied. Attempts
+  /// already sent continue.
   void retireWorker(decision::WorkerId worker);
   /// Closes the worker's idle connections. Attempts of which nothing has been sent end as connectFailed.
   void stopSendingTo(decision::WorkerId worker);
 
   /// Starts an attempt. Calls `AttemptDone` once for it, never from within this call. The result is
-  /// connectFailed if the worker is unknown or removed, and notSent if this process has no connection,
+  /// connectFailed if the worker is unknown or retired, and notSent if this process has no connection,
   /// descriptor or memory available. `timeout`: see `UpstreamConnection::startAttempt`.
   void startAttempt(decision::RequestId id, unsigned attempt, decision::WorkerId worker,
                     AttemptRequest request, std::optional<Clock::duration> timeout);
@@ -83,7 +83,7 @@
   using ConnectionPtr = std::shared_ptr<UpstreamConnection>;
   struct Worker {
     WorkerAddress address;
-    bool removed = false;
+    bool retired = false;
     std::vector<ConnectionPtr> idle;  // the most recently used at the back
     std::vector<ConnectionPtr> busy;
   };
--- a/src/gatekeeper/upstream_response.cpp
+++ b/src/gatekeeper/upstream_response.cpp
@@ -68,8 +68,8 @@
   return complete ? State::complete : State::incomplete;
 }
 
-// Workers start a request when its last byte arrives, so a 200 before that belongs to another request. Only a
-// streamed request body may be followed by its response before it is complete.
+// Workers start a request when its last byte arrives, so a 200 before that belongs to another request. Only
+// while a request body is streamed may the response arrive before the request is complete.
 bool UpstreamResponse::isPremature(RequestProgress request) const {
   return !request.written && !request.bodyStreaming && parser_->is_header_done() && isOk();
 }
