--- a/tests/fault_test.cpp
+++ b/tests/fault_test.cpp
@@ -31,7 +31,10 @@
   const auto client = sendRequest(TestRequest());
   waitUntil([&] { return worker.count("Req-Id: 00000000000000a1") == 1; }, "a request at the worker");
   program.faults->setShare(CallFault::aborted, 1);
-  const auto aborted = connectTo(clientsAddress);
+  tcp::socket aborted(io);
+  Error connectError;
+  aborted.connect(clientsAddress, connectError);  // fails if the reset arrives before it returns
+  EXPECT_TRUE(!connectError || connectError == asio::error::connection_reset) << connectError.message();
   waitUntil([&] { return program.faults->injected()[CallFault::aborted] == 1; }, "an aborted connection");
   program.faults->setShare(CallFault::aborted, 0);
   worker.peers.at(0)->send(httpResponse("200 OK", "made by a worker"));
