--- a/tests/loopback.hpp
+++ b/tests/loopback.hpp
@@ -11,6 +11,7 @@
 #include <functional>
 #include <memory>
 #include <nlohmann/json.hpp>
+#include <optional>
 #include <utility>
 
 #include "gatekeeper/gatekeeper.hpp"
@@ -123,6 +124,22 @@
   tcp::acceptor acceptor_;
 };
 
+// A loopback port on which nothing listens until the test or a process of it does. The socket stays bound
+// without listening, so the kernel gives the port to no other socket; a listener that sets SO_REUSEADDR, as
+// the program does, can bind it all the same.
+class ReservedPort {
+ public:
+  explicit ReservedPort(asio::io_context& io) : socket_(io, tcp::v4()) {
+    socket_.set_option(asio::socket_base::reuse_address(true));
+    socket_.bind(tcp::endpoint(asio::ip::address_v4::loopback(), 0));
+  }
+  tcp::endpoint address() const { return socket_.local_endpoint(); }
+  std::string addressText() const { return "127.0.0.1:" + std::to_string(address().port()); }
+
+ private:
+  tcp::socket socket_;
+};
+
 // A worker in an endpoint list.
 inline json endpointEntryJson(const std::string& id, const std::string& address,
                               const std::string& lifecycle = "Ready", double startedAtMs = 0) {
@@ -218,10 +235,16 @@
     peer->read();
     return peer;
   }
-  // The address of a port on which no socket listens.
-  std::string unusedAddress() { return Listener(io).addressText(); }
+  // The address of a port on which no socket listens during the test.
+  std::string unusedAddress() {
+    if (!unused_) unused_.emplace(io);
+    return unused_->addressText();
+  }
 
   asio::io_context io{1};
+
+ private:
+  std::optional<ReservedPort> unused_;
 };
 
 }  // namespace wingslip::test
--- a/tests/overload_process_test.cpp
+++ b/tests/overload_process_test.cpp
@@ -99,10 +99,9 @@
 TEST_F(OverloadedProcess, TheProcessStaysWithinItsMemoryLimitWithSlowPeers) {
   json config = configuration();
   config["limits"]["memory_mb"] = 24;
-  tcp::acceptor portFinder(io, tcp::endpoint(asio::ip::address_v4::loopback(), 0));
-  const tcp::endpoint listen = portFinder.local_endpoint();
-  portFinder.close();
-  config["listen"] = "127.0.0.1:" + std::to_string(listen.port());
+  const ReservedPort reservedPort(io);
+  const tcp::endpoint listen = reservedPort.address();
+  config["listen"] = reservedPort.addressText();
   config.erase("ops");
   const std::string path = ::testing::TempDir() + "wingslip-pressed-" + std::to_string(getpid()) + ".json";
   std::ofstream(path) << config.dump();
--- a/tests/program_under_faults.hpp
+++ b/tests/program_under_faults.hpp
@@ -80,9 +80,6 @@
   }
   void TearDown() override { std::filesystem::remove_all(folder); }
 
-  // A loopback address whose port is currently free.
-  static tcp::endpoint freePort(asio::io_context& io) { return Listener(io).address(); }
-
   json config() {
     json configuration =
         configJson(discovery.addressText(), json::array({endpointEntryJson("s-1", worker.addressText())}));
@@ -116,7 +113,8 @@
 
   std::string folder;
   Listener discovery{io}, worker{io};
-  const tcp::endpoint clientsAddress = freePort(io), operatorsAddress = freePort(io);
+  const ReservedPort clientsPort{io}, operatorsPort{io};
+  const tcp::endpoint clientsAddress = clientsPort.address(), operatorsAddress = operatorsPort.address();
 };
 
 }  // namespace wingslip::test
