--- a/include/wingslip/decision/gateway.hpp
+++ b/include/wingslip/decision/gateway.hpp
@@ -68,16 +68,16 @@
   std::size_t unavailable = 0;  ///< of the listed: excluded by an operator, draining or ejected
 };
 
-/// Requests rejected since the start, by reason; the reasons can overlap. Not counted are rejections by a
+/// Requests rejected since the start, by reason; the reasons can overlap. The counts exclude rejections by a
 /// hard ceiling or a concurrency cap, rejections of malformed requests, and rejections after the first
-/// attempt, except by the concurrency limit and under overload.
+/// attempt other than those by the concurrency limit and under overload.
 struct RejectionCounts {
   std::uint64_t localQuota = 0;  ///< too few tokens in the customer's bucket at this gateway
   std::uint64_t fleetQuota = 0;  ///< the customer's quota over all gateways is estimated to be used up
-  /// The customer's quota use is unknown. The choice is random; a larger request is more likely to be
-  /// rejected.
+  /// The customer's usage of its fleet-wide quota is unknown. The rejection is random; a larger request is
+  /// more likely to be rejected.
   std::uint64_t unknownCustomer = 0;
-  std::uint64_t noWorker = 0;          ///< no worker for the first attempt, also because of concurrencyLimit
+  std::uint64_t noWorker = 0;  ///< no worker for the first attempt; includes those of concurrencyLimit
   std::uint64_t concurrencyLimit = 0;  ///< first attempts and retries prevented by the gateway's limit
   std::uint64_t overload = 0;          ///< the host is overloaded; includes requests that ended as failures
 };
@@ -94,7 +94,7 @@
   /// because the request has not run or running it again has no further effect.
   virtual void reject(RequestId id, Time retryAfterMs) = 0;
   /// Sends the final answer that the request failed and may have run. If its response has started, the host
-  /// must abort it instead.
+  /// must abort the response instead.
   virtual void fail(RequestId id) = 0;
   /// Calls Gateway::onTimer with `tag` after `waitMs`.
   virtual void setTimer(Time waitMs, std::uint64_t tag) = 0;
@@ -115,7 +115,8 @@
   Gateway(Gateway&&) noexcept;
   Gateway& operator=(Gateway&&) noexcept;
 
-  /// Applies an endpoint list or its changes, or handles a failed request for it. A worker whose start time
+  /// Applies an endpoint list or its changes. After a failed request for the list, requests it again after a
+  /// delay. A worker whose start time
   /// has changed is treated as a new process.
   void onEndpoints(Time now, EndpointUpdate kind, const std::vector<Endpoint>& endpoints);
   /// Starts the first attempt of a new request, or rejects it. Ignored if a request with this id is in
@@ -131,10 +132,11 @@
   void onClientDisconnect(Time now, RequestId id);
   /// The response of the attempt in flight is being sent to the client.
   void onResponseStarted(Time now, RequestId id);
-  /// Sets the overload state, which applies until the next call, and ends requests in flight until their
-  /// memory covers `signal.excessBytes`. Initially the host is not overloaded.
+  /// Sets the overload state, which applies until the next call, and ends requests in flight until the
+  /// memory of the ended requests is at least `signal.excessBytes`. Initially the host is not overloaded.
   void onOverload(Time now, const OverloadSignal& signal);
-  /// A timer set by Actions::setTimer has expired. Ignored if its request has ended.
+  /// A timer set by Actions::setTimer has expired: retries the request, or requests the endpoint list again.
+  /// Ignored if the request has ended or has an attempt in flight.
   void onTimer(Time now, std::uint64_t tag);
   /// Applies changed settings immediately. A request in flight retains its class and its plan; its maximum
   /// number of attempts can decrease but not increase.
@@ -149,7 +151,8 @@
   /// Average rate of successful answers from one warm worker to this gateway, in answers per ms. Slow start
   /// limits warming workers relative to it.
   double warmWorkerRate(Time now) const;
-  /// Sets the initial warmWorkerRate to that of the previous process, at a handover.
+  /// Sets the initial warmWorkerRate to that of the previous process in a handover. A negative or
+  /// non-finite rate is ignored.
   void seedWarmWorkerRate(Time now, double ratePerMs);
 
   /// Current numbers of workers.
--- a/include/wingslip/decision/settings.hpp
+++ b/include/wingslip/decision/settings.hpp
@@ -27,7 +27,7 @@
   double rate = 0;             ///< units per second over all gateways; 0: no rate quota
   double burst = 0;            ///< units; capacity of the token bucket
   unsigned maxConcurrent = 0;  ///< attempts in flight per customer over all gateways; 0: no cap
-  double ceilingRate = 0;      ///< units per second that must never be exceeded; 0: no hard ceiling
+  double ceilingRate = 0;      ///< units per second over all gateways, never to be exceeded; 0: no ceiling
   double ceilingBurst = 0;     ///< units; capacity of the hard ceiling's token bucket
   double ceilingSlack = 0;     ///< tolerated excess over the hard ceiling, as a share; validated, not used
   double price = 1;            ///< factor of the value of the customers' requests
@@ -43,12 +43,13 @@
   std::vector<ClassSettings> classes;
   std::vector<PlanSettings> plans;
   std::vector<std::string> loadReportFields;  ///< names of the values of a load report, in order
-  /// The endpoint list must be requested once, and its changes follow; else it is pushed without a request.
+  /// Whether the endpoint list is requested once with Actions::pollEndpoints, after which its changes follow
+  /// without a request. Otherwise the list, too, is pushed without a request.
   bool pollsEndpoints = false;
   Time pollTimeoutMs = 0;    ///< time within which a requested list must arrive; validated, not used
-  unsigned maxAttempts = 1;  ///< per request
-  /// Upper bound of the retry delay of a rejection, except of a malformed request; 0: none. A bound below 1
-  /// ms counts as 1 ms.
+  unsigned maxAttempts = 1;  ///< per request, including the first one
+  /// Upper bound of the retry delay that a rejection advises; 0: none. A bound below 1 ms counts as 1 ms. It
+  /// does not apply to the rejection of a malformed request.
   Time maxRetryAfterMs = 0;
   Time quotaReadingPeriodMs = 0;  ///< metering period of quota readings; 0: answers have no readings
   bool correctsUnits = false;     ///< a request's units are an estimate that its answer corrects
--- a/include/wingslip/decision/types.hpp
+++ b/include/wingslip/decision/types.hpp
@@ -1,4 +1,4 @@
-/// Identifiers, states and reasons that the decision module shares with its host.
+/// Basic types that the decision module shares with its host: time, identifiers, states and results.
 #pragma once
 
 #include <cstdint>
--- a/src/decision/admission.cpp
+++ b/src/decision/admission.cpp
@@ -9,9 +9,10 @@
 namespace wingslip::decision {
 namespace {
 
-constexpr double kRequestUnitsTimeConstant = 8;  // in requests of the customer
+constexpr double kRequestUnitsTimeConstant = 8;  // of meanRequestUnits, in requests of the customer
 constexpr Time kWorkerShortageTimeConstantMs = 4000;
-constexpr double kMaxWorkerShortage = 0.8;  // at 1 no estimate would admit a request
+// At 1, the estimates of the fleet-wide quota and of the concurrency cap would reject every request.
+constexpr double kMaxWorkerShortage = 0.8;
 
 }  // namespace
 
@@ -41,7 +42,7 @@
 std::optional<Rejection> Admission::decide(Customer& customer, const Request& request, Time usualLatencyMs,
                                            bool isHostOverloaded) {
   const PlanSettings& plan = settings_.plans[customer.planIndex];
-  // 0: the customer's quota use is known.
+  // 0: the customer's usage is known.
   const double unknownAdmitProbability =
       unknownCustomers_.isUsageUnknown(customer) ? unknownCustomers_.admitProbability(request) : 0;
   const double units = std::max(0.0, request.units);
@@ -75,13 +76,15 @@
   if (!isUsedUp && unknownAdmitProbability > 0 && unknownAdmitProbability < 1 &&
       random_.next() >= unknownAdmitProbability)
     return Rejection{RejectionReason::unknownCustomer, 1000 * units / plan.rate};
-  // Customers whose requests reach each gateway only once or twice are charged for every admission: most of
-  // their units are admitted before the quota is known to be used up.
+  // Each gateway receives only one or two requests of a customer that can overrun its quota. Most of its
+  // units are admitted before the quota is known to be used up, so its credit is debited for every admission.
   if (isUsedUp || unknownCustomers_.canOverrunQuota(customer))
     customer.admitCredit = std::max(customer.admitCredit - units, -customer.meanRequestUnits);
   return std::nullopt;
 }
 
+// Compares the expected value of one more attempt with the worker shortage. An attempt within the cap has the
+// value 1; an attempt beyond it costs overQuotaCost.
 bool Admission::isCapLikelyReached(const Customer& customer, const PlanSettings& plan) const {
   if (plan.maxConcurrent == 0) return false;
   const double capacityProbability =
--- a/src/decision/admission.hpp
+++ b/src/decision/admission.hpp
@@ -16,7 +16,7 @@
   localQuota,       ///< too few tokens in the customer's bucket at this gateway
   concurrencyCap,   ///< the customer's attempts in flight have reached the cap, or probably have
   fleetQuota,       ///< the customer's quota over all gateways is estimated to be used up
-  unknownCustomer,  ///< the customer's quota use is unknown; random, more likely for a larger request
+  unknownCustomer,  ///< the customer's usage is unknown; random, more likely for a larger request
   overload,         ///< the host is short of memory, file descriptors or processing time
   noWorker,         ///< no worker for the first attempt
 };
@@ -37,8 +37,9 @@
             Random& random)
       : settings_(settings), fleetQuota_(fleetQuota), unknownCustomers_(unknownCustomers), random_(random) {}
 
-  /// Decides on a request by the customer's quota. Records its demand and may spend admit credit if it is
-  /// admitted; the buckets are debited by CustomerQuota::debit.
+  /// Decides on a request by the customer's quota. Records its demand unless the hard ceiling, the local
+  /// bucket or the concurrency cap rejects it. An admission may spend admit credit; the buckets are debited
+  /// by CustomerQuota::debit.
   /// @param usualLatencyMs usual latency of the request's class. It is returned as the retry delay at the
   ///   concurrency cap, since an attempt in flight has probably ended by then.
   /// @return the rejection; empty if the quota admits the request.
--- a/src/decision/concurrency_cap.cpp
+++ b/src/decision/concurrency_cap.cpp
@@ -1,5 +1,5 @@
-/// Concurrency cap of a plan. The number of attempts that the other gateways have in flight is estimated,
-/// since it is not known.
+/// Concurrency cap of a plan. The other gateways' attempts in flight are estimated from this gateway's own or
+/// from quota readings.
 #include "decision/concurrency_cap.hpp"
 
 #include <algorithm>
@@ -8,7 +8,7 @@
 namespace wingslip::decision::concurrency_cap {
 namespace {
 
-constexpr Time kFleetMeanTimeConstantMs = 60000;
+constexpr Time kFleetMeanTimeConstantMs = 60000;  // decay without quota readings
 // A metered peak exceeds the mean by about kPeakDeviations standard deviations plus kPeakOffset attempts.
 constexpr double kPeakDeviations = 1.2;
 constexpr double kPeakOffset = 0.5;
@@ -43,8 +43,8 @@
 }
 
 double probabilityWithinCap(const Customer& customer, const PlanSettings& plan, double share) {
-  // With a rate quota this gateway's share is estimated, so the others' mean follows from its own; without
-  // one, the mean over all gateways is estimated from the metered peaks.
+  // With a rate quota, readings yield this gateway's share, so the other gateways' mean follows from its own
+  // mean. Without a rate quota, readings yield the mean over all gateways.
   const double othersMean = plan.rate > 0 ? customer.meanAttemptsInFlight * (1 - share) / share
                                           : customer.fleetMeanAttemptsInFlight * (1 - share);
   return probabilityBelow(plan.maxConcurrent - customer.attemptsInFlight, othersMean);
--- a/src/decision/concurrency_cap.hpp
+++ b/src/decision/concurrency_cap.hpp
@@ -16,7 +16,7 @@
 /// Decays the fleet's estimated mean of attempts in flight towards 0 while no quota readings arrive.
 void decayFleetMean(Customer& customer, Time elapsedMs);
 /// Updates the fleet's estimated mean of attempts in flight from a quota reading, for a customer whose plan
-/// has no quota on its rate.
+/// has no rate quota.
 /// @param percent the metered peak of attempts in flight, in percent of the cap.
 void recordReading(Customer& customer, const PlanSettings& plan, int percent);
 /// Whether this gateway's attempts in flight alone reach the cap; false for a plan without a cap.
--- a/src/decision/concurrency_limit.cpp
+++ b/src/decision/concurrency_limit.cpp
@@ -28,7 +28,7 @@
 // plus 1: kPeakHeadroomFactor * (peak + 1).
 constexpr double kPeakHeadroomFactor = 2;
 constexpr Time kPeakTimeConstantMs = 4000;
-constexpr Time kMinOverloadPauseMs = 150;  // doubles with each rejection while the worker stays overloaded
+constexpr Time kMinOverloadPauseMs = 150;  // doubles with each rejection until a successful answer
 constexpr Time kMaxOverloadPauseMs = 2000;
 
 }  // namespace
--- a/src/decision/concurrency_limit.hpp
+++ b/src/decision/concurrency_limit.hpp
@@ -16,8 +16,8 @@
 
 /// The latency of an attempt, compared with the latency objective of its class.
 struct OutcomeTiming {
-  bool isLate = false;   ///< for any result; always where the worker rejected the attempt as overloaded
-  bool isEarly = false;  ///< only for a successful answer
+  bool isLate = false;   ///< latency too high, with any result, or rejected by the worker as overloaded
+  bool isEarly = false;  ///< successful answer of low latency
 };
 /// Classifies an outcome as late, early or neither.
 OutcomeTiming timingOf(const AttemptOutcome& outcome, Time latencyObjectiveMs);
@@ -48,9 +48,8 @@
   void recordAttemptStarted(Time now);
   void recordAttemptEnded();
   /// Raises the limit after an early answer and cuts it after a late outcome.
-  /// @param isWorkerSpecific the outcome is late because its worker is slow for its machine type or is
-  /// warming
-  ///   up; such an outcome does not change the limit.
+  /// @param isWorkerSpecific the outcome is late and its worker is slow for its machine type or warming up;
+  ///   such an outcome does not change the limit.
   void update(Time now, OutcomeTiming timing, bool isWorkerSpecific);
 
   double limit() const { return limit_; }
--- a/src/decision/customer.hpp
+++ b/src/decision/customer.hpp
@@ -8,12 +8,14 @@
 
 namespace wingslip::decision {
 
-/// Number of slots of the usage history. A slot is a quarter of a reading period, but at least 250 ms.
+/// Number of slots of the usage history.
 constexpr int kHistorySlots = 16;
+/// Number of slots per reading period: a slot is a quarter of the period, but at least 250 ms.
 constexpr int kSlotsPerPeriod = 4;
 
-/// Decaying sums whose quotient is the demand over all gateways: units, and the seconds in which they were
-/// requested, scaled by the share of the demand that the units were taken from.
+/// Decaying sums whose quotient is the demand over all gateways, in units per second. An observation covers a
+/// part of the demand: it adds the units of that part and its duration, multiplied by the part's share of the
+/// demand.
 struct DemandSums {
   double units = 0;
   double seconds = 0;
@@ -23,7 +25,7 @@
 struct UsageHistory {
   std::array<double, kHistorySlots> ownUnits{};     ///< units admitted by this gateway
   std::array<double, kHistorySlots> othersUnits{};  ///< estimated units used through the other gateways
-  std::array<double, kHistorySlots> assumedAdmitFraction{};  ///< fraction in force during the slot
+  std::array<double, kHistorySlots> assumedAdmitFraction{};  ///< 1 while the quota is not used up
   long slot = 0;                                             ///< number of the newest slot
 
   static std::size_t indexOf(long slot) { return static_cast<std::size_t>(slot % kHistorySlots); }
--- a/src/decision/customer_quota.cpp
+++ b/src/decision/customer_quota.cpp
@@ -13,11 +13,12 @@
 // intervals between readings if that is longer.
 constexpr Time kFractionRecoveryMs = 5000;
 constexpr double kFractionRecoveryIntervals = 3;
-constexpr double kFractionValidPeriods = 2;      // in reading periods after the last reading
+// Time after the last reading for which the admit fraction is valid, in reading periods.
+constexpr double kFractionValidPeriods = 2;
 constexpr double kMaxAdmitCreditRequests = 1.5;  // upper bound of the admit credit, in requests of mean size
 // A changed value counts as a new reading only after this many reading periods since the last one.
 constexpr double kChangedReadingPeriods = 0.3;
-constexpr double kReadingIntervalTimeConstant = 3;  // in readings
+constexpr double kReadingIntervalTimeConstant = 3;  // of meanReadingIntervalMs, in readings
 
 }  // namespace
 
--- a/src/decision/customer_quota.hpp
+++ b/src/decision/customer_quota.hpp
@@ -21,8 +21,8 @@
   void changePlan(Customer& customer, unsigned planIndex) const;
   /// Debits the units of an admitted request from all buckets.
   static void debit(Customer& customer, double units);
-  /// Corrects the local and fleet buckets, not the hard ceiling, by the units by which the estimate for a
-  /// request exceeded its actual units; negative units if the estimate was too low.
+  /// Adds `units` to the local and fleet buckets, but not to the hard ceiling: the estimated units of a
+  /// request minus its actual units, negative if the estimate was too low.
   void correctUnits(Customer& customer, Time now, double units) const;
 
   void recordAttemptStarted(Customer& customer, Time now) const;
--- a/src/decision/customer_registry.cpp
+++ b/src/decision/customer_registry.cpp
@@ -15,7 +15,7 @@
       untrackedBucketsUnspentSince_(now),
       untrackedCeilingsUnspentSince_(now) {}
 
-unsigned CustomerRegistry::gatewaysOf(const Request& request) const {
+unsigned CustomerRegistry::boundedGatewayCount(const Request& request) const {
   return std::max(1u, std::min(request.customerGatewayCount, settings_.gatewayCount));
 }
 
@@ -27,7 +27,7 @@
   }
   // The number of gateways may have changed; units above the new share of the ceiling are dropped
   // immediately.
-  customer->customerGatewayCount = gatewaysOf(request);
+  customer->customerGatewayCount = boundedGatewayCount(request);
   quota_.advance(*customer, now);
   if (customer->planIndex != request.planIndex) quota_.changePlan(*customer, request.planIndex);
   return *customer;
@@ -37,7 +37,7 @@
   const PlanSettings& plan = settings_.plans[request.planIndex];
   Customer& customer = table_.add(request.customer);
   customer.planIndex = request.planIndex;
-  customer.customerGatewayCount = gatewaysOf(request);
+  customer.customerGatewayCount = boundedGatewayCount(request);
   customer.updatedAt = now;
   customer.readingAt = now;
   customer.meanRequestUnits = std::max(0.0, request.units);
--- a/src/decision/customer_registry.hpp
+++ b/src/decision/customer_registry.hpp
@@ -29,7 +29,7 @@
   const MeanRequestSize& meanRequestSize() const { return meanRequestSize_; }
 
  private:
-  unsigned gatewaysOf(const Request& request) const;
+  unsigned boundedGatewayCount(const Request& request) const;
   Customer& add(Time now, const Request& request);
   void evictOne(Time now);
   double initialTokens(const PlanSettings& plan, unsigned customerGatewayCount, Time now) const;
@@ -41,8 +41,8 @@
   Random& random_;
   CustomerTable table_;
   MeanRequestSize meanRequestSize_;
-  // Since these times a customer that is not tracked cannot have spent any units here: the start of this
-  // gateway, or the last time that a customer was erased whose bucket or ceiling may have been partly spent.
+  // Times since which no untracked customer can have spent units at this gateway: the start of the gateway
+  // or, if later, the last erasure of a customer whose bucket or ceiling may have been partly spent.
   Time untrackedBucketsUnspentSince_;
   Time untrackedCeilingsUnspentSince_;
 };
--- a/src/decision/decay.hpp
+++ b/src/decision/decay.hpp
@@ -9,8 +9,8 @@
 namespace wingslip::decision {
 
 /// Factor by which an exponentially decaying sum shrinks within `elapsed`. Both arguments are durations, or
-/// both are counts, as of requests or readings. Zero elapsed time returns exactly 1 without computing the
-/// exponential; it is frequent, since several events of a customer occur at the same time.
+/// both are counts, for example of requests or readings. Zero elapsed time returns exactly 1 without
+/// computing the exponential; it is frequent, since several events of a customer occur at the same time.
 inline double decayFactor(Time elapsed, Time timeConstant) {
   return elapsed == 0 ? 1 : std::exp(-elapsed / timeConstant);
 }
--- a/src/decision/decision_log.cpp
+++ b/src/decision/decision_log.cpp
@@ -26,7 +26,7 @@
   std::array<char, kMaxSummaryBytes> line{};
   std::snprintf(
       line.data(), line.size(),
-      "rejected: local quota %u fleet quota %u unknown customer %u (reach %.2f) no worker %u "
+      "rejected: local quota %u fleet quota %u unknown customer %u (burst share %.2f) no worker %u "
       "(gateway's limit %u) overload %u; concurrency limit %.1f in flight %u worker shortage %.2f; "
       "workers ready %u ejected %u warming up %u overloaded %u",
       increase(counts.localQuota, before.localQuota), increase(counts.fleetQuota, before.fleetQuota),
--- a/src/decision/decision_log.hpp
+++ b/src/decision/decision_log.hpp
@@ -1,4 +1,4 @@
-/// Log of the decision module, limited in rate.
+/// Log of the decision module: rate-limited event lines and a periodic summary of rejections.
 #pragma once
 
 #include "wingslip/decision/gateway.hpp"
--- a/src/decision/gateway.cpp
+++ b/src/decision/gateway.cpp
@@ -33,7 +33,7 @@
 namespace wingslip::decision {
 namespace {
 
-constexpr Time kRetryAfterMs = 250;    // advised to clients where there is no better estimate
+constexpr Time kRetryAfterMs = 250;    // retry delay of a rejection without a better estimate
 constexpr Time kPollRetryMs = 250;     // delay before requesting the endpoint list again after a failure
 constexpr Time kWorkerRecheckMs = 40;  // interval between searches for a worker that may run the retry
 constexpr std::uint64_t kPollTimerTag = ~std::uint64_t{0};  // all other tags are request ids
@@ -76,7 +76,7 @@
     Customer& customer = customers_.findOrAdd(now, request);
     logSummary(now);
     if (const auto rejection = checkAdmission(customer, request)) return reject(request.id, *rejection);
-    PendingRequest pending = pendingRequest(now, request);
+    PendingRequest pending = makePendingRequest(now, request);
     UpstreamWorker* worker = chooseWorker(now, pending);
     admission_.recordWorkerChoice(now, worker != nullptr);
     if (!worker) return reject(request.id, {RejectionReason::noWorker, kRetryAfterMs});
@@ -113,7 +113,7 @@
     pending->arrivedAt = now;
     pending->lastAttemptAt = now;
     if (!pending->hasAttemptInFlight) return;
-    // The worker could not answer an incomplete request, so its silence until now does not count.
+    // The worker could not answer an incomplete request, so its response time counts from the completion.
     if (UpstreamWorker* worker = workers_.find(pending->triedWorkers.back())) worker->lastResponseAt = now;
   }
 
@@ -193,7 +193,7 @@
     return std::nullopt;
   }
 
-  PendingRequest pendingRequest(Time now, const Request& request) const {
+  PendingRequest makePendingRequest(Time now, const Request& request) const {
     PendingRequest pending;
     pending.request = request;
     pending.requestClass = classes_[request.classIndex];
@@ -203,8 +203,8 @@
     return pending;
   }
 
-  // A request that may have run is exempt from the gateway's concurrency limit, because ending it here could
-  // make its final answer a failure.
+  // A request that may have run is exempt from the gateway's concurrency limit, because without a
+  // retry its final answer might be a failure.
   UpstreamWorker* chooseWorker(Time now, const PendingRequest& pending) {
     if (!pending.mayHaveRun && !concurrencyLimit_.hasCapacity(random_)) {
       ++rejections_.concurrencyLimit;
@@ -250,8 +250,9 @@
   void retryOrEnd(Time now, PendingRequest& pending) {
     if (!retryPolicy_.mayRetry(pending, now)) return rejectOrFail(pending);
     if (UpstreamWorker* worker = chooseWorker(now, pending)) return startAttempt(now, pending, *worker);
-    // A request that has not run can be rejected immediately. One that may have run waits for a worker in its
-    // deduplication scope.
+    // A request that has not run can be rejected immediately. A request that may have run waits until a
+    // worker in its deduplication scope is eligible, because without a retry its final answer might be a
+    // failure.
     if (!pending.mayHaveRun || now + kWorkerRecheckMs >= pending.request.expiresAt)
       return rejectOrFail(pending);
     actions_.setTimer(kWorkerRecheckMs, pending.request.id);
@@ -273,9 +274,9 @@
     sendRejection(id, rejection.retryAfterMs);
   }
 
-  // Under overload the retry delay is raised to the expected duration of the overload, bounded by
-  // maxRetryAfterMs, and multiplied by a random factor in (0.5, 1], so that clients do not all retry at the
-  // same time.
+  // The retry delay is at least 1 ms and at most maxRetryAfterMs. Under overload it is first raised to the
+  // expected duration of the overload and, once bounded, multiplied by a random factor in (0.5, 1], so that
+  // clients do not all retry at the same time.
   void sendRejection(RequestId id, Time retryAfterMs) {
     const OverloadSignal& overload = loadShedding_.signal();
     if (overload.active) retryAfterMs = std::max(retryAfterMs, overload.expectedDurationMs);
--- a/src/decision/pending_request.hpp
+++ b/src/decision/pending_request.hpp
@@ -14,7 +14,9 @@
   RequestClassPtr requestClass;
   PlanSettings plan;  ///< copied at admission, since changed settings may renumber the plans
   unsigned maxAttempts = 0;
-  Time arrivedAt = 0;     ///< arrival, then completion of the request; the latency objective counts from it
+  /// Time of arrival, replaced by the time of completion if the request was started on its header; the
+  /// latency objective counts from it.
+  Time arrivedAt = 0;
   unsigned attempts = 0;  ///< started so far
   bool hasAttemptInFlight = false;
   Time lastAttemptAt = 0;  ///< start of the last attempt, or the completion of the request if later
--- a/src/decision/request_table.hpp
+++ b/src/decision/request_table.hpp
@@ -40,8 +40,8 @@
   void addAttempt(RequestId id, unsigned number, AttemptInFlight attempt) {
     attempts_[attemptKey(id, number)] = std::move(attempt);
   }
-  /// Removes and returns an attempt at its outcome; empty if the attempt is unknown or already has an
-  /// outcome.
+  /// Removes and returns the attempt that an outcome belongs to; empty if the attempt is unknown or already
+  /// has an outcome.
   [[nodiscard]] std::optional<AttemptInFlight> takeAttempt(RequestId id, unsigned number) {
     const auto found = attempts_.find(attemptKey(id, number));
     if (found == attempts_.end()) return std::nullopt;
