--- a/include/wingslip/decision/gateway.hpp
+++ b/include/wingslip/decision/gateway.hpp
@@ -115,9 +115,8 @@
   Gateway(Gateway&&) noexcept;
   Gateway& operator=(Gateway&&) noexcept;
 
-  /// Applies an endpoint list or its changes. After a failed request for the list, requests it again after a
-  /// delay. A worker whose start time
-  /// has changed is treated as a new process.
+  /// Applies an endpoint list or its changes. A worker whose start time has changed is treated as a new
+  /// process. If the request for the list failed, sets a timer to repeat it.
   void onEndpoints(Time now, EndpointUpdate kind, const std::vector<Endpoint>& endpoints);
   /// Starts the first attempt of a new request, or rejects it. Ignored if a request with this id is in
   /// flight.
@@ -151,8 +150,8 @@
   /// Average rate of successful answers from one warm worker to this gateway, in answers per ms. Slow start
   /// limits warming workers relative to it.
   double warmWorkerRate(Time now) const;
-  /// Sets the initial warmWorkerRate to that of the previous process in a handover. A negative or
-  /// non-finite rate is ignored.
+  /// Sets the initial warmWorkerRate to that of the previous process in a handover. A negative or non-finite
+  /// rate is ignored.
   void seedWarmWorkerRate(Time now, double ratePerMs);
 
   /// Current numbers of workers.
--- a/src/decision/concurrency_limit.hpp
+++ b/src/decision/concurrency_limit.hpp
@@ -16,8 +16,10 @@
 
 /// The latency of an attempt, compared with the latency objective of its class.
 struct OutcomeTiming {
-  bool isLate = false;   ///< latency too high, with any result, or rejected by the worker as overloaded
-  bool isEarly = false;  ///< successful answer of low latency
+  /// The latency exceeds a share of the objective, with any result, or the worker rejected the attempt as
+  /// overloaded.
+  bool isLate = false;
+  bool isEarly = false;  ///< a successful answer with a latency below a smaller share of the objective
 };
 /// Classifies an outcome as late, early or neither.
 OutcomeTiming timingOf(const AttemptOutcome& outcome, Time latencyObjectiveMs);
--- a/src/decision/customer.hpp
+++ b/src/decision/customer.hpp
@@ -25,7 +25,7 @@
 struct UsageHistory {
   std::array<double, kHistorySlots> ownUnits{};     ///< units admitted by this gateway
   std::array<double, kHistorySlots> othersUnits{};  ///< estimated units used through the other gateways
-  std::array<double, kHistorySlots> assumedAdmitFraction{};  ///< 1 while the quota is not used up
+  std::array<double, kHistorySlots> assumedAdmitFraction{};  ///< at the last decision; 1: not used up
   long slot = 0;                                             ///< number of the newest slot
 
   static std::size_t indexOf(long slot) { return static_cast<std::size_t>(slot % kHistorySlots); }
--- a/src/decision/fleet_quota.cpp
+++ b/src/decision/fleet_quota.cpp
@@ -12,14 +12,14 @@
 // With a shorter time constant the gateways' estimates oscillate against each other.
 constexpr Time kLongTermDemandTimeConstantMs = 60000;
 constexpr Time kShareTimeConstantMs = 10000;
-constexpr double kDemandPriorRequests = 0.5;  // weight of the prior demand estimate, in meanRequestUnits
+constexpr double kDemandPriorRequests = 0.5;  // weight of a prior of the demand, in requests of mean size
 // Assumed demand of a customer without history, as a share of the rate.
 constexpr double kDemandPriorShare = 1;
 constexpr Time kReadingDelayMs = 800;       // from the end of a metered period to its reading
-constexpr double kTargetUtilization = 0.6;  // share of the rate at which the admit fraction aims
+constexpr double kTargetUtilization = 0.6;  // share of the rate that the admitted demand should use
 constexpr double kMinAdmitFraction = 0.05;  // at 0 the other gateways would be assumed to use nothing
-// In reading periods at the full rate. The estimate must be able to go into debt: with a lower bound of 0,
-// noise in the readings could only ever add quota.
+// Maximum debt of the estimate, in reading periods at the full rate. With a lower bound of 0, noise in the
+// readings could only add quota.
 constexpr double kMaxDebtPeriods = 2;
 // A quantile of the normal distribution, in standard deviations, is approximated by the log-odds divided by
 // this.
--- a/src/decision/fleet_quota.hpp
+++ b/src/decision/fleet_quota.hpp
@@ -26,8 +26,7 @@
 
   /// Estimated demand over all gateways, in units per second.
   double demand(const Customer& customer) const;
-  /// Adds to the demand sums `units`, requested through some of the gateways, and `seconds`, a time scaled by
-  /// the share of the demand that the units were taken from.
+  /// Adds `units` and `seconds` of an observed part of the demand to the demand sums, see DemandSums.
   static void addDemand(Customer& customer, double units, double seconds);
   /// Records the admit fraction in force in the newest history slot.
   static void recordAdmitFraction(Customer& customer, double fraction);
@@ -36,7 +35,8 @@
   /// customerGatewayCount are set.
   /// @param idleMs time for which the customer is known to have sent nothing through this gateway.
   void initialize(Customer& customer, Time now, Time idleMs) const;
-  /// Refills the estimated remaining quota for `elapsedMs` and decays demand and usage.
+  /// Refills the estimated remaining quota for `elapsedMs`, debits the other gateways' estimated usage, and
+  /// advances demand and usage.
   /// @return units that the other gateways are estimated to have used in that time, for `advanceHistory`.
   double refill(Customer& customer, Time elapsedMs) const;
   /// Advances the history to the slot of `now` and spreads `othersUnits` evenly over the slots since the last
--- a/src/decision/gateway.cpp
+++ b/src/decision/gateway.cpp
@@ -203,8 +203,8 @@
     return pending;
   }
 
-  // A request that may have run is exempt from the gateway's concurrency limit, because without a
-  // retry its final answer might be a failure.
+  // A request that may have run is exempt from the gateway's concurrency limit, because without a retry its
+  // final answer might be a failure.
   UpstreamWorker* chooseWorker(Time now, const PendingRequest& pending) {
     if (!pending.mayHaveRun && !concurrencyLimit_.hasCapacity(random_)) {
       ++rejections_.concurrencyLimit;
--- a/src/decision/load_balancer.cpp
+++ b/src/decision/load_balancer.cpp
@@ -26,12 +26,13 @@
 constexpr unsigned kMinGatewaysPerWorker = 4;
 
 // Factors of a worker's cost.
-constexpr double kCrossZoneWeight = 15;  // per unit of the cross-zone price
+constexpr double kCrossZoneWeight = 15;  // increase of the factor per unit of Settings::crossZonePrice
 constexpr double kOutsideSubsetFactor = 2.5;
 constexpr double kCostJitter = 0.02;  // without it, gateways in the same state would pick the same worker
-// Worker that OutlierDetection::shouldAvoid names: practically used only where there is no other.
+// For a worker to avoid, see OutlierDetection::shouldAvoid; so large that it is practically picked only if no
+// other worker is eligible.
 constexpr double kAvoidedFactor = 10000;
-constexpr double kTriedFactor = 30;  // worker that an earlier attempt of this request was sent to
+constexpr double kTriedFactor = 30;  // for a worker that an earlier attempt of this request was sent to
 
 // First index of a part: the lowest i with i * subsetCount / count == part.
 std::size_t partStart(std::size_t part, std::size_t count, unsigned subsetCount) {
@@ -79,7 +80,7 @@
   return std::max({1u, preferred, std::min(settings_.gatewayCount / kMinGatewaysPerWorker, required)});
 }
 
-// A request that may have run is exempt from the worker's limit: without a worker its final answer might be a
+// A request that may have run is exempt from the worker's limit: without a retry its final answer might be a
 // failure.
 inline bool LoadBalancer::isEligible(UpstreamWorker& worker, Time now, const PendingRequest& pending,
                                      double capacityShare) {
--- a/src/decision/load_balancer.hpp
+++ b/src/decision/load_balancer.hpp
@@ -25,8 +25,8 @@
   /// Marks the workers of this gateway's subset. To be called after each change of the endpoint list, the
   /// number of gateways or this gateway's index.
   void assignSubset();
-  /// Returns the eligible worker of lowest cost, or null where there is none. Workers that
-  /// OutlierDetection::shouldAvoid names are practically picked only where no other is eligible.
+  /// Returns the eligible worker of lowest cost, or null if there is none. A worker to avoid, see
+  /// OutlierDetection::shouldAvoid, is practically picked only if no other is eligible.
   [[nodiscard]] UpstreamWorker* pick(Time now, const PendingRequest& pending);
 
  private:
--- a/src/decision/load_report.cpp
+++ b/src/decision/load_report.cpp
@@ -9,8 +9,8 @@
 namespace {
 
 constexpr double kSmoothingTimeConstantMs = 600;
-// Added to the interval that a report is weighted by; at 0, the second of two simultaneous reports would have
-// no weight.
+// Added to the time since the previous report, which determines a report's weight; at 0, the second of two
+// simultaneous reports would have no weight.
 constexpr Time kAddedReportIntervalMs = 50;
 constexpr std::size_t kMinMeanWindowReports = 10;  // minimum window of the mean over all workers
 
@@ -18,7 +18,7 @@
 // not related to them.
 std::optional<double> othersInFlightSample(const std::string& field, double figure, unsigned ownInFlight,
                                            unsigned gatewayCount) {
-  // The figure includes the attempt that the report came with, which `ownInFlight` no longer does.
+  // The figure includes the attempt whose answer carried the report; `ownInFlight` no longer includes it.
   if (field == "inflight") return std::max(0.0, figure - ownInFlight - 1);
   if (field != "queue") return std::nullopt;
   const double estimate = figure * (gatewayCount - 1) / gatewayCount;
--- a/src/decision/load_shedding.cpp
+++ b/src/decision/load_shedding.cpp
@@ -11,8 +11,8 @@
 // Maximum change of the threshold's natural logarithm by one new request.
 constexpr double kThresholdStep = 0.1;
 constexpr double kValueJitter = 0.02;  // without it, requests of equal value would be shed all or none
-// Requests below this size count as this size: their cost is descriptors and time, not bytes. Larger ones are
-// rejected while the host is short of memory.
+// Smaller requests are weighed as if they had this size, because their main cost is file descriptors and
+// processing time, not memory. Larger ones are rejected while the host is short of memory.
 constexpr double kMinWeighedBytes = 16384;
 
 }  // namespace
--- a/src/decision/load_shedding.hpp
+++ b/src/decision/load_shedding.hpp
@@ -1,5 +1,5 @@
 /// Load shedding: selects the requests that are rejected or released while the host is short of memory,
-/// descriptors or time.
+/// file descriptors or processing time.
 #pragma once
 
 #include <vector>
@@ -25,7 +25,7 @@
  public:
   explicit LoadShedding(Random& random) : random_(random) {}
 
-  /// Stores the signal, which is in force until the next one.
+  /// Stores the signal, which applies until the next one.
   void onSignal(const OverloadSignal& signal) { signal_ = signal; }
   const OverloadSignal& signal() const { return signal_; }
 
--- a/src/decision/outlier_detection.hpp
+++ b/src/decision/outlier_detection.hpp
@@ -14,9 +14,9 @@
  public:
   explicit OutlierDetection(RequestClasses& classes) : classes_(classes) {}
 
-  /// Ratio of the worker's latency to the usual latency of the request class; 1 is usual. The worker's
-  /// samples are averaged with the slowness of its machine type, which has the weight of kTypeWeight samples
-  /// and so dominates while the worker has few.
+  /// Mean ratio of the worker's latency to the usual latency of the request class; 1: as usual. The mean
+  /// includes the slowness of the worker's machine type as kTypeWeight samples, so a worker without samples
+  /// has that slowness.
   double slowness(const UpstreamWorker& worker) const {
     const auto found = typeSlowness_.find(worker.endpoint.machineType);
     const double slownessOfType = found == typeSlowness_.end() ? 1 : found->second;
@@ -32,8 +32,8 @@
            isUnresponsive(worker, now);
   }
 
-  /// Processes the latency of an attempt. Only a successful answer, or a time-out above the worker's present
-  /// slowness, has an effect.
+  /// Processes the latency of an attempt. Only a successful answer, or a time-out whose latency ratio exceeds
+  /// the worker's slowness, has an effect.
   /// @param latencyMs latency of the answer, or the duration after which the attempt timed out.
   /// @param usualLatencyMs usual latency of the request class.
   void recordLatency(UpstreamWorker& worker, Time now, AttemptResult result, Time latencyMs,
@@ -46,8 +46,8 @@
 
  private:
   static constexpr double kTypeWeight = 1;  ///< weight of the machine type's slowness, in samples
-  /// A worker with several attempts in flight is unresponsive after this multiple of the largest usual
-  /// latency without an answer.
+  /// A worker with at least two attempts in flight is unresponsive after this multiple of the largest mean
+  /// latency of a request class without an answer.
   static constexpr double kUnresponsiveLatencies = 3;
 
   // Detects a worker that is partitioned, suspended or dead, regardless of its listed phase and long before
--- a/src/decision/request_class.cpp
+++ b/src/decision/request_class.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 constexpr Time kLatencyTimeConstantMs = 20000;
-constexpr Time kMaxSampleMs = 1000;  // upper bound of the time for which one answer counts in the average
+constexpr Time kMaxSampleMs = 1000;  // upper bound of the elapsed time by which a sample is weighted
 
 }  // namespace
 
--- a/src/decision/request_class.hpp
+++ b/src/decision/request_class.hpp
@@ -9,17 +9,17 @@
 
 namespace wingslip::decision {
 
-/// A request class with its usual latency: the mean of the measured ones, or an assumption without answers. A
+/// A request class with its usual latency: the measured mean, or an assumed value before the first answer. A
 /// request in flight retains its class when the settings change.
 struct RequestClass {
-  /// Usual latency of a class without answers, as a share of its latency objective.
+  /// Usual latency of a class before its first answer, as a share of its latency objective.
   static constexpr double kInitialLatencyObjectiveShare = 0.2;
 
   ClassSettings settings;
   Time meanLatencyMs = 0;  ///< moving average over successful answers; 0: none yet
   Time latencyUpdatedAt = 0;
 
-  /// Mean latency, or an assumed one as long as there are no answers.
+  /// Mean latency, or an assumed value before the first answer.
   Time usualLatencyMs() const {
     return meanLatencyMs > 0 ? meanLatencyMs : settings.latencyObjectiveMs * kInitialLatencyObjectiveShare;
   }
@@ -44,7 +44,7 @@
   Time largestMeanLatencyMs();
 
  private:
-  /// Value of cachedLargestMeanLatencyMs_ that requires a computation.
+  /// Value of cachedLargestMeanLatencyMs_ if it must be recomputed.
   static constexpr Time kNotComputed = -1;
 
   std::vector<RequestClassPtr> classes_;
--- a/src/decision/retry_policy.hpp
+++ b/src/decision/retry_policy.hpp
@@ -27,14 +27,16 @@
 /// window. Otherwise the final answer is a failure.
 [[nodiscard]] bool isSafeToReject(const PendingRequest& pending);
 
-/// Rules for the attempts of a gateway's requests, with one budget of early time-outs for all requests.
-/// A time-out is early if it comes before the request's deadline. A time-out at the deadline takes from the
-/// budget too.
+/// Rules for attempts and retries, with one budget of time-outs for all requests of the gateway. Each attempt
+/// that times out, even at the request's deadline, takes 1 from the budget; a successful attempt adds a
+/// fraction. While the budget is below 1, new attempts have no time-out before the deadline, and a request
+/// that may have run is not retried.
 class RetryPolicy {
  public:
   /// Updates the budget at the outcome of an attempt.
   void recordResult(AttemptResult result);
-  /// Time-out of the attempt about to start, early enough for a retry; 0: none before the request's deadline.
+  /// Time-out of the attempt about to start, which leaves time for a retry; 0: none before the request's
+  /// deadline.
   Time attemptTimeoutMs(const PendingRequest& pending, Time now) const;
   /// Whether another attempt may start now.
   [[nodiscard]] bool mayRetry(const PendingRequest& pending, Time now) const;
@@ -43,7 +45,7 @@
   static constexpr double kMaxBudget = 5;  ///< upper bound of the budget, as a number of time-outs
   bool hasBudget() const { return budget_ >= 1; }
 
-  // Remaining early time-outs. A retry of a request that may have run requires at least 1.
+  // Remaining time-outs.
   double budget_ = kMaxBudget;
 };
 
--- a/src/decision/slow_start.hpp
+++ b/src/decision/slow_start.hpp
@@ -1,4 +1,5 @@
-/// Slow start: limits the attempts at a worker that has just started until it has its full capacity.
+/// Slow start: limits the attempts at a worker that has recently started, or been included again after an
+/// exclusion, until it has its full capacity.
 #pragma once
 
 #include <algorithm>
@@ -13,14 +14,15 @@
 /// nothing to a warming worker outside its subset. Since every gateway does so, all of them together stay
 /// below the warming worker's share of a warm worker's throughput, even while clients retry many times. The
 /// rate of a warm worker is taken to be at least this gateway's part of Settings::overloadMultiple requests
-/// per overload window, which even a worker that processes one request per window withstands.
+/// per overload window; this rate does not overload even a worker that processes only one request per window.
 class SlowStart {
  public:
   /// Refers to the settings, which must outlive it.
   explicit SlowStart(const Settings& settings) : settings_(settings) {}
 
-  /// The worker's share of its full capacity: 1 for a warm worker, otherwise the lower bound from the
-  /// settings, which grows linearly over Settings::slowStartMs.
+  /// The worker's assumed share of its full capacity. It grows linearly from Settings::slowStartInitialShare
+  /// at its start, or at the end of its exclusion, to 1 after Settings::slowStartMs; 1 if neither time is
+  /// known.
   double capacityShare(const UpstreamWorker& worker, Time now) const {
     const Time startedAt = std::max(worker.endpoint.startedAt, worker.reincludedAt);
     if (startedAt <= 0 || settings_.slowStartMs <= 0) return 1;
@@ -38,13 +40,14 @@
   /// Takes the token of one attempt.
   static void consumeToken(UpstreamWorker& worker) { worker.warmUpTokens -= 1; }
 
-  /// Counts a successful answer of `worker`, one of `workers`; that of a warming worker has no effect.
+  /// Records a successful answer of `worker`, which is an element of `workers`. An answer of a warming worker
+  /// has no effect.
   void recordSuccess(const UpstreamWorker& worker, Time now, const std::vector<UpstreamWorker>& workers);
 
   /// Successful answers per ms that this gateway gets from one warm worker. While no worker is warm, as in a
   /// release that replaces all of them, it decays from the last known rate.
   double warmWorkerRate(Time now) const;
-  /// Sets the rate to that of the predecessor process in a handover; a negative or non-finite rate is
+  /// Sets the rate to that of the previous process in a handover; a negative or non-finite rate is
   /// ignored.
   void seedWarmWorkerRate(Time now, double ratePerMs);
 
--- a/src/decision/unknown_customers.cpp
+++ b/src/decision/unknown_customers.cpp
@@ -16,13 +16,13 @@
 constexpr double kTargetOverQuotaCost = 0.09;
 // A customer of at most this many gateways counts as unable to overrun its quota with one request at each.
 constexpr double kMinOverrunGateways = 4;
-// Lower bound of the assumed burst, in first requests of mean size over all customers.
+// Lower bound of the burst that a request is compared with, in first requests of mean size.
 constexpr double kMinQuotaRequests = 12;
 constexpr double kMinAssumedBurstShare = 0.08;
 constexpr double kMaxAssumedBurstShare = 1.5;
-constexpr double kAssumedBurstShareStep = 0.4;  // logarithmic change of the share per request of mean value
-// The admit probability falls linearly over relative sizes from 1 minus to 1 plus this, so that there is no
-// fixed size above which every request is rejected.
+constexpr double kAssumedBurstShareStep = 0.4;  // change of the share's natural logarithm per unit of error
+// The admit probability falls linearly between the relative sizes 1 - kAdmitRampHalfWidth and
+// 1 + kAdmitRampHalfWidth, so that there is no fixed size above which every request is rejected.
 constexpr double kAdmitRampHalfWidth = 1.0 / 3;
 constexpr double kMinAdmitProbability = 0.05;
 
@@ -45,7 +45,7 @@
          (customer.readingPercent < 0 || customer.updatedAt - customer.readingAt > kReadingValidMs);
 }
 
-// The more work beyond the quota costs, the smaller a request must be to be admitted.
+// The more work beyond the quota costs, the lower the probability for a request of a given size.
 double UnknownCustomers::admitProbability(const Request& request) const {
   const PlanSettings& plan = settings_.plans[request.planIndex];
   const double burst = std::max({plan.burst, kMinQuotaRequests * meanRequestSize_.units(), 1e-9});
--- a/src/decision/unknown_customers.hpp
+++ b/src/decision/unknown_customers.hpp
@@ -1,8 +1,8 @@
-/// Admission of customers with unknown usage of the fleet-wide quota.
+/// Admission of unknown customers: customers whose usage of their fleet-wide quota is unknown.
 ///
 /// If there are many gateways, each receives only one request of most customers, and the first reading of a
 /// customer arrives only after that request. Together the gateways can then admit more than the quota. A
-/// quota that is partly used up at other gateways has no room for large requests, so the quota of an unknown
+/// quota that is partly used up at other gateways may not cover a large request, so the quota of an unknown
 /// customer is assumed to have the share `assumedBurstShare` of its burst remaining. The share is adjusted by
 /// the readings on the answers to admitted requests.
 #pragma once
--- a/src/decision/worker_feedback.cpp
+++ b/src/decision/worker_feedback.cpp
@@ -41,7 +41,8 @@
   concurrencyLimit_.update(now, timing, isWorkerSpecific);
 }
 
-// Slow start comes first: a worker is not counted as warm for the answer that ends its ejection.
+// Slow start is updated first, so that the answer that ends an ejection does not yet count its worker among
+// the warm ones.
 void WorkerFeedback::recordSuccess(UpstreamWorker& worker, Time now) {
   slowStart_.recordSuccess(worker, now, workers_.all());
   OutlierDetection::recordSuccess(worker);
--- a/src/decision/worker_table.cpp
+++ b/src/decision/worker_table.cpp
@@ -51,8 +51,8 @@
   worker.limit = initialWorkerLimit(settings_.gatewayCount);
 }
 
-// The worker may have restarted during its exclusion without the endpoint list showing it yet, so its state
-// is reset.
+// The worker may have restarted during its exclusion without a new start time in the endpoint list yet, so
+// its state is reset.
 void WorkerTable::include(Time now, WorkerId id) {
   const auto found = excludedSince_.find(id);
   if (found == excludedSince_.end()) return;
