--- a/src/decision/customer.hpp
+++ b/src/decision/customer.hpp
@@ -25,8 +25,10 @@
 struct UsageHistory {
   std::array<double, kHistorySlots> ownUnits{};     ///< units admitted by this gateway
   std::array<double, kHistorySlots> othersUnits{};  ///< estimated units used through the other gateways
-  std::array<double, kHistorySlots> assumedAdmitFraction{};  ///< at the last decision; 1: not used up
-  long slot = 0;                                             ///< number of the newest slot
+  /// Assumed admit fraction at the last decision in the slot, or before it; 1 if the fleet-wide quota was not
+  /// estimated to be used up.
+  std::array<double, kHistorySlots> assumedAdmitFraction{};
+  long slot = 0;  ///< number of the newest slot
 
   static std::size_t indexOf(long slot) { return static_cast<std::size_t>(slot % kHistorySlots); }
   std::size_t newest() const { return indexOf(slot); }
