--- a/src/gatekeeper/attempt_message.cpp
+++ b/src/gatekeeper/attempt_message.cpp
@@ -7,8 +7,8 @@
 namespace wingslip {
 namespace {
 
-// Upper bound of the bytes in addition to the client's target, header fields and body: the remainder of the
-// request line, the header fields set here and the framing of one chunk.
+// Upper bound, in bytes, of the parts of the message that are not the client's target, header fields or body:
+// the remainder of the request line, the header fields set here and the framing of one chunk.
 constexpr std::size_t kFramingOverheadBytes = 160;
 constexpr std::size_t kFieldFramingBytes = 4;  // `: ` and the line terminator
 
--- a/src/gatekeeper/attempt_message.hpp
+++ b/src/gatekeeper/attempt_message.hpp
@@ -13,13 +13,13 @@
 
 /// How the body of a client's request is forwarded to a worker.
 struct BodyFraming {
-  bool streamed = false;                       ///< the message contains only the first piece
-  std::optional<std::uint64_t> contentLength;  ///< in bytes, of a streamed body; `nullopt`: chunked encoding
+  bool streamed = false;                       ///< the message contains only the first piece of the body
+  std::optional<std::uint64_t> contentLength;  ///< of a streamed body, bytes; `nullopt`: it is sent chunked
 };
 
 /// Returns the client's request as it is sent to a worker: without the header fields that apply only to the
 /// client's connection, and with the remaining time `deadlineMs`, rounded to whole milliseconds, in
-/// `Req-Deadline-Ms`. Of a streamed body only the first piece is included.
+/// `Req-Deadline-Ms`. A streamed body is included only up to the end of its first piece.
 std::string serializeAttempt(const ClientMessage& message, const BodyFraming& framing,
                              decision::Time deadlineMs);
 
--- a/src/gatekeeper/body_rate.hpp
+++ b/src/gatekeeper/body_rate.hpp
@@ -23,8 +23,7 @@
     bytes_ += static_cast<double>(bytes);
     waited_ += Clock::now() - readStartedAt_;
   }
-  /// Whether the average rate is at least `minBytesPerMs`, with the first `grace` of waiting time not
-  /// counted.
+  /// Whether the average rate is at least `minBytesPerMs`. The first `grace` of the waiting time is exempt.
   bool isAtLeast(double minBytesPerMs, std::chrono::milliseconds grace) const {
     const std::chrono::duration<double, std::milli> counted = waited_ - grace;
     return bytes_ >= minBytesPerMs * counted.count();
--- a/src/gatekeeper/client_connection.cpp
+++ b/src/gatekeeper/client_connection.cpp
@@ -13,8 +13,9 @@
 using asio::ip::tcp;
 using namespace std::chrono_literals;
 
-constexpr std::size_t kBareConnectionBytes = 2 * 1024;   // without the input buffer and the request
-constexpr auto kIncompleteRequestTimeoutAtStop = 500ms;  // to complete a header after accepting stops
+constexpr std::size_t kBareConnectionBytes = 2 * 1024;  // without the input buffer and the request
+// Once accepting has stopped: age up to which a connection counts as new, and time to complete a header.
+constexpr auto kIncompleteRequestTimeoutAtStop = 500ms;
 
 }  // namespace
 
@@ -71,7 +72,7 @@
 
 void ClientServer::Connection::closeIdle() {
   if (awaitingFirstRequest_)
-    return close(CloseReason::idleTimeout);  // there is no response that a reset could discard
+    return close(CloseReason::idleTimeout);  // no response was sent that a reset could discard
   if (!overflow_) server_.lingering_.append(*this);
   linger();
 }
@@ -136,7 +137,7 @@
 }
 
 void ClientServer::Connection::onTimer() {
-  // The read is paused for lack of memory: a rejection for capacity, not a time-out of the client.
+  // The read is paused for lack of memory, so the request is rejected for capacity, not as too slow.
   if (state_ == State::reading && requestStarted() && pausedRead_.isRegistered())
     return rejectForCapacity(WaitQueue::pausedRead);
   if (state_ == State::reading && requestStarted()) {
@@ -149,7 +150,7 @@
   }
   if (state_ == State::streaming) countRejection(WaitQueue::responseBodyWindow);
   if (state_ == State::responding) countRejection(WaitQueue::responseWrite);
-  if (state_ == State::reading && hasUnreadData()) return;  // its read handler is due
+  if (state_ == State::reading && hasUnreadData()) return;  // the read handler is about to run
   if (state_ == State::reading) return closeIdle();
   if (state_ == State::lingering) return close(CloseReason::lastResponse);
   if (state_ == State::discardingBody) return close(CloseReason::bodyTimeout);
@@ -176,7 +177,7 @@
   server_.accept();
 }
 
-// The connection is idle and may be evicted from now on.
+// The connection is idle; unless it is an overflow connection, it may be evicted from now on.
 void ClientServer::Connection::enterIdleOrder() {
   if (!overflow_) server_.idle_.append(*this);
   server_.accept();
@@ -201,8 +202,8 @@
 
 // --- Memory ------------------------------------------------------------------------------------------------
 
-// Bytes to charge for the connection and its request, with `more` bytes to be read. These count twice: in the
-// input buffer and as part of the request.
+// Bytes to charge for the connection and its request, with `more` bytes to be read. Those bytes count twice:
+// in the input buffer and as part of the request.
 std::size_t ClientServer::Connection::memoryBytes(std::size_t more) const {
   const std::size_t buffer = std::max(input_.capacity(), input_.size() + more);
   return std::max(kClientConnectionBytes, kBareConnectionBytes + buffer + requestBytes_ + more);
--- a/src/gatekeeper/client_connection.hpp
+++ b/src/gatekeeper/client_connection.hpp
@@ -23,11 +23,11 @@
 /// short response. So a small request on an accepted connection never waits for memory.
 constexpr std::size_t kClientConnectionBytes = 12 * 1024;
 
-/// The response to a request for which there is no connection or memory.
+/// The response to a request for which there is no free connection slot or no memory.
 constexpr ImmediateResponse kNoCapacity{http::status::service_unavailable,
                                         "refused: no room, try again later"};
 
-/// The reason to close a connection with after a read or write error.
+/// Returns the close reason that a read or write error stands for.
 inline CloseReason closeReasonOf(const Error& error) {
   return error == asio::error::eof ? CloseReason::peerClosed : CloseReason::peerReset;
 }
@@ -75,7 +75,7 @@
   /// Closes the connection immediately and cancels its request. An unanswered request is reported to the
   /// handler, unless the client has closed the connection or its response was truncated.
   void close(CloseReason reason);
-  /// Closes without notifying the handler or the server; for use on the server's destruction.
+  /// Closes without notifying the handler or the server; used by `close` and the server's destructor.
   void abandon();
   /// For use once accepting has stopped: closes the connection if it is idle. A new connection or an
   /// incomplete request header gets a short time limit instead.
@@ -164,10 +164,10 @@
   ClientServer& server_;
   MemoryBudget::Charge memory_;          // for this connection and the request on it
   MemoryBudget::Charge responseMemory_;  // for the response being written
-  WaitQueues::QueueEntry waitRecord_;    // the wait that is counted in the metrics
+  WaitQueues::QueueEntry waitRecord_;    // the current wait in the metrics of the wait queues
   OverloadManager::PausedRead pausedRead_;
   std::size_t requestBytes_ = 0;    // bytes of the request that are read and not yet released
-  std::size_t forwardedBytes_ = 0;  // part of `requestBytes_` that the handler has, but the worker not yet
+  std::size_t forwardedBytes_ = 0;  // part of `requestBytes_` in the handler, not yet written to the worker
   bool overflow_;                   // beyond the limit of regular connections
   const Clock::time_point openedAt_ = Clock::now();
   Socket socket_;
@@ -180,14 +180,14 @@
   State state_ = State::reading;
   Clock::time_point idleSince_;
   decision::RequestId requestId_ = 0;
-  std::size_t discardedBytes_ = 0;    // in the lingering close
+  std::size_t discardedBytes_ = 0;    // input discarded during the lingering close, bytes
   bool awaitingFirstRequest_ = true;  // no complete request has been received yet
   bool requestStarted_ = false;       // the first byte of a request has been parsed
   bool continueHandled_ = false;      // 100 Continue has been sent, or is not expected
   bool closeAfterResponse_ = false;
   bool reading_ = false;  // a read is pending
-  // Whether the kernel's TCP state is used, as on Linux: at its start the connection was not reported as
-  // closed.
+  // Whether the TCP state that the kernel reports is used, as on Linux. False if the kernel reported the
+  // connection as closed at its start.
   bool tcpStateKnown_ = false;
   bool inBody_ = false;           // the header is read, and a body follows
   bool bodyDone_ = true;          // no more of the body is expected
--- a/src/gatekeeper/client_connection_reading.cpp
+++ b/src/gatekeeper/client_connection_reading.cpp
@@ -40,7 +40,7 @@
   bodyRate_.startRead();
   if (awaitingBody) armTimer(server_.limits_.bodyReadTimeout);
   // Waits for readability instead of reading: received bytes stay in the kernel until the handler runs, so
-  // that the eviction of idle connections sees them there.
+  // that `hasUnreadData` detects them before an idle connection is evicted.
   socket_.async_wait(tcp::socket::wait_read,
                      guard([this](const Error& error, std::size_t) { onReadable(error); }));
 }
@@ -234,7 +234,7 @@
 void ClientServer::Connection::readBody(BodyPieceHandler onPiece) {
   if (state_ != State::inFlight) return;
   bodyPieceHandler_ = std::move(onPiece);
-  requestBytes_ -= std::min(requestBytes_, std::exchange(forwardedBytes_, 0));  // the worker has these
+  requestBytes_ -= std::min(requestBytes_, std::exchange(forwardedBytes_, 0));  // written to the worker
   recordWait(WaitQueue::incompleteRequest);
   sendContinue();
   asio::post(socket_.get_executor(), guardPosted([this] { deliverBody(); }));
--- a/src/gatekeeper/client_connection_writing.cpp
+++ b/src/gatekeeper/client_connection_writing.cpp
@@ -68,7 +68,7 @@
   reject({ready ? http::status::ok : http::status::service_unavailable, ready ? "ready" : "not ready"});
 }
 
-// Responds without the handler: it has not received the request, or has ended it.
+// Responds to a request that the handler has not received or has already ended.
 void ClientServer::Connection::reject(const ImmediateResponse& rejection, decision::Time retryAfterMs) {
   server_.stats_.rejected += rejection.status != http::status::ok;
   if (rejection.status == http::status::request_timeout) {
--- a/src/gatekeeper/client_request.cpp
+++ b/src/gatekeeper/client_request.cpp
@@ -12,7 +12,7 @@
 constexpr decision::CustomerId kCustomerCount = decision::CustomerId{1} << 33;
 constexpr double kMaxClientWaitMs = 10 * 60 * 1000;
 
-// Parses `text` as a number; none if any character is left over.
+// Parses `text` as a number; `nullopt` unless all of it is one.
 template <class T, class... Base>
 std::optional<T> parseNumber(std::string_view text, Base... base) {
   T value{};
@@ -33,7 +33,7 @@
   return part;
 }
 
-// The value of `name` in a list of name=value; empty if there is none.
+// Returns the value of `name` in a list of `name=value` pairs; empty if the list does not contain `name`.
 std::string_view findValue(std::string_view list, char separator, std::string_view name) {
   while (!list.empty()) {
     std::string_view value = consumeUntil(list, separator);
@@ -43,8 +43,8 @@
   return {};
 }
 
-// Whether a header of the service is present twice. Such a request is rejected, since a worker might use
-// another of the values than the gatekeeper.
+// Whether a header that the gatekeeper interprets is present more than once. Such a request is rejected,
+// since the gatekeeper and the worker might use different values of it.
 bool hasDuplicateHeader(const ClientMessage& message) {
   for (const char* name : {"Req-Id", "X-Tier", "Req-Deadline-Ms", "X-Call-Terms", "Idempotency-Key"})
     if (message.count(name) > 1) return true;
--- a/src/gatekeeper/client_response.hpp
+++ b/src/gatekeeper/client_response.hpp
@@ -24,12 +24,13 @@
 /// The head of a 200 response whose body is streamed.
 struct StreamedResponseHead {
   std::string contentType;
-  std::optional<std::uint64_t> contentLength;  ///< none: the body is chunked or ends with the connection
+  std::optional<std::uint64_t> contentLength;  ///< bytes; `nullopt`: chunked, or ends with the connection
 };
 
 /// The output buffers of a client connection: one being written, and one with the bytes to write next.
 class ResponseBuffer {
  public:
+  /// Adds a complete response with its body.
   void addResponse(const ClientResponse& response, bool keepAlive);
   /// Adds a 100 Continue response.
   void addContinue();
@@ -39,13 +40,14 @@
   void chooseFraming(const StreamedResponseHead& head, unsigned requestVersion);
   /// Whether the client can distinguish the end of the streamed body from a lost connection.
   bool isDelimited() const { return delimited_; }
+  /// Adds the head of a streamed response. Call `chooseFraming` before.
   void addStreamHead(const StreamedResponseHead& head, bool keepAlive);
-  /// Adds a part of the streamed body; `last`: ends it.
+  /// Adds a piece of the streamed body; `last`: the body ends with it.
   void addPiece(std::string&& piece, bool last);
 
   bool hasPending() const { return !pending_.empty(); }
   bool isWriting() const { return !writing_.empty(); }
-  /// Makes the pending bytes the ones being written. The buffer is valid until `finishWrite`.
+  /// Moves the pending bytes to the buffer being written, and returns it; it is valid until `finishWrite`.
   boost::asio::const_buffer startWrite();
   /// Releases the written bytes.
   void finishWrite();
--- a/src/gatekeeper/client_server.cpp
+++ b/src/gatekeeper/client_server.cpp
@@ -18,10 +18,10 @@
 using Clock = std::chrono::steady_clock;
 using namespace std::chrono_literals;
 
-constexpr double kMinExpectedOverloadMs = 250;      // lower bound of the expected overload, before the jitter
-constexpr auto kAcceptRetryDelay = 50ms;            // after an accept that failed for lack of descriptors
-constexpr auto kUnreadDataRetryDelay = 1ms;         // for a read handler that is due, before an eviction
-constexpr auto kAcceptQueueDrainRetryDelay = 10ms;  // retry of draining the accept queue
+constexpr double kMinExpectedOverloadMs = 250;      // lower bound of the expected duration, before the jitter
+constexpr auto kAcceptRetryDelay = 50ms;            // after a shortage of descriptors or kernel memory
+constexpr auto kUnreadDataRetryDelay = 1ms;         // lets a due read handler run before the eviction
+constexpr auto kAcceptQueueDrainRetryDelay = 10ms;  // after a shortage of descriptors or memory
 
 // Whether the accept queue is empty. All other errors except a shortage concern one connection or an
 // interrupted call, so the next accept may succeed (accept(2), "Error handling").
@@ -138,8 +138,8 @@
   });
 }
 
-// Out of descriptors or kernel memory: the connection stays in the accept queue, so the listener would become
-// readable again immediately.
+// Retries after a delay, because descriptors or kernel memory are short: the connection stays in the accept
+// queue, so the listener would be readable again immediately.
 void ClientServer::retryAccept() {
   evictConnection();
   acceptRetryTimer_.expires_after(kAcceptRetryDelay);
@@ -159,8 +159,8 @@
   connection->start();  // calls accept
 }
 
-// Reserved at start-up and again as soon as a slot is free, so that overflow connections can be read when
-// memory is short.
+// Reserves memory for the free overflow slots, at start-up and again as soon as a slot is free, so that
+// overflow connections can be read when memory is short.
 void ClientServer::reserveOverflowMemory() {
   while (overflowMemory_.size() + overflowCount_ < limits_.overflowSlots()) {
     auto memory = overloadManager_.memory().open(Account::clients);
@@ -196,9 +196,9 @@
   connection->start();
 }
 
-// Evicts the oldest overflow connection once it is `minOverflowTime` old; until then the accepted one waits.
-// Returns whether a slot is free. After an eviction it returns false: `accept` has already been called again,
-// or is called when the evicted connection has been rejected and closed.
+// Evicts the oldest overflow connection once it is `minOverflowTime` old; until then the accepted connection
+// waits. Returns whether a slot is free. After an eviction it returns false: `accept` has already been called
+// again, or is called when the evicted connection has been rejected and closed.
 bool ClientServer::freeOverflowSlot() {
   reserveOverflowMemory();
   if (!overflowMemory_.empty()) return true;
@@ -212,7 +212,7 @@
     });
     return false;
   }
-  if (oldest->hasUnreadData()) {  // its read handler is due and responds
+  if (oldest->hasUnreadData()) {  // the read handler is about to run and responds
     overflowTimer_.expires_after(kUnreadDataRetryDelay);
     overflowTimer_.async_wait([this](const Error& error) {
       if (!error && capacityWait_.isIn(WaitQueue::freeConnection)) accept();
@@ -224,7 +224,8 @@
   return false;
 }
 
-// With jitter, so that clients that are rejected together do not retry together.
+// Value of Retry-After, ms: the expected duration of the overload with jitter, so that clients that are
+// rejected together do not retry together.
 decision::Time ClientServer::rejectionRetryAfterMs() const {
   const double maxMs = config_.settings.maxRetryAfterMs;
   const double overloadMs =
--- a/src/gatekeeper/client_server.hpp
+++ b/src/gatekeeper/client_server.hpp
@@ -31,22 +31,22 @@
     /// Maximum number of open client connections, including the overflow connections.
     std::size_t maxConnections = 480;
     /// Number of connections, out of `maxConnections`, that are reserved for overflow. They are used once
-    /// there has been no capacity for `overflowDelay`: the request is read up to the end of its header and
-    /// rejected. Without them, malformed and silent peers would wait in the kernel's accept queue, without
-    /// the error or close that they must get (see `firstRequestTimeout`).
+    /// there has been no capacity for `overflowDelay`: the request of an overflow connection is read up to
+    /// the end of its header and rejected. Without them, malformed and silent peers would wait in the
+    /// kernel's accept queue, without the error or close that they must get (see `firstRequestTimeout`).
     std::size_t overflowSlots() const { return std::min<std::size_t>(8, maxConnections / 16); }
     std::chrono::milliseconds overflowDelay{500};     ///< time without capacity until overflow starts
     std::chrono::milliseconds minOverflowTime{1000};  ///< age from which an overflow connection is evictable
-    std::chrono::milliseconds maxMemoryWait{1000};  ///< longest wait of a request body for memory to read it
-    std::chrono::milliseconds minIdleTime{2000};    ///< idle time from which overload may close a connection
-    std::chrono::milliseconds idleTimeout{75000};   ///< between two requests of a connection
+    std::chrono::milliseconds maxMemoryWait{1000};    ///< longest wait for memory to buffer a request body
+    std::chrono::milliseconds minIdleTime{2000};   ///< idle time from which overload may close a connection
+    std::chrono::milliseconds idleTimeout{75000};  ///< between two requests of a connection
     // A peer that sends no complete request must get an error or a close within 3 s of connecting; the
     // time-out runs only from the accept.
     std::chrono::milliseconds firstRequestTimeout{2500};  ///< from the accept to the end of the header
     std::chrono::milliseconds headerTimeout{2500};        ///< for later requests, from their first byte
     std::chrono::milliseconds bodyReadTimeout{1500};      ///< between two reads of a request body
     std::chrono::milliseconds bodyRateGracePeriod{2000};  ///< waiting time exempt from `minBodyBytesPerMs`
-    double minBodyBytesPerMs = 32;  ///< minimum body rate, bytes/ms; slow clients send at 64
+    double minBodyBytesPerMs = 32;  ///< minimum body rate, bytes/ms; slow clients send 64 bytes/ms
     std::chrono::milliseconds bodyDiscardTimeout{10000};  ///< for the remaining body of an answered request
     std::chrono::milliseconds writeTimeout{10000};        ///< for each write of response bytes
     std::chrono::milliseconds lingerTimeout{1000};        ///< for the client to close after the last response
--- a/src/gatekeeper/close_reason.hpp
+++ b/src/gatekeeper/close_reason.hpp
@@ -16,14 +16,14 @@
   peerReset,               ///< reset by the client, or another network error
   idleTimeout,             ///< closed before its first request: time-out, drain or overload
   evicted,                 ///< idle or lingering, closed to free a connection slot, descriptor or memory
-  overflowEvicted,         ///< an overflow connection without a request, closed for another
+  overflowEvicted,         ///< an overflow connection without a request, closed to free its slot
   lastResponse,            ///< the client did not close within the lingering close after its last response
-  sendsAfterLastResponse,  ///< too much input after the last response
+  sendsAfterLastResponse,  ///< the client sent too much input after its last response
   writeTimeout,            ///< the client did not read its response within the write time-out
   bodyTimeout,             ///< the remaining body of an answered request timed out
   malformedBody,           ///< the remaining body of an answered request is malformed
   responseTruncated,       ///< a streamed response could not be completed
-  processEnd,              ///< not counted; the metric's name remains
+  processEnd,              ///< never counted; its metric is still reported, as 0
 };
 constexpr std::size_t kCloseReasonCount = static_cast<std::size_t>(CloseReason::processEnd) + 1;
 
--- a/src/gatekeeper/connection_order.hpp
+++ b/src/gatekeeper/connection_order.hpp
@@ -8,7 +8,7 @@
 /// Connections in the order in which they were appended. Does not own them.
 class ConnectionOrder {
  public:
-  /// Base of a connection. Is in at most one order at a time and removes itself when destroyed.
+  /// Base class of a connection. An entry is in at most one order at a time and leaves it when destroyed.
   class Entry
       : public boost::intrusive::list_base_hook<boost::intrusive::link_mode<boost::intrusive::auto_unlink>> {
    public:
--- a/src/gatekeeper/decision_clock.hpp
+++ b/src/gatekeeper/decision_clock.hpp
@@ -8,13 +8,13 @@
 namespace wingslip {
 
 /// The machine's monotonic clock in milliseconds, plus a large constant offset, so that times before the
-/// start of the machine can be represented as positive values too. All processes on the machine have the same
-/// time. Steps of the wall clock do not affect it.
+/// start of the machine can be represented as positive values too. All processes on the machine read the
+/// same time. Steps of the wall clock do not affect it.
 class DecisionClock {
  public:
   using Steady = std::chrono::steady_clock;
 
-  /// The present time, ms.
+  /// The current time, ms.
   decision::Time now() const { return fromSteady(Steady::now()); }
 
   /// Converts a time of the steady clock.
--- a/src/gatekeeper/discovery_client.cpp
+++ b/src/gatekeeper/discovery_client.cpp
@@ -1,3 +1,5 @@
+/// The connection to a discovery agent: HTTP requests, framing of the endpoint lists and their log lines. See
+/// discovery_client.hpp.
 #include "gatekeeper/discovery_client.hpp"
 
 #include <algorithm>
@@ -20,7 +22,7 @@
 using SteadyClock = std::chrono::steady_clock;
 using Action = EndpointWatch::Action;
 
-constexpr std::size_t kMaxMessageBytes = std::size_t{1} << 20;  // an indented list of some 4,000 workers
+constexpr std::size_t kMaxMessageBytes = std::size_t{1} << 20;  // an indented list of about 4,000 workers
 constexpr std::size_t kParsedBytesPerByte = 8;  // memory that parsing takes per byte of the message
 constexpr auto kLogInterval = std::chrono::seconds(5);
 
@@ -122,7 +124,7 @@
     parser_->body_limit(boost::none);
     armTimer();
     socket_.async_connect(agent_, ifCurrent([this](const Error& error, std::size_t) {
-                            if (error) return connectionLost("cannot connect");
+                            if (error) return connectionLost("cannot connect to the agent");
                             perform(watch_.onConnected(OverloadManager::now()));
                           }));
   }
@@ -195,9 +197,9 @@
     Error error;
     const bool responseEnded = parseBuffered(*parser_, input_, error);
     if (error || (!responseEnded && input_.size() > kMaxHeaderBytes))
-      return connectionLost("malformed HTTP response");
+      return connectionLost("malformed HTTP response from the agent");
     if (parser_->is_header_done() && parser_->get().result() != http::status::ok) {
-      logRetry("the request was rejected");
+      logRetry("the agent rejected the watch request");
       return perform(watch_.onRejected(OverloadManager::now()));
     }
     messages_ += parser_->get().body();
@@ -251,7 +253,7 @@
     return accepted;
   }
 
-  // Drops the connection. The snapshot that is requested next supersedes the rejected list.
+  // Closes the connection. The snapshot that is requested next supersedes the rejected list.
   void rejectList(const char* reason) {
     rejectedListLog_.warn(std::string(reason) + "; requesting a snapshot");
     perform(watch_.onConnectionLost(OverloadManager::now()));
--- a/src/gatekeeper/discovery_client.hpp
+++ b/src/gatekeeper/discovery_client.hpp
@@ -21,7 +21,7 @@
   /// Receives each accepted list; under overload, lists that arrive together are merged into one.
   using OnEndpointList = std::function<void(const EndpointList&)>;
 
-  /// Figures for the service log, counted since the last `takeStats` unless noted otherwise.
+  /// Statistics for the service log, counted since the last `takeStats` unless noted otherwise.
   struct Stats {
     std::size_t bytesRead = 0;            ///< from the agent, HTTP headers included
     std::size_t longestMessageBytes = 0;  ///< of complete and incomplete messages
@@ -50,7 +50,7 @@
   /// Applies new limits. If the agent's address differs, also reconnects to the new one and requests the
   /// changes since the last list.
   void setAgent(const boost::asio::ip::tcp::endpoint& agent, const EndpointWatch::Limits& limits);
-  /// Returns the figures and resets them.
+  /// Returns the statistics and resets them, except `connects`.
   Stats takeStats();
 
  private:
--- a/src/gatekeeper/exclusion_control.cpp
+++ b/src/gatekeeper/exclusion_control.cpp
@@ -1,3 +1,4 @@
+/// Limits, reports and periodic synchronization of the exclusions. See exclusion_control.hpp.
 #include "gatekeeper/exclusion_control.hpp"
 
 #include <chrono>
--- a/src/gatekeeper/exclusions.cpp
+++ b/src/gatekeeper/exclusions.cpp
@@ -1,3 +1,4 @@
+/// Format, reading and writing of the exclusion file. See exclusions.hpp.
 #include "gatekeeper/exclusions.hpp"
 
 #include <chrono>
@@ -21,7 +22,7 @@
   return log;
 }
 
-// The excluded ids of a file's text, at most `kMaxExcluded`; nullopt if the text is malformed.
+// Returns the excluded ids in the text of the file, at most `kMaxExcluded`; `nullopt` if it is malformed.
 std::optional<std::set<std::string>> parseIds(const std::string& text) {
   const json file = json::parse(text, nullptr, false);
   if (!file.is_object() || !file.contains("excluded") || !file["excluded"].is_array()) return std::nullopt;
@@ -70,9 +71,9 @@
   const std::set<std::string> idsBefore = ids_;
   if (!pendingChanges_.empty()) {
     if (const std::error_code error = writeFileLocked())
-      errorLog().warn("changes not persisted, the write is retried: " + error.message());
+      errorLog().warn("cannot persist the exclusions; the write is retried: " + error.message());
   } else if (const std::error_code error = readFileIfChanged()) {
-    errorLog().warn("cannot read the file, the read is retried: " + error.message());
+    errorLog().warn("cannot read the exclusion file; the read is retried: " + error.message());
   } else {
     loaded_ = true;
   }
@@ -110,7 +111,7 @@
   return {};
 }
 
-// A missing file is not an error. A missing or malformed file does not change the exclusions.
+// A missing, malformed or too large file is not an error and does not change the exclusions.
 std::error_code Exclusions::readFileIfChanged() {
   std::string text;
   const std::error_code error = readFile(path_, kMaxFileBytes, text);
@@ -123,7 +124,7 @@
   if (ids)
     persistedIds_ = std::move(*ids);
   else
-    errorLog().warn("the file is malformed or too large and is ignored: " + path_);
+    errorLog().warn("exclusion file malformed or too large, its contents are ignored: " + path_);
   return {};
 }
 
--- a/src/gatekeeper/exclusions.hpp
+++ b/src/gatekeeper/exclusions.hpp
@@ -15,7 +15,7 @@
 /// I/O. Used from the event loop's thread only.
 class Exclusions {
  public:
-  /// The most workers that can be excluded at the same time.
+  /// Maximum number of workers that are excluded at the same time.
   static constexpr std::size_t kMaxExcluded = 4096;
 
   /// Reads the file.
@@ -46,12 +46,12 @@
   void updateIds();
 
   const std::string path_;
-  std::set<std::string> ids_;                   // those of the file, with the pending changes applied
-  std::set<std::string> persistedIds_;          // those of the file
-  std::map<std::string, bool> pendingChanges_;  // not in the file yet: id to whether it is excluded
+  std::set<std::string> ids_;                   // `persistedIds_` with the pending changes applied
+  std::set<std::string> persistedIds_;          // the excluded ids in the file, as last read or written
+  std::map<std::string, bool> pendingChanges_;  // not persisted yet; the value: is excluded
   std::string fileText_;                        // the file as last read or written
   bool loaded_ = true;
-  bool mayBeUnsynced_ = false;  // the file was replaced, but may not have been flushed to disk
+  bool mayBeUnsynced_ = false;  // the file may have been replaced without being flushed to disk
 };
 
 }  // namespace wingslip
--- a/src/gatekeeper/fleet_services.cpp
+++ b/src/gatekeeper/fleet_services.cpp
@@ -6,7 +6,7 @@
 namespace wingslip {
 namespace {
 
-// How long the release of leadership in a store that is no longer configured may take.
+// Longest wait for the release of leadership in a store that is no longer configured.
 constexpr decision::Time kReleaseTimeoutMs = 1000;
 
 }  // namespace
--- a/src/gatekeeper/fleet_services.hpp
+++ b/src/gatekeeper/fleet_services.hpp
@@ -1,5 +1,5 @@
-/// A gatekeeper's services shared with its fleet: leader election through the coordination store, and
-/// replicated state.
+/// The services that connect a gatekeeper with the other gatekeepers of its fleet: leader election through
+/// the coordination store, and replicated state.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -40,12 +40,13 @@
   /// `done` is called before this returns.
   void endStoreSession(const std::function<void()>& done);
 
-  /// Writes or removes a replicated row; no effect if no replica is configured.
+  /// Writes a replicated row; no effect if no replica is configured.
   void setRow(const std::string& table, const std::string& key, const std::string& value);
+  /// Removes a replicated row; no effect if no replica is configured.
   void removeRow(const std::string& table, const std::string& key);
 
   std::string telemetry() const;  ///< `svc.` lines of both services
-  /// Answers to operators' calls; `400 ...` if the service is not configured.
+  /// Complete responses to operators' calls; `400 ...` if the service is not configured.
   std::string leaderTasks() const;
   std::string membershipRecord() const;
   std::string replicationMembers() const;
@@ -57,9 +58,9 @@
   OverloadManager& overloadManager_;
   const RowCallback onRowChanged_;
   std::unique_ptr<replication::ReplicaNode> replica_;
-  std::unique_ptr<replication::ReplicaNode> previousReplica_;
+  std::unique_ptr<replication::ReplicaNode> previousReplica_;  // draining since the last `restartReplica`
   std::unique_ptr<leader_election::Coordinator> coordinator_;
-  std::unique_ptr<leader_election::Coordinator> previousCoordinator_;
+  std::unique_ptr<leader_election::Coordinator> previousCoordinator_;  // shut down by `restartCoordinator`
 };
 
 }  // namespace wingslip
--- a/src/gatekeeper/gatekeeper.cpp
+++ b/src/gatekeeper/gatekeeper.cpp
@@ -18,7 +18,7 @@
 using decision::WorkerId;
 using namespace std::chrono_literals;
 
-// Times of a drain, from SIGTERM on. New connections arrive for up to 400 ms after it.
+// Times of the steps of a drain, counted from SIGTERM. New connections arrive for up to 400 ms after SIGTERM.
 constexpr auto kAcceptAfterSigterm = 500ms;
 // In an upgrade, idle connections are closed at this time; their clients then connect to the new process.
 constexpr auto kCloseIdleAfterSigterm = 1200ms;
@@ -31,9 +31,9 @@
 
 // Limits the wait for the exclusions at the start: the platform kills a process that is not ready after 30 s.
 constexpr auto kExclusionsTimeout = 20s;
-constexpr auto kReadyPollInterval = 20ms;        // of the check whether this process is ready to accept
-constexpr Time kMaxHandoverAgeMs = 30000;        // the process that wrote an older file has stopped serving
-constexpr std::size_t kMaxCountedClasses = 512;  // limit on classes with own counts, for those a reload adds
+constexpr auto kReadyPollInterval = 20ms;        // of the check whether this process is ready to serve
+constexpr Time kMaxHandoverAgeMs = 30000;        // an older file is from a process that no longer serves
+constexpr std::size_t kMaxCountedClasses = 512;  // classes that a reload adds beyond it get no own counts
 
 invariant::WorkerRules workerRules(const decision::Settings& settings) {
   return {settings.drainGraceMs, settings.overloadMultiple, settings.slowStartInitialShare,
@@ -181,7 +181,7 @@
 // --- Reload ----------------------------------------------------------------------------------------------
 
 // Translates the class and plan indexes of an early request from the previous settings to the new ones.
-// Returns false if the new settings lack its class or plan; the request then gets no attempt; at its
+// Returns false if the new settings lack its class or plan; the request then gets no attempt. At its
 // deadline it is rejected, or failed if serving has started by then.
 bool Gatekeeper::remap(decision::Request& request, const NameIndex& classes, const NameIndex& plans) const {
   const unsigned classIndex = classes.indexOf(config_.host.classes[request.classIndex]);
@@ -226,8 +226,8 @@
   overloadManager_.setLimits(overloadLimits(config_));
   if (config.memoryLimitMib != config_.memoryLimitMib)
     processLog().warn(
-        "event=reload text=\"limits.memory_mb cannot change at a reload; the value of the start stays in "
-        "effect\" memory_mb={}",
+        "event=reload text=\"limits.memory_mb cannot be changed by a reload; the value read at start-up "
+        "stays in effect\" memory_mb={}",
         config_.memoryLimitMib);
   for (const std::string& name : config_.host.classes)
     if (metrics_.classes.size() < kMaxCountedClasses) metrics_.classes.try_emplace(name);
--- a/src/gatekeeper/gatekeeper.hpp
+++ b/src/gatekeeper/gatekeeper.hpp
@@ -1,5 +1,5 @@
 /// The gatekeeper: connects the decision module with clients, workers and discovery. Translates socket events
-/// into the module's events and the module's actions into socket operations. It makes only few decisions of
+/// into the module's events and the module's actions into socket operations. It makes only a few decisions of
 /// its own: whether an attempt may still be sent (`refusalOf`), the response at a request's deadline, the
 /// responses before it starts serving, the failure of the requests that remain at the end of a drain, and the
 /// closing of idle connections under overload. `ClientServer` rejects requests for which it has no capacity.
@@ -58,15 +58,15 @@
   /// listening socket; finishes the requests in flight, then calls `done`, possibly twice.
   void drain(std::function<void()> done);
 
-  /// Where clients connect.
+  /// The address to which clients connect.
   boost::asio::ip::tcp::endpoint address() const { return server_.address(); }
-  /// Where operators connect; requires that `Config::ops` is set.
+  /// The address to which operators connect; requires that `Config::ops` is set.
   boost::asio::ip::tcp::endpoint opsAddress() const { return ops_->address(); }
   /// Whether a list has named a ready worker and requests are served.
   bool ready() const override { return workersKnown_ && serving_; }
   /// Requests without a final response, including those received before serving started.
   std::size_t requestsInFlight() const { return requests_.size(); }
-  /// Owned by the gatekeeper.
+  /// The overload control of this process; valid while the gatekeeper exists.
   OverloadManager& overloadManager() { return overloadManager_; }
 
  private:
@@ -95,7 +95,7 @@
   void reject(decision::RequestId id, decision::Time retryAfter) override;
   void fail(decision::RequestId id) override;
   void setTimer(decision::Time wait, std::uint64_t tag) override;
-  void pollEndpoints() override {}  // not needed: the watch is always open
+  void pollEndpoints() override {}  // `discovery_` watches the list instead
   void log(const std::string& line) override;
 
   // Start, and handover from the previous process (gatekeeper.cpp)
@@ -170,7 +170,7 @@
   ExclusionControl exclusions_;
   std::optional<OpsServer> ops_;
   FleetServices fleet_;
-  std::vector<decision::Request> earlyRequests_;  // received before serving; may include ended ones
+  std::vector<decision::Request> earlyRequests_;  // received before serving; some may have ended
   boost::asio::steady_timer startTimer_;          // limits the wait for the first list, then the exclusions
   boost::asio::steady_timer drainTimer_;
   boost::asio::steady_timer acceptTimer_;
@@ -182,7 +182,7 @@
   bool firstListWaitOver_ = false;  // discovery has sent a list, or the wait for the first one timed out
   bool serving_ = false;  // firstListWaitOver_, and the exclusions are loaded or their wait timed out
   bool draining_ = false;
-  // Posted handlers have a weak_ptr to this and do nothing once it has expired.
+  // A posted handler that has a weak_ptr to `alive_` does nothing once that has expired.
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/gatekeeper/gatekeeper_limits.cpp
+++ b/src/gatekeeper/gatekeeper_limits.cpp
@@ -19,7 +19,8 @@
 // together stay below the limit.
 constexpr double kClientShare = 0.27;
 constexpr double kWorkerShare = 0.13;
-constexpr double kIdleTimeoutShare = 0.8;  // of the worker's idle time-out, so that this side closes first
+// Share of the workers' idle time-out, so that the gatekeeper closes an idle connection first.
+constexpr double kIdleTimeoutShare = 0.8;
 constexpr std::size_t kMinConnections = 8;
 
 std::size_t maxConnectionsFor(const Config& config, double descriptorShare) {
--- a/src/gatekeeper/gatekeeper_limits.hpp
+++ b/src/gatekeeper/gatekeeper_limits.hpp
@@ -17,7 +17,8 @@
 
 /// Time limits of connections to workers, and how many of the process's file descriptors they may use.
 UpstreamPool::Limits poolLimits(const Config& config);
-/// How many of the process's file descriptors client connections may use.
+/// Limits of the client server: the default time limits, and how many of the process's file descriptors
+/// client connections may use.
 ClientServer::Limits serverLimits(const Config& config);
 
 /// How the memory limit is divided, in bytes.
--- a/src/gatekeeper/gatekeeper_requests.cpp
+++ b/src/gatekeeper/gatekeeper_requests.cpp
@@ -1,5 +1,5 @@
-/// The life of a request: received from a client, sent to workers as the decision module directs, answered
-/// exactly once.
+/// The lifecycle of a request: received from a client, sent to workers as the decision module directs,
+/// answered exactly once.
 #include <algorithm>
 #include <boost/asio/post.hpp>
 #include <cmath>
@@ -17,8 +17,8 @@
 using decision::Time;
 using decision::WorkerId;
 
-// Part of the client's deadline that is reserved for returning the response to the client. This program's
-// part of it takes 0.4 ms at the 99th percentile.
+// Part of the client's deadline that is reserved for returning the response to the client. Of it,
+// this process takes 0.4 ms at the 99th percentile.
 constexpr Time kResponseReserveMs = 10;
 constexpr Time kMaxUploadMs = 30 * 60 * 1000;     // longer than the slowest client takes to send a body
 constexpr Time kRetryAfterBeforeServingMs = 250;  // Retry-After of requests rejected before serving starts
@@ -121,8 +121,9 @@
   if (auto end = pool_.cancelAttempt(id, AttemptResult::cancelled)) onAttemptDone(std::move(*end));
 }
 
-// An attempt in flight ends as timed out, at a time that is never before the deadline. The client gets a
-// response now, even if the decision module then starts another attempt, which `fail` cancels.
+// An attempt in flight is reported to the decision module as timed out, at a time that is never before the
+// deadline. The client gets a response now, even if the decision module then starts another attempt, which
+// `fail` cancels.
 void Gatekeeper::onDeadline(RequestId id) {
   const auto found = requests_.find(id);
   if (found == requests_.end() || found->second.responseStarted) return;
--- a/src/gatekeeper/handover.hpp
+++ b/src/gatekeeper/handover.hpp
@@ -1,5 +1,5 @@
 /// Handover in an upgrade: a file in the state directory by which a process passes values to the process that
-/// the upgrade starts. It has values that take long to learn or that only the older process can know.
+/// the upgrade starts. The values take long to learn or are known only to the older process.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -26,7 +26,8 @@
 /// Returns `nullopt` if `stateDir` is empty, or if the file cannot be read or is invalid.
 std::optional<Handover> readHandover(const std::string& stateDir);
 
-/// Writes the handover every second on the event loop, until it is destroyed or has none to write.
+/// Writes the handover every second on the event loop, until it is destroyed or there is no handover to
+/// write.
 class HandoverWriter {
  public:
   /// @param stateDir empty: nothing is written
--- a/src/gatekeeper/main.cpp
+++ b/src/gatekeeper/main.cpp
@@ -15,7 +15,7 @@
 
 using Error = boost::system::error_code;
 
-// A configuration file that is not valid JSON may be half written: it is read up to this many times.
+// A configuration file that is not valid JSON may be partially written: it is read up to this many times.
 constexpr int kMaxReads = 3;
 constexpr auto kReadInterval = std::chrono::milliseconds(100);
 
--- a/src/gatekeeper/metrics.hpp
+++ b/src/gatekeeper/metrics.hpp
@@ -41,7 +41,7 @@
   decision::RejectionCounts rejections;
 };
 
-/// Present values.
+/// Values at the time of the call `telemetry`.
 struct Gauges {
   std::size_t requestsInFlight = 0;
   std::size_t workersListed = 0;       ///< workers on the endpoint list
--- a/src/gatekeeper/name_index.hpp
+++ b/src/gatekeeper/name_index.hpp
@@ -9,7 +9,7 @@
 
 namespace wingslip {
 
-/// Hash table from each name of a list to its index; a name listed twice has its first index. Copies the
+/// Hash table from each name of a list to its index, the first one if a name is listed twice. Copies the
 /// names.
 class NameIndex {
  public:
--- a/src/gatekeeper/ops_server.cpp
+++ b/src/gatekeeper/ops_server.cpp
@@ -1,3 +1,4 @@
+/// The operators' connections, and the names and responses of their calls. See ops_server.hpp.
 #include "gatekeeper/ops_server.hpp"
 
 #include <algorithm>
@@ -18,14 +19,15 @@
 using Error = boost::system::error_code;
 using namespace std::chrono_literals;
 
-constexpr std::size_t kConnectionBytes = 8 * 1024;  // per connection: its line and the telemetry response
+constexpr std::size_t kConnectionBytes = 8 * 1024;  // charged per connection: its line and response
 // The part of `kConnectionBytes` for the response; the memory of a longer response is charged in addition.
 constexpr std::size_t kIncludedResponseBytes = 7 * 1024;
 // Delay after a failed accept, which usually means that no file descriptor is available.
-constexpr auto kAcceptPause = 50ms;
+constexpr auto kAcceptRetryDelay = 50ms;
 
-// The response line. `change` is the call as a past participle with its worker, such as "excluded worker-1".
-std::string responseTo(const ExclusionResult& result, const std::string& change) {
+// Returns the response to a call `exclude` or `include`. `change`: the change and the worker's id, such as
+// "excluded worker-1".
+std::string exclusionResponse(const ExclusionResult& result, const std::string& change) {
   switch (result.status) {
     case ExclusionResult::Status::done:
       return "200 " + change + "\n";
@@ -107,7 +109,11 @@
 
 OpsServer::OpsServer(asio::io_context& io, const Limits& limits, OperatorCalls& calls,
                      OverloadManager& overloadManager)
-    : limits_(limits), calls_(calls), overloadManager_(overloadManager), acceptor_(io), pauseTimer_(io) {}
+    : limits_(limits),
+      calls_(calls),
+      overloadManager_(overloadManager),
+      acceptor_(io),
+      acceptRetryTimer_(io) {}
 
 OpsServer::~OpsServer() {
   for (const auto& connection : connections_) connection->abandon();
@@ -125,21 +131,21 @@
 void OpsServer::accept() {
   acceptor_.async_accept([this](const Error& error, tcp::socket socket) {
     if (error == asio::error::operation_aborted) return;
-    if (error) return acceptAfterPause();
+    if (error) return retryAccept();
     onAccepted(std::move(socket));
     accept();
   });
 }
 
-void OpsServer::acceptAfterPause() {
-  pauseTimer_.expires_after(kAcceptPause);
-  pauseTimer_.async_wait([this](const Error& error) {
+void OpsServer::retryAccept() {
+  acceptRetryTimer_.expires_after(kAcceptRetryDelay);
+  acceptRetryTimer_.async_wait([this](const Error& error) {
     if (!error) accept();
   });
 }
 
-// Closes the oldest connections while there are too many or memory is short. The memory reserved for
-// operators is sufficient for the maximum number of connections.
+// Adds the connection. Closes the oldest connections while there are too many or memory is short; the memory
+// reserved for operators is sufficient for the maximum number of connections.
 void OpsServer::onAccepted(tcp::socket socket) {
   auto memory = overloadManager_.memory().open(Account::operators);
   while (!connections_.empty() &&
@@ -171,7 +177,7 @@
   if (!isChange || workerId.empty() || workerId.find_first_of(" \t") != std::string::npos)
     return "400 no such call\n";
   const ExclusionResult result = verb == "exclude" ? calls_.exclude(workerId) : calls_.include(workerId);
-  return wingslip::responseTo(result, verb + "d " + workerId);
+  return wingslip::exclusionResponse(result, verb + "d " + workerId);
 }
 
 }  // namespace wingslip
--- a/src/gatekeeper/ops_server.hpp
+++ b/src/gatekeeper/ops_server.hpp
@@ -60,8 +60,8 @@
  public:
   /// Limits of the operators' connections.
   struct Limits {
-    std::size_t connections = 16;  ///< maximum number open; a further one closes the oldest
-    std::size_t lineBytes = 512;   ///< the longest line of a call
+    std::size_t connections = 16;  ///< maximum number open; one more closes the oldest
+    std::size_t lineBytes = 512;   ///< maximum length of a call's line, including its line feed
     /// From accepting a connection to closing it.
     std::chrono::milliseconds callTimeout{5000};
   };
@@ -84,7 +84,7 @@
 
   void accept();
   void onAccepted(boost::asio::ip::tcp::socket socket);
-  void acceptAfterPause();
+  void retryAccept();
   void remove(const std::shared_ptr<OperatorConnection>& connection);
   std::string responseTo(const std::string& line);
 
@@ -92,7 +92,7 @@
   OperatorCalls& calls_;
   OverloadManager& overloadManager_;
   boost::asio::ip::tcp::acceptor acceptor_;
-  boost::asio::steady_timer pauseTimer_;
+  boost::asio::steady_timer acceptRetryTimer_;
   std::deque<std::shared_ptr<OperatorConnection>> connections_;  // the oldest first
 };
 
--- a/src/gatekeeper/reason_counts.hpp
+++ b/src/gatekeeper/reason_counts.hpp
@@ -9,6 +9,7 @@
 
 namespace wingslip {
 
+/// Counts events by reason.
 /// @tparam Reason an enumeration with values from 0 without gaps
 /// @tparam names the names of its values in the metrics, in the order of the values
 template <class Reason, const auto& names>
--- a/src/gatekeeper/request_handler.hpp
+++ b/src/gatekeeper/request_handler.hpp
@@ -22,10 +22,10 @@
   virtual ~Responder() = default;
   /// Sends the final response. At most once per request, and not together with `startStream`.
   virtual void respond(ClientResponse&& response) = 0;
-  /// Starts a streamed response: its head, followed by `sendPiece` for each part of the body.
+  /// Starts a streamed response: its head, followed by `sendPiece` for each piece of the body.
   virtual void startStream(const StreamedResponseHead& head) = 0;
-  /// Sends a part of the body. `onWritten` is called when it is written, and the next part may be sent
-  /// then; it is not called for the last part.
+  /// Sends a piece of the body. `onWritten` is called when the piece is written, and the next one may be sent
+  /// then; it is not called for the last piece.
   virtual void sendPiece(std::string&& piece, bool last, std::function<void()> onWritten) = 0;
   /// Takes over the memory charge for the final piece; released when that piece is written.
   virtual void chargeFinalPiece(MemoryBudget::Charge&& memory) = 0;
--- a/src/gatekeeper/request_in_flight.hpp
+++ b/src/gatekeeper/request_in_flight.hpp
@@ -14,8 +14,8 @@
 
 namespace wingslip {
 
-/// Owned by the gatekeeper's request table and used on the event loop only. Times are ms of the decision
-/// clock.
+/// A request without a final response. Owned by the gatekeeper's request table and used on the event loop
+/// only. Times are ms of the decision clock.
 struct RequestInFlight {
   explicit RequestInFlight(boost::asio::io_context& io) : deadlineTimer(io) {}
 
@@ -29,7 +29,7 @@
   bool responseStarted = false;           ///< a response is being streamed to the client
   unsigned attemptCount = 0;              ///< attempts started, including those not sent
   decision::AttemptResult lastAttemptResult = decision::AttemptResult::ok;
-  decision::Time attemptExpiresAt = 0;  ///< time limit of the attempt in flight
+  decision::Time attemptExpiresAt = 0;  ///< when the attempt in flight times out
   ClassCounts* classCounts = nullptr;   ///< counts of its request class, owned by the gatekeeper
   invariant::RequestTrace trace;
 };
--- a/src/gatekeeper/send_guard.hpp
+++ b/src/gatekeeper/send_guard.hpp
@@ -10,8 +10,8 @@
 
 namespace wingslip {
 
-/// Determined immediately before an attempt's first byte is written: establishing a connection may have taken
-/// time since the decision.
+/// Why an attempt is not sent. Determined immediately before its first byte is written: establishing a
+/// connection may have taken time since the decision.
 enum class SendRefusal : std::uint8_t {
   none,                ///< the attempt is sent
   requestOver,         ///< the request already has its final response
@@ -27,6 +27,7 @@
     "none", "request_over", "client_gone", "time_over", "worker_left", "worker_excluded"};
 static_assert(!kSendRefusalNames.back().empty(), "every SendRefusal has a name");
 
+/// Number of attempts checked before sending, by result.
 using SendRefusals = ReasonCounts<SendRefusal, kSendRefusalNames>;
 
 }  // namespace wingslip
--- a/src/gatekeeper/service_report.hpp
+++ b/src/gatekeeper/service_report.hpp
@@ -21,7 +21,7 @@
   unsigned failed = 0;
 };
 
-/// Content of one report: counts since the last report, and present values.
+/// Content of one report: counts since the last report unless noted otherwise, and current values.
 struct ServiceSample {
   FinalResponseCounts responses;
   UpstreamPool::Stats upstream;
@@ -30,7 +30,7 @@
   std::size_t requestsInFlight = 0;
   std::size_t clientConnections = 0;
   std::size_t workerConnections = 0;
-  std::uint64_t invariantsBroken = 0;
+  std::uint64_t invariantsBroken = 0;  ///< since the start of the process
 };
 
 /// Writes one report to the service log.
--- a/src/gatekeeper/signal_watch.cpp
+++ b/src/gatekeeper/signal_watch.cpp
@@ -14,7 +14,7 @@
 namespace wingslip {
 namespace {
 
-constexpr int kMaxSignal = 64;
+constexpr int kMaxSignal = 64;  // highest signal number of Linux
 
 // The only state that the signal handler accesses. The pipe's write end is open while the SignalWatch exists.
 std::array<std::atomic<bool>, kMaxSignal + 1> pendingSignals{};
--- a/src/gatekeeper/upstream_connection.cpp
+++ b/src/gatekeeper/upstream_connection.cpp
@@ -20,16 +20,17 @@
 using decision::WorkerId;
 using Clock = UpstreamConnection::Clock;
 
-// Memory that the budget is charged for a connection, in bytes.
+// Bytes charged to the memory budget for a connection.
 constexpr std::size_t kConnectionBytes = 10752;     // including the parser and the first read buffer
 constexpr std::size_t kBareConnectionBytes = 2048;  // without the read buffer
 // Requests above this size are admitted only below the high mark of the memory budget, which reserves the
 // remaining memory for smaller requests.
 constexpr std::size_t kSmallRequestBytes = 16 * 1024;
-constexpr std::size_t kBodyWindowBytes = 2 * kStreamReadBytes + 64;  // a body piece with its chunk framing
+constexpr std::size_t kBodyWindowBytes =
+    2 * kStreamReadBytes + 64;  // a body piece of up to two reads, chunk framing
 
-// Workers may send a second response 1 to 4 ms after the first. The next request is written only after this
-// time, so that the second response is not taken for the response to it.
+// Workers may send a second response 1 to 4 ms after the first. The next request is written only after the
+// quarantine, so that the second response is not taken for the response to that request.
 constexpr auto kLateResponseQuarantine = std::chrono::milliseconds(6);
 
 using QuickAcknowledgement = asio::detail::socket_option::boolean<IPPROTO_TCP, TCP_QUICKACK>;
@@ -77,7 +78,7 @@
   idleSince_ = Clock::now();
   // Acknowledges the response immediately. With Nagle's algorithm the worker's kernel may delay a second
   // response until the first is acknowledged. Without the immediate acknowledgement, the next request would
-  // carry it, and the second response would be taken for the response to that request.
+  // carry the acknowledgement, and the second response would be taken for the response to that request.
   Error ignored;
   socket_.set_option(QuickAcknowledgement(true), ignored);
   waitRecord_.leave();
--- a/src/gatekeeper/upstream_connection.hpp
+++ b/src/gatekeeper/upstream_connection.hpp
@@ -73,8 +73,8 @@
   /// it.
   [[nodiscard]] bool reserveMemory(const AttemptRequest& request);
   /// Starts an attempt on an idle or new connection for which `reserveMemory` has succeeded. `timeout`: from
-  /// now, or from the last byte of a streamed request body, to the end of a buffered response or the start of
-  /// a streamed one. Never calls the owner synchronously.
+  /// now, or from the arrival of the last piece of a streamed request body, to the end of a buffered response
+  /// or the start of a streamed one. Never calls the owner synchronously.
   void startAttempt(decision::RequestId id, unsigned attempt, AttemptRequest request,
                     std::optional<Clock::duration> timeout);
   /// Ends the attempt with this result; the caller closes the connection. The result becomes connectFailed if
@@ -142,7 +142,7 @@
   UpstreamResponse response_;
   std::string output_;
   std::size_t outputSent_ = 0;
-  std::function<std::optional<std::string>()> serialize_;           // null once the first byte is written
+  std::function<std::optional<std::string>()> serialize_;           // null once it has been called
   std::function<void(AttemptRequest::BodyPieceHandler)> readBody_;  // null once the last piece has arrived
   std::optional<Clock::duration> timeout_;
   decision::AttemptOutcome outcome_;
@@ -153,10 +153,10 @@
   bool quarantined_ = false;  // the attempt waits until `quarantineOver`
   bool busy_ = false;
   bool reused_ = false;          // has carried an earlier attempt
-  bool requestWritten_ = false;  // including its last byte, so the worker may have executed it
+  bool requestWritten_ = false;  // the kernel has accepted its last byte; the worker may execute it
   bool chunkedBody_ = false;
   bool streaming_ = false;  // the response is forwarded as it arrives
-  bool reading_ = false;
+  bool reading_ = false;    // a read, or an idle connection's wait for input, is pending
 };
 
 }  // namespace wingslip
--- a/src/gatekeeper/upstream_pool.hpp
+++ b/src/gatekeeper/upstream_pool.hpp
@@ -44,9 +44,10 @@
   /// Applies changed settings, which take effect with the next connection or response.
   void updateSettings(const Limits& limits, std::vector<std::string> reportFields);
 
-  /// Adds a worker or updates its address. Closes idle connections to its previous address or process.
-  /// Attempts at the previous process end as resets, or as connectFailed if their last byte was not written;
-  /// attempts at the previous address of which nothing has been sent end as connectFailed.
+  /// Adds a worker or updates its address, and ends its retirement. Closes idle connections to its previous
+  /// address or process. Attempts at the previous process end as resets, or as connectFailed if their last
+  /// byte was not written; attempts at the previous address of which nothing has been sent end as
+  /// connectFailed.
   void setWorkerAddress(decision::WorkerId worker, const WorkerAddress& address);
   /// Marks the worker as retired: it receives no further attempts, and `stopSendingTo` is applied. Attempts
   /// already sent continue.
