--- a/src/gatekeeper/client_connection.hpp
+++ b/src/gatekeeper/client_connection.hpp
@@ -167,7 +167,7 @@
   WaitQueues::QueueEntry waitRecord_;    // the current wait in the metrics of the wait queues
   OverloadManager::PausedRead pausedRead_;
   std::size_t requestBytes_ = 0;    // bytes of the request that are read and not yet released
-  std::size_t forwardedBytes_ = 0;  // part of `requestBytes_` in the handler, not yet written to the worker
+  std::size_t forwardedBytes_ = 0;  // part of `requestBytes_` with the handler, not yet written to a worker
   bool overflow_;                   // beyond the limit of regular connections
   const Clock::time_point openedAt_ = Clock::now();
   Socket socket_;
--- a/src/gatekeeper/client_connection_writing.cpp
+++ b/src/gatekeeper/client_connection_writing.cpp
@@ -96,7 +96,7 @@
   reject(kNoCapacity, server_.rejectionRetryAfterMs());
 }
 
-// Ends the handler's request, whose streamed body arrives too slowly, and responds with 408.
+// Ends a request in flight whose streamed body arrives too slowly, and responds with 408.
 void ClientServer::Connection::rejectSlowBody() {
   server_.handler_.onClientDisconnect(requestId_);
   bodyDone_ = true;  // no more of the body is awaited
--- a/src/gatekeeper/gatekeeper_operators.cpp
+++ b/src/gatekeeper/gatekeeper_operators.cpp
@@ -1,4 +1,4 @@
-/// Operators' calls, metrics, workers excluded by operators, and the periodic report.
+/// Operators' calls, metrics, application of exclusions, and the periodic report.
 #include "gatekeeper/gatekeeper.hpp"
 #include "gatekeeper/gatekeeper_limits.hpp"
 
--- a/src/gatekeeper/metrics.hpp
+++ b/src/gatekeeper/metrics.hpp
@@ -33,7 +33,7 @@
   /// By the name of the request class. A class that a reload removes retains its counts.
   std::map<std::string, ClassCounts> classes;
   std::uint64_t attemptsWritten = 0;  ///< attempts whose last byte was passed to the kernel
-  /// Attempts not started because this process lacked a connection, descriptor or memory.
+  /// Attempts not started because of the connection limit or the memory budget of this process.
   std::uint64_t localResourceShortages = 0;
   std::uint64_t reloadsOk = 0;
   std::uint64_t reloadsFailed = 0;
--- a/src/gatekeeper/ops_server.cpp
+++ b/src/gatekeeper/ops_server.cpp
@@ -19,7 +19,7 @@
 using Error = boost::system::error_code;
 using namespace std::chrono_literals;
 
-constexpr std::size_t kConnectionBytes = 8 * 1024;  // charged per connection: its line and response
+constexpr std::size_t kConnectionBytes = 8 * 1024;  // for its line and the telemetry response
 // The part of `kConnectionBytes` for the response; the memory of a longer response is charged in addition.
 constexpr std::size_t kIncludedResponseBytes = 7 * 1024;
 // Delay after a failed accept, which usually means that no file descriptor is available.
--- a/src/gatekeeper/upstream_attempt.hpp
+++ b/src/gatekeeper/upstream_attempt.hpp
@@ -45,7 +45,7 @@
 struct UpstreamLimits {
   std::chrono::milliseconds connectTimeout{250};
   std::chrono::milliseconds idleTimeout{24000};  ///< shorter than the workers' own idle time-out
-  std::size_t maxConnections = 480;              ///< to all workers together
+  std::size_t maxConnections = 480;              ///< to all workers in total
   std::size_t maxIdlePerWorker = 64;
   /// Longest time without progress by the worker while a request body or a response is streamed.
   std::chrono::milliseconds streamStallTimeout{10000};
--- a/src/gatekeeper/upstream_connection.cpp
+++ b/src/gatekeeper/upstream_connection.cpp
@@ -20,14 +20,15 @@
 using decision::WorkerId;
 using Clock = UpstreamConnection::Clock;
 
-// Bytes charged to the memory budget for a connection.
+// Bytes charged to the memory budget for one connection.
 constexpr std::size_t kConnectionBytes = 10752;     // including the parser and the first read buffer
 constexpr std::size_t kBareConnectionBytes = 2048;  // without the read buffer
 // Requests above this size are admitted only below the high mark of the memory budget, which reserves the
 // remaining memory for smaller requests.
 constexpr std::size_t kSmallRequestBytes = 16 * 1024;
-constexpr std::size_t kBodyWindowBytes =
-    2 * kStreamReadBytes + 64;  // a body piece of up to two reads, chunk framing
+// A body piece with its chunk framing. A piece is shorter than two reads: the client connection reads the
+// body only while it buffers less than kStreamReadBytes.
+constexpr std::size_t kBodyWindowBytes = 2 * kStreamReadBytes + 64;
 
 // Workers may send a second response 1 to 4 ms after the first. The next request is written only after the
 // quarantine, so that the second response is not taken for the response to that request.
--- a/src/gatekeeper/upstream_pool.hpp
+++ b/src/gatekeeper/upstream_pool.hpp
@@ -56,8 +56,9 @@
   void stopSendingTo(decision::WorkerId worker);
 
   /// Starts an attempt. Calls `AttemptDone` once for it, never from within this call. The result is
-  /// connectFailed if the worker is unknown or retired, and notSent if this process has no connection,
-  /// descriptor or memory available. `timeout`: see `UpstreamConnection::startAttempt`.
+  /// connectFailed if the worker is unknown or retired, and notSent if the connection limit is reached or the
+  /// memory budget is exhausted and no idle connection is left to close. `timeout`: see
+  /// `UpstreamConnection::startAttempt`.
   void startAttempt(decision::RequestId id, unsigned attempt, decision::WorkerId worker,
                     AttemptRequest request, std::optional<Clock::duration> timeout);
   /// Ends the request's attempt, closes its connection and returns the outcome, for which `AttemptDone` is
@@ -66,7 +67,7 @@
   /// Resumes reading the request's streamed response when its consumer is ready for the next piece.
   void resumeResponse(decision::RequestId id);
 
-  /// Attempts not started because this process lacked a connection, descriptor or memory, since the start.
+  /// Attempts not started because of the connection limit or the memory budget, since the start.
   std::uint64_t localResourceShortages() const { return localResourceShortages_; }
   /// Requests whose last byte the kernel has accepted, since the start.
   std::uint64_t attemptsWritten() const { return context_.attemptsWritten; }
