--- a/src/gatekeeper/client_connection_writing.cpp
+++ b/src/gatekeeper/client_connection_writing.cpp
@@ -68,7 +68,7 @@
   reject({ready ? http::status::ok : http::status::service_unavailable, ready ? "ready" : "not ready"});
 }
 
-// Responds without the handler: it has not received the request, or has ended it.
+// Responds to a request that the handler has not received or has already ended.
 void ClientServer::Connection::reject(const ImmediateResponse& rejection, decision::Time retryAfterMs) {
   server_.stats_.rejected += rejection.status != http::status::ok;
   if (rejection.status == http::status::request_timeout) {
@@ -96,7 +96,7 @@
   reject(kNoCapacity, server_.rejectionRetryAfterMs());
 }
 
-// Ends the handler's request, whose streamed body arrives too slowly, and responds with 408.
+// Ends a request in flight whose streamed body arrives too slowly, and responds with 408.
 void ClientServer::Connection::rejectSlowBody() {
   server_.handler_.onClientDisconnect(requestId_);
   bodyDone_ = true;  // no more of the body is awaited
--- a/src/gatekeeper/metrics.hpp
+++ b/src/gatekeeper/metrics.hpp
@@ -33,7 +33,7 @@
   /// By the name of the request class. A class that a reload removes retains its counts.
   std::map<std::string, ClassCounts> classes;
   std::uint64_t attemptsWritten = 0;  ///< attempts whose last byte was passed to the kernel
-  /// Attempts not started because this process lacked a connection, descriptor or memory.
+  /// Attempts not started because of the connection limit or the memory budget of this process.
   std::uint64_t localResourceShortages = 0;
   std::uint64_t reloadsOk = 0;
   std::uint64_t reloadsFailed = 0;
@@ -41,7 +41,7 @@
   decision::RejectionCounts rejections;
 };
 
-/// Present values.
+/// Values at the time of the call `telemetry`.
 struct Gauges {
   std::size_t requestsInFlight = 0;
   std::size_t workersListed = 0;       ///< workers on the endpoint list
--- a/src/gatekeeper/upstream_pool.hpp
+++ b/src/gatekeeper/upstream_pool.hpp
@@ -44,9 +44,10 @@
   /// Applies changed settings, which take effect with the next connection or response.
   void updateSettings(const Limits& limits, std::vector<std::string> reportFields);
 
-  /// Adds a worker or updates its address. Closes idle connections to its previous address or process.
-  /// Attempts at the previous process end as resets, or as connectFailed if their last byte was not written;
-  /// attempts at the previous address of which nothing has been sent end as connectFailed.
+  /// Adds a worker or updates its address, and ends its retirement. Closes idle connections to its previous
+  /// address or process. Attempts at the previous process end as resets, or as connectFailed if their last
+  /// byte was not written; attempts at the previous address of which nothing has been sent end as
+  /// connectFailed.
   void setWorkerAddress(decision::WorkerId worker, const WorkerAddress& address);
   /// Marks the worker as retired: it receives no further attempts, and `stopSendingTo` is applied. Attempts
   /// already sent continue.
@@ -55,8 +56,9 @@
   void stopSendingTo(decision::WorkerId worker);
 
   /// Starts an attempt. Calls `AttemptDone` once for it, never from within this call. The result is
-  /// connectFailed if the worker is unknown or retired, and notSent if this process has no connection,
-  /// descriptor or memory available. `timeout`: see `UpstreamConnection::startAttempt`.
+  /// connectFailed if the worker is unknown or retired, and notSent if the connection limit is reached or the
+  /// memory budget is exhausted and no idle connection is left to close. `timeout`: see
+  /// `UpstreamConnection::startAttempt`.
   void startAttempt(decision::RequestId id, unsigned attempt, decision::WorkerId worker,
                     AttemptRequest request, std::optional<Clock::duration> timeout);
   /// Ends the request's attempt, closes its connection and returns the outcome, for which `AttemptDone` is
@@ -65,7 +67,7 @@
   /// Resumes reading the request's streamed response when its consumer is ready for the next piece.
   void resumeResponse(decision::RequestId id);
 
-  /// Attempts not started because this process lacked a connection, descriptor or memory, since the start.
+  /// Attempts not started because of the connection limit or the memory budget, since the start.
   std::uint64_t localResourceShortages() const { return localResourceShortages_; }
   /// Requests whose last byte the kernel has accepted, since the start.
   std::uint64_t attemptsWritten() const { return context_.attemptsWritten; }
