--- a/src/leader_election/candidacy.cpp
+++ b/src/leader_election/candidacy.cpp
@@ -119,7 +119,7 @@
     const Time backoffMs = lockWatch_.backoff.next(kFirstBackoffMs, maxBackoffMs);
     lockWatch_.dueAt = now + std::max(kFirstBackoffMs, context_.random.upTo(backoffMs));
     lockWatch_.index = 0;
-    lastError_ = "no usable response from the coordination store";
+    lastError_ = "no usable response from the coordination store to the read of the lock";
     return;
   }
   lockWatch_.backoff.reset();
--- a/src/leader_election/candidacy.hpp
+++ b/src/leader_election/candidacy.hpp
@@ -8,17 +8,18 @@
 /// | waiting        | another session owns the lock                                | standby        |
 /// | waiting        | this process's session owns the lock                         | claimingToken  |
 /// | acquiring      | the lock was acquired                                        | claimingToken  |
-/// | acquiring      | the store refused the lock or did not answer                 | waiting        |
+/// | acquiring      | the store refused the lock or did not respond                | waiting        |
 /// | claimingToken  | the record was written, or is read, with the claimed token   | leading        |
 /// | claimingToken  | the lease expires                                            | leaseUncertain |
-/// | claimingToken  | the claim was refused or not answered                        | claimingToken  |
-/// | claimingToken  | another session owns the lock                                | standby        |
+/// | claimingToken  | the store refused the claim or did not respond               | claimingToken  |
+/// | claimingToken  | the lock is free or owned by another session                 | standby        |
 /// | leading        | the lease expires                                            | leaseUncertain |
-/// | leading        | the lock or the record belongs to another process            | standby        |
+/// | leading        | the lock is free or owned by another session                 | standby        |
+/// | leading        | the record has another leader or token (fencing check)       | standby        |
 /// | leading        | a registration reports a higher token                        | claimingToken  |
 /// | leading        | `stepDown`, or no write was confirmed for two TTLs           | releasing      |
 /// | leaseUncertain | a new session, or a read of the lock                         | as standby     |
-/// | releasing      | the release was answered or timed out, or the session ended  | coolingDown    |
+/// | releasing      | the store replied to the release or did not respond in time  | coolingDown    |
 /// | coolingDown    | two TTLs after stepping down                                 | as standby     |
 ///
 /// From every state:
@@ -43,8 +44,8 @@
 
 namespace wingslip::leader_election {
 
-/// Owned by `LeaderElection` and used on its thread. The context and the task must outlive it. The
-/// `LeaderTask` may call back into the election from within any event.
+/// The state machine. Owned by `LeaderElection` and used on its thread. The context and the task must outlive
+/// it. The `LeaderTask` may call back into the election from within any event.
 class Candidacy {
  public:
   Candidacy(ElectionContext& context, std::size_t taskIndex, std::string taskName, LeaderTask& task);
@@ -53,7 +54,9 @@
   void start(Time now, Time watchAt);
   /// Handles the reply to a call of this candidacy; ignores replies to calls that it has abandoned.
   void onReply(Time now, std::uint64_t callId, const PendingCall& call, const StoreReply& reply);
+  /// Handles a successful creation or renewal of the session.
   void onSessionCreatedOrRenewed(Time now);
+  /// Handles the end of the session at the store, and with it of the lock.
   void onSessionLost(Time now);
   /// Runs all actions that are due, including lease expiry.
   void runDue(Time now);
@@ -72,6 +75,7 @@
   void drain(Time now);
 
   [[nodiscard]] const std::string& taskName() const { return taskName_; }
+  /// Highest token of the task that this process has claimed or learned from records and registrations.
   [[nodiscard]] FencingToken highestSeenToken() const { return highestSeenToken_; }
   [[nodiscard]] State state() const { return state_; }
   [[nodiscard]] TaskStatus status() const;
@@ -97,11 +101,12 @@
     Backoff backoff;
     std::string lockSession;  // session that owns the lock; empty: the lock is free
   };
-  /// The task's write of the record that has not been sent yet.
+  /// The next write of the task's record, which has not been sent yet.
   struct RecordWrite {
     bool isPending = false;
     std::string data;
-    Time unconfirmedSince = 0;  // time of the oldest write that the store has not confirmed
+    // Time of the oldest unconfirmed write, or of the last confirmation if that is later.
+    Time unconfirmedSince = 0;
   };
   /// The leader's blocking read of all registrations.
   struct RegistrationWatch {
@@ -155,15 +160,15 @@
 
   State state_ = State::standby;
   Time stateSince_ = 0;
-  Time dueAt_ = 0;  // time of the next step, or of the end of coolingDown
-  std::string lockHolder_;
+  Time dueAt_ = 0;          // time of the next step, or of the end of coolingDown
+  std::string lockHolder_;  // name of the gatekeeper that owns the lock; empty: free or not read yet
   std::string lastError_;
 
   LockWatch lockWatch_;
   Time lockAcquiredAt_ = 0;
   Backoff acquireBackoff_;
-  bool rejoinsAfterCoolDown_ =
-      false;  // whether this process competes again after coolingDown; false while draining
+  // Whether this process competes again after coolingDown; false while draining.
+  bool rejoinsAfterCoolDown_ = false;
 
   Step step_ = Step::none;
   std::uint64_t stepCallId_ = 0;
--- a/src/leader_election/coordinator.cpp
+++ b/src/leader_election/coordinator.cpp
@@ -27,7 +27,7 @@
   const auto unixNow =
       std::chrono::duration_cast<std::chrono::seconds>(std::chrono::system_clock::now().time_since_epoch());
   char instance[20];
-  // Not derived from the configured seed, which both processes of an upgrade share.
+  // The instance id is not derived from the configured seed, which both processes of an upgrade share.
   std::random_device systemRandom;
   std::snprintf(instance, sizeof instance, "%08x%08x", systemRandom(), systemRandom());
   return {settings.prefix, name, instance, WINGSLIP_GATEKEEPER_BUILD, unixNow.count()};
@@ -54,7 +54,7 @@
                      runDue();
                    }),
       timer_(io),
-      leaveTimer_(io) {
+      endSessionTimer_(io) {
   election_.addTask(kMembershipTask, membership_);
 }
 
@@ -70,44 +70,46 @@
 
 void Coordinator::drain() {
   election_.drain(now());
-  drainedAt_ = now();
+  drainStartedAt_ = now();
   runDue();
 }
 
 void Coordinator::shutDown(Time maxWaitMs, std::function<void()> done) {
-  if (onLeaveDone_) return;
-  onLeaveDone_ = std::move(done);
-  leaveDeadline_ = now() + maxWaitMs;
+  if (onShutDownDone_) return;
+  onShutDownDone_ = std::move(done);
+  endSessionDeadline_ = now() + maxWaitMs;
   runDue();
 }
 
-bool Coordinator::isReadyToLeave() const {
-  if (!onLeaveDone_ || isEndingSession_) return false;
-  return now() >= leaveDeadline_ || (election_.isDrained() && now() >= drainedAt_ + kDrainingVisibleMs);
+bool Coordinator::isReadyToEndSession() const {
+  if (!onShutDownDone_ || isEndingSession_) return false;
+  return now() >= endSessionDeadline_ ||
+         (election_.isDrained() && now() >= drainStartedAt_ + kDrainingVisibleMs);
 }
 
 void Coordinator::runDue() {
   election_.runDue(now());
   membership_.runDue(now());
-  if (isReadyToLeave()) endSession();
+  if (isReadyToEndSession()) endSession();
   armTimer();
 }
 
 void Coordinator::endSession() {
   isEndingSession_ = true;
   election_.endSession(now());
-  leaveTimer_.expires_after(kEndSessionTimeout);
-  leaveTimer_.async_wait([this](const boost::system::error_code& error) {
-    if (!error) onLeaveDone_();
+  endSessionTimer_.expires_after(kEndSessionTimeout);
+  endSessionTimer_.async_wait([this](const boost::system::error_code& error) {
+    if (!error) onShutDownDone_();
   });
 }
 
 Time Coordinator::nextDueAt() const {
   const Time at = std::min(election_.nextDueAt(), membership_.nextDueAt());
-  if (!onLeaveDone_ || isEndingSession_) return at;
-  const Time leaveAt =
-      election_.isDrained() ? std::min(leaveDeadline_, drainedAt_ + kDrainingVisibleMs) : leaveDeadline_;
-  return std::min(at, leaveAt);
+  if (!onShutDownDone_ || isEndingSession_) return at;
+  const Time endSessionAt = election_.isDrained()
+                                ? std::min(endSessionDeadline_, drainStartedAt_ + kDrainingVisibleMs)
+                                : endSessionDeadline_;
+  return std::min(at, endSessionAt);
 }
 
 void Coordinator::armTimer() {
@@ -158,7 +160,7 @@
   std::string out = "200 " + std::to_string(all.size()) + " duties\n";
   for (const TaskStatus& status : all) {
     const auto sinceS = static_cast<long>((now() - status.stateSince) / 1000);
-    out += status.task + " state=" + stateName(status.state) + " holder=" + orPlaceholder(status.leaderName) +
+    out += status.task + " state=" + stateName(status.state) + " holder=" + orPlaceholder(status.lockHolder) +
            " token=" + std::to_string(status.token) + " since_s=" + std::to_string(sinceS) +
            " last_error=" + orPlaceholder(status.lastError) + "\n";
   }
--- a/src/leader_election/coordinator.hpp
+++ b/src/leader_election/coordinator.hpp
@@ -25,6 +25,7 @@
   Coordinator(boost::asio::io_context& io, const CoordinationConfig& settings, const std::string& name,
               unsigned candidates, std::uint64_t seed, OverloadManager& overloadManager);
 
+  /// Starts the election. Its first call to the store is made after a random delay.
   void start();
   /// Stops acting as leader and releases the locks. Called on SIGTERM and when the configuration changes to
   /// another store.
@@ -47,7 +48,7 @@
   void logEvent(const std::string& line) override { log_.warn(line); }
 
   [[nodiscard]] Time now() const;
-  [[nodiscard]] bool isReadyToLeave() const;
+  [[nodiscard]] bool isReadyToEndSession() const;
   [[nodiscard]] Time nextDueAt() const;
   /// Runs all actions that are due and arms the timer for the next one. Called after every event.
   void runDue();
@@ -58,11 +59,11 @@
   MembershipTask membership_;
   StoreClient storeClient_;
   boost::asio::steady_timer timer_;
-  boost::asio::steady_timer leaveTimer_;
+  boost::asio::steady_timer endSessionTimer_;
   std::string lastStoreError_;
-  std::function<void()> onLeaveDone_;
-  Time leaveDeadline_ = 0;
-  Time drainedAt_ = 0;
+  std::function<void()> onShutDownDone_;
+  Time endSessionDeadline_ = 0;
+  Time drainStartedAt_ = 0;
   bool isEndingSession_ = false;
   RateLimitedLog log_{"duty"};
 };
--- a/src/leader_election/election_context.hpp
+++ b/src/leader_election/election_context.hpp
@@ -32,7 +32,7 @@
   StoreCalls calls{timing, host};
   StoreSession session{timing, self, calls, random, counts};
   bool draining = false;
-  Time claimsBlockedUntil = 0;  ///< no fencing token is claimed before
+  Time claimsBlockedUntil = 0;  ///< no fencing token is claimed before this time
 };
 
 }  // namespace wingslip::leader_election
--- a/src/leader_election/election_types.hpp
+++ b/src/leader_election/election_types.hpp
@@ -22,7 +22,8 @@
   Time ttlMs = 10000;
   /// The store refuses to grant a lock for this long after the session of its owner ended.
   Time lockDelayMs = 1000;
-  /// Time-out of a call that does not block. The election assumes that a call has no effect after it.
+  /// Time-out of a call that does not block. The election assumes that a call takes effect within
+  /// this time or never.
   Time callTimeoutMs = 1000;
   /// Time for which a blocking read waits for a change.
   Time blockingReadMs = 30000;
@@ -73,7 +74,7 @@
   Time timeoutMs = 0;
 };
 
-/// A key of the store as read.
+/// A key-value entry as read from the store.
 struct StoreEntry {
   std::string key;
   std::string value;
@@ -87,7 +88,7 @@
   bool succeeded = false;   ///< renewSession: the session exists; other writes: the store applied the call
   std::string session;      ///< createSession: id of the new session
   std::uint64_t index = 0;  ///< read: index of the response
-  std::vector<StoreEntry> entries;  ///< read
+  std::vector<StoreEntry> entries;  ///< read: entries with the key or the prefix; empty if there are none
 };
 
 /// A process's registration at the store. A gatekeeper has more than one process during an upgrade.
@@ -100,8 +101,8 @@
   std::map<std::string, FencingToken> highestSeenTokens;  ///< by task name
 };
 
-/// A job that one process of the fleet, the leader, does. Its functions are called on the thread of
-/// `LeaderElection`, from within any of its events.
+/// A job that is run by one process of the fleet at a time, the leader. Its functions are called on the
+/// thread of `LeaderElection`, from within any of its events.
 class LeaderTask {
  public:
   virtual ~LeaderTask() = default;
@@ -131,12 +132,12 @@
 
 /// State of this process's candidacy for a task. `candidacy.hpp` has the transitions.
 enum class State {
-  standby,         ///< another process leads, or the store has not answered yet
-  waiting,         ///< the lock is free; a random delay before the attempt to acquire it
+  standby,         ///< another process owns the lock, or there is no session or no read of the lock yet
+  waiting,         ///< the lock is free; waits for a random delay before acquiring it
   acquiring,       ///< a call to acquire the lock is in flight
   claimingToken,   ///< this process owns the lock; its token is not yet in the record
   leading,         ///< may act while the lease is valid
-  leaseUncertain,  ///< the lease expired without a reply from the store; may not act
+  leaseUncertain,  ///< the lease expired before the session was renewed; may not act
   releasing,       ///< has stopped acting; the lock is being released
   coolingDown      ///< stepped down or draining; does not compete
 };
@@ -148,7 +149,7 @@
 /// Identity of this process in the fleet.
 struct ProcessIdentity {
   std::string keyPrefix;  ///< prefix of all keys at the store
-  std::string name;       ///< the gatekeeper's, shared by both processes of an upgrade
+  std::string name;       ///< name of the gatekeeper, shared by both processes of an upgrade
   std::string instance;   ///< unique to this process
   std::string build;
   std::int64_t startedUnixS = 0;
@@ -160,12 +161,14 @@
   std::uint64_t locksLost = 0;            ///< leaderships that ended with the loss of the lock or the session
   std::uint64_t leasesExpired = 0;        ///< leaderships that ended with the expiry of the lease
   std::uint64_t steppedDown = 0;          ///< leaderships that ended by `stepDown`
-  std::uint64_t recordsWritten = 0;       ///< writes of a record that the store confirmed
-  std::uint64_t fenceRejections = 0;      ///< leaderships ended by the fencing check
+  std::uint64_t recordsWritten = 0;       ///< writes of a record that the store confirmed, without claims
+  std::uint64_t fenceRejections =
+      0;  ///< those ended by the fencing check or by a registration with a higher token
   std::uint64_t renewalsFailed = 0;
   std::uint64_t callsFailed = 0;  ///< calls without a usable response
   std::uint64_t sessionsLost = 0;
-  /// Losses of state at the store: an index decreased, or a record disappeared or has a lower token.
+  /// Losses of state at the store: an index decreased, or a record disappeared or has a lower token. At most
+  /// one is counted per session TTL.
   std::uint64_t storeRollbacks = 0;
   std::uint64_t staleRecords = 0;      ///< records rejected because their token is below the highest seen
   std::uint64_t malformedEntries = 0;  ///< records and registrations that could not be parsed
@@ -174,10 +177,10 @@
 /// Status of a task for operators.
 struct TaskStatus {
   std::string task;
-  std::string leaderName;  ///< name of the leading gatekeeper; empty: none known
+  std::string lockHolder;  ///< name of the gatekeeper that owns the lock; empty: free or not read yet
   std::string lastError;
   State state = State::standby;
-  FencingToken token = 0;  ///< this process's while it leads, else the highest seen
+  FencingToken token = 0;  ///< token of this process while it leads, else the highest seen
   Time stateSince = 0;     ///< when `state` was entered
 };
 
--- a/src/leader_election/leader_election.hpp
+++ b/src/leader_election/leader_election.hpp
@@ -10,8 +10,8 @@
 ///
 /// The new leader is the process that acquires the lock after the old session ended. It acts only after its
 /// higher token was written to the task's record. Gatekeepers do not vote among themselves: the side of the
-/// partition that reaches the store has the leader, whichever side has more gatekeepers. A side that does not
-/// reach the store has none.
+/// partition that reaches the store has the leader, however many gatekeepers are on each side. A side that
+/// does not reach the store has none.
 ///
 /// This requires that a call takes effect within its time-out or never, and that the rates of the processes'
 /// clocks differ by at most `clockDrift`. If that is violated (by a pause between check and send, or a
@@ -40,6 +40,7 @@
 
   /// Adds a task for whose leadership this process competes. Must be called before `start`.
   void addTask(const std::string& name, LeaderTask& task);
+  /// Starts the session and all candidacies. The first calls to the store are made after a random delay.
   void start(Time now);
   /// Handles the reply to a call. The host calls it exactly once for each call of `ElectionHost::callStore`
   /// that was not cancelled.
@@ -66,6 +67,7 @@
   [[nodiscard]] bool isDrained() const;
 
   [[nodiscard]] const ElectionCounts& counts() const { return context_.counts; }
+  /// Returns the status of each task, in the order of the `addTask` calls.
   [[nodiscard]] std::vector<TaskStatus> status() const;
 
  private:
--- a/src/leader_election/leadership.cpp
+++ b/src/leader_election/leadership.cpp
@@ -57,8 +57,8 @@
   return out;
 }
 
-// Takes over a record that was read. Guards against a store that was reset or restored: a record whose token
-// is below the highest seen is rejected.
+// Passes a record that was read to the task. Guards against a store that was reset or restored: a record
+// whose token is below the highest seen is rejected.
 void Candidacy::acceptRecord(Time now, const LeaderRecord& record) {
   if (!record.exists && highestSeenToken_ > 0) {
     if (!std::exchange(recordLossReported_, true))
@@ -119,7 +119,8 @@
     if (session.isLeaseValid(now)) becomeLeader(now);  // the reply to the claim was lost
     return;
   }
-  // If the store may have lost tokens, wait for one TTL in which processes that have seen them register.
+  // If the store may have lost tokens, wait for one TTL, in which the other processes register the highest
+  // tokens that they have seen.
   const Time claimAllowedAt =
       record.exists ? context_.claimsBlockedUntil
                     : std::max(context_.claimsBlockedUntil, session.createdAt() + context_.timing.ttlMs);
@@ -224,8 +225,10 @@
       record.leaderInstance != context_.self.instance) {
     ++context_.counts.fenceRejections;
     acceptRecord(now, record);
-    return loseLock(
-        now, "fencing check failed before a write: the record has token " + std::to_string(record.token));
+    return loseLock(now,
+                    "fencing check failed before a write: lock or record belongs to another leader; the "
+                    "record has token " +
+                        std::to_string(record.token));
   }
   // Checked immediately before the write is sent: the process may have been paused until its lease expired.
   if (!isLeaderWithValidLease(now)) return;
@@ -280,8 +283,7 @@
   for (const Registration& registration : all) {
     const auto seen = registration.highestSeenTokens.find(taskName_);
     if (seen == registration.highestSeenTokens.end() || seen->second <= token_) continue;
-    // Another process has seen a higher token, which the store had lost when this one was claimed: claim
-    // again.
+    // The store had lost this higher token when the leader claimed its own: claim again, above it.
     ++context_.counts.fenceRejections;
     highestSeenToken_ = seen->second;
     lastError_ = registration.name + " reports a fencing token above this leader's";
--- a/src/leader_election/membership_record.cpp
+++ b/src/leader_election/membership_record.cpp
@@ -55,11 +55,11 @@
                               const InGracePeriod& inGracePeriod) {
   std::map<std::string, Member> next = groupByMember(registrations);
   for (const auto& [name, previous] : members_) {
-    const auto now = next.find(name);
-    if (now == next.end())
+    const auto registered = next.find(name);
+    if (registered == next.end())
       next[name] = unregisteredMember(name, previous, inGracePeriod);
-    else if (now->second.state == previous.state)
-      now->second.sinceVersion = previous.sinceVersion;
+    else if (registered->second.state == previous.state)
+      registered->second.sinceVersion = previous.sinceVersion;
   }
   for (auto& [name, member] : next)
     if (member.sinceVersion == 0) member.sinceVersion = version_ + 1;
@@ -82,8 +82,8 @@
   return member;
 }
 
-// Enforces the limits. Evicts departed and missing members first, in the order in which they entered that
-// state, and present and draining members only after all of those.
+// Enforces the limits. Evicts departed and missing members first, then present and draining members; within
+// each group, those first that have been in their state for the longest time.
 void MembershipRecord::trim() {
   std::size_t bytes = 0;
   for (const auto& [name, member] : members_) bytes += maxTextBytesOf(name, member);
--- a/src/leader_election/membership_record.hpp
+++ b/src/leader_election/membership_record.hpp
@@ -1,5 +1,6 @@
 /// The membership record: the state of each gatekeeper of the fleet. The leader of the membership task writes
-/// it, every gatekeeper reads it. Operators' calls and the coordination store's keys name it the roster.
+/// it, every gatekeeper reads it. In operators' calls and in the coordination store's keys, it is named
+/// `roster`.
 #pragma once
 
 #include <cstdint>
@@ -27,7 +28,7 @@
 /// A gatekeeper in the record.
 struct Member {
   MemberState state = MemberState::present;
-  unsigned processes = 0;  ///< registered ones; more than one during an upgrade
+  unsigned processes = 0;  ///< number of registered processes; more than one during an upgrade
   std::string build;
   std::int64_t startedUnixS = 0;   ///< start time of the newest process
   std::uint64_t sinceVersion = 0;  ///< version of the record in which the state was entered
@@ -51,6 +52,7 @@
 
   [[nodiscard]] const std::map<std::string, Member>& members() const { return members_; }
   [[nodiscard]] std::uint64_t version() const { return version_; }
+  /// Returns the number of members by state; states without members are omitted.
   [[nodiscard]] std::map<MemberState, std::size_t> counts() const;
 
   /// Returns the record as JSON. Other versions of the program read this format.
--- a/src/leader_election/membership_task.cpp
+++ b/src/leader_election/membership_task.cpp
@@ -59,7 +59,7 @@
   updateDraft(now);
 }
 
-// Called at every change of the registrations, not only before a write, so that the draft also registers
+// Called at every change of the registrations, not only before a write, so that the draft also reflects
 // states that last less than the write period.
 void MembershipTask::updateDraft(Time now) {
   const bool changed = draft_.update(registrations_, [&](const std::string& name) {
@@ -81,7 +81,7 @@
   scheduleWrite(now);
 }
 
-// Schedules the next write for the end of the first grace period.
+// Schedules the next write for the earliest end of a grace period, if any is running.
 void MembershipTask::scheduleWrite(Time now) {
   writeAt_ = now + kWritePeriodMs;
   for (const auto& [name, since] : unregisteredSince_) {
--- a/src/leader_election/membership_task.hpp
+++ b/src/leader_election/membership_task.hpp
@@ -18,8 +18,8 @@
  public:
   static constexpr Time kWritePeriodMs = 500;  ///< minimum interval between two writes of the record
 
-  /// `gracePeriodMs`: time for which a member without a registration does not count as missing, because a
-  /// process whose session the store lost registers again within it.
+  /// `gracePeriodMs`: time for which a member without a registration does not count as missing, so that a
+  /// process whose session the store lost can register again.
   MembershipTask(LeaderElection& election, std::string taskName, Time gracePeriodMs)
       : election_(election), taskName_(std::move(taskName)), gracePeriodMs_(gracePeriodMs) {}
 
@@ -34,7 +34,7 @@
 
   /// The record as last read from the store, or written to it by this process.
   [[nodiscard]] const MembershipRecord& record() const { return latestRecord_; }
-  /// The fencing token of that record, or of this process's leadership if that began later.
+  /// The fencing token of `record()`, or of this process's leadership if that began later.
   [[nodiscard]] FencingToken token() const { return token_; }
   /// Number of records that could not be parsed.
   [[nodiscard]] std::uint64_t unreadableRecords() const { return unreadableRecords_; }
@@ -57,8 +57,8 @@
   bool registrationsReceived_ = false;  // since this process became the leader
   bool draftChanged_ = false;
   std::vector<Registration> registrations_;
-  // When the registration disappeared, by name of a member of draft_ that still counts as present or
-  // draining.
+  // Times since which members have had no registration, by name. Only members that draft_ still has as
+  // present or draining.
   std::map<std::string, Time> unregisteredSince_;
   bool isWriteScheduled_ = false;
   Time writeAt_ = 0;
--- a/src/leader_election/registration.hpp
+++ b/src/leader_election/registration.hpp
@@ -1,5 +1,5 @@
-/// Encoding and parsing of registrations and leader records: JSON at the coordination store, which other
-/// versions of the program read too. Also the store's keys.
+/// Encoding and parsing of registrations and leader records, which are stored as JSON at the coordination
+/// store and read by other versions of the program too. Also builds the keys of the store.
 #pragma once
 
 #include <string>
@@ -20,8 +20,9 @@
 
 /// Returns the registration as JSON.
 [[nodiscard]] std::string registrationText(const Registration& registration);
-/// Parses a registration. Throws std::runtime_error with a one-line message if the text is not valid JSON, a
-/// field is missing or has a wrong type, or a name is empty or too long.
+/// Parses a registration. Throws std::runtime_error with a one-line message if the text is not valid JSON,
+/// the name, the instance or the draining flag is missing, a field has a wrong type, the name is empty, or
+/// the name, the instance or the build exceeds 128 bytes.
 [[nodiscard]] Registration parseRegistration(const std::string& text);
 
 /// Returns a leader record as JSON.
--- a/src/leader_election/store_client.hpp
+++ b/src/leader_election/store_client.hpp
@@ -14,7 +14,8 @@
 
 namespace wingslip::leader_election {
 
-/// Used on the event loop's thread. The event loop and the overload manager must outlive it.
+/// Sends each `StoreCall` as an HTTP request. Used on the event loop's thread. The event loop and the
+/// overload manager must outlive it.
 class StoreClient {
  public:
   static constexpr std::size_t kMaxConcurrentCalls = 8;               ///< calls beyond this limit fail
--- a/src/leader_election/store_session.hpp
+++ b/src/leader_election/store_session.hpp
@@ -27,12 +27,14 @@
   Time start(Time now);
   /// Handles the reply to a creation or renewal that was sent at `sentAt`.
   [[nodiscard]] Change onSessionReply(Time now, const StoreReply& reply, Time sentAt);
+  /// Handles the reply to a write of the registration; schedules a retry if the write failed.
   void onRegistrationReply(Time now, const StoreReply& reply);
 
   /// Creates or renews the session if that is due. While draining, no session is created.
   void runDue(Time now, bool draining);
   /// Returns whether the registration has changed and can be written at `now`.
   [[nodiscard]] bool isRegistrationDue(Time now) const;
+  /// Writes the registration to the store. Call it only if `isRegistrationDue`.
   void sendRegistration(Time now, const Registration& registration);
   /// Returns when `runDue` must be called next; infinity if nothing is scheduled.
   [[nodiscard]] Time nextDueAt(bool draining) const;
@@ -44,8 +46,8 @@
   /// Returns whether no write of the registration is in flight or, with a session, pending.
   [[nodiscard]] bool isRegistrationSettled() const;
 
-  /// Ends a session whose lease has expired and stops renewing it. Guards against renewals that reach the
-  /// store while their replies are lost: a process that may not act would own the lock indefinitely.
+  /// Ends a session whose lease has expired and stops renewing it. Otherwise, if renewals
+  /// reach the store but their replies are lost, a process that may not act would own the lock indefinitely.
   void abandon(Time now);
   /// Sends the call that ends the session.
   void end(Time now);
--- a/tests/leader_election_simulation.hpp
+++ b/tests/leader_election_simulation.hpp
@@ -27,14 +27,15 @@
   bool withinAssumptions = true;  // else calls may take effect long after their time-out
   double messageLossRate = 0;     // probability of loss, in each direction, while faults are active
   Time activeUntil = 40000;       // no faults from then on
-  bool pauses = false;            // of processes
+  bool pauses = false;            // processes pause at random times
   bool storeFails = false;        // the store stops, and restarts with its state, an old state or none
   bool writes = true;             // leaders write the record periodically
 };
 
 class ElectionSimulation {
  public:
-  // Counters of violations and of events, by simulation time, which no process sees.
+  // Counters of violations and of events. Simultaneity is judged in simulation time, not by the processes'
+  // clocks.
   struct Observed {
     long calls = 0;
     long recordsWritten = 0;
@@ -116,7 +117,7 @@
       if (simulation.faults_.writes) scheduleWrite();
       if (simulation.faults_.pauses) schedulePause();
     }
-    // Runs the action at that time; while the process is paused, actions are deferred until it resumes.
+    // Runs the action at `when`; while the process is paused, actions are deferred until it resumes.
     void scheduleWhileRunning(Time when, std::function<void()> action) {
       simulation.at(when, [this, action = std::move(action)] {
         if (crashed) return;
@@ -207,22 +208,22 @@
     if (isWrite) observed_.leadersWithoutLock += faults_.withinAssumptions && !isLockGuaranteed(process);
     // Exactly one reply: the store's response, or a failure when the call times out.
     process.scheduleWhileRunning(now() + call.timeoutMs / process.clockRate,
-                                 [&process, id = call.id] { replyTo(process, id, {}); });
+                                 [&process, id = call.id] { deliverReply(process, id, {}); });
     if (isMessageLost()) return;
     const Time transitMs = delay();
     if (faults_.withinAssumptions && transitMs > timing_.callTimeoutMs) return;
     at(now() + transitMs, [this, &process, call] { onCallArrival(process, call); });
   }
-  static void replyTo(Process& process, std::uint64_t callId, const StoreReply& reply) {
+  static void deliverReply(Process& process, std::uint64_t callId, const StoreReply& reply) {
     if (process.cancelled.contains(callId) || !process.replied.insert(callId).second) return;
     process.election->onReply(process.localNow(), callId, reply);
     process.armTimer();
   }
-  void answer(Process& process, std::uint64_t callId, StoreReply reply) {
+  void sendReply(Process& process, std::uint64_t callId, StoreReply reply) {
     reply.answered = true;
     if (isMessageLost()) return;
     process.scheduleWhileRunning(now() + delay(),
-                                 [&process, callId, reply] { replyTo(process, callId, reply); });
+                                 [&process, callId, reply] { deliverReply(process, callId, reply); });
   }
 
   void onCallArrival(Process& process, const StoreCall& call) {
@@ -260,7 +261,7 @@
         reply = read(call);
         break;
     }
-    answer(process, call.id, reply);
+    sendReply(process, call.id, reply);
   }
   void waitForChange(Process& process, const StoreCall& call) {
     blockingReads_.push_back({&process, call});
@@ -271,7 +272,7 @@
           });
       if (found == blockingReads_.end()) return;
       blockingReads_.erase(found);
-      answer(process, call.id, read(call));
+      sendReply(process, call.id, read(call));
     });
   }
   StoreReply read(const StoreCall& call) const {
@@ -289,7 +290,7 @@
       return isMatch;
     });
     for (const BlockingRead& blocked : woken)
-      at(now(), [this, blocked] { answer(*blocked.process, blocked.call.id, read(blocked.call)); });
+      at(now(), [this, blocked] { sendReply(*blocked.process, blocked.call.id, read(blocked.call)); });
   }
 
   // Stops the store for a while. It restarts with its state, without any, or with a state saved earlier.
@@ -355,8 +356,8 @@
   std::vector<std::unique_ptr<Process>> processes_;
   std::map<FencingToken, std::string> leaderOfToken_;
   FencingToken highestToken_ = 0;
-  Process* writer_ = nullptr;
-  int droppedWriter_ = -1;
+  Process* writer_ = nullptr;  // sender of the call that the store applies at present
+  int droppedWriter_ = -1;     // process whose writes are dropped; -1: none
 };
 
 }  // namespace wingslip::leader_election
--- a/tests/leader_election_test.cpp
+++ b/tests/leader_election_test.cpp
@@ -25,8 +25,8 @@
 constexpr std::uint64_t kSchedules = 1500;
 #endif
 
-// Guards against two simultaneous leaders, by simulation time, while the timing assumptions hold, and against
-// a fleet without a leader: there is one within six TTLs of the last fault.
+// Guards against two leaders at the same simulation time while the timing assumptions hold, and against a
+// fleet that stays without a leader: one must lead within six TTLs of the last fault.
 TEST(LeaderElectionFaultSchedules, AtMostOneLeaderAndReelectionAfterFaults) {
   long recordsWritten = 0;
   std::uint64_t leasesExpired = 0;
@@ -176,7 +176,7 @@
 
 // --- Invalid input ---------------------------------------------------------------------------------------
 
-// Guards against malformed responses of the store that are taken for a success.
+// Guards against malformed responses of the store being accepted as success.
 TEST(LeaderElectionInvalidInput, MalformedStoreResponsesAreRejected) {
   const auto expectError = [](StoreOperation operation, unsigned status, const char* index,
                               const std::string& body) {
@@ -209,9 +209,9 @@
                std::runtime_error);
 }
 
-// Guards against a misbehaving store that affects more than the call: no response, a connection closed within
-// the response, an oversized header, a body above the limit, and a malformed status line, over a socket. Each
-// call fails, the next valid response is accepted, and no memory stays charged.
+// Guards against a misbehaving store affecting more than the current call. Covers, over a socket: no
+// response, a connection closed within the response, an oversized header, a body above the limit and a
+// malformed status line. Each call fails, the next valid response is accepted, and no memory remains charged.
 TEST(LeaderElectionInvalidInput, MisbehavingStoreFailsOnlyTheCall) {
   boost::asio::io_context io;
   MemoryBudget::Shares shares;
