--- a/src/replication/anti_entropy.hpp
+++ b/src/replication/anti_entropy.hpp
@@ -27,11 +27,11 @@
 /// `remote` has a different number of ranges, for example none.
 [[nodiscard]] std::vector<unsigned> differingRanges(const Digest& local, const Digest& remote);
 
-/// Members and rows of some ranges, as much as one message may carry.
+/// Members and rows of the requested ranges. The rows are limited to `kMaxRowBytesPerMessage`.
 struct RangeContents {
   std::optional<std::vector<MemberRecord>> members;  ///< present if the range of members was requested
   std::vector<Row> rows;
-  bool truncated = false;  ///< rows were omitted because the message is full
+  bool truncated = false;  ///< rows beyond the limit were omitted
 };
 
 /// Returns the contents of `ranges`, starting at a random row, so that repeated exchanges of truncated
--- a/src/replication/failure_detector.hpp
+++ b/src/replication/failure_detector.hpp
@@ -27,8 +27,8 @@
 
   /// Records that `requester` waits for an acknowledgement by `target` of a probe that this member sends.
   void addProbeRequest(const std::string& target, const std::string& requester);
-  /// Returns the member that waits for an acknowledgement by `target`, and forgets it. If several members
-  /// requested the probe, only the most recent one is known.
+  /// Removes and returns the member that waits for an acknowledgement by `target`. If several members
+  /// requested the probe, only the most recent one is recorded.
   [[nodiscard]] std::optional<std::string> takeProbeRequester(const std::string& target);
 
  private:
--- a/src/replication/membership.hpp
+++ b/src/replication/membership.hpp
@@ -17,7 +17,7 @@
 /// generator.
 class Membership {
  public:
-  static constexpr std::size_t kMaxMembers = 1024;  ///< other members; the longest departed is evicted first
+  static constexpr std::size_t kMaxMembers = 1024;  ///< limit on other members; see `merge`
 
   /// Another member, as known to this one.
   struct Member {
@@ -39,9 +39,10 @@
 
   /// Adds the members of a snapshot, up to `kMaxMembers`.
   void restore(const std::vector<MemberRecord>& records);
-  /// Stores the record if it supersedes the known one, and schedules it for gossip. A record about this
-  /// member is refuted if it reports this process as not alive, and marks this process as superseded if its
-  /// generation is higher.
+  /// Stores the record if it supersedes the known one, and schedules it for gossip. At `kMaxMembers`, a new
+  /// member replaces the one that has been dead or departed for the longest time; if all are live, it is not
+  /// added. A record about this member is refuted if it reports this process as not alive, and marks this
+  /// process as superseded if the record's generation is higher.
   void merge(Time now, const MemberRecord& record);
   /// Marks an alive member as suspect after a failed probe. It is marked dead unless it refutes the suspicion
   /// within `suspicionTimeoutMs`.
@@ -54,8 +55,8 @@
   /// Sets the state of this member to `MemberState::left`; this final record is gossiped once.
   void leave();
 
-  /// Returns the updates for a message to `recipient`, starting with those transmitted least often, and
-  /// counts each as transmitted once.
+  /// Returns the updates for a message to `recipient`, and counts each as transmitted once. A record about
+  /// the recipient comes first, then the records with the most transmissions left.
   [[nodiscard]] std::vector<MemberRecord> takeUpdates(const std::string& recipient);
   /// Whether any update remains to be gossiped.
   [[nodiscard]] bool hasUpdates() const;
--- a/src/replication/message.hpp
+++ b/src/replication/message.hpp
@@ -33,7 +33,7 @@
   std::vector<Row> rows;
   std::vector<std::uint64_t> digest;      ///< sync: one hash per range (anti_entropy.hpp); otherwise empty
   std::vector<unsigned> differingRanges;  ///< sync response: ranges in which the copies differ
-  bool truncated = false;                 ///< sync response: rows of these ranges were omitted for size
+  bool truncated = false;                 ///< sync response, push: rows were omitted for size
 };
 
 /// Returns the CBOR encoding. Does not enforce `Message::kMaxBytes`.
--- a/src/replication/record_codec.hpp
+++ b/src/replication/record_codec.hpp
@@ -23,8 +23,8 @@
   return out;
 }
 
-/// Parses and validates a record, as the other functions below do.
-/// @throws DecodeError or an nlohmann::json exception if the value is not a valid record.
+/// Parse and validate a record, or the array of records at `key` of an object.
+/// @throws DecodeError or an nlohmann::json exception if a record is invalid.
 MemberRecord memberFromJson(const nlohmann::json& value);
 Row rowFromJson(const nlohmann::json& value);
 std::vector<MemberRecord> membersFromJson(const nlohmann::json& object, const char* key);
--- a/src/replication/records.hpp
+++ b/src/replication/records.hpp
@@ -12,8 +12,8 @@
 /// Milliseconds of a monotonic clock.
 using Time = double;
 
-/// The SWIM state of a member. The values are part of the wire format; their order decides between records of
-/// one incarnation.
+/// The SWIM state of a member. The values are part of the wire format; among records of the
+/// same incarnation, the one with the larger value wins.
 enum class MemberState : unsigned { alive, suspect, dead, left };
 
 /// Returns the name of the state in logs, metrics and operator responses.
@@ -47,8 +47,10 @@
   bool operator==(const Row&) const = default;
 };
 
-constexpr std::size_t kMaxNameBytes = 128;  ///< limit of names, addresses, table names and keys
-constexpr std::size_t kMaxValueBytes = 4096;
+constexpr std::size_t kMaxNameBytes = 128;    ///< limit of names, addresses, table names and keys
+constexpr std::size_t kMaxValueBytes = 4096;  ///< limit of a row's value
+/// Limit of the estimated size of the rows in a message; applies separately to gossiped rows and to the rows
+/// of ranges.
 constexpr std::size_t kMaxRowBytesPerMessage = 48 * 1024;
 
 /// Returns the approximate encoded size of the row in a message, in bytes.
--- a/src/replication/replica.cpp
+++ b/src/replication/replica.cpp
@@ -7,7 +7,8 @@
 namespace wingslip::replication {
 namespace {
 
-constexpr unsigned kMaxConsecutiveSyncs = 8;  // with one member, while the rows exceed one message
+// Limit of consecutive sync exchanges with one member while the differing rows exceed one message.
+constexpr unsigned kMaxConsecutiveSyncs = 8;
 constexpr double kSyncTimeoutInProbePeriods = 2;
 constexpr double kLostMemberContactInProbePeriods = 3;  // mean interval between contacts with lost members
 
--- a/src/replication/replica.hpp
+++ b/src/replication/replica.hpp
@@ -1,7 +1,7 @@
 /// A gatekeeper's copy of the replicated state of the fleet: SWIM membership and last-writer-wins tables,
 /// disseminated by gossip and repaired by anti-entropy. A state machine without I/O: its inputs are events
-/// and monotonic time, its outputs are requests and merged rows. It does not interpret rows; their readers
-/// do. `docs/design.md` lists its limits.
+/// and monotonic time, its outputs are requests and merged rows. The values of rows are opaque to
+/// it. `docs/design.md` lists its limits.
 #pragma once
 
 #include <cstdint>
@@ -21,11 +21,11 @@
 
 namespace wingslip::replication {
 
-/// Periods and numbers of messages of the protocol.
+/// Periods of the protocol, and the number of members contacted per period.
 struct Timing {
   Time probePeriodMs = 1000;         ///< one member is probed per period
   Time gossipPeriodMs = 200;         ///< between rounds of gossip while updates remain
-  Time antiEntropyPeriodMs = 10000;  ///< this copy is compared with one member's per period
+  Time antiEntropyPeriodMs = 10000;  ///< this copy is compared with that of one member per period
   unsigned fanout = 3;               ///< members to which updates are gossiped per period
   unsigned indirectProbes = 3;       ///< members requested to probe a member that did not answer
   /// Timeout of all requests except sync and push.
@@ -70,9 +70,9 @@
   /// Completes request `id` with its response, or with nullopt if the request failed or timed out.
   void onResponse(Time now, std::uint64_t id, const std::optional<Message>& response);
 
-  /// Writes a row; its change is gossiped.
+  /// Writes a row and schedules it for gossip.
   void set(Time now, const std::string& table, const std::string& key, const std::string& value);
-  /// Replaces the row by a tombstone; this change is gossiped too.
+  /// Replaces the row by a tombstone and schedules that for gossip.
   void remove(Time now, const std::string& table, const std::string& key);
   /// Returns the row, which is a tombstone if it was removed, or null if there is none.
   [[nodiscard]] const Row* find(const std::string& table, const std::string& key) const {
--- a/src/replication/replica_node.cpp
+++ b/src/replication/replica_node.cpp
@@ -167,7 +167,7 @@
   try {
     endpoint = parseEndpoint(request.address);
   } catch (const std::runtime_error&) {
-    // Port 0 cannot be connected to, so the request fails like any other.
+    // The address is invalid. A connection to port 0 fails, which completes the request asynchronously.
     endpoint = {asio::ip::address_v4::loopback(), 0};
   }
   client_.call(request.id, endpoint, std::move(httpRequest), toDuration(request.timeoutMs));
--- a/src/replication/replica_node.hpp
+++ b/src/replication/replica_node.hpp
@@ -38,8 +38,8 @@
               RowCallback onRowChanged);
   ~ReplicaNode() override;
 
-  /// Starts listening and joins the fleet. While the address is in use, as by the other process during an
-  /// upgrade, listening is retried.
+  /// Starts listening and joins the fleet. If listening fails, for example because the other process of an
+  /// upgrade still uses the address, both are retried periodically.
   void start();
   /// Announces the departure of this member, closes the listener and writes a last snapshot if one is due.
   void drain();
--- a/src/replication/replicated_table.hpp
+++ b/src/replication/replicated_table.hpp
@@ -15,7 +15,7 @@
 namespace wingslip::replication {
 
 /// Merging is commutative, associative and idempotent, even at the limit, where only the newest `kMaxRows`
-/// rows stay. Not thread-safe; owned by `Replica`.
+/// rows remain. Not thread-safe; owned by `Replica`.
 class ReplicatedTable {
  public:
   static constexpr std::size_t kMaxRows = 4096;  ///< limit over all tables, including tombstones
@@ -27,6 +27,7 @@
   /// `kMaxRows` newest rows.
   enum class MergeResult { changed, notNewer, timestampTooFarAhead, evicted };
 
+  /// A row with its gossip state.
   struct Entry {
     Row row;
     unsigned transmissionsLeft = 0;  ///< remaining gossip transmissions
@@ -45,8 +46,8 @@
 
   /// Schedules the row for `transmissions` gossip transmissions, if this copy has it.
   void scheduleGossip(const Row& row, unsigned transmissions);
-  /// Returns the rows for a message, starting with those transmitted least often, and counts each as
-  /// transmitted once.
+  /// Returns the rows for a message, starting with those that have the most transmissions left, and counts
+  /// each as transmitted once.
   [[nodiscard]] std::vector<Row> takeUpdates();
   /// Whether any row remains to be gossiped.
   [[nodiscard]] bool hasUpdates() const;
--- a/tests/replication_fleet.hpp
+++ b/tests/replication_fleet.hpp
@@ -126,7 +126,7 @@
     double physicalClockMs;  // Unix time in ms at the start of the fleet
     std::uint64_t generation = 0;
     std::uint64_t lastScheduledTick = 0;
-    int process = 0;
+    int process = 0;  // number of the current process; 0: none started yet
     std::unique_ptr<Replica> replica;
   };
 
--- a/tests/replication_test.cpp
+++ b/tests/replication_test.cpp
@@ -87,7 +87,7 @@
   }
 }
 
-// Records requests and counts changed rows; its physical clock stands still.
+// Records requests and counts changed rows; its physical clock is constant.
 struct RecordingEnvironment : Environment {
   void send(const OutgoingRequest& request) override { sent.push_back(request); }
   void onRowChanged(const Row&) override { ++changes; }
@@ -143,8 +143,8 @@
   }
 }
 
-// Guards against a live process that is taken for dead, and against stale, foreign or far-ahead input being
-// merged.
+// Guards against a live process being marked dead, and against merging messages from superseded processes or
+// other fleets, or rows whose timestamp is too far ahead.
 TEST(Replica, RefutationRaisesIncarnationAndStaleProcessesAreRejected) {
   RecordingEnvironment environment;
   Replica copy = startedReplica(environment);
