--- a/src/leader_election/election_types.hpp
+++ b/src/leader_election/election_types.hpp
@@ -22,8 +22,8 @@
   Time ttlMs = 10000;
   /// The store refuses to grant a lock for this long after the session of its owner ended.
   Time lockDelayMs = 1000;
-  /// Time-out of a call that does not block. The election assumes that a call takes effect within
-  /// this time or never.
+  /// Time-out of a call that does not block. The election assumes that a call takes effect within this
+  /// time or never.
   Time callTimeoutMs = 1000;
   /// Time for which a blocking read waits for a change.
   Time blockingReadMs = 30000;
@@ -158,12 +158,13 @@
 /// Counters of the election since the start of the process.
 struct ElectionCounts {
   std::uint64_t leadershipsAcquired = 0;  ///< times this process became the leader
-  std::uint64_t locksLost = 0;            ///< leaderships that ended with the loss of the lock or the session
-  std::uint64_t leasesExpired = 0;        ///< leaderships that ended with the expiry of the lease
-  std::uint64_t steppedDown = 0;          ///< leaderships that ended by `stepDown`
-  std::uint64_t recordsWritten = 0;       ///< writes of a record that the store confirmed, without claims
-  std::uint64_t fenceRejections =
-      0;  ///< those ended by the fencing check or by a registration with a higher token
+  /// Leaderships that ended with the loss of the lock or the session, or by the fencing check before a write.
+  std::uint64_t locksLost = 0;
+  std::uint64_t leasesExpired = 0;   ///< leaderships that ended with the expiry of the lease
+  std::uint64_t steppedDown = 0;     ///< leaderships that ended by `stepDown`
+  std::uint64_t recordsWritten = 0;  ///< writes of a record that the store confirmed, without claims
+  /// Leaderships that ended by the fencing check before a write or by a registration with a higher token.
+  std::uint64_t fenceRejections = 0;
   std::uint64_t renewalsFailed = 0;
   std::uint64_t callsFailed = 0;  ///< calls without a usable response
   std::uint64_t sessionsLost = 0;
--- a/src/leader_election/leadership.cpp
+++ b/src/leader_election/leadership.cpp
@@ -226,7 +226,7 @@
     ++context_.counts.fenceRejections;
     acceptRecord(now, record);
     return loseLock(now,
-                    "fencing check failed before a write: lock or record belongs to another leader; the "
+                    "fencing check failed before a write: lock not owned, or record of another leader; the "
                     "record has token " +
                         std::to_string(record.token));
   }
--- a/src/leader_election/store_session.hpp
+++ b/src/leader_election/store_session.hpp
@@ -46,8 +46,8 @@
   /// Returns whether no write of the registration is in flight or, with a session, pending.
   [[nodiscard]] bool isRegistrationSettled() const;
 
-  /// Ends a session whose lease has expired and stops renewing it. Otherwise, if renewals
-  /// reach the store but their replies are lost, a process that may not act would own the lock indefinitely.
+  /// Ends a session whose lease has expired and stops renewing it. Otherwise, if renewals reach the
+  /// store but their replies are lost, a process that may not act would own the lock indefinitely.
   void abandon(Time now);
   /// Sends the call that ends the session.
   void end(Time now);
--- a/src/replication/records.hpp
+++ b/src/replication/records.hpp
@@ -12,8 +12,8 @@
 /// Milliseconds of a monotonic clock.
 using Time = double;
 
-/// The SWIM state of a member. The values are part of the wire format; among records of the
-/// same incarnation, the one with the larger value wins.
+/// The SWIM state of a member. The values are part of the wire format; among records of the same
+/// incarnation, the one with the larger value wins.
 enum class MemberState : unsigned { alive, suspect, dead, left };
 
 /// Returns the name of the state in logs, metrics and operator responses.
--- a/src/replication/replica.hpp
+++ b/src/replication/replica.hpp
@@ -1,7 +1,7 @@
 /// A gatekeeper's copy of the replicated state of the fleet: SWIM membership and last-writer-wins tables,
 /// disseminated by gossip and repaired by anti-entropy. A state machine without I/O: its inputs are events
-/// and monotonic time, its outputs are requests and merged rows. The values of rows are opaque to
-/// it. `docs/design.md` lists its limits.
+/// and monotonic time, its outputs are requests and merged rows. The values of rows are opaque to it.
+/// `docs/design.md` lists its limits.
 #pragma once
 
 #include <cstdint>
--- a/src/replication/replica_report.hpp
+++ b/src/replication/replica_report.hpp
@@ -1,5 +1,4 @@
-/// Text of the replica's metrics and operator responses. The wording is an interface for
-/// operators.
+/// Text of the replica's metrics and operator responses. Its format is an interface for operators.
 #pragma once
 
 #include <cstdint>
