--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -1,3 +1,4 @@
+// Implementation of reading the configuration file and the environment variables.
 #include "config/config.hpp"
 
 #include <algorithm>
@@ -31,7 +32,7 @@
   int descriptor = -1;
   const auto [end, error] = std::from_chars(digits.data(), digits.data() + digits.size(), descriptor);
   if (error != std::errc() || end != digits.data() + digits.size() || descriptor < 0)
-    throw ConfigError("BALANCER_ACCEPT_FD is not a file descriptor");
+    throw ConfigError("BALANCER_ACCEPT_FD is not a file descriptor (an integer of at least 0)");
   return descriptor;
 }
 
@@ -55,7 +56,7 @@
 void requireNoKeyRemoved(const Config& before, const Config& after) {
   for (const std::string& key : before.keys)
     if (!std::binary_search(after.keys.begin(), after.keys.end(), key))
-      throw ConfigError(key.substr(1) + " is missing");
+      throw ConfigError(key.substr(1) + " is missing; a reload must not remove a key");
 }
 
 Config rereadConfig(const Config& before) {
--- a/src/config/config.hpp
+++ b/src/config/config.hpp
@@ -25,9 +25,9 @@
 
 /// Replication of state between gatekeepers; the section `replica` of the file.
 struct ReplicationConfig {
-  boost::asio::ip::tcp::endpoint listen;
-  std::string advertise;           ///< host:port at which the other gatekeepers reach `listen`
-  std::string fleet = "wingslip";  ///< name of the fleet; messages of another fleet are ignored
+  boost::asio::ip::tcp::endpoint listen;  ///< address for the other gatekeepers
+  std::string advertise;                  ///< host:port at which the other gatekeepers reach `listen`
+  std::string fleet = "wingslip";         ///< name of the fleet; messages of another fleet are ignored
   /// Some of the other gatekeepers, name to host:port, through which all of them are discovered.
   std::map<std::string, std::string> peers;
   double probeEveryMs = 1000;    ///< interval of failure detection probes, ms
@@ -59,9 +59,9 @@
   std::vector<std::string> keys;
 };
 
-/// Thrown for an invalid configuration. `what()` is one line that names the key. Malformed addresses and
-/// settings are reported by the exceptions of `parseEndpoint` and by `settings::SettingsError` instead, which
-/// do not name the key.
+/// Thrown for an invalid configuration. `what()` is one line that names the key, if the error concerns one.
+/// Malformed addresses and settings are reported by the exceptions of `parseEndpoint`, which do not name the
+/// key, and by `settings::SettingsError` instead.
 struct ConfigError : std::runtime_error {
   explicit ConfigError(const std::string& what) : std::runtime_error("configuration: " + what) {}
 };
--- a/src/config/config_json.cpp
+++ b/src/config/config_json.cpp
@@ -1,3 +1,4 @@
+// Implementation of the conversion of the configuration file's JSON.
 #include "config/config_json.hpp"
 
 #include <algorithm>
@@ -12,9 +13,9 @@
 
 using nlohmann::json;
 
-constexpr unsigned kMinSockets = 64;
-constexpr double kMaxSockets = 1e6;
-constexpr double kMaxMemoryMb = 1024 * 1024;  // 1 TiB; a larger limit is lowered to it
+constexpr unsigned kMinFileDescriptors = 64;
+constexpr double kMaxFileDescriptors = 1e6;
+constexpr double kMaxMemoryMib = 1024 * 1024;  // 1 TiB; a larger limit is lowered to it
 
 /// Formats a value as the right side of a `path=value` line: replaces separators of lines and words by '_'.
 std::string toWord(const json& value) {
@@ -45,33 +46,36 @@
   std::uint64_t seed = 0;
   const char* const textEnd = text.data() + text.size();
   const auto [end, error] = std::from_chars(text.data(), textEnd, seed, 16);
-  if (error != std::errc() || end != textEnd) throw ConfigError("seed is not a hexadecimal number");
+  if (error != std::errc() || end != textEnd)
+    throw ConfigError("seed is not a hexadecimal number of at most 64 bits");
   return seed;
 }
 
 std::string readText(const json& file, const char* key) {
   const auto found = file.find(key);
-  if (found == file.end() || !found->is_string()) throw ConfigError(std::string(key) + " is missing");
+  if (found == file.end() || !found->is_string())
+    throw ConfigError(std::string(key) + " is missing or not a string");
   return found->get<std::string>();
 }
 
-unsigned readSockets(const json& file) {
+unsigned readMaxFileDescriptors(const json& file) {
   const json::json_pointer path("/limits/sockets");
   if (!file.contains(path)) return Config{}.maxFileDescriptors;
   const json& value = file.at(path);
-  if (!value.is_number() || value.get<double>() < kMinSockets)
-    throw ConfigError("limits.sockets is not a number of at least " + std::to_string(kMinSockets));
-  return static_cast<unsigned>(std::min(value.get<double>(), kMaxSockets));
+  if (!value.is_number() || value.get<double>() < kMinFileDescriptors)
+    throw ConfigError("limits.sockets is not a number of at least " + std::to_string(kMinFileDescriptors));
+  return static_cast<unsigned>(std::min(value.get<double>(), kMaxFileDescriptors));
 }
 
-/// Whether the limit is large enough is checked when the process starts, where the shares of it are known.
-double readMemoryMb(const json& file) {
+/// Whether the limit is large enough is checked when the process starts, where the processes and files that
+/// share it are known.
+double readMemoryLimitMib(const json& file) {
   const json::json_pointer path("/limits/memory_mb");
   if (!file.contains(path)) return Config{}.memoryLimitMib;
   const json& value = file.at(path);
   if (!value.is_number() || !(value.get<double>() > 0))
     throw ConfigError("limits.memory_mb is not a number above 0");
-  return std::min(value.get<double>(), kMaxMemoryMb);
+  return std::min(value.get<double>(), kMaxMemoryMib);
 }
 
 std::set<std::string> keysOf(const json& value, const std::string& path);
@@ -118,14 +122,14 @@
 void requireText(const json& settings, const std::string& parent, const std::string& key) {
   const json::json_pointer pointer(parent + "/" + key);
   if (!settings.contains(pointer) || !settings.at(pointer).is_string())
-    throw ConfigError("settings" + parent + " has no " + key);
+    throw ConfigError("settings" + parent + " has no string " + key);
 }
 
 /// Checks the settings that the handling of every request needs. A file without them is rejected.
 void checkSettings(const json& settings) {
   requireAboveZero(settings, "/permissions/attemptsCap");
   if (!settings.contains("profiles") || !settings["profiles"].is_array() || settings["profiles"].empty())
-    throw ConfigError("settings/profiles is missing");
+    throw ConfigError("settings/profiles is not a list with at least one profile");
   std::set<std::string> names;
   for (std::size_t i = 0; i < settings["profiles"].size(); ++i) {
     const std::string path = "/profiles/" + std::to_string(i);
@@ -156,10 +160,11 @@
   out.discovery = parseEndpoint(readText(file, "discovery"));
   if (file.contains("ops") && !file["ops"].is_null()) out.ops = parseEndpoint(readText(file, "ops"));
   if (file.contains("seed")) out.seed = parseSeed(readText(file, "seed"));
-  out.maxFileDescriptors = readSockets(file);
-  out.memoryLimitMib = readMemoryMb(file);
+  out.maxFileDescriptors = readMaxFileDescriptors(file);
+  out.memoryLimitMib = readMemoryLimitMib(file);
   if (file.contains("known")) out.initialEndpointList = file["known"].dump();
-  if (!file.contains("settings") || !file["settings"].is_object()) throw ConfigError("settings is missing");
+  if (!file.contains("settings") || !file["settings"].is_object())
+    throw ConfigError("settings is missing or not an object");
   checkSettings(file["settings"]);
   out.coordination = readCoordination(file);
   out.replication = readReplication(file, out.name);
--- a/src/config/config_sections.cpp
+++ b/src/config/config_sections.cpp
@@ -1,3 +1,4 @@
+// Implementation of reading the optional sections of the configuration file.
 #include "config/config_sections.hpp"
 
 #include <algorithm>
@@ -111,7 +112,8 @@
   section.requireKnownKeys({"store", "prefix", "ttl_ms", "lock_delay_ms"});
   CoordinationConfig out;
   const auto store = found->find("store");
-  if (store == found->end() || !store->is_string()) throw ConfigError("coordination.store is missing");
+  if (store == found->end() || !store->is_string())
+    throw ConfigError("coordination.store is missing or not a string");
   out.store = parseEndpoint(store->get<std::string>());
   if (out.store.port() == 0) throw ConfigError("coordination.store has no port");
   out.prefix = readPrefix(*found);
--- a/src/endpoint_watch/endpoint_list.cpp
+++ b/src/endpoint_watch/endpoint_list.cpp
@@ -1,3 +1,4 @@
+// Implementation of the parsing and merging of endpoint lists.
 #include "endpoint_watch/endpoint_list.hpp"
 
 #include <cstddef>
--- a/src/endpoint_watch/endpoint_list.hpp
+++ b/src/endpoint_watch/endpoint_list.hpp
@@ -1,4 +1,5 @@
-/// The endpoint list: the workers of the fleet, as service discovery reports them. Parsing, merging; no I/O.
+/// The endpoint list: the workers of the fleet, as service discovery reports them. Parses and merges lists;
+/// performs no I/O.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
--- a/src/endpoint_watch/endpoint_list_history.cpp
+++ b/src/endpoint_watch/endpoint_list_history.cpp
@@ -1,3 +1,4 @@
+// Implementation of the handling of outdated endpoint lists.
 #include "endpoint_watch/endpoint_list_history.hpp"
 
 #include <algorithm>
--- a/src/endpoint_watch/endpoint_list_history.hpp
+++ b/src/endpoint_watch/endpoint_list_history.hpp
@@ -24,7 +24,7 @@
 
   /// The generation from which changes are to be requested; below 0: a snapshot is to be requested.
   long long requestGeneration() const { return requestGeneration_; }
-  /// The next request will be for a snapshot, because the list that was received is outdated or malformed.
+  /// Makes the next request one for a snapshot; to be called if a received list is outdated or malformed.
   void requestSnapshot() { requestGeneration_ = -1; }
   /// Records a list that was received. In an outdated snapshot that is accepted, sets the workers that are
   /// known to be retired to draining.
--- a/src/endpoint_watch/endpoint_watch.cpp
+++ b/src/endpoint_watch/endpoint_watch.cpp
@@ -1,3 +1,4 @@
+// Implementation of the state machine of the watch.
 #include "endpoint_watch/endpoint_watch.hpp"
 
 namespace wingslip {
@@ -5,19 +6,19 @@
 
 using Time = EndpointWatch::Time;
 
-// Heartbeats arrive every 2 s, so one may be 0.4 s late. The drain grace starts when an agent responds
-// again after an outage, so that a longer silence timeout would use it up.
+// Heartbeats arrive every 2 s, so one may be 0.4 s late. After an outage, the drain grace starts as soon as
+// the agent responds again; with a longer timeout it could end before the connection's silence is detected.
 constexpr Time kSilenceTimeoutMs = 2400;
 
 // Shares of the drain grace: one half for a connect that is not answered, 1.5 times one eighth for the
 // longest backoff delay, and the remainder for the request that then succeeds.
 constexpr double kAnswerTimeoutShare = 0.5;
 constexpr double kMaxBackoffShare = 0.125;
-constexpr Time kDefaultDrainGraceMs = 2000;  // if not set; also the maximum
+constexpr Time kDefaultDrainGraceMs = 2000;  // used if the settings have none; also the maximum
 constexpr Time kMinDrainGraceMs = 400;
 constexpr Time kFirstBackoffMs = 50;
 
-// A discovery service at its capacity serves some 20 requests per second, and drops a request after 2 s.
+// A discovery service at its capacity serves about 20 requests per second, and drops a request after 2 s.
 constexpr Time kRejectedAnswerTimeoutMs = 2500;
 constexpr Time kMinRejectedMaxBackoffMs = 1000;
 constexpr Time kRejectedFirstBackoffPerGatekeeperMs = 20;
@@ -94,8 +95,8 @@
 EndpointWatch::Action EndpointWatch::backOff(Time now) {
   if (state_ == State::stopped || state_ == State::backingOff) return Action::none;
   const RetryPolicy& policy = retryPolicy();
-  // After a watch that lasted, the backoff starts over with the shortest delay; after one that was lost
-  // immediately, the delay increases further.
+  // After a watch that lasted longer than the maximum mean delay, the backoff starts over with the shortest
+  // delay; after a shorter one, the delay increases further.
   const bool lasted = state_ == State::watching && now - watchingSince_ > policy.maxBackoffMs;
   if (lasted) meanBackoffMs_ = 0;
   meanBackoffMs_ =
--- a/src/endpoint_watch/endpoint_watch.hpp
+++ b/src/endpoint_watch/endpoint_watch.hpp
@@ -36,13 +36,13 @@
   /// Timeouts and backoff of the watch.
   struct Limits {
     Time silenceTimeoutMs = 2400;          ///< longest time between messages, heartbeats included
-    RetryPolicy normal{1000, 50, 250};     ///< used with an agent that serves only this gatekeeper
+    RetryPolicy normal{1000, 50, 250};     ///< unless rejected; for an agent that serves only this gatekeeper
     RetryPolicy rejected{2500, 50, 1000};  ///< after a rejection: discovery serves many gatekeepers
     Time maxRejectedIntervalMs = 6500;     ///< longest time between connects after a rejection
   };
 
   /// The limits that let changes of the list be received within the drain grace.
-  /// @param drainGraceMs how long a draining worker may still be sent requests by the settings; 0: not set
+  /// @param drainGraceMs how long the settings allow sending requests to a draining worker; 0: not set
   /// @param gatekeepers number of gatekeepers that may connect to the same discovery service simultaneously
   static Limits limitsFor(Time drainGraceMs, unsigned gatekeepers);
 
@@ -59,7 +59,7 @@
   /// @param seed seed of the random backoff delays
   EndpointWatch(const Limits& limits, std::uint64_t seed) : limits_(limits), random_(seed) {}
 
-  /// Applies from the next timeout or delay that is scheduled.
+  /// Replaces the limits; they apply from the next timeout or delay that is scheduled.
   void setLimits(const Limits& limits) { limits_ = limits; }
 
   /// Starts the watch, or restarts it at another address, discarding earlier failures and rejections.
--- a/src/endpoint_watch/json_object_framer.cpp
+++ b/src/endpoint_watch/json_object_framer.cpp
@@ -1,3 +1,4 @@
+// Implementation of the framing of JSON objects.
 #include "endpoint_watch/json_object_framer.hpp"
 
 #include <algorithm>
--- a/src/endpoint_watch/json_object_framer.hpp
+++ b/src/endpoint_watch/json_object_framer.hpp
@@ -13,7 +13,7 @@
 class JsonObjectFramer {
  public:
   /// Returns the next complete object of `buffer`, or nullopt if it is incomplete.
-  /// @param buffer all bytes of the stream but those that `takeConsumed` reported
+  /// @param buffer all bytes of the stream except those that `takeConsumed` reported
   /// @throws EndpointListError on a character other than white space or '{' between objects
   std::optional<std::string_view> next(std::string_view buffer);
   /// Number of line ends between objects since the last call.
--- a/src/endpoint_watch/start_times.cpp
+++ b/src/endpoint_watch/start_times.cpp
@@ -1,3 +1,4 @@
+// Implementation of the conversion of start times.
 #include "endpoint_watch/start_times.hpp"
 
 #include <algorithm>
--- a/src/endpoint_watch/start_times.hpp
+++ b/src/endpoint_watch/start_times.hpp
@@ -28,7 +28,7 @@
 ///   slow start counts from when it was received. The estimate is used only to attribute connections to the
 ///   worker's processes, and reaches back at most `kMaxNotificationDelayMs`.
 /// - A start on the first list has the estimated age. If the wall clock was ahead when this process started,
-///   workers that started shortly before are taken for older than they are.
+///   workers that started shortly before are considered older than they are.
 /// - The same start of a worker always gives the same result, also after the estimate has changed.
 class StartTimes {
  public:
@@ -41,8 +41,8 @@
   /// @param clockOffsetMs the monotonic clock minus the wall clock, read when the process started
   explicit StartTimes(Time clockOffsetMs) : clockOffsetMs_(clockOffsetMs) {}
 
-  /// Corrects the clock offset by an entry's start time; to be called for all entries of a list before
-  /// `startOf`.
+  /// Lowers the clock offset if it places an entry's start time in the future; to be called for all entries
+  /// of a list before `startOf`.
   /// @param startedAtMs Unix time in ms; 0: long ago
   /// @param receivedAt when the list was received, on the monotonic clock
   void correctClockOffset(double startedAtMs, Time receivedAt);
--- a/src/invariant/monitor.cpp
+++ b/src/invariant/monitor.cpp
@@ -14,10 +14,11 @@
 using decision::WorkerId;
 using decision::WorkerPhase;
 
-// Tolerance for the calls of a worker in slow start: in standard deviations, and added again as calls.
+// Tolerance for the number of calls to a worker in slow start: this many standard deviations, plus the same
+// number of calls.
 constexpr double kToleranceDeviations = 2;
 constexpr double kToleranceDeviationsOfFewCalls = 3;
-constexpr double kFewCalls = 30;
+constexpr double kFewCalls = 30;  // expected calls below which the larger tolerance applies
 
 RequestState stateOf(AttemptResult result) {
   switch (result) {
@@ -118,9 +119,9 @@
 
 void Monitor::checkRetry(const RequestTrace& trace, Time now) {
   if (trace.attemptsSent_ >= trace.maxAttempts)
-    violated(
-        Invariant::attemptsPastCap, now, trace,
-        "attempt " + std::to_string(trace.attemptsSent_ + 1) + " of " + std::to_string(trace.maxAttempts));
+    violated(Invariant::attemptsPastCap, now, trace,
+             "attempt " + std::to_string(trace.attemptsSent_ + 1) + " of at most " +
+                 std::to_string(trace.maxAttempts));
   if (trace.idempotency == Idempotency::idempotent) return;
   if (trace.attemptInFlight_) violated(Invariant::concurrentAttempts, now, trace, "");
   if (!trace.mayHaveRunSince_) return;
--- a/src/invariant/monitor.hpp
+++ b/src/invariant/monitor.hpp
@@ -68,7 +68,8 @@
   void requestReceived(RequestTrace& trace, Time now);
   /// Records that an attempt waits for its connection.
   void attemptConnecting(RequestTrace& trace, decision::WorkerId worker, Time now);
-  /// Records that the first byte of an attempt is about to be written, and checks every rule of sending.
+  /// Records that the first byte of an attempt is about to be written, and checks the invariants of
+  /// sending.
   /// @param timeoutMs the timeout that is sent to the worker
   void attemptSending(RequestTrace& trace, decision::WorkerId worker, Time now, Time timeoutMs);
   /// Records the end of the attempt that was sent last, or of one that was never sent.
@@ -84,7 +85,7 @@
   void requestReleased(RequestTrace& trace, Time now);
 
   // --- Connections and accounts ---
-  /// Counts a violation of the invariant of this name.
+  /// Counts a violation of `Invariant::connectionClosedUnanswered`.
   /// @param reason why the connection was closed, for the log
   void connectionClosedUnanswered(const std::string& reason, Time now);
   /// To be called when no work is in progress.
--- a/src/invariant/request_trace.hpp
+++ b/src/invariant/request_trace.hpp
@@ -14,7 +14,7 @@
 
 using decision::Time;
 
-/// A step in the processing of a request.
+/// A state in the processing of a request; `ended...` is the outcome of an attempt.
 enum class RequestState : std::uint8_t {
   received,
   connecting,  ///< an attempt waits for its connection to be established
--- a/src/net/durable_file.hpp
+++ b/src/net/durable_file.hpp
@@ -28,11 +28,12 @@
 /// exist, any other error of the system, or none on success
 std::error_code readFile(const std::string& path, std::size_t maxBytes, std::string& bytes);
 
-/// An exclusive lock between the processes that share a directory, for a read and replacement of a file.
-/// Released on destruction. The constructor blocks for at most about 20 ms, because the process that has the
-/// lock may be stopped.
+/// An exclusive lock between the processes that share a directory, held while one of them reads and replaces
+/// a file. Released on destruction. The constructor blocks for at most about 20 ms, because the process that
+/// has the lock may be stopped.
 class FileLock {
  public:
+  /// @param path the lock file, created if it does not exist; not the file to be replaced
   explicit FileLock(const std::string& path);
   ~FileLock();
   FileLock(const FileLock&) = delete;
--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -14,7 +14,7 @@
 
 using asio::ip::tcp;
 
-constexpr std::size_t kCallBytes = 8 * 1024;  // charged for a call besides its request and its response body
+constexpr std::size_t kCallBytes = 8 * 1024;  // memory of a call without its request and its response body
 
 }  // namespace
 
--- a/src/net/http_client.hpp
+++ b/src/net/http_client.hpp
@@ -1,6 +1,6 @@
 /// HTTP/1.1 client for the coordination store and other gatekeepers. Each call opens a connection of its own;
-/// the number of calls, their bytes and their time are limited, and their memory is charged to the memory
-/// budget.
+/// the number of calls, their bytes and their time are limited, and their memory is charged to the account
+/// `discovery` of the memory budget.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -26,7 +26,7 @@
   /// Resource limits of a client.
   struct Limits {
     std::size_t maxCalls = 8;                         ///< concurrent calls; further calls fail
-    std::size_t maxBodyBytes = std::size_t{2} << 20;  ///< of one response
+    std::size_t maxBodyBytes = std::size_t{2} << 20;  ///< limit on the body of a response
     std::size_t memoryPerBodyByte = 8;                ///< bytes charged per byte of a response body
   };
   /// Receives the outcome of a call. `response` is null if the call failed; `error` is then the reason as
@@ -39,7 +39,8 @@
   HttpClient(const HttpClient&) = delete;
   HttpClient& operator=(const HttpClient&) = delete;
 
-  /// Starts a call. The `CallDone` handler is invoked exactly once, never from within this function.
+  /// Starts a call. The `CallDone` handler is invoked exactly once unless the call is cancelled or the client
+  /// is destroyed before, and never from within this function.
   /// @param id chosen by the caller; must not be the id of a call in flight
   /// @param timeout limits the time from connecting to the end of the response
   void call(std::uint64_t id, const boost::asio::ip::tcp::endpoint& to, Request&& request,
--- a/src/net/listener.hpp
+++ b/src/net/listener.hpp
@@ -10,8 +10,9 @@
 /// memory and may succeed later.
 bool isShortage(const boost::system::error_code& error);
 
-/// Opens and binds the acceptor and starts to listen. Retries for up to 5 s while the error is an
-/// `isShortage`, blocking the calling thread, which is acceptable because nothing is served yet.
+/// Opens and binds the acceptor and starts to listen. Retries for up to 5 s while the error is a
+/// shortage (see `isShortage`), blocking the calling thread, which is acceptable because nothing is served
+/// yet.
 /// @throws boost::system::system_error if the socket cannot be opened, bound or listened on.
 void openListener(boost::asio::ip::tcp::acceptor& acceptor, const boost::asio::ip::tcp::endpoint& at);
 
--- a/src/net/operator_response.hpp
+++ b/src/net/operator_response.hpp
@@ -7,10 +7,11 @@
 
 namespace wingslip {
 
-/// Collects as many lines as fit; the text ends with the number of omitted lines, if any, and a line `EOF`.
+/// Collects lines up to a total of `kMaxBytes`; the text ends with the number of omitted lines, if any, and a
+/// line `EOF`.
 class OperatorResponse {
  public:
-  static constexpr std::size_t kMaxBytes = 256 * 1024;  // 1,024 lines with the longest names
+  static constexpr std::size_t kMaxBytes = 256 * 1024;  // holds 1,024 lines with the longest names
 
   explicit OperatorResponse(std::string firstLine) : text_(std::move(firstLine)) { text_ += '\n'; }
 
--- a/src/net/overload_manager.cpp
+++ b/src/net/overload_manager.cpp
@@ -17,10 +17,11 @@
 
 constexpr double kLagIntervalMs = 10;           // minimum time between two lag samples
 constexpr auto kOverloadTickInterval = 50ms;    // timer interval during an overload
-constexpr auto kPeerCheckTickInterval = 250ms;  // timer interval while reads are only paused or watched
+constexpr auto kPeerCheckTickInterval = 250ms;  // timer interval for paused or watched reads, no overload
 constexpr double kPeerCheckIntervalMs = 250;
-constexpr std::size_t kMaxFailedResumes = 4;  // per account and pass
-constexpr double kMinUsageForResume = 0.5;    // below this usage share no connection waits for memory
+// Reads of an account for which memory may be insufficient before a pass over its paused reads ends.
+constexpr std::size_t kMaxFailedResumes = 4;
+constexpr double kMinUsageForResume = 0.5;  // below this usage share no connection waits for memory
 
 std::uint64_t metricValueOf(OverloadLevel level) { return static_cast<std::uint64_t>(level); }
 
--- a/src/net/overload_manager.hpp
+++ b/src/net/overload_manager.hpp
@@ -54,7 +54,8 @@
   };
 
   /// @param io must outlive this object
-  /// @param shares the size of the memory budget
+  /// @param shares the sizes of the memory budget and of its reserves
+  /// @param limits the overload thresholds and the watermarks of the memory budget
   OverloadManager(boost::asio::io_context& io, const MemoryBudget::Shares& shares,
                   const OverloadState::Limits& limits);
   ~OverloadManager();
@@ -66,7 +67,7 @@
   const OverloadState& state() const { return state_; }
   static double now();  ///< milliseconds of std::chrono::steady_clock
 
-  /// Sets the callbacks. Descriptor usage is not evaluated before.
+  /// Sets the callbacks. Descriptor usage is not evaluated until then.
   void start(DescriptorUsage descriptorUsage, OnChange onChange);
   /// Replaces the overload thresholds; the memory budget's watermarks stay unchanged.
   void setLimits(const OverloadState::Limits& limits) { state_.setLimits(limits); }
--- a/src/net/tcp_state.hpp
+++ b/src/net/tcp_state.hpp
@@ -1,4 +1,4 @@
-/// Queries of the kernel's state of TCP sockets that read no data from them.
+/// Queries the kernel for the state of TCP sockets, without reading data from them.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -7,10 +7,11 @@
 
 namespace wingslip {
 
-/// @return whether the peer has closed or reset the connection; false if the socket is not open.
+/// @return whether the peer has closed or reset the connection; false if the socket is not open or the kernel
+/// does not report its state. A connection that this side has shut down also counts as closed.
 bool hasPeerClosed(boost::asio::ip::tcp::socket& socket);
-/// @return whether the peer has finished sending or closed the connection, even if received bytes are still
-/// unread.
+/// @return whether the peer has finished sending, or the connection is closed or has failed, even if received
+/// bytes are still unread.
 bool hasPeerFinishedSending(boost::asio::ip::tcp::socket& socket);
 /// @return the time since the peer's last bytes arrived, read or unread; 0 if the kernel does not report it.
 std::chrono::milliseconds timeSinceLastData(boost::asio::ip::tcp::socket& socket);
--- a/src/overload/memory_budget.cpp
+++ b/src/overload/memory_budget.cpp
@@ -13,7 +13,7 @@
 constexpr std::size_t kProcessBytes = 12 * kMiB;
 // The exclusions file, at most 1 MiB, and its temporary copy.
 constexpr std::size_t kStateFileBytes = 2 * kMiB;
-constexpr std::size_t kMinBudgetBytes = kMiB;       // enough for fewer than 100 idle connections
+constexpr std::size_t kMinBudgetBytes = kMiB;       // holds fewer than 100 idle connections
 constexpr double kUsableShare = 0.75;               // allocator and kernel overhead take the remainder
 constexpr std::size_t kOperatorBytes = 192 * 1024;  // 16 operator connections with their responses
 
--- a/src/overload/memory_budget.hpp
+++ b/src/overload/memory_budget.hpp
@@ -10,7 +10,7 @@
 
 namespace wingslip {
 
-/// The side of the gatekeeper for which memory is charged.
+/// The kind of peer for which memory is charged. `discovery` includes calls of the `HttpClient`.
 enum class Account : unsigned { clients, workers, discovery, operators };
 constexpr std::size_t kAccounts = 4;
 /// Account names as they appear in the `svc.memory` metrics, in the order of `Account`.
@@ -123,7 +123,7 @@
   std::function<void()> onFreed_;
 };
 
-/// The memory limit of the gatekeeper and what shares it.
+/// The memory limit of the gatekeeper, and the processes and files that share it.
 struct MemoryLimit {
   std::size_t bytes = 0;      ///< of all processes together
   bool twoProcesses = false;  ///< a handover's two processes share the limit
--- a/src/overload/overload_state.cpp
+++ b/src/overload/overload_state.cpp
@@ -16,7 +16,7 @@
 constexpr double kRejectShareStep = 0.1;        // per interval
 // Below 1, so that some requests are admitted and show the end of the overload.
 constexpr double kMaxRejectShare = 0.9;
-constexpr double kNewestDurationWeight = 0.3;
+constexpr double kNewestDurationWeight = 0.3;  // of the last overload in the moving average of durations
 
 }  // namespace
 
@@ -59,14 +59,14 @@
     loop.level = OverloadLevel::throttling;
   else
     loop.level = OverloadLevel::none;
-  updateOverall(now);
+  updateLevelAndRejectShare(now);
 }
 
 // The event loop's level changes only with samples: elapsed time alone gives no information about it.
 void OverloadState::onTime(Time now) {
   updateUsageLevel(now, signal(OverloadSource::memory));
   updateUsageLevel(now, signal(OverloadSource::descriptors));
-  updateOverall(now);
+  updateLevelAndRejectShare(now);
 }
 
 void OverloadState::updateUsageLevel(Time now, Signal& usage) const {
@@ -79,7 +79,7 @@
     usage.level = OverloadLevel::throttling;
 }
 
-void OverloadState::updateOverall(Time now) {
+void OverloadState::updateLevelAndRejectShare(Time now) {
   updateLevel(now);
   updateRejectShare(now);
 }
--- a/src/overload/overload_state.hpp
+++ b/src/overload/overload_state.hpp
@@ -8,9 +8,10 @@
 
 namespace wingslip {
 
-/// Degree of overload. At `throttling`, request bodies are not read ahead and the decision module rejects
-/// requests that are large or exceed their customer's quota. At `shedding`, a share of all requests is
-/// rejected in addition.
+/// Degree of overload. From `throttling` on, the decision module rejects requests that exceed their
+/// customer's quota; if memory is overloaded, it also rejects large requests, and request bodies are not read
+/// ahead. In addition, `shedding` of memory ends requests in flight, and `shedding` of the event loop rejects
+/// a share of new requests.
 enum class OverloadLevel : unsigned { none, throttling, shedding };
 constexpr std::size_t kOverloadLevels = 3;
 /// A resource whose use can cause an overload.
@@ -33,8 +34,10 @@
   struct Limits {
     Watermarks memory;
     Watermarks descriptors{0.9, 0.75};  ///< idle connections do not count: they can be closed
-    Time intervalMs = 100;              ///< sustained excess after which shedding starts
-    Time targetDelayMs = 5;             ///< event loop delay that counts as late
+    /// Time at or above the threshold after which memory and descriptors are at `shedding`. The event loop is
+    /// at `throttling` after this time and at `shedding` after twice this time.
+    Time intervalMs = 100;
+    Time targetDelayMs = 5;  ///< event loop delay from which the event loop counts as late
   };
   /// @param minLatencyObjectiveMs the shortest latency objective of all request classes; clamped to a fixed
   /// range it becomes the interval
@@ -58,7 +61,7 @@
   /// @return whether there is no overload and the reject share has decayed to 0.
   bool isNormal() const { return level_ == OverloadLevel::none && rejectShare_ == 0; }
   /// @return the bytes above the low watermark that must be freed now, or 0 if memory is not at `shedding`.
-  /// Not 0 at most once per interval, because the memory of shed requests is freed with a delay.
+  /// Above 0 at most once per interval, because the memory of shed requests is freed with a delay.
   double takeExcessBytes(Time now);
   /// @return the share of new requests to reject (0 to below 1). It rises while the event loop is at
   /// `shedding` and falls afterwards.
@@ -71,6 +74,7 @@
   }
 
  private:
+  // State of one source. For the event loop, `aboveHigh` and `active` mean that the last sample was late.
   struct Signal {
     OverloadLevel level = OverloadLevel::none;
     Time aboveHighSince = 0;
@@ -80,7 +84,7 @@
   Signal& signal(OverloadSource source) { return signals_[static_cast<std::size_t>(source)]; }
   const Signal& signal(OverloadSource source) const { return signals_[static_cast<std::size_t>(source)]; }
   void updateUsageLevel(Time now, Signal& signal) const;
-  void updateOverall(Time now);
+  void updateLevelAndRejectShare(Time now);
   void updateLevel(Time now);
   void updateRejectShare(Time now);
 
--- a/src/overload/wait_queues.hpp
+++ b/src/overload/wait_queues.hpp
@@ -45,7 +45,7 @@
   /// The statistics of one queue.
   struct Statistics {
     std::size_t waiting = 0;       ///< present length
-    std::size_t peak = 0;          ///< greatest length so far
+    std::size_t peak = 0;          ///< greatest length so far; for `eventLoop` the greatest lag in ms
     Time oldestMs = 0;             ///< age of the oldest entry
     std::uint64_t rejections = 0;  ///< entries that were rejected for waiting here
   };
@@ -90,7 +90,8 @@
   bool isReported(WaitQueue queue) const { return record(queue).everEntered || record(queue).externalSource; }
 
   std::string telemetry(Time now) const;  ///< the `svc.wait` metrics, one per line
-  std::string logLine(Time now) const;    ///< key=value pairs of the queues with entries or rejections
+  /// @return a pair `wait.NAME=LENGTH/PEAK/OLDEST_MS/REJECTIONS` for each queue with entries or rejections.
+  std::string logLine(Time now) const;
 
  private:
   using Entries = boost::intrusive::list<QueueEntry, boost::intrusive::constant_time_size<false>>;
--- a/src/settings/key_values.hpp
+++ b/src/settings/key_values.hpp
@@ -10,7 +10,7 @@
 
 namespace wingslip::settings {
 
-/// Reason for which settings could not be read. `what()` is a single line of text.
+/// Thrown for settings that could not be read. `what()` is a single line of text.
 class SettingsError : public std::runtime_error {
  public:
   enum class Kind { missingEqualsSign, notANumber, outOfRange, notABoolean, unknownValue, tooManyItems };
--- a/src/settings/settings_reader.hpp
+++ b/src/settings/settings_reader.hpp
@@ -17,9 +17,9 @@
   std::vector<std::string> plans;
   std::vector<std::string> zones;
   std::vector<std::string> machineTypes;
-  /// Time-out for connecting to a worker.
+  /// Timeout for connecting to a worker, ms.
   decision::Time connectTimeoutMs = 250;
-  /// Idle time after which a worker closes a connection.
+  /// Idle time after which a worker closes a connection, ms.
   decision::Time workerIdleTimeoutMs = 30000;
 };
 
--- a/src/simulator_adapter/wire.cpp
+++ b/src/simulator_adapter/wire.cpp
@@ -166,9 +166,9 @@
   out.expiresAt = in.get<double>();
   out.units = in.get<float>();
   const float gateways = in.get<float>();
-  // 1 if it is out of range or not a number.
+  // A count that is out of range or not a number is replaced by 1.
   out.customerGatewayCount = gateways >= 1 && gateways < kMaxGateways ? static_cast<unsigned>(gateways) : 1;
-  in.skip<float>();          // first gateway of the customer's set
+  in.skip<float>();          // first gateway of the customer's subset
   in.skip<std::uint16_t>();  // state flags
   sink.onRequest(out);
 }
--- a/src/simulator_adapter/wire.hpp
+++ b/src/simulator_adapter/wire.hpp
@@ -26,7 +26,7 @@
 /// Header of a frame of events.
 struct FrameHeader {
   std::uint32_t number = 0;     ///< number of the frame, repeated in its reply
-  decision::Time clock = 0;     ///< time of all events of the frame
+  decision::Time clock = 0;     ///< time of all events of the frame, ms
   std::uint32_t sizeBytes = 0;  ///< size of the frame, including this header
   std::uint32_t records = 0;    ///< number of records in the body
 };
@@ -35,6 +35,7 @@
 class EventSink {
  public:
   virtual ~EventSink() = default;
+  /// Selects the instance that the following events are for.
   virtual void onInstance(unsigned number) = 0;
   /// Starts the instance, or restarts it, with these settings as `key=value` lines.
   virtual void onStart(std::uint64_t randomSeed, std::string_view settings) = 0;
--- a/tests/discovery_backoff_test.cpp
+++ b/tests/discovery_backoff_test.cpp
@@ -28,9 +28,9 @@
   }
 };
 
-// Guards against overload of a shared discovery service: a hundred gatekeepers that lose it together would
-// all reconnect within half a second, and then three times in two seconds, faster than it can serve them. The
-// backoff grows with the number of gatekeepers.
+// Guards against overload of a shared discovery service: a hundred gatekeepers that lose their
+// connections to it at the same time would all reconnect within half a second, and then three times in two
+// seconds, faster than it can serve them. The backoff grows with the number of gatekeepers.
 TEST_F(DiscoveryBackoff, BackoffAfterRejectionGrowsWithTheNumberOfGatekeepers) {
   EXPECT_GE(timeToFirstReconnect(100).count(), 900);
   EXPECT_GE(timeToFirstReconnect(3).count(), 20);
--- a/tests/endpoint_list_test.cpp
+++ b/tests/endpoint_list_test.cpp
@@ -95,7 +95,7 @@
   EndpointList second = list(2, false, retired);
   ASSERT_TRUE(history.accept(second));
   EndpointList old = list(1, true, {entry("a", "Ready"), entry("b", "Ready"), entry("w-0", "Ready")});
-  ASSERT_FALSE(history.accept(old));  // a snapshot is requested; the next list, as old, is that snapshot
+  ASSERT_FALSE(history.accept(old));  // rejected: a snapshot is requested, and the same list is then accepted
   ASSERT_TRUE(history.accept(old));
   EXPECT_EQ(old.entries[0].phase, decision::WorkerPhase::ready);
   EXPECT_EQ(old.entries[1].phase, decision::WorkerPhase::draining);
--- a/tests/endpoint_watch_test.cpp
+++ b/tests/endpoint_watch_test.cpp
@@ -138,7 +138,7 @@
           << "seed " << seed << " of " << gatekeepers << " at " << machine.now << ", drain grace from "
           << machine.graceStartsAt;
     }
-    // At most one connect per shortest delay; while the agent is silent, fewer than two per second.
+    // Fewer than five connects per second on average, and fewer than two while the agent is silent.
     EXPECT_LT(machine.connectTimes.size(), 60u * 5) << "seed " << seed;
   }
 }
@@ -302,7 +302,7 @@
       doneAt = fleet.now;
     }
     EXPECT_EQ(fleet.served, gatekeepers);
-    EXPECT_LT(doneAt, 50.0 * gatekeepers * 4) << gatekeepers;  // at least a quarter of its capacity
+    EXPECT_LT(doneAt, 50.0 * gatekeepers * 4) << gatekeepers;  // a quarter of the service's capacity
     const double connectsPerS = 1000.0 * (fleet.connects - connectsBefore) / (doneAt - 5000);
     EXPECT_LT(connectsPerS, 60.0) << gatekeepers;  // of all gatekeepers together
   }
--- a/tests/overload_manager_test.cpp
+++ b/tests/overload_manager_test.cpp
@@ -11,8 +11,8 @@
 
 class OverloadManagement : public OverloadFixture {};
 
-// Sends request bodies far larger than the budget that the worker does not read, and small requests all the
-// time. Guards against long bodies that use the memory which small requests need.
+// Sends small requests while the worker does not read long request bodies that are together far larger than
+// the budget. Guards against long bodies that use the memory which small requests need.
 TEST_F(OverloadManagement, SmallRequestsAreServedWhileLongBodiesExceedTheBudget) {
   json config = configuration();
   config["limits"]["memory_mb"] = 20;  // a budget of 6 MiB
@@ -46,8 +46,8 @@
   std::size_t sent = 0;
   for (const auto& sender : senders) sent += sender->bytesSent;
   EXPECT_GT(sent, 4 * memory().total());  // buffered in the kernel, not in the gatekeeper
-  const std::string figures = operatorCall("telemetry");
-  EXPECT_NE(figures.find("svc.memory.budget:" + std::to_string(memory().total()) + "|g\n"),
+  const std::string metrics = operatorCall("telemetry");
+  EXPECT_NE(metrics.find("svc.memory.budget:" + std::to_string(memory().total()) + "|g\n"),
             std::string::npos);
   for (const auto& sender : senders) sender->close();
   worker.peers.clear();
@@ -153,7 +153,7 @@
   for (int i = 0; i < 5; ++i) {
     const auto client = sendSmallRequest("00000000000000a1");
     if (i > 0) {
-      waitUntil([&] { return client->has("HTTP/1.1 429"); }, "a refusal");
+      waitUntil([&] { return client->has("HTTP/1.1 429"); }, "a rejection");
       continue;
     }
     workerConnection("00000000000000a1");  // uses the remaining memory
@@ -267,7 +267,7 @@
             "the processing of the latest list");
   EXPECT_NE(operatorCall("telemetry").find("svc.hosts_down:2|g\n"), std::string::npos);
   const auto client = sendSmallRequest("00000000000000a1");
-  waitUntil([&] { return client->has("HTTP/1.1 429"); }, "a refusal");
+  waitUntil([&] { return client->has("HTTP/1.1 429"); }, "a rejection");
   EXPECT_EQ(worker.count("Req-Id"), 0u);
 }
 
--- a/tests/overload_process_test.cpp
+++ b/tests/overload_process_test.cpp
@@ -15,7 +15,7 @@
 
 class OverloadedProcess : public OverloadFixture {};
 
-// Guards against a wait queue that the program neither enters nor reads.
+// Guards against a wait queue that the program never enters and that has no external source.
 TEST_F(OverloadedProcess, EveryWaitQueueIsReported) {
   startGatekeeper();
   waitUntil([&] { return !discovery.peers.empty() && discovery.peers[0]->has("\r\n\r\n"); }, "a watch");
--- a/tests/overload_state_test.cpp
+++ b/tests/overload_state_test.cpp
@@ -52,7 +52,8 @@
   EXPECT_EQ(overload.memory(0.6), OverloadLevel::shedding);
   EXPECT_EQ(overload.memory(0.5, 2000), OverloadLevel::none);
   EXPECT_EQ(overload.state.takeExcessBytes(overload.now), 0);
-  EXPECT_EQ(overload.memory(1), OverloadLevel::throttling);  // not urgent: reads are already refused
+  // A full budget alone does not cause shedding: it already refuses further charges.
+  EXPECT_EQ(overload.memory(1), OverloadLevel::throttling);
 }
 
 TEST(OverloadState, ABurstOrOneLongHandlerIsNoOverload) {
