--- a/tests/lab_test.cpp
+++ b/tests/lab_test.cpp
@@ -35,17 +35,18 @@
             "6:6: unknown fault explode");
   EXPECT_EQ(readError(fleet + "[[step]]\nat_s = 3\ndo = \"kill\"\ngatekeeper = 0\n[[step]]\nat_s = 2\ndo = "
                               "\"cont\"\ngatekeeper = 0\n"),
-            "9:8: at_s 2.000000 is before the step ahead of it");
+            "9:8: at_s 2.000000 is before the preceding step");
   EXPECT_EQ(readError("[load]\nrate = -5\n"), "2:8: rate is -5.000000, not within 0.000000 to 20000.000000");
   EXPECT_EQ(readError(fleet + "[[step]]\nat_s = 1\ndo = \"kill\"\ngatekeeper = 3\n"),
             "7:14: gatekeeper 3 does not exist (there are 3)");
-  EXPECT_EQ(readError(fleet + "[[step]]\nat_s = 1\ndo = \"cut\"\nzone = \"q\"\n"), "7:8: no such zone");
+  EXPECT_EQ(readError(fleet + "[[step]]\nat_s = 1\ndo = \"cut\"\nzone = \"q\"\n"),
+            "7:8: zone is not in fleet.zones");
   EXPECT_EQ(readError("[fleet\ngatekeepers = 3\n").substr(0, 12), "1:7: not TOM");
   EXPECT_EQ(readError("lenght_s = 3\n"), "1:12: unknown key lenght_s");
   EXPECT_EQ(readError("[[expect]]\nfate = \"served\"\n"), "1:1: an expectation needs min or max");
   const auto step = [&](const std::string& rest) { return readError(fleet + "[[step]]\nat_s = 1\n" + rest); };
-  EXPECT_EQ(step("do = \"cut\"\nlink = \"moon\"\n"), "7:8: link is one of discovery, peers, store");
-  EXPECT_EQ(step("do = \"hup\"\ngatekeeper = 0\npatch = \"[1\"\n"), "8:9: patch is no JSON object");
+  EXPECT_EQ(step("do = \"cut\"\nlink = \"moon\"\n"), "7:8: link must be one of discovery, peers, store");
+  EXPECT_EQ(step("do = \"hup\"\ngatekeeper = 0\npatch = \"[1\"\n"), "8:9: patch is not a JSON object");
   EXPECT_EQ(step("do = \"upgrade\"\ngatekeeper = 0\n"), "6:6: upgrade needs fleet.held_sockets = true");
   EXPECT_EQ(step("do = \"store_wipe\"\n"), "6:6: store_wipe needs a [store]");
   EXPECT_EQ(step("do = \"throttle\"\nlink = \"discovery\"\n"), "6:6: throttle needs bytes_per_s");
@@ -64,17 +65,18 @@
             "5:11: until_s is 3.000000, not within 4.000000 to 10.000000");
   EXPECT_EQ(idle("each = 5\nuntil_s = 11\n"), "4:11: until_s is 11.000000, not within 0.000000 to 10.000000");
   EXPECT_EQ(idle("each = 5\nrequest_share = 0.8\npart_share = 0.3\n"),
-            "2:1: request_share and part_share are more than 1 together");
+            "2:1: the sum of request_share and part_share is above 1");
   EXPECT_EQ(idle("each = 5\nconnects_per_s = 7000\n"),
             "2:1: more than 200,000 connections: lower connects_per_s or until_s");
   EXPECT_EQ(idle("each = 5\nconnects_per_s = 7000\ngatekeeper = 1\n"), "accepted");
   const auto expect = [](const std::string& rest) { return readError("[[expect]]\nmax = 1\n" + rest); };
   EXPECT_EQ(expect("fate = \"idle_closed\"\n"), "3:8: idle_closed needs [idle_clients]");
-  EXPECT_EQ(expect("fate = \"figure\"\n"), "1:1: a figure is named by figure = \"...\", and only it");
+  EXPECT_EQ(expect("fate = \"figure\"\n"),
+            "1:1: figure = \"...\" is required by fate = \"figure\", and permitted only with it");
   EXPECT_EQ(expect("fate = \"served\"\nfigure = \"inflight\"\n"),
-            "1:1: a figure is named by figure = \"...\", and only it");
+            "1:1: figure = \"...\" is required by fate = \"figure\", and permitted only with it");
   EXPECT_EQ(expect("fate = \"figure\"\nfigure = \"inflight\"\n"), "accepted");
-  EXPECT_EQ(readError("[fleet]\nconfig_patch = \"[1\"\n"), "2:16: config_patch is no JSON object");
+  EXPECT_EQ(readError("[fleet]\nconfig_patch = \"[1\"\n"), "2:16: config_patch is not a JSON object");
 }
 
 TEST(Scenario, TheShippedScenariosAreWellFormed) {
--- a/tools/lab/client_request.hpp
+++ b/tools/lab/client_request.hpp
@@ -1,4 +1,4 @@
-/// The requests of the lab's clients, according to the protocol page.
+/// HTTP requests of the lab's clients, in the form that the protocol page specifies.
 #pragma once
 
 #include <boost/beast/http/message.hpp>
@@ -11,7 +11,8 @@
 
 using HttpRequest = boost::beast::http::request<boost::beast::http::string_body>;
 
-/// Builds a request with this id for this customer: a keyed POST with a body if `edit`, else a safe GET.
+/// Builds a request with this id for this customer: a POST with an idempotency key and a
+/// body if `edit`, else a GET without either.
 HttpRequest makeRequest(const Scenario& scenario, std::uint64_t id, int customer, bool edit);
 
 }  // namespace wingslip::lab
--- a/tools/lab/discovery_agent.cpp
+++ b/tools/lab/discovery_agent.cpp
@@ -1,4 +1,4 @@
-/// The agent's watches and the changes of its endpoint list.
+/// Serves the endpoint list and its watches, and reports drains to the verifier.
 #include "discovery_agent.hpp"
 
 #include <array>
@@ -15,8 +15,8 @@
 
 namespace {
 
-constexpr auto kHeartbeatPeriod = std::chrono::seconds(2);  // PROTOCOL: empty line while nothing changes
-constexpr double kSilentWatchMs = 6000;  // STANDING: a gatekeeper must have noticed a silent watch by then
+constexpr auto kHeartbeatPeriod = std::chrono::seconds(2);  // PROTOCOL: of the empty lines on a watch
+constexpr double kSilentWatchMs = 6000;  // STANDING: time limit for a gatekeeper to detect a silent watch
 constexpr double kNever = 1e9;           // ms, later than the end of any run
 
 }  // namespace
@@ -85,7 +85,7 @@
       return;
     }
     auto watch = std::make_shared<Watch>(std::move(socket));
-    if (crowded_) {
+    if (rejecting_) {
       auto busy = std::make_shared<std::string>(
           "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\nConnection: close\r\n\r\n");
       asio::async_write(watch->socket, asio::buffer(*busy), [watch, busy](const Error&, std::size_t) {});
@@ -107,7 +107,7 @@
                 "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n" +
                 std::string(size) + line + "\r\n");
             silentSince_.reset();
-            crowdedUntil_ = -kNever;
+            rejectingUntil_ = -kNever;
             for (std::size_t w = 0; w < list_.size(); ++w) recordDelivery(w);
           } else {
             const std::string body = listJson(true, {});
@@ -137,9 +137,9 @@
   if (!down_ && !unsent_.empty()) send(unsent_);
 }
 
-void Agent::setCrowded(bool crowded) {
-  crowded_ = crowded;
-  crowdedUntil_ = crowded ? kNever : nowMs_();
+void Agent::setRejecting(bool rejecting) {
+  rejecting_ = rejecting;
+  rejectingUntil_ = rejecting ? kNever : nowMs_();
 }
 
 void Agent::endWatches() {
@@ -175,7 +175,7 @@
   else if (reachable_)
     verifier_.drainReported(gatekeeper_, static_cast<int>(worker),
                             std::max({nowMs_(), silentSince_ ? *silentSince_ + kSilentWatchMs : 0.0,
-                                      crowdedUntil_ + kSilentWatchMs}));
+                                      rejectingUntil_ + kSilentWatchMs}));
 }
 
 void Agent::send(const std::vector<std::size_t>& changed) {
--- a/tools/lab/expectations.cpp
+++ b/tools/lab/expectations.cpp
@@ -16,8 +16,8 @@
 
 std::string unmetLine(const Expectation& expect, std::optional<long> count) {
   return "line " + std::to_string(expect.line) + ": " + expect.countName +
-         (expect.figure.empty() ? "" : " " + expect.figure) + " " +
-         (count ? std::to_string(*count) : "not reported") + " not within " +
+         (expect.figure.empty() ? "" : " " + expect.figure) + " is " +
+         (count ? std::to_string(*count) : "not reported") + ", expected " +
          std::to_string(expect.min.value_or(0)) + ".." + (expect.max ? std::to_string(*expect.max) : "any");
 }
 
@@ -52,7 +52,7 @@
   return out;
 }
 
-// None if a gatekeeper did not report the figure.
+// The observed count; no value for a figure that a selected gatekeeper did not report.
 std::optional<long> Expectations::count(const Expectation& expect) const {
   const double afterMs = expect.afterS * kMsPerS, beforeMs = expect.beforeS * kMsPerS;
   if (expect.countName == "figure") return figure(expect);
@@ -88,6 +88,7 @@
   return verifier_.attempts(matches, expect.afterS * kMsPerS, expect.beforeS * kMsPerS);
 }
 
+// The number of gatekeepers that have the most common copy of the shared state.
 long Expectations::mostEqualCopies() const {
   long most = 0;
   for (const auto& [copy, gatekeepers] : observations_.copies) most = std::max(most, gatekeepers);
--- a/tools/lab/expectations.hpp
+++ b/tools/lab/expectations.hpp
@@ -31,7 +31,8 @@
 struct Observations {
   std::vector<ObservedEvent> events;
   std::vector<RecordedRoster> rosters;  ///< in order of time
-  std::map<std::string, long> copies;  ///< number of gatekeepers by their copy of the shared state at the end
+  /// Number of gatekeepers by the digest of their copy of the shared state at the end.
+  std::map<std::string, long> copies;
   std::map<int, IdleClientCounts> idleClients;  ///< by gatekeeper
   Figures figures;
 };
--- a/tools/lab/fault_proxy.cpp
+++ b/tools/lab/fault_proxy.cpp
@@ -126,7 +126,8 @@
   acceptor_.async_accept([this](const Error& error, tcp::socket socket) {
     if (error) return;
     accept();
-    if (mode_ == LinkMode::cut) return reset(socket);  // a restarted machine resets unknown connections too
+    // A restarted machine also resets connections that it does not know.
+    if (mode_ == LinkMode::cut) return reset(socket);
     auto connection = std::make_shared<Connection>(*this, std::move(socket));
     connections_.insert(connection);
     connection->start();
--- a/tools/lab/fault_proxy.hpp
+++ b/tools/lab/fault_proxy.hpp
@@ -11,8 +11,9 @@
 
 namespace wingslip::lab {
 
-/// cut: connections are reset; blackhole: data is dropped in both directions; oneway: data towards the
-/// gatekeeper is dropped.
+/// The mode of a link. pass: data is forwarded; cut: connections are reset; blackhole: data is dropped in
+/// both directions; oneway: data towards the gatekeeper is dropped; delay: data is forwarded later; throttle:
+/// the bandwidth is limited.
 enum class LinkMode { pass, cut, blackhole, oneway, delay, throttle };
 
 /// A proxy between one gatekeeper and one upstream port: that of a worker, its discovery agent, the store or
--- a/tools/lab/faults/fault_control.hpp
+++ b/tools/lab/faults/fault_control.hpp
@@ -20,28 +20,29 @@
   accept_full,     ///< accept fails with EMFILE or ENFILE only
   socket,          ///< socket fails: ENFILE, ENOBUFS, ENOMEM
   connect,         ///< connect fails: EADDRNOTAVAIL, ENETUNREACH, ECONNREFUSED, ETIMEDOUT
-  broken,          ///< a connection to a peer breaks: a read or a write fails with ETIMEDOUT or EHOSTUNREACH
+  broken,          ///< an outgoing connection breaks: a read or a write fails with ETIMEDOUT or EHOSTUNREACH
   memory,          ///< ENOBUFS or ENOMEM from a read or a write
-  aborted,         ///< the peer aborts a connection while it waits to be accepted: ECONNABORTED
+  aborted,         ///< the client aborts a connection before it is accepted: accept fails with ECONNABORTED
 };
-constexpr std::size_t kCallFaults = 9;
+constexpr std::size_t kCallFaultCount = 9;
 
 /// The name of each kind in scenario files, in the order of CallFault.
-constexpr std::array<const char*, kCallFaults> kCallFaultNames{
+constexpr std::array<const char*, kCallFaultCount> kCallFaultNames{
     "interrupted", "short", "accept", "accept_full", "socket", "connect", "broken", "memory", "aborted"};
 
-constexpr std::uint32_t kFaultControlVersion = 1;
+constexpr std::uint32_t kFaultControlVersion = 1;    // of the layout below; a file of another is ignored
 constexpr std::uint32_t kPartsPerMillion = 1000000;  // sharePerMillion at which every call fails
 
 /// The layout of the mapped file.
 struct FaultControl {
   std::atomic<std::uint32_t> version;
-  std::array<std::atomic<std::uint32_t>, kCallFaults> sharePerMillion;  // share of calls that fail, by kind
+  /// The share of calls that fail, by kind.
+  std::array<std::atomic<std::uint32_t>, kCallFaultCount> sharePerMillion;
   std::atomic<std::int64_t> wallOffsetMs;  // added to each reading of the wall clock
   /// The errno for writes, syncs and renames of files, and for reads if EIO; 0: they succeed.
   std::atomic<std::int32_t> diskError;
-  std::array<std::atomic<std::uint64_t>, kCallFaults> injected;  // calls failed so far, by kind
-  std::atomic<std::uint64_t> diskFailed;                         // calls failed with diskError so far
+  std::array<std::atomic<std::uint64_t>, kCallFaultCount> injected;  // calls failed so far, by kind
+  std::atomic<std::uint64_t> diskFailed;                             // calls failed with diskError so far
 };
 static_assert(std::atomic<std::uint64_t>::is_always_lock_free &&
               std::atomic<std::int64_t>::is_always_lock_free);
--- a/tools/lab/faults/fault_library.cpp
+++ b/tools/lab/faults/fault_library.cpp
@@ -1,9 +1,9 @@
 /// Loaded into a process under test with LD_PRELOAD. Makes system calls fail as Linux documents, steps the
-/// wall clock and fails writes to files, as the mapped FaultControl specifies. Without a control file it does
-/// nothing.
+/// wall clock and fails file operations, as the mapped FaultControl specifies. Without a control file it has
+/// no effect.
 ///
-/// Only calls on descriptors to which a fault applies are affected: transfers on sockets and pipes, and files
-/// other than the standard streams. The log of the process on standard error is not affected.
+/// Disk errors apply to files below $TMPDIR, and to every rename. Writes to the standard streams never fail,
+/// so that the log of the process on standard error is complete.
 #include <dlfcn.h>
 #include <errno.h>
 #include <fcntl.h>
@@ -91,6 +91,7 @@
   return error;
 }
 
+/// Breaks an outgoing connection with the probability of CallFault::broken; returns whether it did.
 bool breakConnection(int descriptor) {
   if (descriptor < 0 || descriptor >= kMaxDescriptors ||
       !outgoingConnection[static_cast<std::size_t>(descriptor)])
--- a/tools/lab/faults/system_faults.cpp
+++ b/tools/lab/faults/system_faults.cpp
@@ -13,7 +13,7 @@
 namespace fs = std::filesystem;
 
 std::optional<CallFault> callFaultOf(const std::string& name) {
-  for (std::size_t i = 0; i < kCallFaults; ++i)
+  for (std::size_t i = 0; i < kCallFaultCount; ++i)
     if (name == kCallFaultNames[i]) return static_cast<CallFault>(i);
   return std::nullopt;
 }
@@ -25,7 +25,7 @@
   return std::nullopt;
 }
 
-FaultFile::FaultFile(const fs::path& path, const SystemFaults& first) : path_(path) {
+FaultFile::FaultFile(const fs::path& path, const SystemFaults& initial) : path_(path) {
   const int file = ::open(path.c_str(), O_RDWR | O_CREAT | O_TRUNC | O_CLOEXEC, 0600);
   if (file < 0 || ::ftruncate(file, sizeof(FaultControl)) != 0)
     throw std::runtime_error("cannot create the fault file " + path.string());
@@ -33,8 +33,8 @@
   ::close(file);
   if (at == MAP_FAILED) throw std::runtime_error("cannot map the fault file " + path.string());
   control_ = new (at) FaultControl{};
-  for (const auto& [kind, share] : first.shares) setShare(kind, share);
-  stepWallClock(first.wallOffsetMs);
+  for (const auto& [kind, share] : initial.shares) setShare(kind, share);
+  stepWallClock(initial.wallOffsetMs);
   control_->version.store(kFaultControlVersion);
 }
 
@@ -51,7 +51,7 @@
 
 std::map<CallFault, std::uint64_t> FaultFile::injected() const {
   std::map<CallFault, std::uint64_t> out;
-  for (std::size_t i = 0; i < kCallFaults; ++i)
+  for (std::size_t i = 0; i < kCallFaultCount; ++i)
     if (const std::uint64_t n = control_->injected[i]) out[static_cast<CallFault>(i)] = n;
   return out;
 }
--- a/tools/lab/faults/system_faults.hpp
+++ b/tools/lab/faults/system_faults.hpp
@@ -29,8 +29,9 @@
 /// afterwards.
 class FaultFile {
  public:
-  /// Creates and maps the file. Throws std::runtime_error if that fails.
-  FaultFile(const std::filesystem::path& path, const SystemFaults& first);
+  /// Creates and maps the file, with the faults `initial`.
+  /// @throws std::runtime_error if that fails.
+  FaultFile(const std::filesystem::path& path, const SystemFaults& initial);
   ~FaultFile();
   FaultFile(const FaultFile&) = delete;
   FaultFile& operator=(const FaultFile&) = delete;
--- a/tools/lab/figures.hpp
+++ b/tools/lab/figures.hpp
@@ -9,7 +9,8 @@
 
 namespace wingslip::lab {
 
-/// Parses figures by name, without the prefix "svc.". Other lines of `telemetry` are ignored.
+/// Parses the lines "svc.NAME:VALUE|..." into values by name, without the prefix "svc.". Other lines of
+/// `telemetry` are ignored.
 std::map<std::string, long> readFigures(const std::string& telemetry);
 
 /// The samples of selected figures, with gatekeeper and time.
--- a/tools/lab/fleet.cpp
+++ b/tools/lab/fleet.cpp
@@ -20,13 +20,13 @@
 namespace {
 
 constexpr double kDrainS = 2;           // extra time after the last request's deadline for answers to arrive
-constexpr int kLinksBesideWorkers = 4;  // per gatekeeper
+constexpr int kLinksBesideWorkers = 4;  // links of a gatekeeper to agent, store and peers, estimated
 constexpr int kWorkersUsed = 48;        // workers that one gatekeeper of a large fleet connects to
 constexpr int kDescriptorsPerConnection = 3;  // the proxy's two sockets and the worker's
-constexpr int kOtherDescriptors = 500;        // of the lab, beside links, connections and clients
+constexpr int kOtherDescriptors = 500;        // other descriptors of the lab
 constexpr double kThrottledMs = 300;          // longest delay of a request by a throttled link
 constexpr std::uint64_t kMisbehavingClientsSeed = 0x2545f4914f6cdd1dULL;  // XORed with the run's seed
-constexpr std::uint64_t kIdleSeedStep = 104729;  // distance between the idle clients' seeds of two runs
+constexpr std::uint64_t kIdleSeedStep = 104729;  // between the idle clients' seeds of consecutive run seeds
 
 // Estimates the lab's own descriptors: a listener for each link, three descriptors for each connection
 // between gatekeeper and worker, one for each client. Raises the soft limit to the estimate, and throws
@@ -53,7 +53,7 @@
 }
 
 // Reads the broken invariants from a gatekeeper's log. `request_unanswered` is ignored if the lab stopped the
-// process for long, which delays its answers.
+// process, or paused it for longer than kShortPauseMs, which delays its answers.
 std::vector<std::string> brokenInvariants(const fs::path& log, bool longStopped) {
   std::vector<std::string> out;
   std::ifstream in(log);
@@ -111,7 +111,7 @@
   for (Gatekeeper& gatekeeper : gatekeepers_) launch(gatekeeper);
   if (scenario_.idle.each > 0) addIdleClients();
   checkHealth();
-  // The load starts when the load balancer has every gatekeeper in rotation, or after 15 s with those it has.
+  // The load starts when every gatekeeper is in rotation, or after 15 s with those that are.
   waitForRotation();
   clock_.restart();
   for (const Step& step : scenario_.steps) clock_.at(step.atS, [this, step] { apply(step); });
@@ -166,7 +166,7 @@
   const std::string name = "g" + std::to_string(g);
   gatekeeper.index = g, gatekeeper.port = ports_.listen(g);
   gatekeeper.config = out / (name + ".json"), gatekeeper.log = out / (name + ".log");
-  fs::remove(gatekeeper.log);  // left by an earlier run in this directory
+  fs::remove(gatekeeper.log);  // an earlier run in this directory may have written it
   if (scenario_.faultLibrary)
     gatekeeper.faults = std::make_shared<FaultFile>(out / (name + ".faults"), scenario_.system);
   if (scenario_.inheritedSockets) {
--- a/tools/lab/fleet.hpp
+++ b/tools/lab/fleet.hpp
@@ -8,6 +8,7 @@
 
 namespace wingslip::lab {
 
+/// The options of one run.
 struct RunOptions {
   std::string gatekeeperProgram;  ///< path of the program under test
   std::string out;                ///< directory for configurations, logs and the report
--- a/tools/lab/fleet_processes.cpp
+++ b/tools/lab/fleet_processes.cpp
@@ -17,9 +17,10 @@
 
 namespace {
 
-constexpr double kShortPauseMs = 200;           // no rule is relaxed for a process paused for up to this
+constexpr double kShortPauseMs = 200;           // a pause of up to this length exempts from no rule
 constexpr double kLoadBalancerReactionS = 0.3;  // new connections arrive for this long after SIGTERM
-constexpr double kTermTimeoutS = 0.7 + 3;   // a platform sends SIGKILL then, counted for the longest deadline
+// A platform may send SIGKILL 0.7 s after the longest deadline, here 3 s, counted from SIGTERM.
+constexpr double kTermTimeoutS = 0.7 + 3;
 constexpr double kReadyPollPeriodS = 0.05;  // between two readiness checks of a new process
 constexpr std::chrono::seconds kStartTimeout{15};
 constexpr std::chrono::seconds kEndTimeout{5};
@@ -38,7 +39,7 @@
 }
 
 void Fleet::upgrade(Gatekeeper& gatekeeper) {
-  if (gatekeeper.previous.pid > 0) return;  // one upgrade at a time
+  if (gatekeeper.previous.pid > 0) return;  // an upgrade is in progress
   gatekeeper.previous =
       std::exchange(gatekeeper.current, startProcess(gatekeeper, ports_, options_.gatekeeperProgram));
   std::ofstream(fs::path(options_.out) / "pids", std::ios::app) << gatekeeper.current.pid << "\n";
--- a/tools/lab/fleet_run.hpp
+++ b/tools/lab/fleet_run.hpp
@@ -27,6 +27,7 @@
 
 namespace wingslip::lab {
 
+/// Runs one scenario once.
 class Fleet {
  public:
   /// Keeps references: both arguments must outlive the fleet.
@@ -61,7 +62,7 @@
   void applyStoreFault(const std::string& kind);
   /// Applies a system fault to the step's gatekeeper, or to all if it names none.
   void applySystemFault(const Step& step);
-  /// Records for the agents whether gatekeepers can reach them over links in this mode.
+  /// Sets for the agents of the step's gatekeepers whether they are reachable over links in this mode.
   void setDiscoveryReachable(const Step& step, LinkMode mode);
   /// The step's label in the report's plot.
   static std::string labelOf(const Step& step);
@@ -72,15 +73,16 @@
   /// when the new one reports ready.
   void upgrade(Gatekeeper& gatekeeper);
   void awaitReady(int g, pid_t pid);
-  /// Patches the gatekeeper's configuration file and makes the process reload it (SIGHUP).
+  /// Applies `patch`, unless empty, to the gatekeeper's configuration file and sends SIGHUP to reload it.
   void reloadConfig(Gatekeeper& gatekeeper, const std::string& patch);
-  /// Stops the process and resumes it after `forMs`, as a stall of its machine does.
+  /// Stops the process and resumes it after `forMs`, to simulate a stall of its machine.
   void pauseProcess(Gatekeeper& gatekeeper, double forMs);
   /// Sends SIGTERM as a platform does: the load balancer sends new connections for a short time after it, and
-  /// no request is exempt from the rules.
+  /// requests in flight are not exempt from the rules.
   void shutDownGracefully(Gatekeeper& gatekeeper);
   void sendSignal(Gatekeeper& gatekeeper, int number);
-  /// Ends the process by a signal, as a fault: requests in flight are exempt, and the exit is no crash.
+  /// Ends the process by a signal, as a fault: requests in flight are exempt, and the exit is not
+  /// recorded as a crash.
   void endByLab(Gatekeeper& gatekeeper, int signalNumber);
   void stopProcess(Gatekeeper& gatekeeper);
   void continueProcess(Gatekeeper& gatekeeper);
--- a/tools/lab/fleet_steps.cpp
+++ b/tools/lab/fleet_steps.cpp
@@ -45,7 +45,8 @@
   if (step.kind == "exclude" && inForce) verifier_.workerExcluded(index, *step.worker, clock_.nowMs());
   const bool processEnded = pid <= 0 || gatekeepers_[index].current.pid != pid || gatekeepers_[index].stopped;
   if (accepted || processEnded || diskFaults_.contains(index)) return;
-  runRecord_.crashes.push_back("line " + std::to_string(step.line) + ": " + step.kind + " was answered " +
+  runRecord_.crashes.push_back("line " + std::to_string(step.line) + ": " + step.kind +
+                               ": the operators' port answered " +
                                (answer.empty() ? "nothing" : answer.substr(0, 60)));
 }
 
@@ -68,8 +69,8 @@
 void Fleet::applyAgentFault(Agent& agent, const std::string& kind) {
   if (kind == "watch_end") agent.endWatches();
   if (kind == "watch_silent") agent.silenceWatches();
-  if (kind == "discovery_crowded") agent.setCrowded(true);
-  if (kind == "discovery_ok") agent.setCrowded(false);
+  if (kind == "discovery_crowded") agent.setRejecting(true);
+  if (kind == "discovery_ok") agent.setRejecting(false);
   if (kind == "agent_down") agent.setDown(true);
   if (kind == "agent_up") agent.setDown(false);
 }
--- a/tools/lab/idle_clients.cpp
+++ b/tools/lab/idle_clients.cpp
@@ -18,8 +18,8 @@
 
 constexpr auto kConnectPeriod = std::chrono::milliseconds(5);
 // The gatekeeper answers this path itself, so that idle clients put no load on the workers.
-constexpr std::string_view kWholeRequest = "GET /health/ready HTTP/1.1\r\nHost: backend.local\r\n\r\n";
-constexpr std::string_view kPartOfRequest = "GET /look HTTP/1.1\r\nHost: backend.local\r\n";
+constexpr std::string_view kCompleteRequest = "GET /health/ready HTTP/1.1\r\nHost: backend.local\r\n\r\n";
+constexpr std::string_view kPartialRequest = "GET /look HTTP/1.1\r\nHost: backend.local\r\n";
 constexpr std::string_view kStatus200 = "HTTP/1.1 200";
 constexpr std::size_t kReadBytes = 512;
 
@@ -59,7 +59,7 @@
 
   void send() {
     if (payload_ == Payload::nothing) return;
-    const std::string_view text = payload_ == Payload::wholeRequest ? kWholeRequest : kPartOfRequest;
+    const std::string_view text = payload_ == Payload::completeRequest ? kCompleteRequest : kPartialRequest;
     // The pending read reports any error of the connection.
     asio::async_write(socket_, asio::buffer(text), [self = shared_from_this()](const Error&, std::size_t) {});
   }
@@ -76,7 +76,7 @@
 
   // Checks the status line of the answer to a complete request.
   void checkStatus(std::size_t size) {
-    if (payload_ != Payload::wholeRequest || statusLineStart_.size() >= kStatus200.size()) return;
+    if (payload_ != Payload::completeRequest || statusLineStart_.size() >= kStatus200.size()) return;
     statusLineStart_.append(readBuffer_.data(), std::min(size, kStatus200.size() - statusLineStart_.size()));
     if (statusLineStart_.size() == kStatus200.size() && statusLineStart_ != kStatus200)
       ++clients_.counts_.refused;
@@ -103,9 +103,9 @@
     const double drawn = share(random);
     Payload payload = Payload::nothing;
     if (drawn < load_.requestShare)
-      payload = Payload::wholeRequest;
+      payload = Payload::completeRequest;
     else if (drawn < load_.requestShare + load_.partShare)
-      payload = Payload::partOfRequest;
+      payload = Payload::partialRequest;
     waiting_.push_back(payload);
   }
 }
@@ -133,7 +133,7 @@
   });
 }
 
-// Connections that the rate permitted in a period and that were not made do not carry over to later periods.
+// Unused tokens accumulate to at most one period's connections, or to one connection if a period has less.
 void IdleClients::connectWaiting() {
   const double tokensPerPeriod = load_.connectsPerS * std::chrono::duration<double>(kConnectPeriod).count();
   connectTokens_ = std::min(connectTokens_ + tokensPerPeriod, std::max(1.0, tokensPerPeriod));
--- a/tools/lab/idle_clients.hpp
+++ b/tools/lab/idle_clients.hpp
@@ -24,7 +24,8 @@
 /// The idle clients of one gatekeeper. Single-threaded, on the event loop `io`, which must outlive it.
 class IdleClients {
  public:
-  /// `port`: of the gatekeeper on 127.0.0.1. `seed` determines which clients send a request or part of one.
+  /// `port`: the gatekeeper's port on 127.0.0.1. `seed` determines which clients send a request or part of
+  /// one.
   IdleClients(boost::asio::io_context& io, unsigned short port, const IdleLoad& load, std::uint64_t seed);
   ~IdleClients();
   IdleClients(const IdleClients&) = delete;
@@ -34,11 +35,10 @@
   void start();
   /// Closes all connections; no client reconnects.
   void stop();
-  /// The counts so far.
   const IdleClientCounts& counts() const { return counts_; }
 
  private:
-  enum class Payload { nothing, wholeRequest, partOfRequest };
+  enum class Payload { nothing, completeRequest, partialRequest };
   class Connection;
 
   void connectLater();
@@ -50,7 +50,7 @@
   const unsigned short port_;
   const IdleLoad load_;
   boost::asio::steady_timer timer_;
-  std::deque<Payload> waiting_;  // clients without a connection, in the order of connecting
+  std::deque<Payload> waiting_;  // clients without a connection; the first connects next
   std::set<std::shared_ptr<Connection>> connections_;
   double connectTokens_ = 0;  // connections that the rate limit permits now
   bool running_ = false;
--- a/tools/lab/links.cpp
+++ b/tools/lab/links.cpp
@@ -5,11 +5,11 @@
 
 namespace wingslip::lab {
 
-std::optional<LinkMode> linkModeOf(const std::string& step) {
+std::optional<LinkMode> linkModeOf(const std::string& kind) {
   static const std::map<std::string, LinkMode> kModes{
       {"cut", LinkMode::cut},     {"blackhole", LinkMode::blackhole}, {"oneway", LinkMode::oneway},
       {"delay", LinkMode::delay}, {"throttle", LinkMode::throttle},   {"heal", LinkMode::pass}};
-  const auto found = kModes.find(step);
+  const auto found = kModes.find(kind);
   return found == kModes.end() ? std::nullopt : std::optional(found->second);
 }
 
--- a/tools/lab/links.hpp
+++ b/tools/lab/links.hpp
@@ -14,7 +14,7 @@
 namespace wingslip::lab {
 
 /// The mode that a step of this kind sets on links; none if the step is not a link fault or repair.
-std::optional<LinkMode> linkModeOf(const std::string& step);
+std::optional<LinkMode> linkModeOf(const std::string& kind);
 
 /// Owns the fault proxies. Links must be added in the order of the gatekeepers, and those to workers in the
 /// order of the workers within a gatekeeper, since they are looked up by position. Each `addTo` function
--- a/tools/lab/misbehaving_clients.cpp
+++ b/tools/lab/misbehaving_clients.cpp
@@ -22,7 +22,7 @@
 
 namespace {
 
-constexpr double kAnswerGraceMs = 600;  // a client waits this long for the answer after the deadline
+constexpr double kAnswerGraceMs = 600;  // a client waits for the answer this long after the deadline
 /// The gatekeeper must answer a stalled request with an error or close the connection within 3 s; 500 ms are
 /// added for scheduling delays on a busy machine.
 constexpr double kErrorOrCloseWithinMs = 3000 + 500;
@@ -42,6 +42,7 @@
 
 /// One client, with one connection at a time.
 class MisbehavingClients::Client : public std::enable_shared_from_this<Client> {
+  /// Wraps a handler so that it runs only if the exchange in progress now has not ended by then.
   template <class Handler>
   auto guard(Handler handler) {
     return [self = shared_from_this(), exchangeNumber = exchangeNumber_, handler](const Error& error,
@@ -136,7 +137,9 @@
 
   /// Records all pending requests as sent now.
   void recordSent() {
-    double position = 0;  // in the pipeline: a request is read only after the one before it is answered
+    // The deadlines of pipelined requests add up: the gatekeeper reads a request only after it has answered
+    // the one before it.
+    double position = 0;
     for (const std::uint64_t id : pending_)
       parent_.verifier_.sent(id, gatekeeper_, parent_.clock_.nowMs(),
                              parent_.scenario_.deadlineMs * ++position);
@@ -228,8 +231,8 @@
     pending_.clear();
   }
 
-  /// The connection ended before a complete answer. On a reused connection the gatekeeper may have closed it
-  /// before it read the request; the verifier knows whether a worker has received the request.
+  /// The connection ended before a complete answer. The gatekeeper may close a reused connection before it
+  /// reads the request; the verifier checks whether a worker has received the request.
   void connectionBroken(bool answerStarted = false) {
     const double now = parent_.clock_.nowMs();
     bool first = true;
@@ -247,7 +250,7 @@
   }
 
   void disconnect() {
-    for (const std::uint64_t id : pending_) parent_.verifier_.clientLeft(id, parent_.clock_.nowMs());
+    for (const std::uint64_t id : pending_) parent_.verifier_.clientDisconnected(id, parent_.clock_.nowMs());
     Error ignored;
     if (uniform() < 0.5) socket_.set_option(asio::socket_base::linger(true, 0), ignored);
     endConnection();
@@ -279,7 +282,8 @@
     asio::async_write(socket_, asio::buffer(out_), guard([this, sinceMs](const Error& error, std::size_t) {
                         if (error) return requestIncomplete();
                         wait(kErrorOrCloseWithinMs, [this, sinceMs] {
-                          parent_.verifier_.peerUnanswered(gatekeeper_, sinceMs, parent_.clock_.nowMs());
+                          parent_.verifier_.invalidRequestUnanswered(gatekeeper_, sinceMs,
+                                                                     parent_.clock_.nowMs());
                           endConnection();
                         });
                         awaitErrorOrClose();
--- a/tools/lab/open_load.cpp
+++ b/tools/lab/open_load.cpp
@@ -19,8 +19,8 @@
 
 namespace {
 
-constexpr double kNoArrivalS = 1e9;     // a gap longer than any load
-constexpr double kAnswerGraceMs = 600;  // a client waits this long for the answer after the deadline
+constexpr double kNoArrivalS = 1e9;     // longer than any load
+constexpr double kAnswerGraceMs = 600;  // a client waits for the answer this long after the deadline
 
 }  // namespace
 
--- a/tools/lab/open_load.hpp
+++ b/tools/lab/open_load.hpp
@@ -1,5 +1,5 @@
 // The open-loop load of a run: clients arrive at random times, independent of the outcome of earlier
-// requests, and each sends one request to one of the gatekeepers that receive client traffic.
+// requests, and each sends one request to one of the gatekeepers in rotation.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -29,8 +29,8 @@
   /// The number of requests sent and not yet ended.
   int inFlight() const { return inFlight_; }
 
-  /// The number of arrivals not sent because no gatekeeper received client traffic or too many requests were
-  /// in flight.
+  /// The number of arrivals not sent because no gatekeeper was in rotation or too many requests were in
+  /// flight.
   long notSent() const { return notSent_; }
 
  private:
--- a/tools/lab/process.hpp
+++ b/tools/lab/process.hpp
@@ -36,6 +36,7 @@
   boost::asio::ip::tcp::acceptor marker_;
 };
 
+/// A process of a gatekeeper.
 struct Process {
   pid_t pid = 0;           ///< 0: no process
   unsigned short ops = 0;  ///< port for operators
@@ -44,10 +45,10 @@
 /// A gatekeeper of the fleet: one process, or two during an upgrade, on the same port.
 struct Gatekeeper {
   int index = 0;
-  unsigned short port = 0;
+  unsigned short port = 0;                   ///< listener for clients, on 127.0.0.1
   std::filesystem::path config, log, state;  ///< state: the $TMPDIR directory; empty: none is set
   std::shared_ptr<FaultFile> faults;         ///< control file of the fault library; null: runs without it
-  int listenFd = -1;          ///< descriptor of the clients' listening socket if the lab owns it
+  int listenFd = -1;          ///< the clients' listening socket if the lab owns it; -1 otherwise
   Process current, previous;  ///< previous: the process being replaced by an upgrade, until it exits
   int starts = 0;             ///< number of processes started so far
   bool inRotation = false, stopped = false;  ///< in the load balancer's rotation; stopped by SIGSTOP
@@ -72,8 +73,8 @@
 /// @throws std::runtime_error if the port cannot be bound.
 int openListeningSocket(unsigned short port);
 
-/// Kills gatekeepers that an earlier lab left running because it was killed itself. `pids` is the file to
-/// which that lab wrote their process ids.
+/// Kills gatekeepers that still run after an earlier lab was killed. `pids` is the file to which that lab
+/// wrote their process ids.
 void killOrphans(const std::filesystem::path& pids);
 
 /// Makes one call to the operators' listener on the port. `then` gets the complete answer, or "" on an error
--- a/tools/lab/random_faults.cpp
+++ b/tools/lab/random_faults.cpp
@@ -12,7 +12,7 @@
 namespace wingslip::lab {
 namespace {
 
-constexpr std::uint64_t kSeedMask = 0x9e3779b97f4a7c15ULL;
+constexpr std::uint64_t kSeedMask = 0x9e3779b97f4a7c15ULL;  // XORed with the run's seed
 constexpr double kDelayMs = 300;
 constexpr double kThrottleBytesPerS = 2000;
 
@@ -22,6 +22,7 @@
     {"blackhole", "heal"}, {"oneway", "heal"},   {"delay", "heal"},         {"drain", "revive"},
     {"throttle", "heal"},  {"silent", "revive"}, {"agent_down", "agent_up"}};
 
+/// The values of a `[random]` table; times are seconds after the start of the load.
 struct RandomFaults {
   double ratePerS = 0;
   double healAfterS = 0;
--- a/tools/lab/run_report.cpp
+++ b/tools/lab/run_report.cpp
@@ -48,7 +48,7 @@
   for (RequestOutcome outcome :
        {RequestOutcome::served, RequestOutcome::refused, RequestOutcome::failed, RequestOutcome::closed,
         RequestOutcome::unreachable, RequestOutcome::timedOut, RequestOutcome::wrongBody,
-        RequestOutcome::closedUndelivered, RequestOutcome::clientLeft})
+        RequestOutcome::closedUndelivered, RequestOutcome::clientDisconnected})
     out[nameOf(outcome)] = verifier.count(outcome);
   return out;
 }
--- a/tools/lab/run_report.hpp
+++ b/tools/lab/run_report.hpp
@@ -23,7 +23,7 @@
   int line = 0;      ///< in the scenario's file
 };
 
-/// The first record of the duty under a new token.
+/// A gatekeeper's claim of the duty: its first record under a new token.
 struct Claim {
   double atMs = 0;  ///< milliseconds from the start of the load
   int gatekeeper = 0;
@@ -47,7 +47,7 @@
 /// The data of a run's report other than the verifier's results.
 struct RunRecord {
   std::uint64_t seed = 1;
-  long notSent = 0;  ///< requests not sent: no gatekeeper received client traffic, or too many were in flight
+  long notSent = 0;             ///< requests not sent: no gatekeeper in rotation, or too many in flight
   long maxPeakKb = 0;           ///< largest peak memory of a gatekeeper, kB
   ProcessUse totalUse;          ///< sum over all gatekeepers that were running at the end
   int measuredGatekeepers = 0;  ///< number of gatekeepers in `totalUse`
@@ -61,7 +61,8 @@
   std::optional<StoreLoad> store;
   std::map<int, IdleClientCounts> idleClients;  ///< by gatekeeper
   std::vector<FigureMaximum> figures;
-  std::vector<std::string> crashes;     ///< violations that the verifier cannot observe
+  /// Violations that the verifier does not observe: unexpected or late exits, rejected operators' calls.
+  std::vector<std::string> crashes;
   std::vector<std::string> invariants;  ///< invariant violations from the logs of gatekeepers
   std::vector<std::string> unmet;       ///< expectations that were not met
 };
--- a/tools/lab/run_verifier.cpp
+++ b/tools/lab/run_verifier.cpp
@@ -26,8 +26,8 @@
      {RequestOutcome::timedOut, "lost"},
      {RequestOutcome::wrongBody, "wrong"},
      {RequestOutcome::closedUndelivered, "crossed"},
-     {RequestOutcome::clientLeft, "left"}}};
-constexpr std::array<const char*, kRules> kRuleNames{
+     {RequestOutcome::clientDisconnected, "left"}}};
+constexpr std::array<const char*, kRuleCount> kRuleNames{
     "answered_twice", "wrong_body",  "late",         "unanswered",        "crossed_run", "past_cap",
     "to_leaving",     "to_excluded", "after_client", "peer_left_hanging", "fencing"};
 }  // namespace
@@ -116,12 +116,13 @@
     recordViolation(Rule::to_excluded, "gatekeeper " + std::to_string(gatekeeper) + " sent request " +
                                            std::to_string(id) + " to worker " + std::to_string(worker) +
                                            ", excluded by an operator " +
-                                           std::to_string(atMs - excluded->second) + " ms before");
-  const auto leftAt = clientLeftAtMs_.find(id);
-  if (leftAt != clientLeftAtMs_.end() && atMs > leftAt->second + kAttemptSlackMs + linkDelayMs_)
-    recordViolation(Rule::after_client, "gatekeeper " + std::to_string(gatekeeper) + " sent request " +
-                                            std::to_string(id) + " " + std::to_string(atMs - leftAt->second) +
-                                            " ms after its client disconnected");
+                                           std::to_string(atMs - excluded->second) + " ms earlier");
+  const auto disconnectedAt = clientDisconnectedAtMs_.find(id);
+  if (disconnectedAt != clientDisconnectedAtMs_.end() &&
+      atMs > disconnectedAt->second + kAttemptSlackMs + linkDelayMs_)
+    recordViolation(Rule::after_client,
+                    "gatekeeper " + std::to_string(gatekeeper) + " sent request " + std::to_string(id) + " " +
+                        std::to_string(atMs - disconnectedAt->second) + " ms after its client disconnected");
 }
 
 void RunVerifier::closedUndelivered(std::uint64_t id, double atMs) {
@@ -136,18 +137,19 @@
                         ": its connection was closed without an answer although a worker had received it");
 }
 
-void RunVerifier::clientLeft(std::uint64_t id, double atMs) {
+void RunVerifier::clientDisconnected(std::uint64_t id, double atMs) {
   const auto found = requests_.find(id);
   if (found == requests_.end() || found->second.outcome != RequestOutcome::pending) return;
-  found->second.outcome = RequestOutcome::clientLeft, found->second.endMs = atMs;
-  clientLeftAtMs_[id] = atMs;
+  found->second.outcome = RequestOutcome::clientDisconnected, found->second.endMs = atMs;
+  clientDisconnectedAtMs_[id] = atMs;
 }
 
-void RunVerifier::peerUnanswered(int gatekeeper, double sinceMs, double atMs) {
+void RunVerifier::invalidRequestUnanswered(int gatekeeper, double sinceMs, double atMs) {
   if (wasDown(gatekeeper, sinceMs, atMs)) return;
-  recordViolation(Rule::peer_left_hanging, "gatekeeper " + std::to_string(gatekeeper) +
-                                               " sent a peer neither an error nor a close for " +
-                                               std::to_string(atMs - sinceMs) + " ms");
+  recordViolation(Rule::peer_left_hanging,
+                  "gatekeeper " + std::to_string(gatekeeper) +
+                      " neither answered an incomplete or malformed request nor closed its connection for " +
+                      std::to_string(atMs - sinceMs) + " ms");
 }
 
 void RunVerifier::workerExcluded(int gatekeeper, int worker, double atMs) {
--- a/tools/lab/run_verifier.hpp
+++ b/tools/lab/run_verifier.hpp
@@ -23,10 +23,10 @@
   failed,             ///< answered with any other status
   closed,             ///< the connection was closed before a complete answer
   unreachable,        ///< the client could not connect or could not write the request
-  timedOut,           ///< the client stopped waiting without an answer
+  timedOut,           ///< no answer within the client's time-out
   wrongBody,          ///< answered 200 with a body that no worker produced for it
   closedUndelivered,  ///< sent while the gatekeeper was closing the connection, and not read by it
-  clientLeft          ///< the client closed the connection before the answer
+  clientDisconnected  ///< the client closed the connection before the answer
 };
 /// The name of an outcome in scenario and result files.
 const char* nameOf(RequestOutcome outcome);
@@ -58,7 +58,7 @@
   peer_left_hanging,  ///< an incomplete or malformed request neither answered nor closed
   fencing,            ///< a write under an outdated fencing token
 };
-constexpr std::size_t kRules = static_cast<std::size_t>(Rule::fencing) + 1;
+constexpr std::size_t kRuleCount = static_cast<std::size_t>(Rule::fencing) + 1;
 /// The name of a rule in the result files.
 const char* nameOf(Rule rule);
 
@@ -81,10 +81,10 @@
   void closedUndelivered(std::uint64_t id, double atMs);
   /// The client has closed the connection. An attempt that starts more than kAttemptSlackMs later is a
   /// violation.
-  void clientLeft(std::uint64_t id, double atMs);
+  void clientDisconnected(std::uint64_t id, double atMs);
   /// A client that sent an incomplete or malformed request at `sinceMs` has received neither an answer nor a
   /// close.
-  void peerUnanswered(int gatekeeper, double sinceMs, double atMs);
+  void invalidRequestUnanswered(int gatekeeper, double sinceMs, double atMs);
 
   /// `worker` has received a complete attempt over the link of `gatekeeper`. `body` is the body of its answer
   /// if it answers 200.
@@ -98,12 +98,12 @@
   /// An operator has excluded `worker` at `gatekeeper` from `atMs` on; workerIncluded() ends the exclusion.
   void workerExcluded(int gatekeeper, int worker, double atMs);
   void workerIncluded(int gatekeeper, int worker);
-  /// Sets by how many milliseconds slow links may delay the arrival of an attempt at its worker.
+  /// Sets the longest delay, in ms, that slow links may add before an attempt arrives at its worker.
   void setLinkDelay(double ms) { linkDelayMs_ = ms; }
-  /// Sets whether a late answer is exempt if its gatekeeper was stopped while the request was in flight.
+  /// Sets whether a late answer is exempt if its gatekeeper was down while the request was in flight.
   void exemptLateAnswersWhileDown(bool exempt) { lateExemptWhileDown_ = exempt; }
-  /// A process fault (kill, stop, term) of `gatekeeper` starts at `fromMs`; gatekeeperUp() marks the time at
-  /// which it serves again.
+  /// `gatekeeper` is down from `fromMs` on, by a process fault (kill, stop, term) or after its exit;
+  /// gatekeeperUp() marks the time at which it serves again.
   void gatekeeperDown(int gatekeeper, double fromMs);
   void gatekeeperUp(int gatekeeper, double atMs);
 
@@ -115,7 +115,7 @@
   /// call.
   void endRun(double atMs);
   /// The number of requests with this outcome that were sent within [afterMs, beforeMs), at one gatekeeper or
-  /// at all.
+  /// at all gatekeepers.
   long count(RequestOutcome outcome, std::optional<int> gatekeeper = {}, double afterMs = 0,
              double beforeMs = 1e18) const;
   /// Texts of the first violations, in the order of their detection.
@@ -128,8 +128,8 @@
   const std::unordered_map<std::uint64_t, Request>& requests() const { return requests_; }
   /// Milliseconds from sending to the answer, for each served request, unsorted.
   std::vector<double> servedLatenciesMs() const;
-  /// The number of complete attempts received within [afterMs, beforeMs) by workers for which `of` returns
-  /// true.
+  /// The number of complete attempts received within [afterMs, beforeMs) by workers for which `countsWorker`
+  /// returns true.
   template <typename Predicate>
   long attempts(Predicate countsWorker, double afterMs, double beforeMs) const {
     long n = 0;
@@ -155,7 +155,7 @@
   std::vector<std::string> violations_;  // texts of the first 100
   long violationCount_ = 0;
   std::map<std::string, long> violationsByRule_;
-  std::unordered_map<std::uint64_t, double> clientLeftAtMs_;
+  std::unordered_map<std::uint64_t, double> clientDisconnectedAtMs_;
   std::map<std::pair<int, int>, double> excludedSinceMs_;  // (gatekeeper, worker) -> excluded at
   double linkDelayMs_ = 0;
   bool lateExemptWhileDown_ = false;
--- a/tools/lab/scenario.hpp
+++ b/tools/lab/scenario.hpp
@@ -20,6 +20,7 @@
 /// A scheduled fault or repair. `kind` decides which target fields are set:
 /// - gatekeeper faults (kill, stop, cont, pause, term, finish, restart, upgrade, hup) set `gatekeeper`. Both
 ///   `term` and `finish` send SIGTERM; only `term` exempts the requests in flight from the rules;
+/// - operators' calls (exclude, include) set `gatekeeper` and `worker`;
 /// - link faults (cut, blackhole, oneway, delay, throttle, heal) set `worker`, `zone` or `link`, and may set
 ///   `gatekeeper` (default: all gatekeepers);
 /// - worker faults (drain, silent, revive, restart_worker) set `worker` or `zone`;
@@ -90,15 +91,15 @@
 /// An expected count, checked after the run. `countName` names the count:
 /// - served, refused, failed, closed, unreachable, lost, wrong: requests with that outcome, of those sent in
 ///   [afterS, beforeS), at one gatekeeper or all;
-/// - attempts: those that arrived at a worker, or at the workers of a zone, in that time;
-/// - upgrades: those whose old process ended with status 0;
+/// - attempts: attempts that arrived at a worker, or at the workers of a zone, in [afterS, beforeS);
+/// - upgrades: upgrades whose old process exited with status 0;
 /// - claims: new tokens recorded for the duty;
 /// - roster_here, roster_draining, roster_left, roster_missing: names in that state in the last roster
 ///   recorded before beforeS;
 /// - roster_agreed: gatekeepers that report that roster to operators at the end;
 /// - copies_equal: gatekeepers that have the most common copy of the shared state at the end;
 /// - idle_opened, idle_closed, idle_refused: connections of the idle clients;
-/// - figure: the largest value of that figure that one gatekeeper or all reported to operators in
+/// - figure: the largest value of that figure in the telemetry of one gatekeeper, or of all, in
 ///   [afterS, beforeS).
 struct Expectation {
   std::string countName;  ///< the file's key `fate`
@@ -110,6 +111,7 @@
   int line = 0;                      ///< line in the scenario file, for messages
 };
 
+/// A validated scenario. The initial values apply where the file has no such key.
 struct Scenario {
   std::string name;
   double lengthS = 10;  ///< duration of the load in seconds
@@ -126,16 +128,16 @@
   // Stand-in workers: log-normal service time.
   double serviceMs = 20, spread = 0.4;  ///< median and the standard deviation of the logarithm
   int workerInFlight = 32;              ///< concurrency limit of one worker; further requests are declined
-  double coldS = 0;  ///< after a restart, a worker's service time falls from 4 times to 1 over this time
-  int attemptsCap = 3;
-  /// The lab owns the clients' listening sockets and passes them on, as a platform with in-place upgrades
-  /// does. `upgrade` steps require it.
+  double coldS = 0;     ///< after a restart, a worker's service time falls from 4 times to 1 over this time
+  int attemptsCap = 3;  ///< attempts per request
+  /// The lab owns the clients' listening sockets and the gatekeepers inherit them, as on a platform with
+  /// in-place upgrades. `upgrade` steps require it.
   bool inheritedSockets = false;
   /// `[store]`: gatekeepers use a coordination store.
   bool store = false;
-  double storeTtlMs = 2000, storeLockDelayMs = 200;  ///< of the sessions
-  /// `[replica]`: gatekeepers share state. In a large fleet each is configured with the two gatekeepers after
-  /// it only and discovers the others through them.
+  double storeTtlMs = 2000, storeLockDelayMs = 200;  ///< of the sessions in the store
+  /// `[replica]`: gatekeepers share state. In a large fleet each is configured only with the two gatekeepers
+  /// after it, and discovers the others through them.
   bool replica = false;
   double probeEveryMs = 300, gossipEveryMs = 100, repairEveryMs = 1500;
   IdleLoad idle;                          ///< `[idle_clients]`
@@ -144,7 +146,7 @@
   bool directWorkers = false;  ///< connect to workers without fault proxies, which saves cost with many links
   /// Every gatekeeper has a $TMPDIR that persists over restarts. `inheritedSockets` implies one.
   bool stateDirectories = false;
-  /// Exempts late answers of a gatekeeper whose process was stopped, which delays them by as much.
+  /// Exempts late answers to requests in flight while their gatekeeper was down; a stop delays its answers.
   bool toleratesLateAnswers = false;
   /// Every gatekeeper runs with the fault library. Set by `[system]` and by steps with system faults.
   bool faultLibrary = false;
--- a/tools/lab/scenario_expectations.cpp
+++ b/tools/lab/scenario_expectations.cpp
@@ -30,7 +30,8 @@
   expect.countName = readFate(reader, table);
   expect.figure = table["figure"].value_or(std::string());
   if (expect.figure.empty() == (expect.countName == "figure"))
-    reader.fail(table.source(), "a figure is named by figure = \"...\", and only it");
+    reader.fail(table.source(),
+                "figure = \"...\" is required by fate = \"figure\", and permitted only with it");
   if (expect.countName.starts_with("idle_") && scenario.idle.each == 0)
     reader.fail(table.get("fate")->source(), expect.countName + " needs [idle_clients]");
   expect.gatekeeper = reader.index(table, "gatekeeper", scenario.gatekeepers, "gatekeeper");
--- a/tools/lab/scenario_sections.cpp
+++ b/tools/lab/scenario_sections.cpp
@@ -82,7 +82,7 @@
   out.requestShare = reader.number(table, "request_share", out.requestShare, 0, 1);
   out.partShare = reader.number(table, "part_share", out.partShare, 0, 1);
   if (out.requestShare + out.partShare > 1)
-    reader.fail(table.source(), "request_share and part_share are more than 1 together");
+    reader.fail(table.source(), "the sum of request_share and part_share is above 1");
   if (out.connectsPerS * (out.untilS - out.fromS) * loadedGatekeepers > kMaxArrivals)
     reader.fail(table.source(), "more than 200,000 connections: lower connects_per_s or until_s");
   return out;
@@ -121,7 +121,7 @@
   keys.insert("wall_offset_ms");
   reader.onlyKeys(table, keys);
   SystemFaults out;
-  for (std::size_t i = 0; i < kCallFaults; ++i)
+  for (std::size_t i = 0; i < kCallFaultCount; ++i)
     if (table.get(kCallFaultNames[i]))
       out.shares[static_cast<CallFault>(i)] = reader.number(table, kCallFaultNames[i], 0.0, 0, 1);
   out.wallOffsetMs = reader.number(table, "wall_offset_ms", 0.0, -1e9, 1e9);
--- a/tools/lab/scenario_steps.cpp
+++ b/tools/lab/scenario_steps.cpp
@@ -51,7 +51,7 @@
     if (!time) reader_.fail(table_.source(), "a step has no at_s");
     step_.atS = reader_.number(table_, "at_s", 0.0, -1e9, 1e9);
     if (step_.atS < earliestS)
-      reader_.fail(time->source(), "at_s " + std::to_string(step_.atS) + " is before the step ahead of it");
+      reader_.fail(time->source(), "at_s " + std::to_string(step_.atS) + " is before the preceding step");
     if (step_.atS > scenario_.lengthS) reader_.fail(time->source(), "at_s is after the end of the run");
   }
 
@@ -73,8 +73,7 @@
 
   void checkTargets() {
     if (!step_.patch.empty() && step_.kind != "hup") fail("only hup takes a patch");
-    if (isOnWorkers() && !step_.link.empty())
-      fail("a link fault takes either a worker or zone, or link, not both");
+    if (isOnWorkers() && !step_.link.empty()) fail("a link fault takes either worker or zone, or link");
     step_.below = reader_.number(table_, "below", 0, 1, scenario_.gatekeepers - 1);
     const bool namesPeers = step_.gatekeeper || step_.below != 0;
     if (step_.link == "peers" && (!scenario_.replica || !namesPeers))
--- a/tools/lab/soak/command.cpp
+++ b/tools/lab/soak/command.cpp
@@ -30,8 +30,8 @@
 /// Memory estimates in megabytes, of one run without its gatekeepers and of one gatekeeper; they limit the
 /// number of parallel runs.
 constexpr double kRunMb = 60, kGatekeeperMb = 12;
-constexpr int kMaxProcesses = 400;
-constexpr int kSetupFailed = 3;
+constexpr int kMaxProcesses = 400;  // gatekeepers and labs of all parallel runs
+constexpr int kSetupFailed = 3;     // exit status if the soak could not be run
 
 struct SoakOptions {
   SoakSize size;
@@ -109,7 +109,7 @@
   const json summary = in ? json::parse(in, nullptr, false) : json();
   if (!summary.is_object()) {
     result.violationsByRule["not_played"] = 1;
-    result.violations.push_back("the run exited with status " + std::to_string(status) +
+    result.violations.push_back("the run exited with wait status " + std::to_string(status) +
                                 " and without a report");
     return result;
   }
@@ -158,7 +158,8 @@
     return fs::path(options_.out) / ("seed-" + std::to_string(seed));
   }
 
-  /// Removes faults one by one while the run still fails without them; returns the indices of those removed.
+  /// Repeats the run without each fault in turn and omits those without which it still fails. Returns the
+  /// indices of the omitted faults.
   std::set<std::size_t> shrink(std::uint64_t seed) {
     const SoakPlan plan = soakPlan(options_.size, seed);
     std::set<std::size_t> without;
--- a/tools/lab/soak/plan.cpp
+++ b/tools/lab/soak/plan.cpp
@@ -13,12 +13,13 @@
 constexpr double kFirstFaultAtS = 2;            // the fleet serves requests before the first fault
 constexpr double kFaultSpreadS = 1;             // the faults of one episode start within this time
 constexpr double kSecondsPerExtraEpisode = 30;  // a longer run has one more episode for each such period
-constexpr double kNoEpisodeBeforeEndS = 6;  // no episode starts later, so that each fault ends within the run
+// No episode starts in this time before the end, so that its faults end within the run.
+constexpr double kNoEpisodeBeforeEndS = 6;
 constexpr double kRestartAfterTerminateS = 4.2;  // a process that terminates gracefully has exited by then
 constexpr double kDelayMs = 300;
 
 /// Generates random faults. Each gatekeeper process and each worker is the target of at most one exclusive
-/// fault.
+/// fault, unless all have one already.
 class FaultGenerator {
  public:
   FaultGenerator(const SoakSize& size, const Scenario& base, std::uint64_t seed)
@@ -96,8 +97,7 @@
             {gatekeeperStep(g, atS, "finish"), gatekeeperStep(g, atS + kRestartAfterTerminateS, "restart")}};
   }
 
-  /// Pauses no longer than those that a machine may impose on a process, for which the verifier grants no
-  /// exemption.
+  /// Pauses as short as a machine may impose on a process; the verifier grants no exemption for them.
   InjectedFault shortPauses(double atS) {
     const int g = static_cast<int>(below(size_.gatekeepers));
     InjectedFault out{faultName("short pauses of gatekeeper", g), {}};
@@ -131,9 +131,9 @@
 
   /// One kind of system call fails for a limited time, at one gatekeeper or at all.
   InjectedFault failingCalls(double atS) {
-    auto kind = static_cast<CallFault>(below(kCallFaults));
-    // The targets look like clients that aborted on their own, which the verifier cannot distinguish from
-    // others.
+    auto kind = static_cast<CallFault>(below(kCallFaultCount));
+    // With `aborted` the library resets clients' connections at accept, which the verifier cannot distinguish
+    // from a gatekeeper that closes them without an answer.
     if (kind == CallFault::aborted) kind = CallFault::interrupted;
     Step begin, end;
     if (chance(0.5)) begin.gatekeeper = static_cast<int>(below(size_.gatekeepers));
@@ -314,7 +314,8 @@
     for (std::size_t remaining = 2 + generator.below(2); remaining > 0; --remaining)
       out.faults.push_back(generator.next(atS + generator.between(0, kFaultSpreadS)));
   }
-  // Over a throttled link a duplicate answer arrives after the time for which a gatekeeper waits for one.
+  // No duplicate answers over a throttled link: they would arrive after the time for which a gatekeeper waits
+  // for them.
   for (const InjectedFault& fault : out.faults)
     for (const Step& step : fault.steps)
       if (step.kind == "throttle") out.base.misbehavingWorkers.twice = 0;
--- a/tools/lab/soak/plan.hpp
+++ b/tools/lab/soak/plan.hpp
@@ -35,8 +35,8 @@
 };
 
 /// Generates the plan, which is the same for the same seed and size. A plan has two or three episodes, and
-/// more in a run longer than half a minute. In each episode two or three faults start within a second of each
-/// other. On some seeds the first half of the run has no faults.
+/// one more for each half minute of the run. In each episode two or three faults start within a second of
+/// each other. On some seeds the first half of the run has no faults.
 SoakPlan soakPlan(const SoakSize& size, std::uint64_t seed);
 
 }  // namespace wingslip::lab
--- a/tools/lab/stand_in_worker.cpp
+++ b/tools/lab/stand_in_worker.cpp
@@ -30,7 +30,7 @@
 class WorkerSession : public std::enable_shared_from_this<WorkerSession> {
  public:
   WorkerSession(Worker& worker, std::shared_ptr<tcp::socket> socket)
-      : w_(worker), socket_(std::move(socket)), timer_(w_.io_) {}
+      : worker_(worker), socket_(std::move(socket)), timer_(worker_.io_) {}
 
   void read() {
     request_ = {};
@@ -42,7 +42,7 @@
   }
 
  private:
-  void end() { w_.open_.erase(socket_); }
+  void end() { worker_.open_.erase(socket_); }
 
   void serve() {
     const auto idHeader = request_.find("Req-Id");
@@ -51,44 +51,45 @@
     const std::uint64_t id = hexId(idText);
     Error error;
     const tcp::endpoint from = socket_->remote_endpoint(error);
-    const auto link = error ? w_.links_.end() : w_.links_.find({w_.port_, from.port()});
-    const int gatekeeper = link == w_.links_.end() ? -1 : link->second;
-    const std::string body = "lab worker " + std::to_string(w_.index_) + " answers " + idText + "\n";
-    w_.verifier_.attemptReceived(id, w_.index_, gatekeeper, w_.nowMs_(), body);
-    if (w_.mode.silent) return;  // the connection stays open without an answer
-    if (w_.mode.draining || w_.inFlight >= w_.s_.workerInFlight)
+    const auto link = error ? worker_.links_.end() : worker_.links_.find({worker_.port_, from.port()});
+    const int gatekeeper = link == worker_.links_.end() ? -1 : link->second;
+    const std::string body = "lab worker " + std::to_string(worker_.index_) + " answers " + idText + "\n";
+    worker_.verifier_.attemptReceived(id, worker_.index_, gatekeeper, worker_.nowMs_(), body);
+    if (worker_.mode.silent) return;  // the connection stays open without an answer
+    if (worker_.mode.draining || worker_.inFlight >= worker_.scenario_.workerInFlight)
       return answer(http::status::service_unavailable, "declined\n", true);
-    const MisbehavingWorkers& misbehaviour = w_.s_.misbehavingWorkers;
-    if (w_.drawFault(misbehaviour.hang)) return;
-    if (w_.drawFault(misbehaviour.reset)) return reset(*socket_), end();
-    ++w_.inFlight;
-    std::lognormal_distribution<double> service(std::log(std::max(w_.s_.serviceMs, 0.01)), w_.s_.spread);
-    double ms = service(w_.random_);
-    if (w_.s_.coldS > 0) {
-      const double age = (w_.nowMs_() - w_.startedMs_) / 1000;
-      ms *= 1 + 3 * std::max(0.0, 1 - age / w_.s_.coldS);
+    const MisbehavingWorkers& misbehaviour = worker_.scenario_.misbehavingWorkers;
+    if (worker_.drawFault(misbehaviour.hang)) return;
+    if (worker_.drawFault(misbehaviour.reset)) return reset(*socket_), end();
+    ++worker_.inFlight;
+    std::lognormal_distribution<double> service(std::log(std::max(worker_.scenario_.serviceMs, 0.01)),
+                                                worker_.scenario_.spread);
+    double ms = service(worker_.random_);
+    if (worker_.scenario_.coldS > 0) {
+      const double age = (worker_.nowMs_() - worker_.startedMs_) / 1000;
+      ms *= 1 + 3 * std::max(0.0, 1 - age / worker_.scenario_.coldS);
     }
     timer_.expires_after(std::chrono::microseconds(static_cast<long>(ms * 1000)));
     timer_.async_wait([self = shared_from_this(), body](const Error& e) {
-      --self->w_.inFlight;
+      --self->worker_.inFlight;
       if (e) return self->end();
       self->answerWithFaults(body);
     });
   }
 
   void answerWithFaults(const std::string& body) {
-    const MisbehavingWorkers& misbehaviour = w_.s_.misbehavingWorkers;
-    if (w_.drawFault(misbehaviour.error))
+    const MisbehavingWorkers& misbehaviour = worker_.scenario_.misbehavingWorkers;
+    if (worker_.drawFault(misbehaviour.error))
       return answer(http::status::internal_server_error, "error\n", false);
-    if (w_.drawFault(misbehaviour.broken))
+    if (worker_.drawFault(misbehaviour.broken))
       return writeAndClose("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" +
                                body.substr(0, body.size() / 2),
                            true);
-    if (w_.drawFault(misbehaviour.unframed))
+    if (worker_.drawFault(misbehaviour.unframed))
       return writeAndClose("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + body, false);
-    if (w_.drawFault(misbehaviour.twice)) writeSecondAnswer(body);
+    if (worker_.drawFault(misbehaviour.twice)) writeSecondAnswer(body);
     answer(http::status::ok, body, false);
-    if (w_.drawFault(misbehaviour.closes)) closeLater();
+    if (worker_.drawFault(misbehaviour.closes)) closeLater();
   }
 
   // Writes the text, then closes the connection, by a reset if `byReset`.
@@ -115,7 +116,7 @@
   }
 
   void closeLater() {
-    runLater(std::uniform_real_distribution<>(0, kMaxIdleMs)(w_.random_), [self = shared_from_this()] {
+    runLater(std::uniform_real_distribution<>(0, kMaxIdleMs)(worker_.random_), [self = shared_from_this()] {
       Error ignored;
       self->socket_->shutdown(tcp::socket::shutdown_send, ignored);
     });
@@ -123,7 +124,7 @@
 
   template <class Then>
   void runLater(double ms, Then then) {
-    auto timer = std::make_shared<asio::steady_timer>(w_.io_);
+    auto timer = std::make_shared<asio::steady_timer>(worker_.io_);
     timer->expires_after(std::chrono::microseconds(static_cast<long>(ms * 1000)));
     timer->async_wait([timer, then](const Error& error) {
       if (!error) then();
@@ -132,8 +133,9 @@
 
   void answer(http::status status, const std::string& body, bool declined) {
     auto reply = std::make_shared<http::response<http::string_body>>(status, 11);
-    reply->set("Srv-Load", "inflight=" + std::to_string(w_.inFlight) + ",queue=0,util=" +
-                               std::to_string(std::min(1.0, w_.inFlight / double(w_.s_.workerInFlight))));
+    reply->set("Srv-Load", "inflight=" + std::to_string(worker_.inFlight) + ",queue=0,util=" +
+                               std::to_string(std::min(
+                                   1.0, worker_.inFlight / double(worker_.scenario_.workerInFlight))));
     if (declined) reply->set("Srv-Declined", "1");
     reply->body() = body;
     reply->prepare_payload();
@@ -144,18 +146,18 @@
     });
   }
 
-  Worker& w_;
+  Worker& worker_;
   std::shared_ptr<tcp::socket> socket_;
   asio::steady_timer timer_;
   beast::flat_buffer buffer_;
   http::request<http::string_body> request_;
 };
 
-Worker::Worker(asio::io_context& io, int index, const Scenario& s, RunVerifier& verifier,
+Worker::Worker(asio::io_context& io, int index, const Scenario& scenario, RunVerifier& verifier,
                const LinkOrigins& links, std::function<double()> nowMs, std::uint64_t seed)
     : io_(io),
       index_(index),
-      s_(s),
+      scenario_(scenario),
       verifier_(verifier),
       links_(links),
       nowMs_(std::move(nowMs)),
--- a/tools/lab/stand_in_worker.hpp
+++ b/tools/lab/stand_in_worker.hpp
@@ -1,4 +1,4 @@
-/// A stand-in worker on the lab's event loop, according to the protocol page.
+/// A stand-in worker on the lab's event loop. It implements the worker's side of the protocol page.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -14,6 +14,7 @@
 
 namespace wingslip::lab {
 
+/// Faults that steps set on a worker.
 struct WorkerMode {
   bool silent = false;    ///< accepts requests and never answers
   bool draining = false;  ///< declines new requests with `Srv-Declined: 1`
@@ -24,16 +25,16 @@
 /// requests and while draining; 404 without a Req-Id. Runs on the given loop; not thread-safe.
 class Worker {
  public:
-  /// Keeps references: `io`, `s`, `verifier` and `links` must outlive the worker. `nowMs` gives the run's
-  /// time.
-  Worker(asio::io_context& io, int index, const Scenario& s, RunVerifier& verifier, const LinkOrigins& links,
-         std::function<double()> nowMs, std::uint64_t seed);
+  /// Keeps references: `io`, `scenario`, `verifier` and `links` must outlive the worker. `nowMs` gives the
+  /// run's time.
+  Worker(asio::io_context& io, int index, const Scenario& scenario, RunVerifier& verifier,
+         const LinkOrigins& links, std::function<double()> nowMs, std::uint64_t seed);
   unsigned short port() const { return port_; }
   /// Number of connections accepted since construction.
   long accepted() const { return accepted_; }
   /// Draws whether a fault with this share, 0 to 1, applies to the present exchange.
   bool drawFault(double share);
-  /// Acts as a new process at the same address: resets all connections and restarts the cold start.
+  /// Simulates a restart at the same address: resets all connections, clears `mode` and starts cold.
   void restart();
   WorkerMode mode;
   int inFlight = 0;
@@ -43,7 +44,7 @@
   friend class WorkerSession;
   asio::io_context& io_;
   int index_;
-  const Scenario& s_;
+  const Scenario& scenario_;
   RunVerifier& verifier_;
   const LinkOrigins& links_;
   std::function<double()> nowMs_;
--- a/tools/lab/store.cpp
+++ b/tools/lab/store.cpp
@@ -20,7 +20,7 @@
 namespace {
 
 constexpr auto kExpiryPeriod = std::chrono::milliseconds(20);  // between checks for expired sessions
-constexpr std::size_t kMaxCountedSeconds = 3600;               // calls after this are not counted by second
+constexpr std::size_t kMaxCountedSeconds = 3600;               // later calls count only in the total
 
 // Decodes percent-encoding.
 std::string unescaped(const std::string& text) {
@@ -215,8 +215,8 @@
     const Waiting w = *at;
     at = waiting_.erase(at);
     w.timer->cancel();
-    asio::post(io_,
-               [this, w] { answerRead(w.client, w.key, w.recurse); });  // not before the change is complete
+    // Posted, so that the answer is built after the change is complete.
+    asio::post(io_, [this, w] { answerRead(w.client, w.key, w.recurse); });
   }
 }
 
--- a/tools/lab/store.hpp
+++ b/tools/lab/store.hpp
@@ -28,15 +28,15 @@
   unsigned short port() const { return port_; }
 
   void set(Mode mode) { mode_ = mode; }
-  /// Acts as a machine that is down: resets open connections and refuses new ones. Sessions still expire.
+  /// Simulates a machine that is down: resets open connections and refuses new ones. Sessions still expire.
   void stop();
   /// Accepts connections again after `stop`.
   void resume();
-  /// Acts as a restart with the loss of all state.
+  /// Simulates a restart with the loss of all state.
   void wipe();
   /// Saves a copy of the state for `restore`.
   void save();
-  /// Acts as a restart from the saved state, including the index and the sessions.
+  /// Simulates a restart from the saved state, including the index and the sessions.
   void restore();
   /// Ends all sessions of that name, as an operator can.
   void invalidate(const std::string& name);
--- a/tools/lab/store_state.hpp
+++ b/tools/lab/store_state.hpp
@@ -12,8 +12,10 @@
 
 namespace wingslip::lab {
 
+/// Sessions, locked keys and change indexes. Not thread-safe.
 class StoreState {
  public:
+  /// A key's value, the session that locks it (empty: none), and its indexes.
   struct Value {
     std::string value, session;
     std::uint64_t createIndex = 0, modifyIndex = 0, lockIndex = 0;
@@ -31,6 +33,7 @@
   std::string createSession(double now, const std::string& name, double ttlMs, double lockDelayMs);
   /// Returns false if the session does not exist.
   bool renew(double now, const std::string& session);
+  /// Ends the session and deletes the keys that it locks. No effect if the session does not exist.
   void destroy(double now, const std::string& session);
   /// Time until which the session that locks the key is valid without a renewal; 0 if the key is not locked.
   double heldUntil(const std::string& key) const;
@@ -42,13 +45,13 @@
   std::optional<bool> acquire(double now, const std::string& key, const std::string& session,
                               const std::string& value);
   std::optional<bool> release(double now, const std::string& key, const std::string& session);
-  /// Sets the value if the key's modify index is `index`; 0: if the key does not exist. Returns whether it
-  /// did.
+  /// Sets the value if the key's modify index is `index`; 0: if the key does not exist. Returns whether the
+  /// value was set.
   bool compareAndSet(double now, const std::string& key, std::uint64_t index, const std::string& value);
 
   /// The entry `key`, or with `recurse` all entries whose key has the prefix `key`.
   std::vector<std::pair<std::string, Value>> read(const std::string& key, bool recurse) const;
-  /// Index of the last change to these entries, deletions included; 1 if there was none.
+  /// Index of the last change to the entries that `read` selects, deletions included; 1 if there was none.
   std::uint64_t changedAt(const std::string& key, bool recurse) const;
 
   /// Called after each change of a key, deletions included.
--- a/tools/lab/table_reader.hpp
+++ b/tools/lab/table_reader.hpp
@@ -60,7 +60,7 @@
     if (!node) return std::nullopt;
     const std::optional<std::string> name = node->value<std::string>();
     if (!name || std::find(zones.begin(), zones.end(), *name) == zones.end())
-      fail(node->source(), "no such zone");
+      fail(node->source(), "zone is not in fleet.zones");
     return name;
   }
 
@@ -72,7 +72,7 @@
     if (names.contains(name)) return name;
     std::string list;
     for (const std::string& allowed : names) list += (list.empty() ? "" : ", ") + allowed;
-    fail(node->source(), std::string(key) + " is one of " + list);
+    fail(node->source(), std::string(key) + " must be one of " + list);
   }
 
   /// The text under `key`, which must be a JSON object; empty if the key is absent.
@@ -81,7 +81,7 @@
     if (!node) return "";
     const std::string text = node->value<std::string>().value_or("?");
     const auto json = nlohmann::json::parse(text, nullptr, false);
-    if (!json.is_object()) fail(node->source(), std::string(key) + " is no JSON object");
+    if (!json.is_object()) fail(node->source(), std::string(key) + " is not a JSON object");
     return text;
   }
 
