--- a/tools/lab/discovery_agent.cpp
+++ b/tools/lab/discovery_agent.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-constexpr auto kHeartbeatPeriod = std::chrono::seconds(2);  // PROTOCOL: of the empty lines on a watch
+constexpr auto kHeartbeatPeriod = std::chrono::seconds(2);  // PROTOCOL: an empty line on each watch
 constexpr double kSilentWatchMs = 6000;  // STANDING: time limit for a gatekeeper to detect a silent watch
 constexpr double kNever = 1e9;           // ms, later than the end of any run
 
--- a/tools/lab/faults/fault_control.hpp
+++ b/tools/lab/faults/fault_control.hpp
@@ -30,7 +30,7 @@
 constexpr std::array<const char*, kCallFaultCount> kCallFaultNames{
     "interrupted", "short", "accept", "accept_full", "socket", "connect", "broken", "memory", "aborted"};
 
-constexpr std::uint32_t kFaultControlVersion = 1;    // of the layout below; a file of another is ignored
+constexpr std::uint32_t kFaultControlVersion = 1;    // layout version; others are ignored
 constexpr std::uint32_t kPartsPerMillion = 1000000;  // sharePerMillion at which every call fails
 
 /// The layout of the mapped file.
--- a/tools/lab/fleet.cpp
+++ b/tools/lab/fleet.cpp
@@ -26,7 +26,7 @@
 constexpr int kOtherDescriptors = 500;        // other descriptors of the lab
 constexpr double kThrottledMs = 300;          // longest delay of a request by a throttled link
 constexpr std::uint64_t kMisbehavingClientsSeed = 0x2545f4914f6cdd1dULL;  // XORed with the run's seed
-constexpr std::uint64_t kIdleSeedStep = 104729;  // between the idle clients' seeds of consecutive run seeds
+constexpr std::uint64_t kIdleSeedStep = 104729;  // factor of the run's seed in its idle clients' seeds
 
 // Estimates the lab's own descriptors: a listener for each link, three descriptors for each connection
 // between gatekeeper and worker, one for each client. Raises the soft limit to the estimate, and throws
--- a/tools/lab/fleet_processes.cpp
+++ b/tools/lab/fleet_processes.cpp
@@ -17,7 +17,7 @@
 
 namespace {
 
-constexpr double kShortPauseMs = 200;           // a pause of up to this length exempts from no rule
+constexpr double kShortPauseMs = 200;           // a pause of at most this length exempts from no rule
 constexpr double kLoadBalancerReactionS = 0.3;  // new connections arrive for this long after SIGTERM
 // A platform may send SIGKILL 0.7 s after the longest deadline, here 3 s, counted from SIGTERM.
 constexpr double kTermTimeoutS = 0.7 + 3;
--- a/tools/lab/gatekeeper_config.cpp
+++ b/tools/lab/gatekeeper_config.cpp
@@ -15,7 +15,7 @@
 // discover most peers by themselves and connect to them directly, without the fault proxies.
 constexpr int kMaxFullyConfiguredFleet = 30;
 constexpr int kPeersInLargeFleet = 2;      // configured peers of a gatekeeper in a larger fleet
-constexpr std::uint64_t kSeedStep = 7919;  // between the gatekeepers' seeds of consecutive run seeds
+constexpr std::uint64_t kSeedStep = 7919;  // factor of the run's seed in its gatekeepers' seeds
 
 std::string gatekeeperName(int gatekeeper) { return std::string("g").append(std::to_string(gatekeeper)); }
 
