--- a/src/distribution/change_log.hpp
+++ b/src/distribution/change_log.hpp
@@ -1,6 +1,6 @@
 /// The replicated log of changes: consecutive records after a base version. Records up to and including the
-/// base have been compacted away, so a copy older than the base cannot catch up by records and is repaired by
-/// ranges.
+/// base have been compacted away, so a copy older than the base cannot catch up from the log: it needs a
+/// transfer of the ranges that differ.
 #pragma once
 
 #include <deque>
@@ -16,6 +16,7 @@
   /// Discards all records; the next record appended must have version `base` + 1.
   void reset(Version base, Term baseTerm);
 
+  /// Version that precedes the first record.
   Version base() const { return base_; }
   Term baseTerm() const { return baseTerm_; }
   Version lastVersion() const { return base_ + records_.size(); }
--- a/src/distribution/control_replica.hpp
+++ b/src/distribution/control_replica.hpp
@@ -12,28 +12,31 @@
 
 namespace wingslip::distribution {
 
-/// Limits of a control replica; times in milliseconds.
+/// Limits of a control replica; times in milliseconds, sizes in records.
 struct ReplicaLimits {
   SessionLimits sessions;
-  std::size_t maxUncommitted = 64;     ///< uncommitted changes at the writer; must be less than maxRecords
-  std::size_t maxRecords = 65'536;     ///< the horizon: maximum of committed records retained in the log
-  Milliseconds writerTimeout = 2'000;  ///< without a message from a writer for this time, the replica
-                                       ///< fetches from other replicas
-  Milliseconds fetchInterval = 1'000;  ///< between two fetches
-  Milliseconds repairTimeout = 5'000;  ///< a repair without progress for this time is restarted
+  std::size_t maxUncommitted = 64;     ///< uncommitted records at the writer; must be less than maxRecords
+  std::size_t maxRecords = 65'536;     ///< maximum number of records retained in the log; versions compacted
+                                       ///< away are behind the horizon
+  Milliseconds writerTimeout = 2'000;  ///< without a message from a writer (at the writer: without
+                                       ///< responses of a majority) for this time, the replica fetches
+                                       ///< from other replicas
+  Milliseconds fetchInterval = 1'000;  ///< between two fetches, unless the response shows that the replica
+                                       ///< still lags
+  Milliseconds repairTimeout = 5'000;  ///< a repair without progress for this time is aborted
 };
 
 /// Event counters of a control replica.
 struct ReplicaCounts {
   std::uint64_t oldTerms = 0;              ///< rejected writer messages of an older term
-  std::uint64_t conflictingHistories = 0;  ///< other terms received for committed versions; not applied
+  std::uint64_t conflictingHistories = 0;  ///< messages that conflict with this replica's log; not applied
   std::uint64_t malformed = 0;             ///< messages that could not be decoded
-  std::uint64_t unexpected = 0;            ///< messages not requested, or not from a peer
-  std::uint64_t fetches = 0;
-  std::uint64_t repairs = 0;
-  std::uint64_t repairsDone = 0;
-  std::uint64_t repairsDamaged = 0;
-  std::uint64_t tableMismatches = 0;  ///< the table does not match the root hashes of the log
+  std::uint64_t unexpected = 0;            ///< responses not requested, and replica messages not from a peer
+  std::uint64_t fetches = 0;               ///< Fetch messages sent
+  std::uint64_t repairs = 0;               ///< RangeRequest messages sent
+  std::uint64_t repairsDone = 0;           ///< completed transfers whose table was adopted
+  std::uint64_t repairsDamaged = 0;        ///< transfers aborted because their parts were inconsistent
+  std::uint64_t tableMismatches = 0;       ///< times the table did not match the root hashes of the log
 };
 
 /// Not thread-safe. The owner drives it by `receive` and `tick`.
@@ -43,6 +46,7 @@
   class Environment {
    public:
     virtual ~Environment() = default;
+    /// Transmits the message to the replica or subscriber `to`. Messages may be lost.
     virtual void send(const std::string& to, Message message) = 0;
     /// A change that was published at this replica and was pending is now committed.
     virtual void onChangeCommitted(const std::string& requestId, Version version) = 0;
@@ -66,11 +70,13 @@
   bool becomeWriter(Milliseconds now, Term term);
   /// Whether this replica is the writer and a majority has promised its term.
   bool isWriter() const { return writer_ && writer_->ready(); }
-  /// Publishes a change. Retrying with the same request id is idempotent while the log has its record.
+  /// Publishes a change. Retrying with the same request id is idempotent while the log
+  /// still has the record of that request.
   PublishResult publish(Milliseconds now, const std::string& requestId, const std::vector<Edit>& edits);
 
   /// Decodes and handles a message from `from`; counts and logs bytes that are not a valid message.
   void receiveBytes(Milliseconds now, const std::string& from, const std::uint8_t* bytes, std::size_t size);
+  /// Handles a decoded message from the replica or subscriber `from`.
   void receive(Milliseconds now, const std::string& from, const Message& message);
   /// Sends due messages and checks timeouts. To be called about every 100 ms.
   void tick(Milliseconds now);
--- a/src/distribution/entry.cpp
+++ b/src/distribution/entry.cpp
@@ -41,19 +41,19 @@
 }
 
 std::optional<std::string> validateEdits(const std::vector<Edit>& edits) {
-  if (edits.empty()) return "a change without edits";
-  if (edits.size() > kMaxEditsPerChange) return "too many edits in a change";
+  if (edits.empty()) return "change has no edits";
+  if (edits.size() > kMaxEditsPerChange) return "change has too many edits";
   std::set<EntryKey> keys;
   std::size_t bytes = 0;
   for (const Edit& edit : edits) {
-    if (static_cast<std::size_t>(edit.key.kind) >= kEntryKinds) return "an unknown kind of entry";
-    if (edit.key.name.empty()) return "an entry without a name";
-    if (edit.key.name.size() > kMaxNameBytes) return "a name is too long";
-    if (edit.value && edit.value->size() > kMaxValueBytes) return "a value is too long";
-    if (!keys.insert(edit.key).second) return "two edits of one entry";
+    if (static_cast<std::size_t>(edit.key.kind) >= kEntryKinds) return "unknown entry kind";
+    if (edit.key.name.empty()) return "entry name is empty";
+    if (edit.key.name.size() > kMaxNameBytes) return "entry name is too long";
+    if (edit.value && edit.value->size() > kMaxValueBytes) return "entry value is too long";
+    if (!keys.insert(edit.key).second) return "duplicate entry key in a change";
     bytes += kEntryOverheadBytes + edit.key.name.size() + (edit.value ? edit.value->size() : 0);
   }
-  if (bytes > kMaxChangeBytes) return "the change is too large";
+  if (bytes > kMaxChangeBytes) return "change is too large";
   return std::nullopt;
 }
 
--- a/src/distribution/entry.hpp
+++ b/src/distribution/entry.hpp
@@ -15,18 +15,20 @@
 using Version = std::uint64_t;      ///< position in the log; the first record has version 1
 using Term = std::uint64_t;         ///< fencing token of a writer; the empty configuration has term 0
 using Milliseconds = std::int64_t;  ///< duration, or time of a monotonic clock unless documented as Unix time
-using Hash = std::uint64_t;
+using Hash = std::uint64_t;         ///< XXH64; not cryptographic
 
+/// Kind of an entry. The numeric values are part of the wire and disk formats.
 enum class EntryKind : std::uint8_t { route, serviceClass, plan, limit };
 inline constexpr std::size_t kEntryKinds = 4;
 
+// Limits of a valid change, checked when it is published. The decoders check all but kMaxChangeBytes.
 inline constexpr std::size_t kMaxNameBytes = 256;
 inline constexpr std::size_t kMaxValueBytes = 16 * 1024;
 inline constexpr std::size_t kMaxRequestIdBytes = 64;
 inline constexpr std::size_t kMaxEditsPerChange = 64;
 inline constexpr std::size_t kMaxChangeBytes = 64 * 1024;
 
-/// Identifies an entry: names are unique within a kind.
+/// Identifies an entry: a name is unique within its kind.
 struct EntryKey {
   EntryKind kind = EntryKind::route;
   std::string name;
@@ -59,7 +61,7 @@
   bool removes = false;
 };
 
-/// A record of the log. A record without edits is the barrier that starts a writer's term.
+/// A record of the log. A writer starts its term with a barrier: a record without edits or request id.
 struct ChangeRecord {
   Version version = 0;
   Term term = 0;
--- a/src/distribution/entry_table.hpp
+++ b/src/distribution/entry_table.hpp
@@ -37,20 +37,24 @@
   /// Applies all edits of the record.
   void apply(const ChangeRecord& record);
 
-  /// Hash that the table would have after the edits, without applying them. The keys of the edits must be
-  /// distinct.
+  /// Root hash that the table would have after the edits, without applying them. The keys of the edits must
+  /// be distinct.
   Hash rootHashAfter(const std::vector<LoggedEdit>& edits) const;
 
   /// Hash of the whole table: the sum of the hashes of its ranges.
   Hash rootHash() const { return rootHash_; }
+  /// Hash of the range with this index; 0 if it is empty.
   Hash rangeHash(std::size_t index) const;
+  /// Hashes of all kRanges ranges, by index.
   std::vector<Hash> rangeHashes() const;
   /// Number of entries.
   std::size_t size() const { return size_; }
 
   /// Range with this index; null if it is empty.
   const RangePointer& range(std::size_t index) const { return ranges_[index]; }
+  /// Replaces the range with this index; null empties it.
   void replaceRange(std::size_t index, RangePointer range);
+  /// Calls `visit` for each entry, in the order of ranges and, within a range, of keys.
   void forEach(const std::function<void(const EntryPointer&)>& visit) const;
 
  private:
--- a/src/distribution/message.hpp
+++ b/src/distribution/message.hpp
@@ -10,18 +10,19 @@
 
 namespace wingslip::distribution {
 
+// Limits that the decoder enforces.
 inline constexpr std::size_t kMaxMessageBytes = 512 * 1024;
 inline constexpr std::size_t kMaxRecordsPerMessage = 1024;
 inline constexpr std::size_t kMaxEntriesPerRange = 4096;
-inline constexpr std::size_t kMaxRejectedChanges = 16;
-inline constexpr std::size_t kMaxReasonBytes = 200;
-inline constexpr std::size_t kMaxBuildBytes = 64;
+inline constexpr std::size_t kMaxRejectedChanges = 16;  ///< in an Acknowledge or a snapshot
+inline constexpr std::size_t kMaxReasonBytes = 200;     ///< of RejectedChange::reason
+inline constexpr std::size_t kMaxBuildBytes = 64;       ///< of a build name
 
 /// Subscriber to replica: requests the changes after `version`.
 struct Subscribe {
   Version version = 0;
-  Term term = 0;  ///< of the record at `version`
-  std::string build;
+  Term term = 0;      ///< of the record at `version`
+  std::string build;  ///< name of the subscriber's build
 };
 
 /// A change with an entry that the subscriber's build does not accept. The previous entries stay in effect.
@@ -32,12 +33,12 @@
 };
 
 /// Subscriber to replica: all records up to `version` are processed, and `rejectedChanges` were rejected.
-/// Also serves as the subscriber's heartbeat. `transfer` and `nextPart` refer to the transfer in progress, or
-/// are 0.
+/// Also serves as the subscriber's heartbeat. A replica that repairs its table sends it too, to acknowledge
+/// parts.
 struct Acknowledge {
   Version version = 0;
-  std::uint64_t transfer = 0;
-  std::uint32_t nextPart = 0;
+  std::uint64_t transfer = 0;  ///< id of the transfer in progress, or 0
+  std::uint32_t nextPart = 0;  ///< index of the next part expected, or 0 without a transfer
   std::vector<RejectedChange> rejectedChanges;
 };
 
@@ -49,17 +50,20 @@
   std::vector<RecordPointer> records;
   Version committed = 0;
   Hash rootHash = 0;            ///< hash of the replica's table at `committed`
-  Milliseconds writerTime = 0;  ///< Unix time of the newest append round known to have majority responses
+  Milliseconds writerTime = 0;  ///< Unix time of the newest append round with known majority responses
 };
 
-/// Requests the ranges in which the replica's table differs from the table with these hashes.
+/// Subscriber or replica to replica: requests the ranges in which the receiver's table differs from the table
+/// with these hashes. That table may contain ranges of an interrupted transfer, so that it is newer in part
+/// than `version`.
 struct RangeRequest {
-  Version version = 0;
-  Term term = 0;
+  Version version = 0;         ///< of the requester's copy
+  Term term = 0;               ///< of the record at `version`
   std::uint64_t transfer = 0;  ///< id of the transfer, chosen by the requester; not 0
   std::vector<Hash> hashes;    ///< EntryTable::kRanges hashes; empty if the requester has no entries
 };
 
+/// One range of a transfer.
 struct RangeContent {
   std::uint32_t index = 0;
   RangePointer range;  ///< null if the range is empty
@@ -68,7 +72,7 @@
 /// A part of a transfer: ranges of the table at one version. All parts of a transfer have the same version.
 struct RangeContents {
   std::uint64_t transfer = 0;
-  std::uint32_t part = 0;
+  std::uint32_t part = 0;  ///< index of this part, from 0
   bool last = false;
   Version version = 0;
   Term term = 0;
@@ -76,6 +80,7 @@
   std::vector<RangeContent> ranges;
 };
 
+/// Reason why a replica does not serve a request. The numeric values are part of the wire format.
 enum class RejectionCode : std::uint8_t {
   behindHorizon,     ///< the requester's version was compacted away: it must send a RangeRequest
   subscriberAhead,   ///< this replica lags behind the requester
@@ -102,8 +107,8 @@
 /// Response to Prepare. `records` are those after `committed` of Prepare, as many as fit into a message;
 /// empty if they were compacted away.
 struct Promise {
-  Term term = 0;  ///< the highest term promised by the replica
-  bool accepted = false;
+  Term term = 0;          ///< the highest term promised by the replica
+  bool accepted = false;  ///< if false, the fields below are not set
   Version lastVersion = 0;
   Term lastTerm = 0;
   Version committed = 0;
@@ -117,19 +122,21 @@
   Term previousTerm = 0;
   std::vector<RecordPointer> records;
   Version committed = 0;
-  Milliseconds writerTime = 0;  ///< Unix time of the newest round that a majority has responded to
-  Milliseconds sentAt = 0;      ///< Unix time of this round
+  Milliseconds writerTime = 0;  ///< Unix time of the newest append round with known majority responses
+  Milliseconds sentAt = 0;      ///< Unix time at which this round was sent
 };
 
 /// Response to Append.
 struct AppendResponse {
-  Term term = 0;
+  Term term = 0;  ///< term of the Append if it was not rejected as old; else the promised term
   bool accepted = false;
-  Version version = 0;  ///< if accepted, the log matches up to here; otherwise, append from the next version
+  /// If accepted, the last version up to which the logs match; otherwise, the version after which the writer
+  /// should append next.
+  Version version = 0;
   Milliseconds sentAt = 0;  ///< copied from the Append
 };
 
-/// Replica to replica: requests a single Changes with the committed records after `version`.
+/// Replica to replica: requests a single Changes with committed records after `version`, as many as fit.
 struct Fetch {
   Version version = 0;
   Term term = 0;
--- a/src/distribution/rejected_entries.hpp
+++ b/src/distribution/rejected_entries.hpp
@@ -10,11 +10,11 @@
 
 namespace wingslip::distribution {
 
-/// Owned by `Subscriber`. A rejection ends once a later, accepted change has written each entry of its
-/// change.
+/// Owned by `Subscriber`. A rejection ends once each entry of its change has been written or
+/// removed by a later change, accepted or not.
 class RejectedEntries {
  public:
-  /// Replaces an entry of the table.
+  /// The entry in effect instead of the table's entry with the same key.
   struct Override {
     EntryPointer lastKnownGood;  ///< null if no entry is in effect
     Version rejectedVersion = 0;
--- a/src/distribution/snapshot.hpp
+++ b/src/distribution/snapshot.hpp
@@ -26,7 +26,7 @@
   std::vector<RejectedChange> rejectedChanges;  ///< versions and reasons of the rejections
   std::string build;                            ///< of the subscriber that rejected the changes
   Term promisedTerm = 0;
-  Version logBase = 0;
+  Version logBase = 0;  ///< version before the first record
   Term logBaseTerm = 0;
   std::vector<RecordPointer> records;  ///< the log after `logBase`
 };
--- a/src/distribution/subscriber.hpp
+++ b/src/distribution/subscriber.hpp
@@ -17,30 +17,30 @@
 
 /// Timeouts and intervals of a subscriber, in milliseconds.
 struct SubscriberLimits {
-  Milliseconds connectTimeout = 2'000;  ///< without a response to Subscribe, it fails over
-  Milliseconds silenceTimeout = 7'000;  ///< without a message from the replica, it fails over
-  Milliseconds acknowledgeInterval = 10'000;
-  Milliseconds resubscribeInterval = 1'000;  ///< minimum time between two Subscribe messages after gaps
-  Milliseconds backoffBase = 500;            ///< full jitter: waits 0 to base * 2^attempts, at most the cap
-  Milliseconds backoffCap = 10'000;
+  Milliseconds connectTimeout = 2'000;        ///< time without a response to Subscribe until failover
+  Milliseconds silenceTimeout = 7'000;        ///< time without a message from the replica until failover
+  Milliseconds acknowledgeInterval = 10'000;  ///< maximum time between two Acknowledge messages
+  Milliseconds resubscribeInterval = 1'000;   ///< minimum time between two Subscribe messages after gaps
+  Milliseconds backoffBase = 500;             ///< a failover waits 0 to base * 2^failedAttempts (full jitter)
+  Milliseconds backoffCap = 10'000;           ///< maximum of that wait
   /// While connected to another replica, the subscriber retries the preferred one after one to two intervals.
   Milliseconds preferredRetryInterval = 300'000;
 };
 
 /// Event counters of a subscriber.
 struct SubscriberCounts {
-  std::uint64_t applied = 0;          ///< changes, including rejected ones
-  std::uint64_t rejectedChanges = 0;  ///< not accepted by this build
-  std::uint64_t duplicates = 0;       ///< records already applied
-  std::uint64_t gaps = 0;             ///< records that do not follow the current version
-  std::uint64_t oldTerms = 0;         ///< records of an older term than the last record
-  std::uint64_t conflictingHistories = 0;
-  std::uint64_t hashMismatches = 0;  ///< times the copy differed from the replica's
-  std::uint64_t malformed = 0;
-  std::uint64_t unexpected = 0;
-  std::uint64_t repairs = 0;
-  std::uint64_t repairsDone = 0;
-  std::uint64_t repairsDamaged = 0;
+  std::uint64_t applied = 0;               ///< changes, including rejected ones
+  std::uint64_t rejectedChanges = 0;       ///< not accepted by this build
+  std::uint64_t duplicates = 0;            ///< records already applied
+  std::uint64_t gaps = 0;                  ///< records that do not follow the current version
+  std::uint64_t oldTerms = 0;              ///< records of an older term than the last record
+  std::uint64_t conflictingHistories = 0;  ///< messages with another term for the current version
+  std::uint64_t hashMismatches = 0;        ///< times the copy differed from the replica's
+  std::uint64_t malformed = 0;             ///< messages that could not be decoded
+  std::uint64_t unexpected = 0;            ///< messages of the wrong type or sender, or ranges not requested
+  std::uint64_t repairs = 0;               ///< RangeRequest messages sent
+  std::uint64_t repairsDone = 0;           ///< completed transfers whose table was adopted
+  std::uint64_t repairsDamaged = 0;        ///< transfers aborted because their parts were inconsistent
   std::uint64_t failovers = 0;
 };
 
@@ -57,8 +57,9 @@
   class Environment {
    public:
     virtual ~Environment() = default;
+    /// Transmits the message to the replica. Messages may be lost.
     virtual void send(const std::string& replica, Message message) = 0;
-    /// The changes must take effect atomically, between two requests.
+    /// The copy is now at `version`. The changes must take effect atomically, between two requests.
     virtual void onChangesApplied(Version version, const std::vector<EffectiveChange>& changes) = 0;
     virtual void log(const std::string& line) = 0;
   };
@@ -83,6 +84,7 @@
   Milliseconds nextTickAt() const;
   /// Decodes and handles a message from `from`; counts and logs bytes that are not a valid message.
   void receiveBytes(Milliseconds now, const std::string& from, const std::uint8_t* bytes, std::size_t size);
+  /// Handles a decoded message from `from`.
   void receive(Milliseconds now, const std::string& from, const Message& message);
 
   /// Entry in effect; null if there is none.
@@ -93,8 +95,8 @@
   const EntryTable& table() const { return table_; }
   /// Reasons by rejected version.
   const std::map<Version, std::string>& rejectedChanges() const { return rejected_.reasons(); }
-  /// Unix time of the newest append round known to have responses of a majority: it bounds the
-  /// staleness of this copy.
+  /// Unix time of the newest append round with known majority responses: it bounds the staleness of this
+  /// copy.
   Milliseconds writerTime() const { return writerTime_; }
   /// Replica to which the subscriber is connected, or which it tries next.
   const std::string& replica() const { return replicas_[replicaIndex_]; }
@@ -162,7 +164,8 @@
   Milliseconds lastAcknowledgeAt_ = 0;
   Milliseconds preferredRetryAt_ = 0;
   std::unique_ptr<TransferReceiver> repair_;
-  std::optional<EntryTable> staged_;  // base of the next transfer, with the ranges of an interrupted one
+  std::optional<EntryTable>
+      staged_;  // base of the next transfer, including ranges received by an interrupted one
   SubscriberCounts counts_;
 };
 
--- a/src/distribution/subscriber_sessions.cpp
+++ b/src/distribution/subscriber_sessions.cpp
@@ -5,6 +5,7 @@
 namespace wingslip::distribution {
 namespace {
 
+// Approximate size of a Changes message without records, as taken from the token bucket.
 constexpr double kHeartbeatBytes = 64;
 
 }  // namespace
@@ -83,7 +84,7 @@
   Session* session = openSession(now, from, rate);
   if (session == nullptr) return reject(from, RejectionCode::busy);
   session->lastReceivedAt = now;
-  if (session->transfer && session->transfer->id() == request.transfer) return;  // a duplicate
+  if (session->transfer && session->transfer->id() == request.transfer) return;  // duplicate request
   endTransfer(*session);
   if (transfers_ >= limits_.maxTransfers) return reject(from, RejectionCode::busy);
   session->transfer =
--- a/src/distribution/subscriber_sessions.hpp
+++ b/src/distribution/subscriber_sessions.hpp
@@ -1,5 +1,6 @@
-/// Sessions of the subscribers of a control replica. A session has no queue, only positions in the log: a
-/// slow subscriber is sent its missing records from the log, and beyond the horizon it is repaired by ranges.
+/// Sessions of a control replica with its subscribers, and with replicas that repair their table from it. A
+/// session has no queue, only positions in the log: a slow subscriber is sent its missing records from the
+/// log, and once it is behind the horizon it must request a transfer of ranges.
 /// Each session is limited by a token bucket and by a window of unacknowledged records or parts.
 #pragma once
 
@@ -14,20 +15,20 @@
 
 /// Limits of the sessions of a control replica; times in milliseconds.
 struct SessionLimits {
-  double bytesPerSecond = 15'500;         ///< rate limit of a session with a subscriber
-  double burstBytes = 4 * 1024;           ///< capacity of the token bucket of a session
-  double peerBytesPerSecond = 1'000'000;  ///< rate limit of a session with another replica
-  std::size_t maxSessions = 8'400;
+  double bytesPerSecond = 15'500;           ///< rate limit of a session with a subscriber
+  double burstBytes = 4 * 1024;             ///< capacity of the token bucket of a session
+  double peerBytesPerSecond = 1'000'000;    ///< rate limit of a session with another replica
+  std::size_t maxSessions = 8'400;          ///< further sessions are rejected as busy
   std::size_t maxTransfers = 500;           ///< concurrent transfers; further ones are rejected as busy
   Milliseconds batchInterval = 250;         ///< changes within this time are sent as a batch
-  Milliseconds heartbeatInterval = 2'000;   ///< sent if no other message was sent for this time
+  Milliseconds heartbeatInterval = 2'000;   ///< a heartbeat is sent after this time without another message
   Milliseconds resendTimeout = 1'000;       ///< unacknowledged data is resent after this time
   Milliseconds maxResendTimeout = 16'000;   ///< maximum of the timeout, which doubles with each resend
   Milliseconds sessionTimeout = 30'000;     ///< a session without a message for this time expires
   Milliseconds busyRetryDelay = 10'000;     ///< retry delay sent with a busy rejection
-  std::size_t maxChangesBytes = 16 * 1024;  ///< of the records in a Changes message
-  std::size_t maxRecordsInFlight = 256;     ///< sent and not yet acknowledged
-  std::uint32_t maxPartsInFlight = 4;
+  std::size_t maxChangesBytes = 16 * 1024;  ///< approximate size of the records in a Changes message
+  std::size_t maxRecordsInFlight = 256;     ///< records of a session sent and not yet acknowledged
+  std::uint32_t maxPartsInFlight = 4;       ///< parts of a transfer sent and not yet acknowledged
 };
 
 /// Event counters of the sessions.
@@ -35,8 +36,9 @@
   std::uint64_t changesSent = 0;
   std::uint64_t heartbeatsSent = 0;
   std::uint64_t partsSent = 0;
-  std::uint64_t resends = 0;
+  std::uint64_t resends = 0;  ///< resend timeouts of a session
   std::uint64_t sessionsExpired = 0;
+  // Requests rejected, by RejectionCode.
   std::uint64_t rejectedBusy = 0;
   std::uint64_t rejectedBehindHorizon = 0;
   std::uint64_t rejectedSubscriberAhead = 0;
@@ -44,7 +46,7 @@
   std::uint64_t rejectedNotServing = 0;
   std::uint64_t transfersStarted = 0;
   std::uint64_t transfersDone = 0;
-  std::uint64_t rejectedChanges = 0;
+  std::uint64_t rejectedChanges = 0;  ///< changes that subscribers reported as rejected
 };
 
 /// Owned by ControlReplica. Not thread-safe.
@@ -57,12 +59,13 @@
   SubscriberSessions(const SessionLimits& limits, const ReplicaState& state, Send send,
                      RejectionCallback onChangeRejected);
 
-  /// False while this replica's own copy is being repaired: requests are then rejected.
+  /// Set to false while this replica's own copy is being repaired: requests are then rejected.
   void setServing(bool serving) { serving_ = serving; }
   bool serving() const { return serving_; }
 
   void receive(Milliseconds now, const std::string& from, const Subscribe& subscribe);
   void receive(Milliseconds now, const std::string& from, const Acknowledge& acknowledge);
+  /// `fromReplica` selects the rate limit of sessions with replicas.
   void receive(Milliseconds now, const std::string& from, const RangeRequest& request, bool fromReplica);
   /// Responds to another replica, without a session.
   void receive(const std::string& from, const Fetch& fetch);
--- a/src/distribution/token_bucket.hpp
+++ b/src/distribution/token_bucket.hpp
@@ -8,7 +8,7 @@
 
 namespace wingslip::distribution {
 
-/// Times are those of a monotonic clock in milliseconds.
+/// Token bucket. Times are those of a monotonic clock in milliseconds.
 class TokenBucket {
  public:
   /// `rate` is in tokens per second; `burst` is the capacity, and the bucket starts full.
--- a/src/distribution/writer.cpp
+++ b/src/distribution/writer.cpp
@@ -19,7 +19,7 @@
 PublishResult Writer::publish(Milliseconds now, Milliseconds unixTime, const std::string& requestId,
                               const std::vector<Edit>& edits) {
   if (requestId.empty() || requestId.size() > kMaxRequestIdBytes)
-    return {PublishStatus::invalid, 0, "a request id of a wrong length"};
+    return {PublishStatus::invalid, 0, "request id is empty or too long"};
   if (!ready_) return {PublishStatus::notWriter, 0, "no majority has promised this term yet"};
   if (const auto version = state_.log().findRequest(requestId)) {
     const bool committed = *version <= state_.committed();
@@ -28,9 +28,9 @@
   if (const auto error = validateEdits(edits)) return {PublishStatus::invalid, 0, *error};
   if (const auto error = findOversizedRange(edits)) return {PublishStatus::invalid, 0, *error};
   if (state_.log().lastVersion() - state_.committed() >= maxUncommitted_)
-    return {PublishStatus::busy, 0, "too many changes are not yet committed"};
+    return {PublishStatus::busy, 0, "too many uncommitted changes"};
   if (now - majorityRespondedAt_ > kMajorityTimeout)
-    return {PublishStatus::busy, 0, "no majority of the replicas answers"};
+    return {PublishStatus::busy, 0, "no majority of the replicas has responded within the majority timeout"};
   const RecordPointer record = state_.makeRecord(term_, requestId, edits);
   state_.append(record);
   broadcast(unixTime);
@@ -64,7 +64,7 @@
 void Writer::receivePromise(Milliseconds now, Milliseconds unixTime, const std::string& from,
                             const Promise& promise) {
   if (ready_ || promise.term != term_ || !promise.accepted) return;
-  if (!adoptLog(promise)) return;  // prepared again with the next heartbeat
+  if (!adoptLog(promise)) return;  // the peer is sent a Prepare again at the next heartbeat
   promised_.insert(from);
   const std::size_t replicas = peers_.size() + 1;
   if (2 * (promised_.size() + 1) > replicas) becomeReady(now, unixTime);
@@ -106,7 +106,8 @@
 
 void Writer::sendAppend(const std::string& peer, Progress& progress, Milliseconds unixTime) {
   const ChangeLog& log = state_.log();
-  // A peer behind the horizon receives the committed version and repairs its table by itself.
+  // A peer behind the horizon is sent the records after the base: it cannot append them, fetches from a peer,
+  // and repairs its table if the fetch is rejected as behind the horizon.
   const Version previous = std::clamp(progress.sent, log.base(), log.lastVersion());
   Append append;
   append.term = term_;
@@ -168,7 +169,7 @@
       for (const EntryPointer& entry : range->entries) bytes += approximateBytes(*entry);
     }
     if (bytes > kMaxRangeBytes || entries > kMaxEntriesPerRange)
-      return "the entries of a range would not fit into a message";
+      return "the range of an entry could become too large for a message";
   }
   return std::nullopt;
 }
--- a/src/distribution/writer.hpp
+++ b/src/distribution/writer.hpp
@@ -1,7 +1,7 @@
 /// Writer role of a control replica. The writer and its term are determined externally, by a lease with a
 /// fencing token. The writer first adopts the newest log among a majority of the replicas, each of which
-/// promises to reject older terms. A change is committed once a majority has appended it and a record of the
-/// writer's term.
+/// promises to reject older terms. A change is committed once a majority has appended it and a record of
+/// the writer's term.
 #pragma once
 
 #include <functional>
@@ -33,12 +33,13 @@
  public:
   using Send = std::function<void(const std::string& replica, Message message)>;
 
+  /// Between two rounds of Append messages, or of Prepare messages until the writer is ready.
   static constexpr Milliseconds kHeartbeatInterval = 500;
   /// Changes are rejected as busy if no majority has responded for this time.
   static constexpr Milliseconds kMajorityTimeout = 10'000;
-  /// Of the records in an Append or a Promise.
+  /// Approximate size of the records in an Append or a Promise.
   static constexpr std::size_t kMaxAppendBytes = 128 * 1024;
-  /// Of the entries of a range, so that a range fits into a message.
+  /// Approximate size of the entries of a range, so that a range fits into a message.
   static constexpr std::size_t kMaxRangeBytes = 256 * 1024;
 
   /// `peers` are all replicas except this one. At `maxUncommitted` uncommitted records, further changes are
@@ -51,12 +52,12 @@
   bool ready() const { return ready_; }
   /// When a majority last responded to an append round.
   Milliseconds majorityRespondedAt() const { return majorityRespondedAt_; }
-  /// Whether a committed record does not give this replica's table the recorded root hash. The owner must
-  /// then step down and repair the table.
+  /// Whether a record that a majority has appended would not give this replica's table the recorded root
+  /// hash. The owner must then step down and repair the table.
   bool tableDiffers() const { return tableDiffers_; }
 
-  /// Appends the change and sends it to the peers. A request id that the log already has is not written
-  /// again.
+  /// Appends the change and sends it to the peers. If the log has a record of this request id,
+  /// returns its version and status instead.
   PublishResult publish(Milliseconds now, Milliseconds unixTime, const std::string& requestId,
                         const std::vector<Edit>& edits);
   /// Sends prepares until the writer is ready, then appends as heartbeats, once per kHeartbeatInterval.
--- a/tests/distribution_test.cpp
+++ b/tests/distribution_test.cpp
@@ -129,16 +129,16 @@
     EXPECT_EQ(result.status, PublishStatus::invalid);
     return result.reason;
   };
-  EXPECT_EQ(reason("1", {}), "a change without edits");
-  EXPECT_EQ(reason("1", {{route(std::string(10'240, 'n')), "v"}}), "a name is too long");
-  EXPECT_EQ(reason("1", {{route(""), "v"}}), "an entry without a name");
-  EXPECT_EQ(reason("1", {{route("a"), std::string(kMaxValueBytes + 1, 'v')}}), "a value is too long");
-  EXPECT_EQ(reason("1", {{route("a"), "v"}, {route("a"), "w"}}), "two edits of one entry");
-  EXPECT_EQ(reason("1", {{{static_cast<EntryKind>(9), "a"}, "v"}}), "an unknown kind of entry");
+  EXPECT_EQ(reason("1", {}), "change has no edits");
+  EXPECT_EQ(reason("1", {{route(std::string(10'240, 'n')), "v"}}), "entry name is too long");
+  EXPECT_EQ(reason("1", {{route(""), "v"}}), "entry name is empty");
+  EXPECT_EQ(reason("1", {{route("a"), std::string(kMaxValueBytes + 1, 'v')}}), "entry value is too long");
+  EXPECT_EQ(reason("1", {{route("a"), "v"}, {route("a"), "w"}}), "duplicate entry key in a change");
+  EXPECT_EQ(reason("1", {{{static_cast<EntryKind>(9), "a"}, "v"}}), "unknown entry kind");
   EXPECT_EQ(reason("1", std::vector<Edit>(kMaxEditsPerChange + 1, Edit{route("a"), "v"})),
-            "too many edits in a change");
-  EXPECT_EQ(reason("", {{route("a"), "v"}}), "a request id of a wrong length");
-  EXPECT_EQ(reason(std::string(65, 'i'), {{route("a"), "v"}}), "a request id of a wrong length");
+            "change has too many edits");
+  EXPECT_EQ(reason("", {{route("a"), "v"}}), "request id is empty or too long");
+  EXPECT_EQ(reason(std::string(65, 'i'), {{route("a"), "v"}}), "request id is empty or too long");
   EXPECT_EQ(replica.core.state().committed(), before);
   ReplicaRecorder environment;
   ControlReplica follower({}, "r1", {"r0"}, 1, environment);
