--- a/src/distribution/control_replica.hpp
+++ b/src/distribution/control_replica.hpp
@@ -70,8 +70,8 @@
   bool becomeWriter(Milliseconds now, Term term);
   /// Whether this replica is the writer and a majority has promised its term.
   bool isWriter() const { return writer_ && writer_->ready(); }
-  /// Publishes a change. Retrying with the same request id is idempotent while the log
-  /// still has the record of that request.
+  /// Publishes a change. Retrying with the same request id is idempotent while the log still has
+  /// the record of that request.
   PublishResult publish(Milliseconds now, const std::string& requestId, const std::vector<Edit>& edits);
 
   /// Decodes and handles a message from `from`; counts and logs bytes that are not a valid message.
--- a/src/distribution/limited_log.hpp
+++ b/src/distribution/limited_log.hpp
@@ -1,4 +1,4 @@
-/// Rate-limited log. Suppressed lines are counted, and the next line that is written carries the count.
+/// Rate-limited log. Suppressed lines are counted; the next line written states their number.
 #pragma once
 
 #include <functional>
--- a/src/distribution/message.hpp
+++ b/src/distribution/message.hpp
@@ -49,8 +49,9 @@
   Term previousTerm = 0;
   std::vector<RecordPointer> records;
   Version committed = 0;
-  Hash rootHash = 0;            ///< hash of the replica's table at `committed`
-  Milliseconds writerTime = 0;  ///< Unix time of the newest append round with known majority responses
+  Hash rootHash = 0;  ///< hash of the replica's table at `committed`
+  /// Unix time of the newest append round that a majority is known to have responded to.
+  Milliseconds writerTime = 0;
 };
 
 /// Subscriber or replica to replica: requests the ranges in which the receiver's table differs from the table
@@ -122,8 +123,9 @@
   Term previousTerm = 0;
   std::vector<RecordPointer> records;
   Version committed = 0;
-  Milliseconds writerTime = 0;  ///< Unix time of the newest append round with known majority responses
-  Milliseconds sentAt = 0;      ///< Unix time at which this round was sent
+  /// Unix time of the newest append round that a majority is known to have responded to.
+  Milliseconds writerTime = 0;
+  Milliseconds sentAt = 0;  ///< Unix time at which this round was sent
 };
 
 /// Response to Append.
--- a/src/distribution/placement.hpp
+++ b/src/distribution/placement.hpp
@@ -1,6 +1,6 @@
 /// Order in which a subscriber tries the control replicas: those of its zone first, then those of its region,
-/// then the others. Rendezvous hashing orders the replicas at equal distance, so that the subscribers of
-/// a failed replica are spread evenly over the others.
+/// then the others. Rendezvous hashing orders the replicas at equal distance, so that the subscribers of a
+/// failed replica are spread evenly over the others.
 #pragma once
 
 #include <string>
--- a/src/distribution/rejected_entries.hpp
+++ b/src/distribution/rejected_entries.hpp
@@ -10,8 +10,8 @@
 
 namespace wingslip::distribution {
 
-/// Owned by `Subscriber`. A rejection ends once each entry of its change has been written or
-/// removed by a later change, accepted or not.
+/// Owned by `Subscriber`. A rejection ends once each entry of its change has been written or removed by a
+/// later change, accepted or not.
 class RejectedEntries {
  public:
   /// The entry in effect instead of the table's entry with the same key.
--- a/src/distribution/replica_state.hpp
+++ b/src/distribution/replica_state.hpp
@@ -20,7 +20,7 @@
   /// Raises the promised term to `term`; an older term changes nothing.
   void promise(Term term) { promisedTerm_ = std::max(promisedTerm_, term); }
 
-  /// Unix time of the newest append round with known majority responses.
+  /// Unix time of the newest append round that a majority is known to have responded to.
   Milliseconds writerTime() const { return writerTime_; }
   void advanceWriterTime(Milliseconds time) { writerTime_ = std::max(writerTime_, time); }
 
--- a/src/distribution/subscriber.hpp
+++ b/src/distribution/subscriber.hpp
@@ -95,8 +95,8 @@
   const EntryTable& table() const { return table_; }
   /// Reasons by rejected version.
   const std::map<Version, std::string>& rejectedChanges() const { return rejected_.reasons(); }
-  /// Unix time of the newest append round with known majority responses: it bounds the staleness of this
-  /// copy.
+  /// Unix time of the newest append round that a majority is known to have responded to: it bounds the
+  /// staleness of this copy.
   Milliseconds writerTime() const { return writerTime_; }
   /// Replica to which the subscriber is connected, or which it tries next.
   const std::string& replica() const { return replicas_[replicaIndex_]; }
@@ -164,8 +164,7 @@
   Milliseconds lastAcknowledgeAt_ = 0;
   Milliseconds preferredRetryAt_ = 0;
   std::unique_ptr<TransferReceiver> repair_;
-  std::optional<EntryTable>
-      staged_;  // base of the next transfer, including ranges received by an interrupted one
+  std::optional<EntryTable> staged_;  // base of the next transfer, with ranges from an interrupted one
   SubscriberCounts counts_;
 };
 
--- a/src/distribution/subscriber_sessions.hpp
+++ b/src/distribution/subscriber_sessions.hpp
@@ -27,7 +27,7 @@
   Milliseconds sessionTimeout = 30'000;     ///< a session without a message for this time expires
   Milliseconds busyRetryDelay = 10'000;     ///< retry delay sent with a busy rejection
   std::size_t maxChangesBytes = 16 * 1024;  ///< approximate size of the records in a Changes message
-  std::size_t maxRecordsInFlight = 256;     ///< records of a session sent and not yet acknowledged
+  std::size_t maxRecordsInFlight = 256;     ///< records sent and not yet acknowledged, per session
   std::uint32_t maxPartsInFlight = 4;       ///< parts of a transfer sent and not yet acknowledged
 };
 
@@ -36,7 +36,7 @@
   std::uint64_t changesSent = 0;
   std::uint64_t heartbeatsSent = 0;
   std::uint64_t partsSent = 0;
-  std::uint64_t resends = 0;  ///< resend timeouts of a session
+  std::uint64_t resends = 0;  ///< expired resend timeouts
   std::uint64_t sessionsExpired = 0;
   // Requests rejected, by RejectionCode.
   std::uint64_t rejectedBusy = 0;
@@ -86,8 +86,8 @@
     Version acknowledged = 0;
     bool streaming = false;  // whether changes are sent; false for a session that only transfers ranges
     Milliseconds lastReceivedAt = 0;
-    Milliseconds sentAt = 0;
-    Milliseconds progressAt = 0;
+    Milliseconds sentAt = 0;      // when the last message was sent
+    Milliseconds progressAt = 0;  // of the last acknowledged progress or resend; start of the resend timeout
     Milliseconds resendTimeout = 0;
     std::vector<RejectedChange> rejectedChanges;
     std::unique_ptr<TransferSender> transfer;
--- a/src/distribution/writer.hpp
+++ b/src/distribution/writer.hpp
@@ -1,7 +1,7 @@
 /// Writer role of a control replica. The writer and its term are determined externally, by a lease with a
 /// fencing token. The writer first adopts the newest log among a majority of the replicas, each of which
-/// promises to reject older terms. A change is committed once a majority has appended it and a record of
-/// the writer's term.
+/// promises to reject older terms. A change is committed once a majority has appended it and a record of the
+/// writer's term.
 #pragma once
 
 #include <functional>
@@ -56,8 +56,8 @@
   /// hash. The owner must then step down and repair the table.
   bool tableDiffers() const { return tableDiffers_; }
 
-  /// Appends the change and sends it to the peers. If the log has a record of this request id,
-  /// returns its version and status instead.
+  /// Appends the change and sends it to the peers. If the log has a record of this request id, returns its
+  /// version and status instead.
   PublishResult publish(Milliseconds now, Milliseconds unixTime, const std::string& requestId,
                         const std::vector<Edit>& edits);
   /// Sends prepares until the writer is ready, then appends as heartbeats, once per kHeartbeatInterval.
--- a/tests/distribution_fixtures.hpp
+++ b/tests/distribution_fixtures.hpp
@@ -86,7 +86,8 @@
     const auto result = core.publish(now, "put" + std::to_string(++requests), {{route(name), value}});
     EXPECT_EQ(result.status, PublishStatus::committed) << result.reason;
   }
-  // Ticks both until `until`. Messages between them are delivered immediately, through the codec.
+  // Ticks the replica and the subscriber every 50 ms until `until`. Messages between them pass through the
+  // codec and are delivered immediately.
   void exchangeUntil(Subscriber& subscriber, SubscriberRecorder& recorder, Milliseconds until,
                      const std::string& name = "s0") {
     for (; now <= until; now += 50) {
@@ -147,7 +148,8 @@
   EntryTable table;
 };
 
-// Three replicas whose messages are delivered immediately, except between the pairs in `cutLinks`.
+// Three replicas whose messages are delivered immediately, except between the pairs of indices in `cutLinks`
+// (smaller index first).
 struct ThreeReplicas {
   struct Node : ReplicaRecorder {
     Milliseconds unixTime() override { return 1'000'000 + *now; }
--- a/tests/distribution_fleet.hpp
+++ b/tests/distribution_fleet.hpp
@@ -1,6 +1,6 @@
-// Control replicas and subscribers in virtual time under a seeded fault schedule: loss, delay, duplication,
-// reordering, corrupted bytes, partitions, restarts, and replaced writers that are not aware of it. Every
-// message passes through the codec. Violated invariants are collected in `violations`.
+/// Control replicas and subscribers in virtual time under a seeded fault schedule: loss, delay, duplication,
+/// reordering, corrupted bytes, partitions, restarts, and former writers that have not received the newer
+/// term. Every message passes through the codec. Violated invariants are collected in `violations`.
 #pragma once
 
 #include <deque>
@@ -20,9 +20,9 @@
   std::uint64_t seed = 1;
   int replicas = 5;
   int subscribers = 8;
-  double loss = 0.05;
-  Milliseconds faultsUntil = 30'000;
-  Milliseconds settleTime = 40'000;  // after the last fault; all copies must then be equal
+  double loss = 0.05;                 // fraction of messages lost until `faultsUntil`
+  Milliseconds faultsUntil = 30'000;  // time at which all faults end
+  Milliseconds settleTime = 40'000;   // after `faultsUntil`; at its end all copies must be equal
 };
 
 // Runs one schedule. The same options give the same run.
@@ -55,13 +55,14 @@
   std::uint64_t repairs = 0, rejectedChanges = 0, conflicts = 0, restarts = 0, corruptedTables = 0;
 
  private:
-  static constexpr std::size_t kMaxViolations = 5;
-  static constexpr int kPairCount = 40;
+  static constexpr std::size_t kMaxViolations = 5;  // a run ends early once it has as many
+  static constexpr int kPairCount = 40;             // pairs of entries that one change writes together
 
   struct Event {
     Milliseconds at;
-    std::uint64_t order;
+    std::uint64_t order;  // of insertion; breaks ties between equal times
     std::function<void()> action;
+    // Inverted: std::priority_queue returns the greatest element, which must be the earliest event.
     bool operator<(const Event& other) const { return at != other.at ? at > other.at : order > other.order; }
   };
   // Term and root hash of a version, as first observed at any replica or subscriber.
@@ -106,9 +107,9 @@
     ScheduledFleet& fleet;
     const std::string name;
     std::unique_ptr<ControlReplica> core;
-    Version observed = 0;
+    Version observed = 0;  // last version added to the history of the fleet
     bool up = false;
-    int epoch = 0;
+    int epoch = 0;  // number of starts; ticks scheduled before the last start are ignored
   };
 
   // A subscriber, with the environment that transmits its messages.
@@ -120,12 +121,13 @@
       addresses.reserve(static_cast<std::size_t>(fleet.options_.replicas));
       for (int i = 0; i < fleet.options_.replicas; ++i)
         addresses.push_back({"r" + std::to_string(i), {"region", "zone" + std::to_string(i)}});
-      const std::string rejectedSuffix = build + "!";
+      // A build rejects values of limits that contain its name and an exclamation mark.
+      const std::string rejectedText = build + "!";
       core = std::make_unique<Subscriber>(
           SubscriberLimits{}, orderReplicas(name, {"region", ""}, addresses), build,
-          [rejectedSuffix](const Entry& entry) -> std::optional<std::string> {
-            if (entry.key.name.starts_with("b") && entry.value.find(rejectedSuffix) != std::string::npos)
-              return "not known to this build";
+          [rejectedText](const Entry& entry) -> std::optional<std::string> {
+            if (entry.key.name.starts_with("b") && entry.value.find(rejectedText) != std::string::npos)
+              return "value not supported by this build";
             return std::nullopt;
           },
           fleet.random_(), *this);
@@ -137,7 +139,7 @@
       ++epoch;
       scheduleNextTick();
     }
-    // Schedules the next tick.
+    // Schedules the next tick, unless one is already due at that time or earlier.
     void scheduleNextTick() {
       const Milliseconds at = std::max(core->nextTickAt(), fleet.now_ + 1);
       if (nextTickEpoch == epoch && nextTickAt > fleet.now_ && nextTickAt <= at) return;
@@ -153,7 +155,7 @@
     void send(const std::string& to, Message message) override { fleet.transmit(name, to, message); }
     void onChangesApplied(Version version, const std::vector<EffectiveChange>&) override {
       if (version < lastAppliedVersion)
-        fleet.addViolation(name + " went back to version " + std::to_string(version));
+        fleet.addViolation(name + " returned to the older version " + std::to_string(version));
       lastAppliedVersion = version;
       fleet.addToHistory(name, version, core->term(), core->table().rootHash());
       checkPairs();
@@ -175,7 +177,7 @@
     Snapshot persisted;
     Version lastAppliedVersion = 0;
     bool up = false;
-    int epoch = 0, nextTickEpoch = 0;
+    int epoch = 0, nextTickEpoch = 0;  // epoch: number of starts; ticks of earlier ones are ignored
     Milliseconds nextTickAt = 0;
   };
 
@@ -232,8 +234,8 @@
     return now_ < partitionUntil_ && partitionSide_.contains(from) != partitionSide_.contains(to);
   }
 
-  // Adds the versions that are newly committed at this replica to the common history; returns its committed
-  // version.
+  // Adds the versions that the replica has committed since `observed` to the common history. Returns its
+  // committed version.
   Version recordCommitted(const ReplicaState& state, Version observed) {
     const ChangeLog& log = state.log();
     if (state.committed() < observed) addViolation("committed version of a replica decreased");
@@ -353,8 +355,8 @@
       if (!node.up) node.start(node.persisted);
     });
   }
-  // Restarts the subscriber with a table that differs at the same version although its snapshot is valid:
-  // another value in one pair.
+  // Restarts the subscriber from a valid snapshot of the same version whose table has another value in one
+  // pair.
   void corruptTable(SubscriberNode& node) {
     if (!node.up || node.core->version() == 0) return;
     Snapshot snapshot = node.core->snapshot();
@@ -381,7 +383,8 @@
   void checkEnd() {
     if (!violations.empty()) return;
     if (!uncommitted_.empty())
-      addViolation(std::to_string(uncommitted_.size()) + " requests were never committed");
+      addViolation(std::to_string(uncommitted_.size()) +
+                   " requests were not reported as committed by the end");
     const ReplicaState& first = replicas_[0]->core->state();
     for (auto& node : replicas_) {
       conflicts += node->core->counts().conflictingHistories;
@@ -399,7 +402,7 @@
     }
     for (const std::string& id : confirmed_)
       if (!requests_.contains(id))
-        addViolation("request " + id + " was reported as committed and is in no log");
+        addViolation("request " + id + " was reported as committed but was never observed in a log");
   }
 
   const ScheduleOptions options_;
--- a/tests/distribution_replica_test.cpp
+++ b/tests/distribution_replica_test.cpp
@@ -47,7 +47,7 @@
   std::size_t records = 0;
   for (const auto& [to, message] : replica.environment.sent)
     if (const auto* changes = std::get_if<Changes>(&message)) records += changes->records.size();
-  // The window of records in flight is resent with a timeout that doubles.
+  // Without acknowledgements only one window of records is sent, and resent with a timeout that doubles.
   EXPECT_LE(records, 6 * limits.sessions.maxRecordsInFlight);
   EXPECT_EQ(replica.core.sessions().size(), 1u);
   replica.core.tick(replica.now + limits.sessions.sessionTimeout + 1);
--- a/tests/distribution_schedule_test.cpp
+++ b/tests/distribution_schedule_test.cpp
@@ -68,6 +68,7 @@
   return options;
 }
 
+// Bounds of the lab command (tools/lab/distribution_run.cpp).
 constexpr double kMaxDeliveryToAllMs = 18'000;
 constexpr double kMaxBytesPerSecond = 17'000;
 
--- a/tools/lab/distribution_run.cpp
+++ b/tools/lab/distribution_run.cpp
@@ -17,18 +17,19 @@
 using namespace wingslip::distribution;
 using nlohmann::json;
 
-// The operators' bounds.
+// Bounds set by the operators: the command fails if a result exceeds one.
 constexpr double kMaxDeliveryToAllMs = 18'000;
-constexpr double kMaxBytesPerSecond = 17'000;
-constexpr double kMaxCoreShare = 0.028;
+constexpr double kMaxBytesPerSecond = 17'000;  // of a subscriber, in and out, in its worst ten seconds
+constexpr double kMaxCoreShare = 0.028;        // of one core, for one subscriber in a storm
 constexpr double kMaxCopyBytes = 256e6;
+
+// Heartbeats that a subscriber receives (SessionLimits::heartbeatInterval).
 constexpr double kHeartbeatsPerSecond = 0.5;
 
-constexpr int kCostChanges = 20'000;
+constexpr int kCostChanges = 20'000;  // changes, and then heartbeats, of a cost measurement
 constexpr const char* kSimulationNotice =
-    "entries, ranges and records are shared between the simulated copies; no sockets, no bandwidth or "
-    "processor "
-    "time of a machine is modelled; no memory figure follows from this";
+    "entries, ranges and records are shared between the simulated copies, so memory figures do not apply to "
+    "a gatekeeper; sockets, bandwidth and processor time of a machine are not modelled";
 
 struct NamedScenario {
   const char* name;
@@ -116,7 +117,8 @@
   return static_cast<double>(info.uordblks) + static_cast<double>(info.hblkhd);
 }
 
-struct SilentEnvironment : Subscriber::Environment {
+// Encodes each message sent, because that is part of the measured cost, and discards everything else.
+struct DiscardingEnvironment : Subscriber::Environment {
   void send(const std::string&, Message message) override { bytesOut += encode(message).size(); }
   void onChangesApplied(Version, const std::vector<EffectiveChange>&) override {}
   void log(const std::string&) override {}
@@ -125,7 +127,7 @@
 
 std::optional<std::string> acceptAll(const Entry&) { return std::nullopt; }
 
-// Returns `changes` encoded messages of one change each, as a replica sends them.
+// Returns `changes` encoded Changes messages with one record each, as a replica sends them.
 std::vector<std::vector<std::uint8_t>> encodeChanges(const Snapshot& configuration, int changes) {
   std::mt19937_64 random(7);
   std::vector<EntryPointer> entries;
@@ -150,16 +152,17 @@
   return messages;
 }
 
+// Processor time and sizes for one subscriber; `changeBytes` is the encoded size of one change.
 struct CostResult {
   double microsecondsPerChange = 0, microsecondsPerHeartbeat = 0, copyBytes = 0, readSeconds = 0,
          changeBytes = 0;
 };
 
-// Measures one subscriber: the processor time of this thread for decoding, applying and acknowledging
-// changes, and the memory allocated for its copy.
+// Measures one subscriber: the processor time of this thread for reading a snapshot, for decoding, applying
+// and acknowledging changes, and for heartbeats, and the memory allocated for its copy.
 CostResult measureCost(int entries) {
   CostResult result;
-  SilentEnvironment environment;
+  DiscardingEnvironment environment;
   Subscriber subscriber({}, {"r0"}, "build", acceptAll, 1, environment);
   const Snapshot configuration = makeConfiguration(entries, 1);
   const auto messages = encodeChanges(configuration, kCostChanges);
@@ -175,7 +178,7 @@
   for (const auto& message : messages) subscriber.receiveBytes(1, "r0", message.data(), message.size());
   const double end = threadCpuSeconds();
   if (subscriber.counts().applied != static_cast<std::uint64_t>(kCostChanges))
-    throw std::runtime_error("distribution: not all changes were applied");
+    throw std::runtime_error("distribution: not all changes of the cost measurement were applied");
   result.microsecondsPerChange = 1e6 * (end - begin) / kCostChanges;
   result.changeBytes = static_cast<double>(messages.front().size());
   const auto heartbeat =
@@ -205,7 +208,7 @@
           {"message_bytes", cost.changeBytes}};
 }
 
-// Writes the results of a scenario. Returns whether it met the bounds.
+// Writes the results of a scenario to `lines` and to standard output. Returns whether it met the bounds.
 bool report(const std::string& name, const DistributionOptions& options, const DistributionResult& result,
             std::ostream& lines) {
   bool withinBounds =
@@ -231,7 +234,8 @@
 int runCommand(const CommandOptions& command) {
   std::filesystem::create_directories(command.out);
   std::ofstream lines(std::filesystem::path(command.out) / "distribution.jsonl", std::ios::app);
-  if (!lines) throw std::runtime_error("distribution: cannot write to " + command.out);
+  if (!lines)
+    throw std::runtime_error("distribution: cannot open distribution.jsonl for appending in " + command.out);
   bool withinBounds = true;
   if (command.scenario == "cost") {
     for (const int entries : {command.simulation.entries / 32, command.simulation.entries}) {
--- a/tools/lab/distribution_simulation.cpp
+++ b/tools/lab/distribution_simulation.cpp
@@ -16,7 +16,7 @@
 constexpr Milliseconds kWarmUpTime = 30'000;  // time for subscribers to connect; not measured
 constexpr Milliseconds kDrainTime = 30'000;   // time after the last change until the end of the run
 constexpr Milliseconds kReplicaTick = 100;
-constexpr Milliseconds kRetryInterval = 1'000;  // at which a publisher repeats unconfirmed requests
+constexpr Milliseconds kRetryInterval = 1'000;  // between retries of unconfirmed requests
 constexpr Milliseconds kFaultAt = kWarmUpTime + 60'000;
 constexpr Milliseconds kReplicaDownTime = 120'000;
 constexpr Milliseconds kLeaseTime = 15'000;  // from the writer's failure until another replica gets a term
@@ -27,7 +27,7 @@
 constexpr int kRestartedZone = 1;
 constexpr std::size_t kValueBytes = 112;
 
-std::string valueOf(std::mt19937_64& random) {
+std::string randomValue(std::mt19937_64& random) {
   std::string value(kValueBytes, ' ');
   for (char& c : value) c = static_cast<char>('a' + random() % 26);
   return value;
@@ -110,8 +110,8 @@
   return rates;
 }
 
-// Sizes of encoded messages. Messages with the same records or ranges are encoded once and their size is
-// cached.
+// Sizes of encoded messages. Messages with the same first and last record or range are encoded once and their
+// size is cached. All RangeRequests are counted with the size of the first one.
 class MessageSizes {
  public:
   std::size_t of(const Message& message) {
@@ -134,8 +134,8 @@
     const auto found = sizes_.find(firstAndLast);
     if (found != sizes_.end()) return found->second;
     const std::size_t size = encode(message).size();
-    // The address of a freed record may be reused by another one. Clearing the cache regularly limits such
-    // wrong hits, and the sizes differ little.
+    // A freed record's address may be reused by another record, which then gets a wrong size. Clearing the
+    // cache regularly limits such hits, and the sizes differ little.
     if (sizes_.size() > 4096) sizes_.clear();
     sizes_[firstAndLast] = size;
     return size;
@@ -154,7 +154,8 @@
     for (int i = 0; i < options.subscribers; ++i)
       subscribers_.push_back(std::make_unique<SubscriberNode>(*this, i));
     for (auto& node : replicas_) node->startProcess(configuration_);
-    for (auto& node : subscribers_) at(randomBetween(0, 1'000), {EventKind::subscriber_start, node->index});
+    for (auto& node : subscribers_)
+      scheduleAt(randomBetween(0, 1'000), {EventKind::subscriber_start, node->index});
     replicas_[0]->core->becomeWriter(0, 2);
     scheduleRun();
   }
@@ -193,7 +194,8 @@
     int index = 0;
     Delivery delivery = {};
     Milliseconds at = 0;
-    std::uint64_t order = 0;
+    std::uint64_t order = 0;  // of insertion; breaks ties between equal times
+    // Inverted: std::priority_queue returns the greatest element, which must be the earliest event.
     bool operator<(const Event& other) const { return at != other.at ? at > other.at : order > other.order; }
   };
   struct PublishedRequest {
@@ -201,7 +203,8 @@
     std::size_t phase = 0;
     std::vector<Edit> edits;
   };
-  // A committed version. A version that starts a term has no request.
+  // A committed version. The barrier that starts a term has no request. `maxLatency` is the longest time from
+  // publication until a gatekeeper applied the change.
   struct CommittedChange {
     const PublishedRequest* request = nullptr;
     Milliseconds maxLatency = 0;
@@ -222,8 +225,8 @@
       core = std::make_unique<ControlReplica>(ReplicaLimits{}, name, peers, simulation.random_(), *this);
       core->restore(disk);
       up = true;
-      simulation.at(simulation.now_ + simulation.randomBetween(1, kReplicaTick),
-                    {EventKind::replica_tick, index});
+      simulation.scheduleAt(simulation.now_ + simulation.randomBetween(1, kReplicaTick),
+                            {EventKind::replica_tick, index});
     }
     void send(const std::string& to, Message message) override {
       simulation.transmit(true, index, to, std::move(message));
@@ -263,7 +266,7 @@
       const Milliseconds when = std::max(core->nextTickAt(), simulation.now_ + 1);
       if (timerAt > simulation.now_ && timerAt <= when) return;
       timerAt = when;
-      simulation.at(when, {EventKind::subscriber_tick, index});
+      simulation.scheduleAt(when, {EventKind::subscriber_tick, index});
     }
     void send(const std::string& to, Message message) override {
       simulation.transmit(false, index, to, std::move(message));
@@ -288,7 +291,7 @@
     bool up = false;
   };
 
-  void at(Milliseconds when, Event event) {
+  void scheduleAt(Milliseconds when, Event event) {
     event.at = when;
     event.order = ++insertedCount_;
     events_.push(std::move(event));
@@ -343,7 +346,7 @@
     }
     endAt_ = from + kDrainTime;
     for (const PhasePlan& plan : phases_) {
-      at(plan.from, {EventKind::phase, 0});
+      scheduleAt(plan.from, {EventKind::phase, 0});
       DistributionPhase measured;
       measured.name = plan.name;
       measured.seconds = static_cast<double>(plan.until - plan.from) / 1000;
@@ -351,12 +354,12 @@
       std::exponential_distribution<double> gap(plan.changesPerSecond / 1000);
       for (double when = static_cast<double>(plan.from) + gap(random_);
            when < static_cast<double>(plan.until); when += gap(random_))
-        at(static_cast<Milliseconds>(when), {EventKind::publish, 0});
+        scheduleAt(static_cast<Milliseconds>(when), {EventKind::publish, 0});
     }
-    at(from, {EventKind::phase, 0});
+    scheduleAt(from, {EventKind::phase, 0});
     for (Milliseconds when = kWarmUpTime; when < endAt_; when += kRetryInterval)
-      at(when, {EventKind::retry, 0});
-    if (options_.scenario != DistributionScenario::steady) at(kFaultAt, {EventKind::fault, 0});
+      scheduleAt(when, {EventKind::retry, 0});
+    if (options_.scenario != DistributionScenario::steady) scheduleAt(kFaultAt, {EventKind::fault, 0});
     deliveries_.resize(phases_.size());
     deliveryToAll_.resize(phases_.size());
   }
@@ -374,7 +377,7 @@
       case EventKind::publish:
         return publishNew();
       case EventKind::retry:
-        return retry();
+        return retryUnconfirmed();
       case EventKind::phase:
         return startNextPhase();
       case EventKind::fault:
@@ -392,7 +395,7 @@
         std::max<std::uint64_t>(result_.maxSubscribersAtAReplica, sessions.size());
     result_.maxTransfersAtAReplica =
         std::max<std::uint64_t>(result_.maxTransfersAtAReplica, sessions.transfers());
-    at(now_ + kReplicaTick, {EventKind::replica_tick, node.index});
+    scheduleAt(now_ + kReplicaTick, {EventKind::replica_tick, node.index});
   }
   void tickSubscriber(SubscriberNode& node) const {
     if (!node.up || node.timerAt != now_) return;
@@ -433,7 +436,7 @@
     Event event{EventKind::message, index};
     event.delivery = {fromReplica, toReplica, from, std::make_shared<const Message>(std::move(message)),
                       bytes};
-    at(now_ + delayBetween(fromZone, toZone), std::move(event));
+    scheduleAt(now_ + delayBetween(fromZone, toZone), std::move(event));
   }
   void deliver(const Event& event) {
     const Delivery& delivery = event.delivery;
@@ -455,11 +458,11 @@
   void publishNew() {
     const std::string id = "q" + std::to_string(++requests_);
     const int index = static_cast<int>(random_() % static_cast<std::uint64_t>(options_.entries));
-    published_[id] = {now_, phase_ - 1, {{keyOf(index), valueOf(random_)}}};
+    published_[id] = {now_, phase_ - 1, {{keyOf(index), randomValue(random_)}}};
     unconfirmed_.insert(id);
     publish(id);
   }
-  void retry() {
+  void retryUnconfirmed() {
     const std::set<std::string> ids = unconfirmed_;
     for (const std::string& id : ids) publish(id);
   }
@@ -533,29 +536,30 @@
         return;
       case DistributionScenario::replica_dies:
         replicas_[kFailedReplica]->up = false;
-        return at(now_ + kReplicaDownTime, {EventKind::heal, 0});
+        return scheduleAt(now_ + kReplicaDownTime, {EventKind::heal, 0});
       case DistributionScenario::writer_dies:
         replicas_[0]->up = false;
-        return at(now_ + kLeaseTime, {EventKind::heal, 0});
+        return scheduleAt(now_ + kLeaseTime, {EventKind::heal, 0});
       case DistributionScenario::regions_part:
         partitioned_ = true;
-        return at(now_ + kPartitionTime, {EventKind::heal, 0});
+        return scheduleAt(now_ + kPartitionTime, {EventKind::heal, 0});
       case DistributionScenario::zone_restart:
       case DistributionScenario::zone_cold:
-        for (auto& node : subscribers_) stopIfOfZone(*node);
+        for (auto& node : subscribers_) stopIfInRestartedZone(*node);
     }
   }
-  void stopIfOfZone(SubscriberNode& node) {
+  void stopIfInRestartedZone(SubscriberNode& node) {
     if (node.zone != kRestartedZone) return;
     node.up = false;
     if (options_.scenario == DistributionScenario::zone_restart) node.disk = node.core->snapshot();
-    at(now_ + kZoneDownTime + randomBetween(0, 1000), {EventKind::subscriber_start, node.index});
+    scheduleAt(now_ + kZoneDownTime + randomBetween(0, 1000), {EventKind::subscriber_start, node.index});
   }
   void endFault() {
     partitioned_ = false;
     if (options_.scenario == DistributionScenario::replica_dies)
       replicas_[kFailedReplica]->startProcess(replicas_[kFailedReplica]->core->state().snapshot());
-    // The last replica is in another region, so its state lags furthest behind the failed writer's.
+    // The last replica is in another region than the failed writer, so its log lags by the delay between
+    // regions.
     if (options_.scenario == DistributionScenario::writer_dies) replicas_.back()->core->becomeWriter(now_, 3);
   }
 
@@ -616,7 +620,7 @@
   // 0: warm-up; 1 to the number of phases: that phase; above: the time after the last change.
   std::size_t phase_ = 0;
   std::map<std::string, PublishedRequest> published_;
-  std::set<std::string> unconfirmed_;  // ids of published requests that are not confirmed
+  std::set<std::string> unconfirmed_;  // ids of published requests not yet reported as committed
   std::map<Version, CommittedChange> committed_;
   std::vector<Histogram> deliveries_;
   std::vector<std::vector<double>> deliveryToAll_;
@@ -632,7 +636,7 @@
   Snapshot snapshot;
   std::vector<std::vector<EntryPointer>> ranges(EntryTable::kRanges);
   for (int i = 0; i < entries; ++i) {
-    EntryPointer entry = makeEntry(keyOf(i), valueOf(random), static_cast<Version>(i) + 1, 1);
+    EntryPointer entry = makeEntry(keyOf(i), randomValue(random), static_cast<Version>(i) + 1, 1);
     ranges[EntryTable::rangeOf(entry->key)].push_back(std::move(entry));
   }
   for (std::size_t i = 0; i < ranges.size(); ++i)
--- a/tools/lab/event_queue.hpp
+++ b/tools/lab/event_queue.hpp
@@ -15,7 +15,7 @@
 /// times run in the order of insertion.
 class EventQueue {
  public:
-  using Time = double;  // ms
+  using Time = double;  ///< virtual time in ms
   using Action = std::function<void()>;
 
   /// The virtual time, in ms since the start of the simulation.
@@ -44,6 +44,7 @@
     Time time;
     std::uint64_t order;  // of insertion; breaks ties between equal times
     Action action;
+    // Inverted: std::priority_queue returns the greatest element, which must be the earliest event.
     bool operator<(const Event& other) const {
       return time != other.time ? time > other.time : order > other.order;
     }
