--- a/tools/lab/capacity.cpp
+++ b/tools/lab/capacity.cpp
@@ -14,10 +14,10 @@
 namespace wingslip::lab {
 namespace {
 
-// Values of `spread`, the number of gatekeepers that receive a tenant's requests, shown on the page.
+// The numbers of gatekeepers per tenant (`spread`) for which the page lists the tenants per gatekeeper.
 constexpr std::array<double, 6> kSpreads{1, 8, 32, 64, 256, 8400};
 
-constexpr double kMinShown = 1e-7;     // smaller values are shown as 0
+constexpr double kMinShown = 1e-7;     // smaller values are printed as 0, in any unit
 constexpr double kPoorResidual = 0.5;  // relative residual above which a fit is marked as poor
 
 void dropTrailingZeros(std::string& number) {
@@ -41,11 +41,14 @@
   return text;
 }
 
+// A unit with its prefix, such as "MB", and its size in the base unit.
 struct Prefix {
   double factor;
   const char* name;
 };
 
+// Formats a value in the first unit that it reaches, or in the last one. `prefixes` must be in descending
+// order.
 std::string withPrefix(double value, const std::array<Prefix, 4>& prefixes) {
   if (value == 0) return "0";
   for (const Prefix& prefix : prefixes)
@@ -65,7 +68,8 @@
 
 std::string nameOrNone(const std::string& name) { return name.empty() ? "**none**" : name; }
 
-// The largest measured size of a mechanism and the kind of run, such as "rows to 4,096 rows (hollow)".
+// Returns the largest measured size of a mechanism and the kind of run, such as
+// "rows to 4,096 rows (hollow)".
 std::string measuredText(const MeasurementSet& set, const std::string& mechanism) {
   double largest = 0;
   std::string varies, kind;
@@ -176,7 +180,7 @@
   out << "\n";
 }
 
-// Writes the needs of each row on each day other than the ordinary one.
+// Writes the needs of each row on each day except the ordinary one, which is the first.
 void writeBadDayNeeds(std::ostream& out, const std::vector<Row>& rows, const std::vector<Day>& days) {
   out << "### Needs on the bad days\n\nMessages/s, bytes/s, processor, memory.\n\n| role | mechanism |";
   for (std::size_t i = 1; i < days.size(); ++i) out << " " << days[i].name << " |";
--- a/tools/lab/capacity.hpp
+++ b/tools/lab/capacity.hpp
@@ -9,7 +9,7 @@
 
 namespace wingslip::lab {
 
-/// The markers between which the page contains the tables.
+/// The markers in the page that enclose the tables.
 constexpr const char* kCapacityBegin = "<!-- capacity: begin (written by `wingslip-lab capacity`) -->";
 constexpr const char* kCapacityEnd = "<!-- capacity: end -->";
 
--- a/tools/lab/capacity_model.cpp
+++ b/tools/lab/capacity_model.cpp
@@ -14,15 +14,16 @@
 using namespace target;
 
 constexpr double kHeartbeatPerS = 0.5, kHeartbeatBytes = 6;  // heartbeat of a watch: an empty HTTP chunk
-constexpr double kReportBytes = 100;                         // report of a gatekeeper's configuration version
+constexpr double kReportBytes = 100;  // a gatekeeper's report of its configuration version
 constexpr double kMachines = kGatekeepers + kWorkers;
 constexpr double kGatekeeperShare = kGatekeepers / kMachines;
 
-// The fits of a set of measurements, by mechanism and figure.
+// Estimates figures at any size from a set of measurements. Caches the fit of each figure.
 class Slopes {
  public:
   explicit Slopes(MeasurementSet set) : set_(std::move(set)) {}
 
+  // The value of a figure at `size`, in the unit of the figure; see `valueAt`.
   double at(const std::string& mechanism, const std::string& figure, double size) {
     const auto key = std::make_pair(mechanism, figure);
     auto found = seriesCache_.find(key);
@@ -34,7 +35,8 @@
     }
     return valueAt(found->second.samples, found->second.fit, size);
   }
-  // The limit of a mechanism: the number that it stored if more were tried; kNoLimit if it stored all.
+  // The capacity of a mechanism: the number of items that it stored at the largest measured size, or kNoLimit
+  // if it stored all of them.
   double capOf(const std::string& mechanism, const std::string& figure) const {
     const Sample largest = samplesOf(set_, mechanism, figure).back();
     return largest.value < largest.size ? largest.value : kNoLimit;
@@ -95,7 +97,7 @@
   row.mechanism = "choice of a worker for a request";
   row.implementedBy = "`src/decision/load_balancer.cpp`";
   row.measured = {"choice", "whole_list"};
-  // The budget follows from the latency that the gatekeeper may add to a request.
+  // The added latency allowed per request, times the requests per second of one gatekeeper.
   row.budget.coreShare = kAddedSeconds * kRequestsPerS / kGatekeepers;
   row.need = [slopes](const Day& day) {
     Need need;
@@ -475,7 +477,7 @@
   row.budget = storeBudget();
   row.need = [slopes](const Day& day) {
     const auto at = [&](const char* figure) { return slopes->at("duties", figure, day.gatekeepers); };
-    const double takeOvers = day.holderFails ? 1 / at("take_over") : 0;
+    const double takeOvers = day.leaderFails ? 1 / at("take_over") : 0;
     Need need;
     need.messagesPerS = at("calls") + takeOvers * at("take_over_calls");
     need.bytesPerS =
@@ -495,7 +497,7 @@
   day.configurationChanges = kChangesPerDay / kSecondsPerDay;
   day.listChanges = kMachinesPerS * (1 - kGatekeeperShare) * kListChangesPerMachine;
   day.memberChanges = kMachinesPerS * kGatekeeperShare;
-  day.wholeLists = kMachinesPerS / kMachines;  // each started gatekeeper receives one
+  day.wholeLists = kMachinesPerS / kMachines;  // per gatekeeper: it receives one at each of its starts
   return day;
 }
 
@@ -516,7 +518,8 @@
   return day;
 }
 
-// Regions reconnect after a partition: the accumulated changes arrive together, and all lists are read again.
+// Regions reconnect after a partition: the changes accumulated since its start arrive within kInForceSeconds,
+// and every gatekeeper reads its whole list again.
 Day partitionDay() {
   Day day = ordinaryDay();
   day.name = "regions parted";
@@ -533,7 +536,7 @@
   Day day = ordinaryDay();
   day.name = "control machines fail";
   day.controlMachines = 1;  // all but one have failed
-  day.holderFails = true;
+  day.leaderFails = true;
   return day;
 }
 
@@ -594,7 +597,7 @@
                         storeRow(slopes)};
   for (const Row& row : rows)
     for (const Day& day : allDays())
-      row.need(day);  // throws on a missing figure now rather than during output
+      row.need(day);  // so that a missing figure throws here rather than during output
   return rows;
 }
 
--- a/tools/lab/capacity_model.hpp
+++ b/tools/lab/capacity_model.hpp
@@ -1,5 +1,5 @@
-/// The capacity model: the sizes of the target, the days (load situations) that the fleet must sustain, and
-/// the resources that each mechanism needs in each role on each day, from the slopes measured by
+/// The capacity model: the sizes of the target fleet, the days (load situations) that it must sustain, and
+/// the resources that each mechanism needs in each role on each day, extrapolated from the measurements of
 /// `wingslip-lab scale`. Pure functions.
 #pragma once
 
@@ -13,42 +13,45 @@
 
 namespace wingslip::lab {
 
-/// The operators' target, followed by the assumptions for values that the operators do not state.
+/// The target that the operators state, followed by assumptions for values that they do not state.
 namespace target {
 constexpr double kGatekeepers = 8400, kWorkers = 86000, kServices = 2500, kRoutes = 64000, kTenants = 690000;
+// Customer requests in the whole fleet; latency that a gatekeeper may add to a request.
 constexpr double kRequestsPerS = 1.4e6, kAddedSeconds = 6.9e-3;
 constexpr double kRegions = 6, kZones = 18, kControlMachines = 18;
+// Configuration changes; time until a change must be in force at every gatekeeper.
 constexpr double kChangesPerDay = 29000, kInForceSeconds = 18;
-// Budget of one gatekeeper for control.
+// Budget of one gatekeeper for control tasks; kCoreShare in processor seconds per second.
 constexpr double kCoreShare = 0.028, kMemoryBytes = 256e6, kBytesPerS = 17e3;
-constexpr double kMachinesPerDay = 17000 + 360;  // 17,000 restarted or replaced and 360 failed
-constexpr double kReleaseMachinesPerHour = 17000;
-constexpr double kZoneGatekeepers = 467, kZoneWorkers = 4778;
-constexpr double kPartitionSeconds = 300;
+constexpr double kMachinesPerDay = 17000 + 360;                // 17,000 restarted or replaced and 360 failed
+constexpr double kReleaseMachinesPerHour = 17000;              // machines restarted during a release
+constexpr double kZoneGatekeepers = 467, kZoneWorkers = 4778;  // in one zone
+constexpr double kPartitionSeconds = 300;  // duration of a network partition between regions
 constexpr double kSecondsPerDay = 86400, kSecondsPerHour = 3600;
 // Assumptions.
 constexpr double kPeakOverMean = 10;          // peak rate of configuration changes over the mean rate
 constexpr double kListChangesPerMachine = 3;  // list changes per machine change: draining, removed, ready
 constexpr double kMachinesPerRack = 40;
 constexpr double kSpread = 32;  // gatekeepers that receive a tenant's requests
-// Capacity of one control machine.
+// Capacity of one control machine; kControlCores in processor seconds per second.
 constexpr double kControlBytesPerS = 1.25e9, kControlMemoryBytes = 64e9, kControlCores = 16;
 constexpr double kStoreCallsPerS = 10000;  // capacity of a coordination store or a shared discovery
 }  // namespace target
 
-/// The load of one gatekeeper on a day. Rates are per second, on bad days over the worst `kInForceSeconds`.
+/// The load of one gatekeeper on a day, and the state of the fleet. Rates are per second; on bad days they
+/// are averages over the worst `kInForceSeconds`.
 struct Day {
   std::string name;
   double gatekeepers = target::kGatekeepers;                       // in the fleet
-  double requests = target::kRequestsPerS / target::kGatekeepers;  // of customers
+  double requests = target::kRequestsPerS / target::kGatekeepers;  // customer requests
   double configurationChanges = 0;
   double listChanges = 0;    // entries of the list of workers, each sent in its own message
-  double zoneLists = 0;      // losses and returns of a whole zone's workers, two messages each
+  double zoneLists = 0;      // losses of all workers of a zone and their return, two messages in total
   double wholeLists = 0;     // whole lists received
   double memberChanges = 0;  // gatekeepers that join or leave
-  double controlMachines = target::kControlMachines;  // in service
-  bool discoveryRejects = false;                      // discovery rejects calls
-  bool holderFails = false;                           // the holder of a duty fails
+  double controlMachines = target::kControlMachines;  // number in service
+  bool discoveryRejects = false;                      // discovery rejects all calls
+  bool leaderFails = false;                           // the leader of a leader-election task fails
 };
 /// All days, the ordinary one first.
 std::vector<Day> allDays();
@@ -68,24 +71,25 @@
 
 /// The value of a budget dimension without a limit.
 constexpr double kNoLimit = std::numeric_limits<double>::infinity();
-/// The limits of a need, in the same units.
+/// The limits of a need, in the units of `Need`.
 struct Budget {
   double messagesPerS = kNoLimit, bytesPerS = kNoLimit, coreShare = kNoLimit, memoryBytes = kNoLimit;
   double items = kNoLimit;  // the largest number that the mechanism can store
 };
 
-/// The dimension with the largest ratio of need to budget.
+/// The ratio of need to budget in one dimension.
 struct OverBudget {
   double times = 0;       // ratio of need to budget
   std::string dimension;  // such as "bytes/s"; empty: no budget is stated
 };
+/// Returns the dimension with the largest ratio of need to budget.
 OverBudget overBudget(const Need& need, const Budget& budget);
 
 /// One mechanism in one role, with its budget and need.
 struct Row {
   std::string role, mechanism;
-  std::string implementedBy;          // the component that implements it; empty: none in the tree
-  std::string substitute;             // a substitute for a missing mechanism; empty: none
+  std::string implementedBy;          // the component that implements it; empty: not implemented
+  std::string substitute;             // existing substitute for a missing mechanism; empty: none
   std::vector<std::string> measured;  // mechanisms whose slopes `need` uses; empty: computed without slopes
   Budget budget;
   std::function<Need(const Day&)> need;
@@ -94,17 +98,19 @@
 /// All rows of the model. Throws InvalidMeasurements if a figure that a row needs was not measured.
 std::vector<Row> allRows(const MeasurementSet& set);
 
-/// A row without a mechanism, and the day on which its need is furthest over budget.
+/// A row whose mechanism is not implemented, with its need over budget on the ordinary day and on the day on
+/// which the ratio is largest.
 struct Gap {
   Row row;
   OverBudget ordinary, worst;
   std::string worstDay;
 };
-/// The rows without a mechanism in the tree and without a substitute, in order of decreasing need over budget
-/// on the worst day.
+/// Returns the rows whose mechanism is not implemented and has no substitute, in descending order of need
+/// over budget on the worst day.
 std::vector<Gap> rankedGaps(const std::vector<Row>& rows);
 
-/// The size of the target for a figure, by the items that its size counts (`Measurement::varies`).
+/// Returns the number of items in the target fleet. `varies` names the items (`Measurement::varies`):
+/// workers, classes, rows or customers; any other name gives the number of gatekeepers.
 double targetSizeOf(const std::string& varies);
 
 }  // namespace wingslip::lab
--- a/tools/lab/fit.cpp
+++ b/tools/lab/fit.cpp
@@ -7,13 +7,13 @@
 namespace wingslip::lab {
 namespace {
 
-// A simpler shape is preferred if its residual is at most the smallest residual times the factor, or at most
-// the smallest residual plus the margin, whichever bound is larger.
+// The simplest shape is chosen whose residual is at most the larger of two bounds: the smallest residual of
+// all shapes times the factor, and that residual plus the margin.
 constexpr double kResidualFactor = 1.5;
 constexpr double kResidualMargin = 0.05;
-constexpr double kMinValue =
-    1e-12;  // lower bound of a value in weights and logarithms; smaller values count as 0
+constexpr double kMinValue = 1e-12;  // smaller values are raised to this one in weights and logarithms
 
+// f(size) of a shape, as in value = offset + slope * f(size).
 double termOf(Shape shape, double size) {
   switch (shape) {
     case Shape::constant:
@@ -45,7 +45,7 @@
   }
 }
 
-// Weighted sums of the normal equations for offset and slope.
+// The weighted sums in the normal equations for offset and slope.
 struct Sums {
   double weight = 0, term = 0, termSquared = 0, value = 0, termValue = 0;
 };
@@ -100,7 +100,7 @@
   Fit out;
   out.shape = shape;
   out.offset = sums.value / sums.weight;
-  // The slope is undetermined for a single size and for the constant shape.
+  // With a single size or the constant shape the determinant is 0, and only the offset can be fitted.
   const bool slopeDetermined = determinant > 1e-9 * sums.weight * sums.termSquared;
   if (slopeDetermined) {
     out.offset = (sums.value * sums.termSquared - sums.term * sums.termValue) / determinant;
--- a/tools/lab/fit.hpp
+++ b/tools/lab/fit.hpp
@@ -1,5 +1,5 @@
-/// Least-squares fits of measured figures to the shapes of growth: constant, log n (as the messages that
-/// gossip sends for a change), n, n log n, n². Pure functions.
+/// Least-squares fits of measured figures to shapes of growth: constant, log n (such as the gossip messages
+/// per change), n, n log n and n². Pure functions.
 #pragma once
 
 #include <array>
@@ -35,16 +35,16 @@
   using std::runtime_error::runtime_error;
 };
 
-/// Fits one shape. Samples are weighted by 1/value² so that small sizes count as much as large ones; neither
-/// offset nor slope is below 0. Throws InvalidSamples if there are no samples, a size is below 1 or not
-/// finite, or a value is negative or not finite.
+/// Fits one shape. Samples are weighted by 1/value² so that relative errors count equally at all sizes.
+/// Neither offset nor slope is below 0. Throws InvalidSamples if there are no samples, a size is below 1 or
+/// not finite, or a value is negative or not finite.
 Fit fitShape(const std::vector<Sample>& samples, Shape shape);
 
-/// The number of sizes below which the shape of a fit is unreliable.
+/// The smallest number of sizes with which the shape of a fit is reliable.
 constexpr std::size_t kMinSamples = 4;
-/// Fits every shape and returns the simplest whose residual is not clearly worse than the smallest residual.
-/// With fewer than `kMinSamples` sizes the shape is a guess, and callers should report it as such. Throws
-/// InvalidSamples as `fitShape` does.
+/// Fits every shape and returns the simplest one whose residual is close to the smallest residual of all
+/// shapes. With fewer than `kMinSamples` sizes the shape is a guess, and callers should report it as such.
+/// Throws InvalidSamples as `fitShape` does.
 Fit bestFit(const std::vector<Sample>& samples);
 
 /// Estimates the value at `size`. Between measured sizes it interpolates linearly on logarithmic axes. Beyond
--- a/tools/lab/growth_command.cpp
+++ b/tools/lab/growth_command.cpp
@@ -25,14 +25,15 @@
 
 struct GrowthOptions {
   int gatekeepers = 40, workers = 26, times = 16;
-  double seconds = 40;
+  double seconds = 40;  ///< duration of the load in each run
   double rateEach = 6;  ///< requests per second at each gatekeeper
   std::string out = "lab-growth";
   std::string gatekeeperProgram;
 };
 
-/// One row of the table. The figure may be at most `factor` times the figure of the baseline run, plus
-/// `plus`, plus `perThousand` for each thousand workers (STANDING, "More than these days").
+/// The bound of one figure in the enlarged run: `factor` times the figure of the baseline run, plus `plus`,
+/// plus `perThousand` for each thousand workers of the enlarged run. The operators state the bounds
+/// (STANDING, "More than these days").
 struct Bound {
   const char* name;
   const char* key;
@@ -45,10 +46,11 @@
     {"connections made to workers", "worker_connections", 2.5, 40, 0},
     {"bytes of lists", "list_bytes", 2, 64 * 1024, 500 * 1024},
 };
-constexpr double kServedShare = 0.85;  // smallest share of served requests, relative to the baseline run
+constexpr double kServedShare = 0.85;  // smallest share of served requests, as a fraction of the baseline's
 
-/// The scenario with `times` times as many workers. The traffic at each gatekeeper and the total capacity of
-/// the workers stay the same. One worker in eight drains and returns, so that the lists change.
+/// Returns the scenario with `times` times the workers of the baseline run. The request rate at each
+/// gatekeeper and the total capacity of the workers stay the same. One worker in eight drains and is revived,
+/// so that the list of workers changes.
 Scenario scenarioOf(const GrowthOptions& o, int times) {
   Scenario s;
   s.name = "growth";
--- a/tools/lab/growth_command.hpp
+++ b/tools/lab/growth_command.hpp
@@ -1,5 +1,5 @@
-/// `wingslip-lab growth`: measures the resources of a gatekeeper as the fleet's list of workers grows and
-/// compares them with the bounds.
+/// `wingslip-lab growth`: measures the resources that a gatekeeper uses with few and with many workers and
+/// compares them with bounds.
 #pragma once
 
 #include <CLI/CLI.hpp>
--- a/tools/lab/measurement.hpp
+++ b/tools/lab/measurement.hpp
@@ -1,6 +1,6 @@
 /// The measurements of `wingslip-lab scale` and their files: `measurements.jsonl` (one line per figure and
-/// size), `notes.jsonl` (one line per series that ended early, with the reason) and `run.json` (the form of
-/// the run).
+/// size), `notes.jsonl` (one line per series that was not run or ended early, with the reason) and `run.json`
+/// (the form of the run).
 #pragma once
 
 #include <filesystem>
@@ -12,9 +12,9 @@
 
 namespace wingslip::lab {
 
-/// How a figure was measured: `core`, the core called directly or in virtual time; `simulated` ("hollow" in
-/// files), many real cores and codecs in one process without requests; `real`, gatekeeper processes on
-/// loopback.
+/// How a figure was measured. `core`: one component without sockets, called directly or in virtual time.
+/// `simulated` ("hollow" in files): many instances of a component that exchange messages in one process and
+/// in virtual time, without client requests. `real`: gatekeeper processes on loopback.
 enum class RunKind { core, simulated, real };
 /// Returns the name of a kind as written to files: "core", "hollow" or "real".
 const char* nameOf(RunKind kind);
@@ -25,7 +25,7 @@
   std::string mechanism;  // such as "choice"
   std::string figure;     // such as "processor"
   std::string unit;       // such as "s"
-  std::string varies;     // the items that the size counts, such as "workers listed"
+  std::string varies;     // items counted by `size`, such as "workers listed"
   RunKind kind = RunKind::core;
   double size = 0, value = 0;
 };
@@ -42,7 +42,8 @@
   std::vector<Note> notes;
 };
 
-/// Thrown on measurement files that cannot be read, and where required measurements are missing.
+/// Thrown if a measurement file or the page cannot be read or is invalid, if a required measurement is
+/// missing, and if a mechanism is unknown.
 struct InvalidMeasurements : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
@@ -59,19 +60,19 @@
 /// value.
 MeasurementSet readSet(const std::filesystem::path& folder);
 
-/// The samples of one figure, sorted by ascending size. Throws InvalidMeasurements if there are none.
+/// Returns the samples of one figure, sorted by ascending size. Throws InvalidMeasurements if there are none.
 std::vector<Sample> samplesOf(const MeasurementSet& set, const std::string& mechanism,
                               const std::string& figure);
 
 /// One figure at all its sizes, with its fit.
 struct Series {
-  Measurement first;  // names, unit and kind; a run measures in ascending order, so this is the smallest size
+  Measurement first;  // the first in the set; gives the names, the unit and the kind
   std::vector<Sample> samples;
   Fit fit;
 };
 /// The unit of boolean figures: 1 is yes, 0 is no.
 constexpr const char* kBooleanUnit = "yes";
-/// All figures with their fits, except boolean ones, which have no shape of growth.
+/// Returns all figures with their fits, except boolean ones, which have no shape of growth.
 std::vector<Series> seriesOf(const MeasurementSet& set);
 
 }  // namespace wingslip::lab
--- a/tools/lab/plot.cpp
+++ b/tools/lab/plot.cpp
@@ -9,8 +9,10 @@
 namespace wingslip::lab {
 namespace {
 
+// In pixels.
 constexpr double kLeft = 60, kWidth = 860, kPanelHeight = 120, kGap = 34, kTop = 96;
 
+// An area of the plot: the outcomes that are drawn in one colour.
 struct Band {
   const char* label;
   const char* colour;
@@ -72,8 +74,9 @@
   std::ostringstream out_;
 };
 
-using Counts = std::vector<std::array<long, kBands.size()>>;  // by the second of sending
+using Counts = std::vector<std::array<long, kBands.size()>>;  // [second of sending][band]
 
+// Counts the requests of one gatekeeper, or of all if `gatekeeper` is -1.
 Counts countsOf(const std::vector<Request>& requests, double lengthS, int gatekeeper) {
   Counts out(static_cast<std::size_t>(std::max(1.0, std::ceil(lengthS))));
   for (const Request& r : requests) {
--- a/tools/lab/plot.hpp
+++ b/tools/lab/plot.hpp
@@ -1,5 +1,5 @@
-// The plot of a run: requests per second by outcome, in total and for each gatekeeper, with marks for the
-// faults. No input or output: converts events to SVG text.
+/// The plot of a run: requests per second by outcome, in total and for each of the first gatekeepers, with
+/// marks for the faults. Pure functions that return SVG text.
 #pragma once
 
 #include <string>
@@ -22,9 +22,10 @@
   int gatekeepers = 1;  // one panel for all of them, then one for each of the first `kMaxGatekeeperPanels`
   std::vector<PlotMark> marks;  // faults, in order of time
 };
+/// The largest number of gatekeepers with a panel of their own.
 constexpr int kMaxGatekeeperPanels = 6;
 
-/// Returns an SVG document with the number of requests by the second in which they were sent.
+/// Returns an SVG document with the number of requests sent in each second.
 std::string plotSvg(const Plot& plot, const std::vector<Request>& requests);
 
 }  // namespace wingslip::lab
--- a/tools/lab/probe.hpp
+++ b/tools/lab/probe.hpp
@@ -1,4 +1,4 @@
-// Measurements of the calling process for scale cases: processor time and memory.
+/// Processor time and memory of processes, for scale cases.
 #pragma once
 
 #include <malloc.h>
@@ -12,15 +12,15 @@
 
 namespace wingslip::lab {
 
-// Processor time of this process in seconds, over all threads.
+/// Returns the processor time of this process in seconds, over all threads.
 inline double processorSeconds() {
   timespec now{};
   ::clock_gettime(CLOCK_PROCESS_CPUTIME_ID, &now);
   return static_cast<double>(now.tv_sec) + static_cast<double>(now.tv_nsec) * 1e-9;
 }
 
-// The minimum processor time in seconds over `repeats` calls. Other processes share the machine, so any
-// excess over the minimum is attributed to them.
+/// Returns the minimum processor time in seconds over `repeats` calls. The minimum is used because other
+/// processes on the machine can only increase the time.
 template <class Call>
 double minProcessorSeconds(int repeats, Call call) {
   double least = std::numeric_limits<double>::infinity();
@@ -32,13 +32,14 @@
   return least;
 }
 
-// Bytes allocated and not yet freed; 0 under a sanitizer's allocator.
+/// Returns the heap memory allocated and not yet freed, in bytes; 0 under a sanitizer's allocator.
 inline double heapBytes() {
   const struct mallinfo2 info = ::mallinfo2();
   return static_cast<double>(info.uordblks) + static_cast<double>(info.hblkhd);
 }
 
-// A field of /proc/PID/status in bytes, such as VmHWM (peak resident size); 0 if the field is missing.
+/// Returns a size from /proc/`process`/status in bytes, such as VmHWM (peak resident size); 0 if it is
+/// missing. `process` is a process id or "self".
 inline double statusBytes(const std::string& process, const std::string& name) {
   std::ifstream in("/proc/" + process + "/status");
   for (std::string word; in >> word;) {
@@ -48,7 +49,7 @@
   return 0;
 }
 
-// Resets the peak resident size (VmHWM) of this process to its present size.
+/// Resets the peak resident size (VmHWM) of this process to its current resident size.
 inline void resetPeakResidentSize() { std::ofstream("/proc/self/clear_refs") << 5; }
 
 }  // namespace wingslip::lab
