--- a/tests/capacity_test.cpp
+++ b/tests/capacity_test.cpp
@@ -71,7 +71,7 @@
   const std::vector<Row> rows = allRows(sampleSet());
   const Day day = allDays().front();
   const Need need = rowOf(rows, "distribution of configuration, whole at each change").need(day);
-  EXPECT_NEAR(need.bytesPerS, 29000 / 86400.0 * 64000 * 120, 1000) << "a class has 120 bytes in the sample";
+  EXPECT_NEAR(need.bytesPerS, 29000 / 86400.0 * 64000 * 120, 1000) << "a class has 120 bytes in sampleSet()";
   EXPECT_NEAR(rowOf(rows, "choice of a worker for a request").need(day).coreShare,
               1.4e6 / 8400 * 2 * 86000 * 1e-8, 1e-3);
 }
@@ -97,7 +97,7 @@
   EXPECT_EQ(gaps[0].row.mechanism, "distribution of configuration, whole at each change");
 }
 
-// With a configuration of a few bytes in total, another row becomes the largest gap.
+// With measured configuration sizes and times of almost 0, another row becomes the largest gap.
 TEST(CapacityModel, RankingFollowsMeasurements) {
   MeasurementSet small = sampleSet();
   for (Measurement& m : small.measurements)
@@ -153,7 +153,7 @@
   const std::string page = std::string("before\n") + kCapacityBegin + "\nold\n" + kCapacityEnd + "\nafter\n";
   const std::string once = withCapacity(page, "new\n");
   EXPECT_EQ(once, std::string("before\n") + kCapacityBegin + "\n\nnew\n\n" + kCapacityEnd + "\nafter\n");
-  EXPECT_EQ(withCapacity(once, "new\n"), once) << "written twice it is the same";
+  EXPECT_EQ(withCapacity(once, "new\n"), once) << "inserting the same text again must not change the page";
 }
 
 TEST(CapacityPage, PageWithoutMarkersIsRejected) {
--- a/tests/growth.hpp
+++ b/tests/growth.hpp
@@ -7,9 +7,9 @@
 
 namespace growth {
 
-// Ratio of the two sizes that are compared. Linear and linearithmic work grows by a factor of 16 to 25,
-// quadratic work by 256. The limit lies between them with a margin of more than a factor of two on either
-// side.
+// Ratio of the two sizes that are compared. From the small to the large size, the time of linear and
+// linearithmic work grows by a factor of 16 to 25, that of quadratic work by 256. The limit kMaxFactor is
+// more than a factor of two away from either.
 constexpr std::size_t kSizeRatio = 16;
 constexpr double kMaxFactor = 64;
 
@@ -21,7 +21,8 @@
 }
 
 // Factor by which the time of `measure` grows from size `small` to kSizeRatio times that size. `measure(n)`
-// returns the milliseconds for size n; the minimum of several runs is used.
+// returns the milliseconds for size n. Uses the minimum of several runs; the large size is run again only
+// while the factor is above kMaxFactor.
 template <class Measure>
 double growthFactor(std::size_t small, Measure measure) {
   constexpr int kRuns = 3;
--- a/tests/growth_test.cpp
+++ b/tests/growth_test.cpp
@@ -1,5 +1,6 @@
-// Processor time of the decision module for one event at the fleet's target size: proportional to the size of
-// the event or to one pass over the workers or request classes, never quadratic.
+// Tests that the processor time of the decision module for one event is at most proportional to the size of
+// the event or to the number of workers or request classes, apart from logarithmic factors, and not
+// quadratic.
 #include "growth.hpp"
 
 #include <gtest/gtest.h>
@@ -57,8 +58,7 @@
   EXPECT_LT(factor, growth::kMaxFactor);
 }
 
-// Each worker has several attempts in flight, so that the check for unresponsive workers runs for each of
-// them.
+// Each worker has several attempts in flight, because only such workers are checked for unresponsiveness.
 TEST(EventProcessingTime, ChoiceAmongBusyWorkersIsNotQuadraticInTheirNumber) {
   const double factor = growth::growthFactor(50, [](std::size_t n) {
     Settings settings = settingsWithClasses(n);
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -1,5 +1,5 @@
-/// Tests of scale runs: the fits, the measurement files, the runner's limits, and the shape of each
-/// mechanism's growth at small sizes (counts of messages, bytes, rows and calls; never a time).
+/// Tests of scale runs: the fits, the measurement files, the runner's limits, and how the cost of each
+/// mechanism grows at small sizes. Only counts of messages, bytes, rows and calls are checked, no times.
 #include "scale.hpp"
 
 #include <gtest/gtest.h>
@@ -249,14 +249,14 @@
   EXPECT_EQ(set.notes[0].text, "not run: no gatekeeper program was given");
 }
 
-// The `check` form of one mechanism, or of all (""). Each is measured once and cached.
+// Returns the measurements of one mechanism, or of all for "", in the `check` form. Results are cached.
 const MeasurementSet& checkForm(const std::string& mechanism) {
   static std::map<std::string, MeasurementSet> cache;
   const auto [found, inserted] = cache.try_emplace(mechanism);
   if (inserted) {
     ScaleOptions options = smallOptions();
     if (!mechanism.empty()) options.only = {mechanism};
-    found->second = runScale(allScaleCases(), options);
+    found->second = runScale(inProcessScaleCases(), options);
   }
   return found->second;
 }
@@ -291,14 +291,16 @@
   EXPECT_EQ(samplesOf(checkForm("class_cap"), "class_cap", "classes")[0].value, 4096);
 }
 
-// The load of an idle member does not grow with the fleet; its member table and its cost per changed row do.
+// The traffic of an idle member does not grow with the fleet; its member table and its cost per changed row
+// do.
 TEST(ScaleShape, IdleMembershipCostIsIndependentOfFleetSize) {
   EXPECT_EQ(shapeOf("membership", "alive").shape, Shape::linear);
-  EXPECT_NEAR(shapeOf("membership", "alive").slope, 1, 1e-9) << "everybody knows everybody";
+  EXPECT_NEAR(shapeOf("membership", "alive").slope, 1, 1e-9) << "each member considers all others alive";
   EXPECT_EQ(shapeOf("membership", "messages").shape, Shape::constant);
   EXPECT_LT(shapeOf("membership", "messages").offset, 3);
   EXPECT_LT(shapeOf("membership", "bytes").slope, 10) << "bytes a second and member";
-  // Each member sends a change 3 times the logarithm of the member count (src/replication/membership.cpp).
+  // Each member sends a change 3 * log2(number of members) times (kTransmissionFactor in
+  // src/replication/membership.cpp).
   EXPECT_EQ(shapeOf("membership", "row_messages").shape, Shape::logarithmic);
   EXPECT_NEAR(shapeOf("membership", "row_messages").slope, 3, 0.5);
 }
@@ -317,7 +319,8 @@
 
 TEST(ScaleShape, CallsPerWatchAreIndependentOfFleetSize) {
   EXPECT_EQ(shapeOf("watch", "calls_each").shape, Shape::constant);
-  // docs/design.md: 7.5 s between calls, shortened by up to a sixth; the first call is made at the start.
+  // docs/design.md: 7.5 s between calls, shortened by up to a sixth. The first call is made at the start of
+  // the outage of 60 s.
   constexpr double kMaxCallsPerSecond = 1 / (7.5 * 5 / 6) + 1 / 60.0;
   EXPECT_LT(shapeOf("watch", "calls_each").offset, kMaxCallsPerSecond);
 }
--- a/tests/scale_test_set.hpp
+++ b/tests/scale_test_set.hpp
@@ -1,4 +1,4 @@
-/// A set of measurements with simple slopes, for tests of the capacity model and page.
+/// A set of measurements that grow linearly, for tests of the capacity model and page.
 #pragma once
 
 #include <string>
@@ -8,7 +8,7 @@
 
 namespace wingslip::lab {
 
-/// Adds a figure at four sizes, with the value `perItem` x size.
+/// Adds a figure at four sizes, with the value `perItem` * size.
 inline void addLinear(MeasurementSet& set, const std::string& mechanism, const std::string& figure,
                       const std::string& unit, const std::string& varies, double perItem) {
   for (const double size : {500.0, 1000.0, 2000.0, 4000.0}) {
--- a/tools/lab/scale.cpp
+++ b/tools/lab/scale.cpp
@@ -22,7 +22,7 @@
 using nlohmann::json;
 using Clock = std::chrono::steady_clock;
 
-constexpr int kPollMs = 50;  // interval of checking a child's memory and time
+constexpr int kPollMs = 50;  // interval between checks of a child's memory and run time
 constexpr std::uint64_t kPageBytes = 4096;
 
 double secondsSince(Clock::time_point start) {
@@ -36,6 +36,7 @@
   return resident * kPageBytes;
 }
 
+// Resident memory of a process and of the child processes that its main thread started, in bytes.
 std::uint64_t residentBytesWithChildren(pid_t pid) {
   std::uint64_t out = residentBytes(pid);
   std::ifstream in("/proc/" + std::to_string(pid) + "/task/" + std::to_string(pid) + "/children");
@@ -43,7 +44,8 @@
   return out;
 }
 
-// The result of one size as a child process reports it: the figures, or the reason why there are none.
+// The result of a case at one size, as reported by its child process: the figures, or the reason why there
+// are none.
 struct CaseResult {
   std::vector<Figure> figures;
   std::string error;
@@ -80,8 +82,8 @@
   return out;
 }
 
-// Redirects stderr of cases with real processes to `case.log` in the case's folder: gatekeepers and members
-// on sockets log there.
+// Redirects stderr of cases with real gatekeepers to `case.log` in the case's folder, because gatekeepers and
+// members with sockets log to stderr.
 void redirectLog(const ScaleCase& scaleCase, const CaseLimits& limits) {
   if (scaleCase.kind != RunKind::real) return;
   std::error_code ignored;
@@ -103,7 +105,7 @@
   ::_exit(0);
 }
 
-// Reads a child's result until the child closes the pipe. Kills the child if it exceeds its time budget or
+// Reads the result from a child until it closes the pipe. Kills the child if it exceeds its time budget or
 // the memory limit.
 class ChildReader {
  public:
@@ -145,7 +147,7 @@
 CaseResult measureInChild(const ScaleCase& scaleCase, std::size_t size, const CaseLimits& limits,
                           double seconds, std::uint64_t memoryBytes) {
   int pipeEnds[2];
-  if (::pipe(pipeEnds) != 0) throw std::runtime_error("cannot create a pipe to a child process");
+  if (::pipe(pipeEnds) != 0) throw std::runtime_error("cannot create the pipe from a child process");
   const pid_t parent = ::getpid();
   const pid_t pid = ::fork();
   if (pid < 0) throw std::runtime_error("cannot fork a child process");
@@ -190,7 +192,7 @@
     }
     const auto start = Clock::now();
     const double runRemaining = options_.totalSeconds - secondsSince(startedAt_);
-    const double budget = std::min(options_.caseSeconds * scaleCase.budgetShare, runRemaining);
+    const double budget = std::min(options_.caseSeconds * scaleCase.budgetFactor, runRemaining);
     if (budget <= 0) {
       note(scaleCase, "not run: the time of the whole run has ended");
       return;
--- a/tools/lab/scale.hpp
+++ b/tools/lab/scale.hpp
@@ -1,6 +1,6 @@
 /// The runner of `wingslip-lab scale`: measures each mechanism at ascending sizes. Each size runs in a
-/// separate child process, so that its memory and processor time are measured alone and its limits can be
-/// enforced.
+/// separate child process, so that its memory and processor time are measured separately and it can be
+/// stopped at its limits.
 #pragma once
 
 #include <cstdint>
@@ -19,7 +19,7 @@
   double value = 0;
 };
 
-/// The resources that a case may use at one size.
+/// The limits and paths for a case at one size.
 struct CaseLimits {
   std::string gatekeeperProgram;  // path of the gatekeeper program
   unsigned processes = 1;         // largest number of processes it may start
@@ -33,8 +33,8 @@
   RunKind kind = RunKind::core;
   std::vector<std::size_t> checkSizes, quickSizes, fullSizes;  // ascending
   std::function<std::vector<Figure>(std::size_t size, const CaseLimits& limits)> measure;
-  double growth = 2;       // assumed exponent of its run time over the size; 0: it mostly waits
-  double budgetShare = 1;  // its time budget, in multiples of ScaleOptions::caseSeconds
+  double growth = 2;        // run time is assumed to grow as size^growth; 0: the case mostly waits
+  double budgetFactor = 1;  // time budget as a multiple of ScaleOptions::caseSeconds
 };
 
 /// The extent of a run: `check` for the project's tests, `quick` and `full` for measurements.
@@ -46,7 +46,7 @@
 struct ScaleOptions {
   ScaleForm form = ScaleForm::quick;
   double totalSeconds = 0;        // budget of the whole run, wall time
-  double caseSeconds = 0;         // budget of one mechanism at all its sizes, wall time
+  double caseSeconds = 0;         // budget of one mechanism for all its sizes, wall time; see budgetFactor
   std::uint64_t memoryBytes = 0;  // limit of one child process and the processes it starts
   unsigned processes = 0;         // limit of processes that one case starts
   std::string gatekeeperProgram;  // empty: cases with real gatekeepers are skipped with a note
@@ -64,7 +64,7 @@
 /// std::runtime_error if a child process cannot be started.
 MeasurementSet runScale(const std::vector<ScaleCase>& cases, const ScaleOptions& options);
 
-/// The cases of all mechanisms that need no gatekeeper process.
-std::vector<ScaleCase> allScaleCases();
+/// Returns the cases that need no gatekeeper process.
+std::vector<ScaleCase> inProcessScaleCases();
 
 }  // namespace wingslip::lab
--- a/tools/lab/scale_cases.cpp
+++ b/tools/lab/scale_cases.cpp
@@ -4,7 +4,7 @@
 
 namespace wingslip::lab {
 
-std::vector<ScaleCase> allScaleCases() {
+std::vector<ScaleCase> inProcessScaleCases() {
   std::vector<ScaleCase> out;
   for (auto cases : {decisionCases, readingCases, replicaCases, electionCases, watchCases}) {
     std::vector<ScaleCase> group = cases();
--- a/tools/lab/scale_cases_decision.cpp
+++ b/tools/lab/scale_cases_decision.cpp
@@ -17,18 +17,18 @@
 using decision::WorkerPhase;
 
 constexpr int kRepeats = 5;
-constexpr double kMinTimedSeconds = 0.02;  // shorter calls are repeated and the time is divided by the count
+constexpr double kMinTimedSeconds = 0.02;  // a shorter call is timed over several repetitions
 constexpr std::uint64_t kSalt = 7;
-constexpr Time kStartMs = 1e6;  // slow start of workers that started at 0 has ended by then
+constexpr Time kStartMs = 1e6;  // later than the end of slow start for workers that started at 0
 constexpr Time kDeadlineMs = 3000;
 constexpr Time kRequestIntervalMs = 6;  // 167 requests per second
 constexpr Time kLatencyMs = 20;
 constexpr unsigned kGatekeepersPerCustomer = 32;  // gatekeepers that receive the requests of one customer
-constexpr double kMinSentFraction = 0.5;  // with a smaller fraction sent, the run would measure refusals
-constexpr int kRequestsPerRound = 500;    // requests in one round of measurement
+constexpr double kMinSentFraction = 0.5;          // below it, the run would mostly measure rejected requests
+constexpr int kRequestsPerRound = 500;            // requests in one round of measurement
 constexpr std::size_t kCustomers = 1000;
 
-// Performs no action; records the last attempt.
+// Discards all actions, but records the last attempt and counts attempts.
 class ActionRecorder : public decision::Actions {
  public:
   void startAttempt(decision::RequestId id, decision::WorkerId worker, Time) override {
@@ -47,7 +47,7 @@
   long attemptCount = 0;
 };
 
-// A gateway with its recorded actions and its clock.
+// A gateway, the recorder of its actions and the virtual clock.
 class GatewayHarness {
  public:
   explicit GatewayHarness(std::size_t classes = 3)
@@ -83,7 +83,8 @@
   Gateway gateway;
 };
 
-// Processor time of choosing workers for the requests of one round and of processing their answers.
+// Processor time in one round of requests: `choice` for choosing a worker, `answer` for processing its
+// answer.
 struct ServedRound {
   int sent = 0;
   double choice = 0, answer = 0;  // seconds per request that was sent
@@ -102,7 +103,7 @@
     out.answer += processorSeconds() - choiceEnd;
   }
   if (out.sent < kMinSentFraction * kRequestsPerRound)
-    throw std::runtime_error("many requests found no worker");
+    throw std::runtime_error("fewer than half of the requests were sent to a worker");
   out.choice /= out.sent;
   out.answer /= out.sent;
   return out;
@@ -139,7 +140,7 @@
   return {{"processor", "s", seconds / repeats}};
 }
 
-// Removes the workers of one zone in one message and adds them again in another.
+// Measures the removal of all workers of a zone in one message and their return in another.
 std::vector<Figure> measureZoneChange(std::size_t workers, const CaseLimits&) {
   GatewayHarness harness;
   harness.gateway.onEndpoints(harness.now, EndpointUpdate::snapshot, workersFor(workers));
@@ -196,7 +197,7 @@
           {"rows", "rows", static_cast<double>(harness.gateway.trackedCustomers())}};
 }
 
-// Submits requests of more customers than the table's capacity; the figure is the number of rows in it.
+// Submits requests of more customers than the customer table can hold; the figure is the number of its rows.
 std::vector<Figure> measureCustomerCap(std::size_t customers, const CaseLimits& limits) {
   return {{"rows", "rows", measureCustomers(customers, limits).back().value}};
 }
@@ -242,7 +243,7 @@
 std::vector<ScaleCase> decisionCases() {
   using Sizes = std::vector<std::size_t>;
   const Sizes listCheck{50, 100, 200, 400};
-  // With fewer workers the gatekeeper's own limit refuses many requests.
+  // With fewer workers the gateway's concurrency limit rejects many requests.
   const Sizes choiceCheck{500, 1000, 1500, 2000};
   const Sizes listQuick{500, 1000, 2000, 4000, 8000};
   const Sizes listFull{500, 1000, 2000, 5000, 10000, 20000, 40000, 86000};
--- a/tools/lab/scale_cases_election.cpp
+++ b/tools/lab/scale_cases_election.cpp
@@ -9,16 +9,16 @@
 namespace {
 
 constexpr std::uint64_t kSeed = 1;
-constexpr double kSettleMsPerCandidate = 40;  // first calls are spread over 20 ms per candidate
+constexpr double kSettleMsPerCandidate = 40;  // twice the start jitter, which is 20 ms per candidate
 constexpr double kSettleMs = 60000;           // additional time until the first leader is elected
 constexpr double kIdleMs = 60000;             // covers two blocking reads
-constexpr double kMaxTakeOverMs = 60000;      // limit from a leader's crash to the election of the next
+constexpr double kMaxTakeOverMs = 60000;      // limit from the leader's crash to the next election
 constexpr double kStepMs = 100;
 
 std::vector<Figure> measureElection(std::size_t candidates, const CaseLimits&) {
   SimulatedCandidates fleet(candidates, kSeed);
   fleet.run(kSettleMs + kSettleMsPerCandidate * static_cast<double>(candidates));
-  if (fleet.leaders() != 1) throw std::runtime_error("not one candidate holds the duty");
+  if (fleet.leaders() != 1) throw std::runtime_error("the candidates have no leader, or more than one");
   const SimulatedCandidates::Traffic before = fleet.traffic();
   fleet.run(kIdleMs);
   const SimulatedCandidates::Traffic idle = fleet.traffic();
--- a/tools/lab/scale_cases_process.cpp
+++ b/tools/lab/scale_cases_process.cpp
@@ -1,5 +1,5 @@
-/// Scale cases of real gatekeeper processes on loopback: one that receives a list of workers from discovery,
-/// and two among simulated members of the replicated state.
+/// Scale cases of real gatekeeper processes on loopback. In one case, a gatekeeper receives a list of workers
+/// from discovery; in the other, two gatekeepers replicate with simulated members.
 #include <signal.h>
 #include <sys/wait.h>
 
@@ -33,18 +33,18 @@
 namespace fs = std::filesystem;
 
 constexpr milliseconds kListTimeout{4000};    // limit until a started process has accepted the list
-constexpr milliseconds kReadyTimeout{20000};  // limit until a process knows all members
+constexpr milliseconds kReadyTimeout{20000};  // limit until a process has all members as alive
 constexpr milliseconds kPollInterval{100};
 constexpr milliseconds kIdleTime{2000};
 constexpr milliseconds kChangeInterval{40};
 constexpr int kChanges = 25;
-constexpr milliseconds kMembersSettleTime{10000};  // until the members' start is no longer gossiped
+constexpr milliseconds kMembersSettleTime{10000};  // until the joins of the members are no longer gossiped
 constexpr milliseconds kMembersIdleTime{4000};
 constexpr unsigned kRealMembers = 2;
-constexpr double kMemoryMb = 256;  // the operators' memory limit of a gatekeeper
+constexpr double kMemoryMb = 256;  // memory limit of a gatekeeper, as the operators set it
 constexpr int kClasses = 3;
-constexpr double kMostlyWaiting = 0;  // exponent of run time: these cases mostly wait
-constexpr double kBudgetShare = 8;    // in budgets of one mechanism, because these cases mostly wait
+constexpr double kGrowth = 0;        // exponent of run time: these cases mostly wait
+constexpr double kBudgetFactor = 8;  // large, because waiting takes most of the run time
 
 std::string loopbackAt(unsigned short port) {
   std::string out = "127.0.0.1:";
@@ -58,14 +58,14 @@
   return out;
 }
 
-// User and kernel processor time of a process, in seconds.
+// User and kernel processor time of the main thread of a process, in seconds.
 double processorSecondsOf(pid_t pid) {
   double nanoseconds = 0;
   std::ifstream("/proc/" + std::to_string(pid) + "/schedstat") >> nanoseconds;
   return nanoseconds * 1e-9;
 }
 
-// The metric `svc.NAME` in a response to the `telemetry` command, or nothing if it is absent.
+// Returns the metric `svc.NAME` in a response to the `telemetry` command, or nullopt if it is absent.
 std::optional<double> metricOf(const std::string& telemetry, const std::string& name) {
   const std::string key = "svc." + name + ":";
   const auto at = telemetry.find(key);
@@ -113,7 +113,8 @@
     const auto until = Clock::now() + timeout;
     while (Clock::now() < until) {
       if (::waitpid(gatekeeper_.current.pid, nullptr, WNOHANG) != 0)
-        throw std::runtime_error("the gatekeeper ended by itself; see " + gatekeeper_.log.string());
+        throw std::runtime_error("the gatekeeper process exited unexpectedly; see " +
+                                 gatekeeper_.log.string());
       if (metricOf(telemetry(), name) == value) return true;
       io_.run_for(kPollInterval);
     }
@@ -136,7 +137,7 @@
 
 double secondsOf(milliseconds span) { return std::chrono::duration<double>(span).count(); }
 
-// A distinct address within 127.0.0.0/8, at a port without a listener.
+// Returns a distinct address in 127.0.0.0/8, with a port on which nothing listens.
 std::string loopbackAddress(std::size_t index) {
   std::ostringstream out;
   out << "127." << 1 + index / 65536 << "." << index / 256 % 256 << "." << index % 256 << ":9";
@@ -185,7 +186,8 @@
           {"change_processor", "s", std::max(0.0, changes / kChanges)}};
 }
 
-// Simulated members on sockets: the real network driver, run on this process's event loop.
+// Members of the replicated state that run on this process's event loop, with sockets and the same network
+// code as the gatekeeper.
 class SimulatedNodes {
  public:
   SimulatedNodes(boost::asio::io_context& io, const Ports& ports, unsigned first, std::size_t count)
@@ -218,7 +220,8 @@
 };
 
 std::vector<Figure> measureProcessAmongSimulated(std::size_t members, const CaseLimits& limits) {
-  if (limits.processes < kRealMembers + 1) throw std::runtime_error("needs more processes than it may start");
+  if (limits.processes < kRealMembers + 1)
+    throw std::runtime_error("the case needs more processes than --processes allows");
   boost::asio::io_context io;
   const Ports ports(io);
   const SimulatedNodes simulated(io, ports, kRealMembers, members - kRealMembers);
@@ -233,7 +236,7 @@
   }
   RealGatekeeper& observed = *real.front();
   if (!observed.waitForMetric("replica.members_alive", static_cast<double>(members - 1), kReadyTimeout))
-    throw std::runtime_error("the members do not all know each other");
+    throw std::runtime_error("the gatekeeper did not see all members as alive before the time-out");
   io.run_for(kMembersSettleTime);
   const std::string before = observed.telemetry();
   const double processorBefore = observed.processorSeconds();
@@ -251,7 +254,7 @@
 
 }  // namespace
 
-std::vector<ScaleCase> processCases() {
+std::vector<ScaleCase> gatekeeperProcessCases() {
   return {
       {"process",
        "workers listed",
@@ -260,8 +263,8 @@
        {500, 2000, 5000, 7000, 10000},
        {100, 500, 1000, 2000, 5000, 7000, 10000},
        measureProcess,
-       kMostlyWaiting,
-       kBudgetShare},
+       kGrowth,
+       kBudgetFactor},
       {"process_members",
        "members",
        RunKind::real,
@@ -269,8 +272,8 @@
        {8, 16},
        {16, 32, 64, 128},
        measureProcessAmongSimulated,
-       kMostlyWaiting,
-       kBudgetShare},
+       kGrowth,
+       kBudgetFactor},
   };
 }
 
--- a/tools/lab/scale_cases_reading.cpp
+++ b/tools/lab/scale_cases_reading.cpp
@@ -14,10 +14,10 @@
 using nlohmann::json;
 
 constexpr int kRepeats = 3;
-constexpr std::size_t kWorkersPerService = 34;        // mean in the target
-constexpr std::size_t kFirstWorkerNumber = 10000000;  // large, so that all worker names have the same length
+constexpr std::size_t kWorkersPerService = 34;        // mean in the target fleet
+constexpr std::size_t kFirstWorkerNumber = 10000000;  // all worker numbers have eight digits
 
-// Returns how much peak resident memory grows while `call` runs, in bytes.
+// Returns the growth of the peak resident memory while `call` runs, in bytes.
 template <class Call>
 double peakBytesDuring(Call call) {
   resetPeakResidentSize();
@@ -68,7 +68,8 @@
   }
 }
 
-// Finds the largest number of classes that a configuration may have, up to `maxClasses`.
+// Finds the largest accepted number of classes in a configuration, up to `maxClasses`, by doubling and
+// bisection.
 std::vector<Figure> measureClassCap(std::size_t maxClasses, const CaseLimits&) {
   std::size_t accepted = 0, rejected = 1;
   while (rejected <= maxClasses && isAccepted(rejected)) {
--- a/tools/lab/scale_cases_replica.cpp
+++ b/tools/lab/scale_cases_replica.cpp
@@ -13,13 +13,13 @@
 using wingslip::replication::ReplicatedTable;
 
 constexpr std::uint64_t kSeed = 1;
-constexpr double kSettleMs = 8000;  // until the updates of the start are no longer gossiped
-constexpr double kIdleMs = 20000;   // idle measurement; covers two repairs of each member
-constexpr double kMaxSpreadMs = 30000;
-constexpr double kGossipMs = 10000;     // until a change is no longer gossiped
-constexpr double kGrowth = 2;           // exponent of run time: each member iterates over all members
-constexpr double kBudgetShare = 2;      // in time budgets of one mechanism
-constexpr std::size_t kFewMembers = 8;  // members in the runs with many rows
+constexpr double kSettleMs = 8000;         // until the updates at the start are no longer gossiped
+constexpr double kIdleMs = 20000;          // idle measurement; two anti-entropy periods
+constexpr double kMaxSpreadMs = 30000;     // limit until all members have a new row
+constexpr double kGossipSettleMs = 10000;  // until a change is no longer gossiped
+constexpr double kGrowth = 2;              // exponent of run time: each member iterates over all members
+constexpr double kBudgetFactor = 2;        // time budget as a multiple of that of one mechanism
+constexpr std::size_t kFewMembers = 8;     // members in the runs with many rows
 
 // Mean cost per member over a period of virtual time; `processor` in seconds.
 struct Cost {
@@ -39,7 +39,7 @@
   return out;
 }
 
-// `cost` less the idle cost of the same period, at least 0.
+// Subtracts the idle cost of the same period from `cost`; no result is below 0.
 Cost withoutIdle(const Cost& cost, const Cost& idleCostPerSecond, double milliseconds) {
   const double seconds = milliseconds / 1000;
   Cost out;
@@ -67,14 +67,14 @@
   const Cost rowCost = costOf(fleet, [&] {
     fleet.writeRow();
     spreadMs = fleet.runUntilReplicated(kMaxSpreadMs);
-    fleet.run(kGossipMs);
+    fleet.run(kGossipSettleMs);
   });
-  const Cost rowNetCost = withoutIdle(rowCost, idle, spreadMs + kGossipMs);
+  const Cost rowNetCost = withoutIdle(rowCost, idle, spreadMs + kGossipSettleMs);
   const Cost restartCost = costOf(fleet, [&] {
     fleet.restartLastMember();
-    fleet.run(kGossipMs);
+    fleet.run(kGossipSettleMs);
   });
-  const Cost restartNetCost = withoutIdle(restartCost, idle, kGossipMs);
+  const Cost restartNetCost = withoutIdle(restartCost, idle, kGossipSettleMs);
   return {{"alive", "members", static_cast<double>(fleet.minAliveCount() + 1)},
           {"held", "B", held},
           {"messages", "messages/s", idle.messages},
@@ -89,8 +89,8 @@
           {"restart_processor", "s", restartNetCost.processor}};
 }
 
-// Starts more members than the member table's capacity; the figure is the smallest number that a member
-// knows.
+// Starts more members than a member table can hold; the figure is the smallest number of members, itself
+// included, that any of them considers alive.
 std::vector<Figure> measureMemberCap(std::size_t members, const CaseLimits&) {
   const SimulatedReplicas fleet(members, 0, kSeed);
   return {{"alive", "members", static_cast<double>(fleet.minAliveCount() + 1)}};
@@ -108,6 +108,7 @@
           {"processor", "s/s", idle.processor}};
 }
 
+// Starts a member with more rows than its table can hold; the figure is the number of rows stored.
 std::vector<Figure> measureRowCap(std::size_t rows, const CaseLimits&) {
   const SimulatedReplicas fleet(1, rows, kSeed);
   return {{"rows", "rows", static_cast<double>(fleet.rowCount())}};
@@ -125,7 +126,7 @@
        {64, 128, 256, 512, 1000},
        measureMembership,
        kGrowth,
-       kBudgetShare},
+       kBudgetFactor},
       {"member_cap",
        "members",
        RunKind::simulated,
--- a/tools/lab/scale_cases_watch.cpp
+++ b/tools/lab/scale_cases_watch.cpp
@@ -1,4 +1,4 @@
-/// Scale cases of the watch on the list of workers: its core in virtual time.
+/// Scale case of the watch on the list of workers: its state machine in virtual time.
 #include <vector>
 
 #include "endpoint_watch/endpoint_watch.hpp"
@@ -14,7 +14,7 @@
 constexpr double kOutageMs = 60000;
 constexpr double kRejectionDelayMs = 5;  // from a call until discovery rejects it
 
-// Counts the calls of one watch during an outage in which discovery rejects each of them.
+// Returns the number of calls of one watch during an outage in which discovery rejects every call.
 std::uint64_t callsWhileRejected(unsigned gatekeepers, std::uint64_t seed) {
   EndpointWatch watch(EndpointWatch::limitsFor(kStopSendingWithinMs, gatekeepers), seed);
   double now = 0;
@@ -32,7 +32,7 @@
   return watch.connectCount();
 }
 
-// One discovery shared by all gatekeepers, without capacity for any of them.
+// All gatekeepers call one shared discovery, which rejects every call.
 std::vector<Figure> measureRejectedCalls(std::size_t gatekeepers, const CaseLimits&) {
   double calls = 0;
   const double start = processorSeconds();
--- a/tools/lab/scale_command.cpp
+++ b/tools/lab/scale_command.cpp
@@ -23,14 +23,14 @@
 constexpr double kMegabyte = 1e6;
 constexpr double kQuickCaseSeconds = 6, kFullCaseSeconds = 30;
 constexpr double kQuickTotalSeconds = 110, kFullTotalSeconds = 340;
-constexpr double kCheckCaseSeconds = 60, kCheckTotalSeconds = 280;  // sufficient under a sanitizer, too
-constexpr int kBadInput = 2, kCannotRun = 3;
+constexpr double kCheckCaseSeconds = 60, kCheckTotalSeconds = 280;  // also sufficient with a sanitizer
+constexpr int kBadInput = 2, kCannotRun = 3;                        // exit codes
 
 struct ScaleArguments {
   std::string gatekeeperProgram, out = "scale-out";
   bool quick = false, check = false;
   double caseSeconds = 0;  // 0: default of the form
-  double memoryMb = 0;
+  double memoryMb = 0;     // limit of one case at one size
   unsigned processes = 16;
   std::vector<std::string> only;
 };
@@ -85,12 +85,12 @@
 
 void runScaleCommand(const ScaleArguments& arguments) {
   const ScaleOptions options = optionsOf(arguments);
-  std::vector<ScaleCase> cases = allScaleCases();
-  for (ScaleCase& entry : processCases()) cases.push_back(std::move(entry));
+  std::vector<ScaleCase> cases = inProcessScaleCases();
+  for (ScaleCase& entry : gatekeeperProcessCases()) cases.push_back(std::move(entry));
   for (const std::string& name : options.only) {
     const bool isKnown = std::any_of(cases.begin(), cases.end(),
                                      [&](const ScaleCase& entry) { return entry.mechanism == name; });
-    if (!isKnown) throw InvalidMeasurements("no mechanism is called " + name);
+    if (!isKnown) throw InvalidMeasurements("--only: unknown mechanism " + name);
   }
   const auto start = std::chrono::steady_clock::now();
   const MeasurementSet set = runScale(cases, options);
--- a/tools/lab/scale_plot.cpp
+++ b/tools/lab/scale_plot.cpp
@@ -9,11 +9,13 @@
 namespace {
 
 constexpr int kColumns = 4;
+// In pixels.
 constexpr double kPanelWidth = 260, kPanelHeight = 170, kMargin = 46, kPlotWidth = 190, kPlotHeight = 100;
 constexpr int kCurvePoints = 40;
-constexpr double kMinValue = 1e-12;  // values below it, such as 0, are drawn as this
+constexpr double kMinValue = 1e-12;  // smaller values, such as 0, are drawn at this value
 
-// Maps values from `low` to `high` logarithmically to 0 to `length` pixels.
+// Maps the values from `low` to `high` to 0 to `length` pixels on a logarithmic scale. Values outside the
+// range are clamped.
 class LogAxis {
  public:
   LogAxis(double low, double high, double length)
--- a/tools/lab/simulated_candidates.cpp
+++ b/tools/lab/simulated_candidates.cpp
@@ -22,7 +22,7 @@
 
 namespace {
 
-// The defaults of the configuration.
+// The default values of the gatekeeper's configuration.
 constexpr double kTtlMs = 10000;
 constexpr double kLockDelayMs = 1000;
 // One-way delay between a candidate and the store.
@@ -79,7 +79,7 @@
   SimulatedCandidates& fleet;
   bool crashed = false;
   std::uint64_t lastTimer = 0;
-  std::set<std::uint64_t> unanswered;  // ids of calls without a reply yet
+  std::set<std::uint64_t> unanswered;  // ids of pending calls
   std::unique_ptr<LeaderElection> election;
 };
 
@@ -112,9 +112,9 @@
   ++traffic_.calls;
   traffic_.bytes += bytesOf(call);
   from.unanswered.insert(call.id);
-  // Each call gets exactly one reply: the store's reply, or a failure at the time-out.
+  // A call gets one reply, the store's or a failure at the time-out, or none if it is cancelled.
   at(events_.now() + call.timeoutMs, [this, &from, id = call.id] { reply(from, id, {}); });
-  at(events_.now() + delayMs(), [this, &from, call] { arrive(from, call); });
+  at(events_.now() + delayMs(), [this, &from, call] { execute(from, call); });
 }
 
 void SimulatedCandidates::reply(Candidate& to, std::uint64_t callId, const StoreReply& reply) const {
@@ -128,7 +128,7 @@
   at(events_.now() + delayMs(), [this, &to, callId, reply] { this->reply(to, callId, reply); });
 }
 
-void SimulatedCandidates::arrive(Candidate& from, const StoreCall& call) {
+void SimulatedCandidates::execute(Candidate& from, const StoreCall& call) {
   StoreReply reply;
   reply.answered = true;
   switch (call.operation) {
@@ -143,7 +143,7 @@
       break;
     case StoreOperation::acquire: {
       const std::optional<bool> acquired = store_.acquire(events_.now(), call.key, call.session, call.value);
-      if (!acquired) return;  // the store reports an error: the call fails at its time-out
+      if (!acquired) return;  // an error at the store: the call fails at its time-out
       reply.succeeded = *acquired;
       break;
     }
--- a/tools/lab/simulated_candidates.hpp
+++ b/tools/lab/simulated_candidates.hpp
@@ -1,5 +1,6 @@
-/// Candidates for one leader task in virtual time, on the stand-in coordination store: the real leader
-/// election state machine without faults. The simulation counts the calls to the store.
+/// Candidates for one leader task in virtual time, on the stand-in coordination store. They run the same
+/// leader election state machine as the gatekeeper; no call is lost. The simulation counts the calls to the
+/// store.
 #pragma once
 
 #include <cstdint>
@@ -24,23 +25,25 @@
     std::uint64_t bytes = 0;  ///< of keys, values and sessions in calls and replies
   };
 
-  /// Starts `candidates` candidates. `seed` determines delays and the choices of the election.
+  /// Starts `candidates` candidates. `seed` determines the delays and the random choices
+  /// of the candidates.
   SimulatedCandidates(std::size_t candidates, std::uint64_t seed);
   ~SimulatedCandidates();
 
-  /// Advances the virtual time.
+  /// Advances the virtual time by `durationMs`.
   void run(wingslip::leader_election::Time durationMs);
-  /// Crashes the leader without a resignation. Returns false if there is no leader.
+  /// Stops the leader without releasing its lock. Returns false if there is no leader.
   bool crashLeader();
 
-  std::size_t leaders() const;     ///< candidates that currently lead
-  std::size_t registered() const;  ///< registrations at the store
-  std::size_t registeredBytes() const;
+  std::size_t leaders() const;          ///< number of candidates that currently lead
+  std::size_t registered() const;       ///< number of registrations in the store
+  std::size_t registeredBytes() const;  ///< of keys, values and sessions of the registrations
   const Traffic& traffic() const { return traffic_; }
 
  private:
   using Time = wingslip::leader_election::Time;
   struct Candidate;
+  // A read that waits at the store for a change of its key.
   struct BlockingRead {
     Candidate* candidate;
     wingslip::leader_election::StoreCall call;
@@ -48,12 +51,15 @@
   void at(Time when, std::function<void()> action);
   // Sends a call to the store; it arrives after a delay and fails at its time-out.
   void call(Candidate& from, const wingslip::leader_election::StoreCall& call);
-  void arrive(Candidate& from, const wingslip::leader_election::StoreCall& call);
-  // Defers the reply to a blocking read until its key changes or its wait ends.
+  // Executes a call at the store and schedules the reply.
+  void execute(Candidate& from, const wingslip::leader_election::StoreCall& call);
+  // Defers the reply to a blocking read until its key changes or its maximum wait has passed.
   void waitForChange(Candidate& from, const wingslip::leader_election::StoreCall& call);
+  // Delivers a reply now, unless the call already has one or was cancelled, or the candidate has crashed.
   void reply(Candidate& to, std::uint64_t callId, const wingslip::leader_election::StoreReply& reply) const;
+  // Delivers a reply after a delay.
   void replyLater(Candidate& to, std::uint64_t callId, const wingslip::leader_election::StoreReply& reply);
-  // Replies to the blocking reads of a changed key.
+  // Replies to the blocking reads whose key is a prefix of the changed key.
   void wakeReads(const std::string& key);
   wingslip::leader_election::StoreReply read(const wingslip::leader_election::StoreCall& call) const;
   Time delayMs();
--- a/tools/lab/simulated_replica.cpp
+++ b/tools/lab/simulated_replica.cpp
@@ -20,7 +20,7 @@
 constexpr const char* kFleet = "scale";
 constexpr std::size_t kRowValueBytes = 100;
 constexpr std::int64_t kUnixStartMs = 1'000'000'000'000;  // wall clock at virtual time 0
-constexpr double kMinDelayMs = 0.2, kMaxDelayMs = 2;      // one way
+constexpr double kMinDelayMs = 0.2, kMaxDelayMs = 2;      // of a message, one way
 
 std::string nameFor(std::size_t index) { return "gatekeeper-" + std::to_string(index); }
 
@@ -129,7 +129,7 @@
       response = wingslip::replication::decode(encoded.data(), encoded.size());
     }
     schedule(events_.now() + delayMs(), [this, &from, id, generation, response] {
-      if (from.generation != generation) return;  // the requesting process was replaced
+      if (from.generation != generation) return;  // the requesting member has restarted
       from.core->onResponse(events_.now(), id, response);
       from.armTimer();
     });
@@ -138,7 +138,7 @@
 
 void SimulatedReplicas::writeRow() {
   ++writtenCount_;
-  receivedCount_ = 1;  // the writer has it
+  receivedCount_ = 1;  // the writer; onRowChanged counts the other members
   Member& writer = *members_.front();
   writer.core->set(events_.now(), "t", "new-" + std::to_string(writtenCount_),
                    std::string(kRowValueBytes, 'n'));
--- a/tools/lab/simulated_replica.hpp
+++ b/tools/lab/simulated_replica.hpp
@@ -1,6 +1,6 @@
-/// Simulated members of the replicated state: many `Replica` cores in one process and in virtual time, with
-/// the real message codec between them and no client requests. No message is lost or late, so the simulation
-/// shows the load of a fleet without faults.
+/// Simulated members of the replicated state: many `Replica` state machines in one process and in virtual
+/// time. They exchange encoded messages and receive no client requests. No message is lost or late, so the
+/// simulation shows the load of a fleet without faults.
 #pragma once
 
 #include <cstdint>
@@ -20,20 +20,20 @@
  public:
   /// Total traffic of all members since the start.
   struct Traffic {
-    std::uint64_t messages = 0;  // requests and responses
-    std::uint64_t bytes = 0;     // encoded size of the messages
+    std::uint64_t messages = 0;  ///< requests and responses
+    std::uint64_t bytes = 0;     ///< encoded size of the messages
   };
 
   /// Starts `members` members, which all know each other and have the same `rows` rows from the start. `seed`
-  /// determines delays and the choices of the cores.
+  /// determines the delays and the random choices of the members.
   SimulatedReplicas(std::size_t members, std::size_t rows, std::uint64_t seed);
   ~SimulatedReplicas();
 
-  /// Advances the virtual time.
+  /// Advances the virtual time by `milliseconds`.
   void run(wingslip::replication::Time milliseconds);
-  /// Member 0 writes a new row.
+  /// Writes a new row at member 0.
   void writeRow();
-  /// Runs until every member has the last row written or `maxDuration` (ms) has passed; returns the virtual
+  /// Runs until every member has the last written row or `maxDuration` (ms) has passed; returns the virtual
   /// time taken, in ms.
   wingslip::replication::Time runUntilReplicated(wingslip::replication::Time maxDuration);
   /// Restarts the last member as a new process with the stored state of its predecessor.
@@ -42,7 +42,7 @@
   /// The number of members.
   std::size_t size() const { return members_.size(); }
   const Traffic& traffic() const { return traffic_; }
-  /// The smallest number of other members that any member considers alive.
+  /// The number of other members that a member considers alive; the smallest over all members.
   std::size_t minAliveCount() const;
   /// The number of rows of member 0.
   std::size_t rowCount() const;
@@ -51,7 +51,7 @@
   using Time = wingslip::replication::Time;
   struct Member;
   void schedule(Time time, std::function<void()> action);
-  // Encodes a request, delivers it after a delay and returns the response to its sender after another.
+  // Encodes a request, delivers it after a delay and returns the response to the sender after a second delay.
   void deliver(Member& from, const wingslip::replication::OutgoingRequest& request);
   Time delayMs();
 
@@ -59,7 +59,7 @@
   EventQueue events_;
   std::vector<std::unique_ptr<Member>> members_;
   Traffic traffic_;
-  // receivedCount_: members that have the last row written; writtenCount_: rows written so far.
+  // receivedCount_: members that have the last written row; writtenCount_: rows written by writeRow.
   std::size_t receivedCount_ = 0, writtenCount_ = 0;
 };
 
