--- a/tests/growth_test.cpp
+++ b/tests/growth_test.cpp
@@ -1,6 +1,5 @@
-// Tests that the processor time of the decision module for one event is at most proportional to the size of
-// the event or to the number of workers or request classes, apart from logarithmic factors, and not
-// quadratic.
+// Tests that the processor time of the decision module for one event does not grow quadratically with the
+// size of the event or with the number of workers or request classes. One pass over them is allowed.
 #include "growth.hpp"
 
 #include <gtest/gtest.h>
--- a/tools/lab/fit.cpp
+++ b/tools/lab/fit.cpp
@@ -100,7 +100,8 @@
   Fit out;
   out.shape = shape;
   out.offset = sums.value / sums.weight;
-  // With a single size or the constant shape the determinant is 0, and only the offset can be fitted.
+  // With a single size or the constant shape the determinant is 0 (apart from rounding), and only the offset
+  // can be fitted.
   const bool slopeDetermined = determinant > 1e-9 * sums.weight * sums.termSquared;
   if (slopeDetermined) {
     out.offset = (sums.value * sums.termSquared - sums.term * sums.termValue) / determinant;
--- a/tools/lab/measurement.hpp
+++ b/tools/lab/measurement.hpp
@@ -66,7 +66,9 @@
 
 /// One figure at all its sizes, with its fit.
 struct Series {
-  Measurement first;  // the first in the set; gives the names, the unit and the kind
+  // The first measurement in the set, for the names, unit and kind. A run measures sizes in ascending order,
+  // so this is the smallest size.
+  Measurement first;
   std::vector<Sample> samples;
   Fit fit;
 };
--- a/tools/lab/scale.cpp
+++ b/tools/lab/scale.cpp
@@ -82,8 +82,8 @@
   return out;
 }
 
-// Redirects stderr of cases with real gatekeepers to `case.log` in the case's folder, because gatekeepers and
-// members with sockets log to stderr.
+// Redirects stderr of cases with real gatekeepers to `case.log` in the case's folder. Simulated members with
+// sockets log there, since they run in the case's process; a gatekeeper process has a log file of its own.
 void redirectLog(const ScaleCase& scaleCase, const CaseLimits& limits) {
   if (scaleCase.kind != RunKind::real) return;
   std::error_code ignored;
--- a/tools/lab/scale_cases.hpp
+++ b/tools/lab/scale_cases.hpp
@@ -27,7 +27,8 @@
 decision::Settings settingsWith(std::size_t classes);
 /// Returns the id of worker `index`, in the form of a service name and a number of eight digits.
 std::string workerName(std::size_t index);
-/// Returns a list of workers as the JSON text that discovery sends.
+/// Returns a list of workers as the JSON text that discovery sends, with ids and addresses of realistic
+/// length.
 std::string listText(std::size_t workers);
 /// Returns a configuration file with `classes` request classes. Nothing listens on its addresses.
 std::string configurationText(std::size_t classes);
--- a/tools/lab/scale_cases_decision.cpp
+++ b/tools/lab/scale_cases_decision.cpp
@@ -83,7 +83,7 @@
   Gateway gateway;
 };
 
-// Processor time in one round of requests: `choice` for choosing a worker, `answer` for processing its
+// Processor time of one round of requests: `choice` for choosing the worker, `answer` for processing the
 // answer.
 struct ServedRound {
   int sent = 0;
--- a/tools/lab/scale_cases_election.cpp
+++ b/tools/lab/scale_cases_election.cpp
@@ -9,9 +9,9 @@
 namespace {
 
 constexpr std::uint64_t kSeed = 1;
-constexpr double kSettleMsPerCandidate = 40;  // twice the start jitter, which is 20 ms per candidate
+constexpr double kSettleMsPerCandidate = 40;  // first calls are spread over half of it, 20 ms per candidate
 constexpr double kSettleMs = 60000;           // additional time until the first leader is elected
-constexpr double kIdleMs = 60000;             // covers two blocking reads
+constexpr double kIdleMs = 60000;             // three blocking reads of 20 s
 constexpr double kMaxTakeOverMs = 60000;      // limit from the leader's crash to the next election
 constexpr double kStepMs = 100;
 
--- a/tools/lab/scale_cases_process.cpp
+++ b/tools/lab/scale_cases_process.cpp
@@ -33,7 +33,7 @@
 namespace fs = std::filesystem;
 
 constexpr milliseconds kListTimeout{4000};    // limit until a started process has accepted the list
-constexpr milliseconds kReadyTimeout{20000};  // limit until a process has all members as alive
+constexpr milliseconds kReadyTimeout{20000};  // limit until a process lists all members as alive
 constexpr milliseconds kPollInterval{100};
 constexpr milliseconds kIdleTime{2000};
 constexpr milliseconds kChangeInterval{40};
--- a/tools/lab/scale_cases_replica.cpp
+++ b/tools/lab/scale_cases_replica.cpp
@@ -89,8 +89,8 @@
           {"restart_processor", "s", restartNetCost.processor}};
 }
 
-// Starts more members than a member table can hold; the figure is the smallest number of members, itself
-// included, that any of them considers alive.
+// Starts more members than a member table can hold. The figure is the smallest number of members, including
+// itself, that a member considers alive.
 std::vector<Figure> measureMemberCap(std::size_t members, const CaseLimits&) {
   const SimulatedReplicas fleet(members, 0, kSeed);
   return {{"alive", "members", static_cast<double>(fleet.minAliveCount() + 1)}};
--- a/tools/lab/simulated_candidates.hpp
+++ b/tools/lab/simulated_candidates.hpp
@@ -25,8 +25,7 @@
     std::uint64_t bytes = 0;  ///< of keys, values and sessions in calls and replies
   };
 
-  /// Starts `candidates` candidates. `seed` determines the delays and the random choices
-  /// of the candidates.
+  /// Starts `candidates` candidates. `seed` determines the delays and the candidates' random choices.
   SimulatedCandidates(std::size_t candidates, std::uint64_t seed);
   ~SimulatedCandidates();
 
