--- a/tests/accept_cost_test.cpp
+++ b/tests/accept_cost_test.cpp
@@ -1,5 +1,6 @@
-// Accepting connections at the connection limit, in place of idle ones: the system calls per accept, and
-// whether the event loop serves other sockets in between. Counts system calls and accepts, not time.
+// Cost of accepting connections at the connection limit, where each accept evicts an idle connection: the
+// number of system calls per accept, and whether the event loop serves other sockets in between. Counts
+// system calls and accepts instead of measuring time.
 #include <poll.h>
 #include <sys/ioctl.h>
 #include <sys/resource.h>
@@ -13,12 +14,14 @@
 
 namespace {
 
-// System calls of this process so far that query the state of a connection.
+// Queries of the state of a socket by this process so far: each call of ioctl and getsockopt, and each
+// descriptor passed to poll.
 std::size_t socketQueries = 0;
 
 }  // namespace
 
-// Replace the C library's functions in this program: they count the call and make the system call.
+// These functions replace those of the C library in this program: they count the queries and make the system
+// call.
 extern "C" {
 int ioctl(int descriptor, unsigned long request, ...) noexcept {
   va_list arguments;
@@ -44,9 +47,10 @@
 using namespace std::chrono_literals;
 using Steady = std::chrono::steady_clock;
 
-constexpr std::size_t kMebibyte = std::size_t{1} << 20;
+constexpr std::size_t kMiB = std::size_t{1} << 20;
 
-struct SilentHandler : RequestHandler {
+// Records the responders of all requests and does not respond by itself.
+struct RecordingHandler : RequestHandler {
   bool ready() const override { return true; }
   decision::RequestId nextRequestId() override { return ++lastRequestId; }
   void onRequest(decision::RequestId, const ParsedRequest&, ClientMessage&&,
@@ -62,12 +66,13 @@
   std::vector<std::shared_ptr<Responder>> responders;
 };
 
-void allowDescriptors(rlim_t needed) {
+// Raises the soft limit on open descriptors to `needed`; fails the test if the hard limit is lower.
+void raiseDescriptorLimit(rlim_t needed) {
   rlimit limit{};
   ASSERT_EQ(getrlimit(RLIMIT_NOFILE, &limit), 0);
   if (limit.rlim_cur >= needed) return;
   ASSERT_TRUE(limit.rlim_max == RLIM_INFINITY || limit.rlim_max >= needed)
-      << "the hard limit of RLIMIT_NOFILE is too low";
+      << "the hard limit of RLIMIT_NOFILE is below the number of descriptors that the test needs";
   limit.rlim_cur = needed;
   ASSERT_EQ(setrlimit(RLIMIT_NOFILE, &limit), 0);
 }
@@ -76,7 +81,7 @@
  protected:
   // Starts a server with `connections` regular connections, all in use by idle clients.
   void open(std::size_t connections) {
-    allowDescriptors(2 * connections + 256);
+    raiseDescriptorLimit(2 * connections + 256);
     ClientServer::Limits limits;
     limits.maxConnections = connections + std::min<std::size_t>(8, (connections + 8) / 16);
     limits.firstRequestTimeout = limits.idleTimeout = 10min;
@@ -97,9 +102,9 @@
   }
   std::size_t accepted() { return totalAccepted += server->takeStats().accepted; }
 
-  OverloadManager overloadManager{io, budgetSharesFor({512 * kMebibyte}), OverloadState::Limits{}};
+  OverloadManager overloadManager{io, budgetSharesFor({512 * kMiB}), OverloadState::Limits{}};
   Config config;
-  SilentHandler handler;
+  RecordingHandler handler;
   std::optional<ClientServer> server;
   std::vector<tcp::socket> clients;
   std::size_t totalAccepted = 0;
@@ -108,7 +113,7 @@
 class AcceptCostByConnectionCount : public AcceptCost, public ::testing::WithParamInterface<std::size_t> {};
 
 // An accept takes two queries: the TCP state of the new connection, and whether the one to be evicted has
-// unread data. The third is allowed for a retry.
+// unread data. A third is allowed for a second candidate for eviction.
 TEST_P(AcceptCostByConnectionCount, SystemCallsPerAcceptDoNotGrowWithTheNumberOfConnections) {
   constexpr std::size_t kAccepts = 32;
   constexpr std::size_t kMaxQueries = 3;
@@ -167,7 +172,7 @@
   }
   clients.push_back(connect());
   clients.push_back(connect());
-  waitUntil([&] { return first->closedByPeer && second->closedByPeer; }, "room");
+  waitUntil([&] { return first->closedByPeer && second->closedByPeer; }, "the eviction of both connections");
   EXPECT_EQ(server->connections(), 2u);
 }
 
@@ -190,7 +195,7 @@
   agent.peers[0]->send("{}\n");
   waitUntil([&] { return acceptsWhenRead.has_value(); }, "the line");
   EXPECT_LE(*acceptsWhenRead - before, kMaxAccepts);
-  waitUntil([&] { return accepted() == before + kWaiting; }, "all accepted");
+  waitUntil([&] { return accepted() == before + kWaiting; }, "the accept of all waiting connections");
 }
 
 // The event loop's lag must be measured when connections arrive, even if no request does.
@@ -212,8 +217,8 @@
       "event loop overload");
 }
 
-// `onActivity` is called by the first handler of the loop iteration; only a timer measures the handlers
-// after it.
+// `onActivity` is called by the first handler of the loop iteration, so the duration of the handlers after it
+// is measured only by a timer.
 TEST_F(AcceptCost, EventLoopLagIncludesAllHandlersOfAnIteration) {
   bool ran = false;
   asio::post(io, [&] {
--- a/tests/attempts_test.cpp
+++ b/tests/attempts_test.cpp
@@ -23,7 +23,7 @@
   next.maxAttempts = 2;
   harness.gateway.onSettings(harness.now, next);
   harness.endAttempt(open, AttemptResult::reset);
-  EXPECT_EQ(harness.attemptCount(open), 2u);  // still of the idempotent class
+  EXPECT_EQ(harness.attemptCount(open), 2u);  // the request's class is still idempotent
   harness.endAttempt(capped, AttemptResult::connectFailed);
   harness.endAttempt(capped, AttemptResult::connectFailed);
   EXPECT_EQ(harness.attemptCount(capped), 2u);
@@ -268,7 +268,8 @@
       }
       for (auto& [id, request] : requests) {
         if (harness.recorder.rejected.contains(id) &&
-            (request.mayHaveRun || request.hasAttemptInFlight)) {  // shed with an attempt in flight
+            (request.mayHaveRun ||
+             request.hasAttemptInFlight)) {  // rejected by load shedding after an attempt was started
           EXPECT_EQ(request.requestClass, 0u);
         }
         if (harness.recorder.finalAnswers[id]) request.isFinished = true;
@@ -347,19 +348,20 @@
   GatewayHarness harness;
   harness.updateEndpoints({endpoint(1), endpoint(2)});
   CustomerId customer = 0;
-  // Attempts in flight at worker 2, more of them than at the unresponsive worker 1.
-  std::vector<std::pair<int, RequestId>> busy;
+  // Attempts in flight at worker 2, with the step of the loop that started them. There are more of them than
+  // at the unresponsive worker 1.
+  std::vector<std::pair<int, RequestId>> inFlightAtOther;
   int attemptsAtUnresponsive = 0;
   for (int i = 0; i < 400; ++i) {
     harness.now += 25;
-    while (!busy.empty() && i - busy.front().first >= 6) {
-      harness.endAttempt(busy.front().second, AttemptResult::ok, 150);
-      busy.erase(busy.begin());
+    while (!inFlightAtOther.empty() && i - inFlightAtOther.front().first >= 6) {
+      harness.endAttempt(inFlightAtOther.front().second, AttemptResult::ok, 150);
+      inFlightAtOther.erase(inFlightAtOther.begin());
     }
     const RequestId id = harness.sendRequest(2, 0, ++customer);
     if (!harness.wasForwarded(id)) continue;
     if (harness.lastWorker() == 2) {
-      busy.emplace_back(i, id);
+      inFlightAtOther.emplace_back(i, id);
     } else if (i < 80) {
       harness.endAttempt(id, AttemptResult::ok, 50);
     } else if (++attemptsAtUnresponsive > 2) {
--- a/tests/client_server_test.cpp
+++ b/tests/client_server_test.cpp
@@ -7,7 +7,8 @@
 
 using namespace std::chrono_literals;
 
-struct UnresponsiveHandler : RequestHandler {  // never responds by itself
+// Records the responder of the latest request and does not respond by itself.
+struct UnresponsiveHandler : RequestHandler {
   bool ready() const override { return true; }
   decision::RequestId nextRequestId() override { return ++lastRequestId; }
   void onRequest(decision::RequestId, const ParsedRequest&, ClientMessage&&,
--- a/tests/decision_replay_test.cpp
+++ b/tests/decision_replay_test.cpp
@@ -118,7 +118,7 @@
   Replay(std::uint64_t seed, unsigned events)
       : random_(seed),
         settings_(seed % 2 == 0 ? quotaSettings(random_) : ceilingSettings(random_)),
-        customers_(random_.chance(0.2) ? 20000 : 60),
+        customerCount_(random_.chance(0.2) ? 20000 : 60),
         gateway_(settings_, seed, now_, *this) {
     XXH3_64bits_reset(&hash_);
     startWorkers();
@@ -202,7 +202,7 @@
     Request request;
     request.id = ++lastRequest_;
     request.classIndex = random_.below(static_cast<unsigned>(settings_.classes.size()));
-    request.customer = 1 + random_.below(random_.chance(0.5) ? 5 : customers_);
+    request.customer = 1 + random_.below(random_.chance(0.5) ? 5 : customerCount_);
     request.planIndex = static_cast<unsigned>(request.customer % settings_.plans.size());
     if (random_.chance(0.002))
       request.planIndex = random_.below(static_cast<unsigned>(settings_.plans.size() + 1));
@@ -218,7 +218,7 @@
   static bool isFaulty(WorkerId worker) { return worker % 11 == 0; }
 
   void endAttempt() {
-    // Half of the outcomes are delayed during a part of each period, so that many attempts are in flight.
+    // In the first 4 s of every 30 s half of the outcomes are delayed, so that many attempts are in flight.
     if (attemptsInFlight_.empty() || (random_.chance(0.5) && std::fmod(now_, 30000) < 4000)) return;
     const std::size_t index =
         random_.chance(0.7) ? 0 : random_.below(static_cast<unsigned>(attemptsInFlight_.size()));
@@ -325,7 +325,7 @@
   Generator random_;
   Time now_ = 0;
   Settings settings_;
-  unsigned customers_;
+  unsigned customerCount_;
   XXH3_state_t hash_{};
   std::vector<Endpoint> workers_;
   std::vector<Attempt> attemptsInFlight_;
--- a/tests/fault_test.cpp
+++ b/tests/fault_test.cpp
@@ -1,4 +1,5 @@
-// The program while its system calls fail in the ways that Linux documents (tools/lab/faults).
+// Tests of the gatekeeper program while its system calls fail in the ways that Linux documents. The faults
+// are injected by tools/lab/faults.
 #include "program_under_faults.hpp"
 
 namespace wingslip::test {
@@ -59,7 +60,8 @@
         << "poll " << poll;
   }
   program.faults->setDiskError(0);
-  waitUntil([&] { return runOperatorCommand("exclude s-1").rfind("200", 0) == 0; }, "kept");
+  waitUntil([&] { return runOperatorCommand("exclude s-1").rfind("200", 0) == 0; },
+            "the exclusion is stored");
   program.killProcess();
   program.start();
   waitUntilReady();
@@ -67,7 +69,8 @@
   program.faults->setDiskError(EIO);
   EXPECT_EQ(runOperatorCommand("include s-1").rfind("400", 0), 0u);
   program.faults->setDiskError(0);
-  waitUntil([&] { return runOperatorCommand("include s-1").rfind("200", 0) == 0; }, "kept");
+  waitUntil([&] { return runOperatorCommand("include s-1").rfind("200", 0) == 0; },
+            "the inclusion is stored");
   program.killProcess();
   program.start();
   waitUntilReady();
@@ -93,13 +96,14 @@
   EXPECT_NE(runOperatorCommand("telemetry").find("svc.hosts_down:1|g"), std::string::npos);
 }
 
-// Creating a socket may fail for lack of descriptors while the program starts.
+// If creating a socket fails for lack of descriptors during startup, the program must retry instead of
+// exiting.
 TEST_F(GatekeeperUnderFaults, StartupWaitsOutATemporaryDescriptorShortage) {
   SystemFaults faults;
   faults.shares[CallFault::socket] = 1;
   GatekeeperProcess program(folder, config(), faults);
   waitUntil([&] { return program.faults->injected()[CallFault::socket] > 0 || program.hasEnded(); },
-            "a failed call");
+            "a failed socket call");
   io.restart();
   io.run_for(500ms);
   ASSERT_FALSE(program.hasEnded()) << "ended with status " << program.waitStatus;
@@ -183,7 +187,7 @@
   waitUntilReady();
   program.faults->stepWallClock(-kHourMs);
   sendEndpointList(3, unixNowMs());
-  runFor(1500ms);  // longer than slow start
+  runFor(1500ms);  // longer than slow start, which lasts 1000 ms
   for (int i = 0; i < 5; ++i) {
     ASSERT_TRUE(isServed(i)) << i;
     runFor(20ms);  // longer than the quarantine for a late second response
@@ -191,8 +195,8 @@
   EXPECT_EQ(worker.peers.size(), 1u);
 }
 
-// With the clock one hour behind, a worker that has been running for 60 s must not stay in slow start until
-// the clock has passed its start time.
+// With the program's clock one hour behind, a worker that has been running for 60 s must not stay in slow
+// start until the clock has passed its start time.
 TEST_F(GatekeeperUnderWrongWallClock, AWorkerCompletesSlowStartOnTimeWithTheClockBehindAtStartup) {
   SystemFaults faults;
   faults.wallOffsetMs = -kHourMs;
@@ -203,8 +207,8 @@
   for (int i = 0; i < 5; ++i) EXPECT_TRUE(isServed(i)) << i;
 }
 
-// With the clock one hour ahead, a worker that has just started must not look as if it had started an hour
-// ago, which would skip its slow start.
+// With the program's clock one hour ahead, a worker that has just started must not look as if it had started
+// an hour ago, which would skip its slow start.
 TEST_F(GatekeeperUnderWrongWallClock, AStartingWorkerIsInSlowStartWithTheClockAheadAtStartup) {
   SystemFaults faults;
   faults.wallOffsetMs = kHourMs;
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -26,9 +26,9 @@
   return out;
 }
 
-// The burst divided by the number of gateways is less than one request here. The quota of a new customer is
-// full, so its first request of the usual size is admitted at every gateway. Larger requests are rejected
-// until the bucket has refilled.
+// The burst divided by the number of gateways is less than one request here. The bucket of a new customer
+// still holds one request of the usual size, so the first such request is admitted at every gateway. Larger
+// requests are rejected until the bucket has refilled.
 TEST(Fleet, BucketOfANewCustomerHoldsAtLeastOneUsualRequest) {
   GatewayHarness harness(largeFleetSettings());
   harness.updateEndpoints(endpoints(60));
@@ -42,8 +42,8 @@
   }
   EXPECT_EQ(admitted, 40u);
   EXPECT_TRUE(harness.wasRejected(harness.sendRequest(0, 0, 100, 8, 80)));
-  EXPECT_TRUE(
-      harness.wasRejected(harness.sendRequest(0, 0, 1, 2, 80)));  // one request, and no more without a refill
+  EXPECT_TRUE(harness.wasRejected(
+      harness.sendRequest(0, 0, 1, 2, 80)));  // its bucket held one request and has not refilled
 }
 
 // A worker that has just started answers several times slower than a warm one at any load. Its late answers
@@ -120,7 +120,7 @@
 
 // With sixteen times the workers, each a sixteenth as large, and the same traffic at each gateway, a gateway
 // still uses few workers, within the bound on its connections (2.5 times as many plus 40), and every worker
-// still has enough gateways.
+// is still used by at least three gateways.
 TEST(Fleet, SubsetGrowsLittleWithTheEndpointList) {
   const auto usedWorkers = [](unsigned gateways, unsigned gatewayIndex, WorkerId count) {
     Settings settings = testSettings();
@@ -213,7 +213,7 @@
     if (harness.lastWorker() == 60 && now > 110000) attemptTimes.push_back(now);
     harness.endAttempt(id, AttemptResult::ok, 100);
   }
-  const double warmRatePerMs = requestsPerMs / 60;  // attempts at a warm worker
+  const double warmRatePerMs = requestsPerMs / 60;  // attempts at each warm worker
   for (const Time windowStart : attemptTimes) {
     const auto attemptsInWindow = std::count_if(attemptTimes.begin(), attemptTimes.end(), [&](Time time) {
       return time >= windowStart && time < windowStart + settings.overloadWindowMs;
@@ -225,12 +225,13 @@
               settings.overloadMultiple * capacityShare * warmRatePerMs * settings.overloadWindowMs + 4)
         << windowStart;
   }
-  // In 8,000 ms, at 0.2 to 0.84 of the 11.7 attempts per second at a warm worker.
+  // A warm worker gets 11.7 attempts per second. The warming worker's share of its capacity rises from 0.2 to
+  // 0.84 in the 8,000 ms of the test after its restart.
   EXPECT_GE(attemptTimes.size(), 20u);
 }
 
-// The budget of a warming worker is also respected for other fleet sizes, with uneven traffic that shifts
-// between gateways, when half of the gateways have just started. For a budget of N requests, an excess of up
+// The budget of a warming worker is also respected for other fleet sizes if the traffic is uneven and shifts
+// between gateways, and half of the gateways have just started. For a budget of N requests, an excess of up
 // to 2 * sqrt(N) + 2 is attributed to random variation.
 TEST(Fleet, BudgetOfAWarmingWorkerHoldsForEveryFleetSize) {
   for (const unsigned gateways : {1u, 5u, 20u, 30u, 300u, 350u}) {
@@ -306,8 +307,8 @@
   std::map<CustomerId, CustomerState> customers;
   double admittedWithinQuota = 0, admittedOverQuota = 0, offeredWithinQuota = 0;  // units
 
-  // Accounts for a request, admitted or rejected.
-  void noteRequest(CustomerId id, Time now, double units, bool admitted) {
+  // Records a request, admitted or rejected.
+  void recordRequest(CustomerId id, Time now, double units, bool admitted) {
     CustomerState& customer = customers[id];
     const double refill = plan.rate * (now - std::exchange(customer.refilledAt, now)) / 1000;
     customer.tokens = std::min(plan.burst, customer.tokens + refill);
@@ -331,9 +332,9 @@
   }
 };
 
-// A tenth of the customers send four times their rate, and each gateway receives one or two requests of a
-// customer in total. The work admitted over the quotas costs about a tenth of the work offered within
-// them, and most of the latter is admitted.
+// A tenth of the customers send about three times their rate, and a gateway receives less than one request of
+// a customer on average over the whole test. The units admitted over the quotas are about a tenth of the
+// units offered within them, and most of the latter are admitted.
 TEST(Fleet, QuotasHoldIfEachGatewayReceivesFewRequestsOfACustomer) {
   for (const std::uint64_t seed : {1u, 2u}) {
     Settings settings = testSettings();
@@ -353,7 +354,7 @@
     for (Time now = 100000; now < 125000; now += 2) {
       if (std::fmod(now, settings.quotaReadingPeriodMs) < 2) quotas.endPeriod();
       if (uniform() > 0.9) continue;
-      const bool heavy = uniform() < 0.56;  // 100 customers at 4 times the rate, 900 at 0.35 times the rate
+      const bool heavy = uniform() < 0.56;  // 100 customers at 3.2 times the rate, 900 at 0.28 times the rate
       const CustomerId id = 1 + static_cast<CustomerId>(uniform() * (heavy ? 100 : 900)) + (heavy ? 0 : 100);
       static constexpr double kSizes[] = {1, 1, 1, 1, 2, 2, 4, 8};
       const double units = kSizes[static_cast<std::size_t>(uniform() * 8)];
@@ -361,7 +362,7 @@
       harness.now = now;
       const RequestId request = harness.sendRequest(0, 0, id, units, settings.gatewayCount);
       const bool admitted = harness.wasForwarded(request);
-      quotas.noteRequest(id, now, units, admitted);
+      quotas.recordRequest(id, now, units, admitted);
       if (admitted)
         harness.endAttempt(request, AttemptResult::ok, 50,
                            static_cast<int>(quotas.customers[id].quotaUsePercent));
--- a/tests/gatekeeper_test.cpp
+++ b/tests/gatekeeper_test.cpp
@@ -1,5 +1,5 @@
-// The complete gatekeeper over loopback sockets: a request from the client to a worker and its response, with
-// the faults of clients, workers and discovery.
+// End-to-end tests of the complete gatekeeper over loopback sockets: forwarding of requests and responses,
+// retries, endpoint lists, and faults of clients, workers and the discovery agent.
 #include "loopback.hpp"
 
 namespace wingslip::test {
@@ -54,7 +54,7 @@
   EXPECT_TRUE(connection.has("Req-Id: 00000000000000a1\r\n"));
   EXPECT_TRUE(connection.has("Idempotency-Key: 5c0f6e1a2b3d4c59a8b7c6d5e4f30211\r\n"));
   EXPECT_EQ(connection.count("Req-Deadline-Ms: "), 1u);
-  // Less than the client's deadline by the time reserved for returning the response.
+  // The forwarded deadline is shorter than the client's by the time reserved for returning the response.
   EXPECT_FALSE(connection.has("Req-Deadline-Ms: 60000\r\n"));
   worker.peers[0]->send(httpResponse("200 OK", "made by a worker"));
   waitForResponse(client, "made by a worker");
@@ -105,7 +105,8 @@
   with([](TestRequest& request) { request.extra = "Req-Id: 00000000000000a2\r\n"; }, "400");
   with([](TestRequest& request) { request.extra = "X-Tier: small\r\n"; }, "400");
   with([](TestRequest& request) { request.query = "client=xyz"; }, "400");
-  with([](TestRequest& request) { request.query = "client=0000000200000000"; }, "400");  // 2^33
+  with([](TestRequest& request) { request.query = "client=0000000200000000"; },
+       "400");  // 2^33, the first invalid id
   with([](TestRequest& request) { request.query = "other=1"; }, "400");
   with([](TestRequest& request) { request.deadline = "soon"; }, "400");
   with([](TestRequest& request) { request.deadline = "0"; }, "400");
@@ -155,7 +156,7 @@
 TEST_F(GatekeeperEndToEnd, ANonIdempotentRequestIsRetriedAfterAConnectFailure) {
   startGatekeeper(json::array(
       {endpointEntryJson("s-1", unusedAddress()), endpointEntryJson("s-2", worker.addressText())}));
-  for (int i = 0; i < 4; ++i) {  // with either worker tried first
+  for (int i = 0; i < 4; ++i) {  // several requests, so that either worker is tried first
     TestRequest request;
     request.requestClass = "order", request.id = "00000000000000b" + std::to_string(i);
     const auto client = sendRequest(request);
@@ -344,11 +345,11 @@
               "a request for a snapshot");
   }
   const std::string logOutput = testing::internal::GetCapturedStderr();
-  // Logged: the watch's end and the first rejected list.
+  // The two lines are the end of the watch and the first rejected list.
   EXPECT_EQ(std::count(logOutput.begin(), logOutput.end(), '\n'), 2) << logOutput;
   EXPECT_NE(logOutput.find("list: older than what is known"), std::string::npos);
   sendRequest(TestRequest());
-  waitUntil([&] { return other.count("Req-Id: ") == 1; }, "the worker that stays");
+  waitUntil([&] { return other.count("Req-Id: ") == 1; }, "a request at the ready worker");
   EXPECT_EQ(worker.count("Req-Id: "), 0u);
 }
 
@@ -379,8 +380,9 @@
   waitUntil([&] { return worker.count("Req-Id: ") == 1; }, "a request at a worker");
 }
 
-// A process is bound by the agent's list from its start on, and the configured list may be older: no request
-// may be sent before the agent's first list, unless the agent stays silent.
+// The agent's list applies to a process from its start on, and the configured list may be older: no request
+// may be sent before the agent's first list has been received. If the agent sends none for some seconds, the
+// configured list is used.
 TEST_F(GatekeeperEndToEnd, SendsNothingBeforeTheFirstListUnlessDiscoveryIsSilent) {
   startGatekeeper(json::array(
       {endpointEntryJson("s-1", worker.addressText()), endpointEntryJson("s-2", other.addressText())}));
@@ -399,7 +401,7 @@
       endpointListJson(2, false,
                        json::array({endpointEntryJson("s-1", worker.addressText(), "Terminating")})) +
       "\n");
-  waitUntil([&] { return other.count("Req-Id: ") == 1; }, "the request at the worker that stays");
+  waitUntil([&] { return other.count("Req-Id: ") == 1; }, "the request at the ready worker");
   EXPECT_EQ(worker.peers.size(), 0u);
   EXPECT_TRUE(gatekeeper->ready());
   Gatekeeper withSilentAgent(
@@ -411,8 +413,8 @@
   waitUntil([&] { return withSilentAgent.ready(); }, "ready with the configured list");
 }
 
-// A change that a silent watch misses is binding some seconds later all the same, so the watch on a silent
-// agent must be opened again within that time.
+// A change of the endpoint list must be followed within some seconds even if the agent is silent on the
+// watch, so the watch must be reopened within that time.
 TEST_F(GatekeeperEndToEnd, TheWatchOnASilentAgentIsReopenedWithinFiveSeconds) {
   startWithWorker();
   waitUntil([&] { return discovery.count("watch=1") == 1; }, "a watch");
@@ -474,7 +476,7 @@
     acceptor_.listen(0);
     first_.connect(acceptor_.local_endpoint());
   }
-  std::string text() const { return "127.0.0.1:" + std::to_string(acceptor_.local_endpoint().port()); }
+  std::string addressText() const { return "127.0.0.1:" + std::to_string(acceptor_.local_endpoint().port()); }
   // Accepts the waiting and all later connections. The kernel of a client that is waiting retransmits its SYN
   // after one second.
   void accept() {
@@ -496,7 +498,7 @@
 // when the connection is requested, it would be too long by the time that connecting takes.
 TEST_F(GatekeeperEndToEnd, TheDeadlineSentToAWorkerExcludesTheTimeToConnect) {
   ListenerWithFullBacklog slow(io);
-  startGatekeeper(json::array({endpointEntryJson("s-1", slow.text())}));
+  startGatekeeper(json::array({endpointEntryJson("s-1", slow.addressText())}));
   waitUntil([&] { return discovery.count("\r\n\r\n") == 1; }, "a watch");
   discovery.peers[0]->send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
   sendEndpointList(1, json::array());
--- a/tests/guards_test.cpp
+++ b/tests/guards_test.cpp
@@ -203,11 +203,11 @@
     harness.endAttempt(id, AttemptResult::ok);
   }
   EXPECT_GT(sent, 0u);
-  EXPECT_LT(sent, 80u);  // a warm worker as idle as the other one would get half
+  EXPECT_LT(sent, 80u);  // an equally idle warm worker would get half of the 200 requests
 }
 
-// The rate of a warm worker is remembered while a release restarts all workers, and can be passed to a new
-// process of the gateway.
+// The learned rate of a warm worker is retained while a release restarts all workers, and can be passed to a
+// new process of the gateway.
 TEST(SlowStart, BudgetUsesTheLearnedOrSeededRateOfAWarmWorker) {
   const auto attemptsDuringWarmUp = [](double seededRate, bool learnsRate) {
     GatewayHarness harness(testSettings(), 50000);
--- a/tests/loopback.hpp
+++ b/tests/loopback.hpp
@@ -1,5 +1,5 @@
-// Scripted peers over loopback sockets for tests of the gatekeeper: clients, workers and the discovery agent.
-// Everything runs on the test's thread. Waits end with the awaited event, and fail after 30 s.
+/// Scripted peers over loopback sockets for tests of the gatekeeper: clients, workers and the discovery
+/// agent. Everything runs on the test's thread. Waits end with the awaited event, and fail after 30 s.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -20,25 +20,26 @@
 using asio::ip::tcp;
 using nlohmann::json;
 
-// The test's end of a connection: the bytes received so far, and whether the other side has closed it.
+/// The test's end of a connection: the bytes received so far, and whether the other side has closed it.
 class Peer : public std::enable_shared_from_this<Peer> {
  public:
   explicit Peer(tcp::socket socket) : socket_(std::move(socket)) {}
   std::string received;       // all bytes received
-  bool closedByPeer = false;  // the other side has closed the connection, or it failed
+  bool closedByPeer = false;  // the other side has closed the connection, or a read or write has failed
 
-  // Pauses reading until `resumeReading`; a read that is already pending still completes.
+  /// Pauses reading until `resumeReading`; a read that is already pending still completes.
   void pauseReading() { readPaused_ = true; }
   void resumeReading() {
     if (std::exchange(readPaused_, false) && !readPending_) read();
   }
-  // Sends this many bytes in pieces, as fast as the other side reads them; `bytesSent` counts those sent.
+  /// Sends this many bytes in pieces, as fast as the other side reads them; `bytesSent` counts those sent.
   void sendBytes(std::size_t bytes) {
     unsentBytes_ += bytes;
     if (!writePending_) sendNextPiece();
   }
   std::size_t bytesSent = 0;
 
+  /// Reads until an error or a pause, and appends the bytes to `received`.
   void read() {
     readPending_ = true;
     socket_.async_read_some(asio::buffer(readBuffer_),
@@ -51,17 +52,20 @@
                                 read();
                             });
   }
+  /// Sends the complete text; blocks until the kernel has accepted it.
   void send(const std::string& text) {
     Error ignored;  // the other side may have closed the connection already
     asio::write(socket_, asio::buffer(text), ignored);
   }
   void close() { socket_.close(); }
-  // Closes with a TCP reset, as a crashed process does: sent bytes that the other side has not read are lost.
+  /// Closes with a TCP reset, as a crashed process does: sent bytes that the other side has not read are
+  /// lost.
   void reset() {
     socket_.set_option(asio::socket_base::linger(true, 0));
     socket_.close();
   }
   bool has(const std::string& text) const { return received.find(text) != std::string::npos; }
+  /// The number of occurrences of `text` in the received bytes.
   std::size_t count(const std::string& text) const {
     std::size_t n = 0;
     for (auto position = received.find(text); position != std::string::npos;
@@ -94,20 +98,21 @@
 };
 using PeerPtr = std::shared_ptr<Peer>;
 
-// Accepts connections at a free port and reads from all of them.
+/// Accepts connections at a free port and reads from all of them.
 class Listener {
  public:
   explicit Listener(asio::io_context& io)
       : acceptor_(io, tcp::endpoint(asio::ip::address_v4::loopback(), 0)) {
     accept();
   }
-  std::vector<PeerPtr> peers;
+  std::vector<PeerPtr> peers;  // all accepted connections, oldest first
 
   tcp::endpoint address() const { return acceptor_.local_endpoint(); }
   std::string addressText() const { return "127.0.0.1:" + std::to_string(address().port()); }
-  std::size_t count(const std::string& pattern) const {
+  /// The number of occurrences of `text` in the bytes received on all connections.
+  std::size_t count(const std::string& text) const {
     std::size_t n = 0;
-    for (const auto& peer : peers) n += peer->count(pattern);
+    for (const auto& peer : peers) n += peer->count(text);
     return n;
   }
 
@@ -123,19 +128,19 @@
   tcp::acceptor acceptor_;
 };
 
-// A worker in an endpoint list.
+/// The entry of a worker in an endpoint list. `address`: "host:port"; `startedAtMs`: Unix time.
 inline json endpointEntryJson(const std::string& id, const std::string& address,
                               const std::string& lifecycle = "Ready", double startedAtMs = 0) {
   return {{"instanceId", id}, {"hostPort", address},    {"zone", "a"},   {"machineType", "m"},
           {"cell", 0},        {"lifecycle", lifecycle}, {"weight", 1.0}, {"startedAtMs", startedAtMs}};
 }
 
-// An endpoint list as discovery sends it: a snapshot if `reset`, else a delta.
+/// An endpoint list as discovery sends it: a snapshot if `reset`, else a delta.
 inline std::string endpointListJson(int generation, bool reset, const json& instances) {
   return json{{"generation", generation}, {"reset", reset}, {"instances", instances}}.dump();
 }
 
-// Settings with three request classes, one for each kind of idempotency, and two plans.
+/// Settings with three request classes, one for each kind of idempotency, and two plans.
 inline json settingsJson() {
   return json::parse(R"({
     "me": 0, "nInstances": 2, "locality": 0, "localities": ["a", "b"], "shapes": ["m"],
@@ -155,8 +160,8 @@
       {"name": "large", "unitsPerS": 1000.0, "depth": 1000.0, "pays": 1.0, "overrunCost": 1.0}]})");
 }
 
-// A configuration file with the addresses of discovery and, if not null, the workers of the configured
-// endpoint list.
+/// A configuration file with the address of the discovery agent. `known`: the entries of the configured
+/// endpoint list; if null, there is no such list.
 inline json configJson(const std::string& discovery, const json& known = {}) {
   json out{{"name", "n0"},
            {"listen", "127.0.0.1:0"},
@@ -168,15 +173,15 @@
   return out;
 }
 
-// A client's request.
+/// A client's HTTP request. The members are the texts of its fields, so that tests can send malformed values.
 struct TestRequest {
   std::string requestClass = "look";
   std::string plan = "large";
   std::string id = "00000000000000a1";
   std::string query = "client=00000000b4d65521";
-  std::string deadline = "60000";
+  std::string deadline = "60000";  // in ms
   std::string callTerms = "units=1,spread=2,first=1";
-  std::string extra;
+  std::string extra;  // additional header lines, each terminated by CRLF
   std::string body;
 
   std::string text() const {
@@ -190,19 +195,21 @@
   }
 };
 
-// A worker's HTTP response.
+/// A worker's HTTP response. `status`: code and reason; `extra`: additional header lines, each terminated by
+/// CRLF.
 inline std::string httpResponse(const std::string& status, const std::string& body,
                                 const std::string& extra = "") {
   return "HTTP/1.1 " + status + "\r\nContent-Length: " + std::to_string(body.size()) + "\r\n" + extra +
          "\r\n" + body;
 }
 
-// Runs the event loop, and connects clients.
+/// Base fixture: owns the event loop, runs it until a condition is true, and connects clients.
 class Loopback : public ::testing::Test {
  protected:
   using Condition = std::function<bool()>;
 
-  // Runs the event loop until the condition is true; fails the test after 30 s.
+  /// Runs the event loop until the condition is true; fails the test after 30 s, with
+  /// `description` as the name of the condition.
   void waitUntil(const Condition& condition, const char* description) {
     const auto deadline = std::chrono::steady_clock::now() + std::chrono::seconds(30);
     while (!condition()) {
@@ -218,7 +225,7 @@
     peer->read();
     return peer;
   }
-  // The address of a port on which no socket listens.
+  /// The address of a port on which no socket listens.
   std::string unusedAddress() { return Listener(io).addressText(); }
 
   asio::io_context io{1};
--- a/tests/ops_test.cpp
+++ b/tests/ops_test.cpp
@@ -79,8 +79,8 @@
     return caller->received;
   }
   std::string call(const std::string& line) { return call(*gatekeeper, line + "\n"); }
-  bool telemetryHas(const std::string& figure) {
-    return call("telemetry").find(figure + "\n") != std::string::npos;
+  bool telemetryHas(const std::string& metric) {
+    return call("telemetry").find(metric + "\n") != std::string::npos;
   }
   PeerPtr sendRequest(const std::string& id, const std::string& requestClass = "look") {
     TestRequest request;
@@ -152,10 +152,10 @@
   const auto rejected = connectTo(gatekeeper->address());
   rejected->send(overQuota.text());
   waitUntil([&] { return rejected->has("429"); }, "the rejection");
-  for (const char* figure :
+  for (const char* metric :
        {"svc.success.look:1|c", "svc.busy.look:1|c", "svc.failure.look:0|c", "svc.failure.order:1|c",
         "svc.success.edit:0|c", "svc.backend_calls:2|c", "svc.inflight:0|g", "svc.hosts_listed:1|g"})
-    EXPECT_TRUE(telemetryHas(figure)) << figure << "\n" << call("telemetry");
+    EXPECT_TRUE(telemetryHas(metric)) << metric << "\n" << call("telemetry");
 }
 
 TEST_F(Ops, AnExclusionIsNotChangedByEndpointLists) {
@@ -190,13 +190,13 @@
 
 TEST_F(Ops, AMalformedExclusionsFileIsIgnored) {
   Exclusions exclusions(stateDirectory);
-  EXPECT_FALSE(exclusions.set("s-1", true));  // no error
+  EXPECT_FALSE(exclusions.set("s-1", true));  // returns no error
   const std::string file = stateDirectory + "/burlwind-excluded.json";
-  for (const char* damage : {"", "{\"excluded\":[\"s-", "[]", "{\"excluded\":[1]}"}) {
-    std::ofstream(file) << damage;
-    EXPECT_FALSE(exclusions.sync()) << damage;
-    EXPECT_EQ(exclusions.ids().count("s-1"), 1u) << damage;
-    EXPECT_TRUE(Exclusions(stateDirectory).ids().empty()) << damage;
+  for (const char* malformedText : {"", "{\"excluded\":[\"s-", "[]", "{\"excluded\":[1]}"}) {
+    std::ofstream(file) << malformedText;
+    EXPECT_FALSE(exclusions.sync()) << malformedText;
+    EXPECT_EQ(exclusions.ids().count("s-1"), 1u) << malformedText;
+    EXPECT_TRUE(Exclusions(stateDirectory).ids().empty()) << malformedText;
   }
   EXPECT_FALSE(exclusions.set("s-2", true));  // replaces the malformed file
   EXPECT_EQ(Exclusions(stateDirectory).ids().size(), 2u);
@@ -239,7 +239,7 @@
 }
 
 // Guards against a drain that is cut short by a reload (SIGTERM, then SIGHUP) with a file that no longer
-// names a store: the drain still waits for the operations at the store that it has started.
+// names a store: the drain still waits for the store operations in progress.
 TEST_F(Ops, RemovingTheStoreInAReloadDoesNotCutADrainShort) {
   Listener store(io);
   json file =
@@ -263,11 +263,11 @@
   ASSERT_TRUE(readHandover(stateDirectory));
   EXPECT_EQ(readHandover(stateDirectory)->warmWorkerRatePerMs, 0.01);
   EXPECT_EQ(readHandover(stateDirectory)->clockOffsetMs, -5e11);
-  for (const char* damage :
+  for (const char* malformedText :
        {"", "{", "[]", "{\"at\":1}", "{\"at\":1,\"warmRate\":-1,\"clockOffset\":0}",
         "{\"at\":1,\"warmRate\":\"much\",\"clockOffset\":0}", "{\"at\":1,\"warmRate\":1}"}) {
-    std::ofstream(stateDirectory + "/burlwind-handover.json") << damage;
-    EXPECT_FALSE(readHandover(stateDirectory)) << damage;
+    std::ofstream(stateDirectory + "/burlwind-handover.json") << malformedText;
+    EXPECT_FALSE(readHandover(stateDirectory)) << malformedText;
   }
 }
 
@@ -287,7 +287,7 @@
   const std::string readinessRequest = "GET /health/ready HTTP/1.1\r\nHost: b\r\n\r\n";
   const auto oldClient = connectClient();
   sendEndpointList(json::array({endpointEntryJson("s-1", worker.addressText())}),
-                   2);  // from here on it accepts connections
+                   2);  // ready, and accepts connections from now on
   oldClient->send(readinessRequest);
   waitUntil([&] { return oldClient->has("HTTP/1.1 200"); }, "the response of the old process");
 
--- a/tests/overflow_connections_test.cpp
+++ b/tests/overflow_connections_test.cpp
@@ -25,7 +25,7 @@
     void onClientDisconnect(decision::RequestId) override {}
     void onRequestRejected(unsigned) override { ++rejections; }
     void onClosedUnanswered(CloseReason reason) override {
-      ADD_FAILURE() << "closed over a request: " << static_cast<int>(reason);
+      ADD_FAILURE() << "connection closed with an unanswered request, reason " << static_cast<int>(reason);
     }
     decision::RequestId lastRequestId = 0;
     int rejections = 0;
@@ -81,7 +81,7 @@
   const auto lateClient = connectTo(server->address());
   waitUntil([&] { return server->connections() == 31; }, "an overflow connection");
   busy.front()->close();
-  waitUntil([&] { return server->connections() == 30; }, "room");
+  waitUntil([&] { return server->connections() == 30; }, "a free regular connection");
   lateClient->send(TestRequest().text());
   waitUntil([&] { return handler.responders.size() == 31; }, "the admission of the request");
   EXPECT_EQ(handler.rejections, 0);
--- a/tests/program_under_faults.hpp
+++ b/tests/program_under_faults.hpp
@@ -1,5 +1,5 @@
-// Runs the program with the fault library preloaded, between clients, workers and a discovery agent
-// that the test controls.
+/// Runs the gatekeeper program with the fault library preloaded. Its clients, its workers and its discovery
+/// agent are sockets that the test controls.
 #pragma once
 
 #include <signal.h>
@@ -22,11 +22,11 @@
 using wingslip::lab::FaultFile;
 using wingslip::lab::SystemFaults;
 
-// A process of the program with fault injection. The destructor kills it if it is still running.
+/// A process of the gatekeeper program with fault injection. The destructor kills it if it is still running.
 class GatekeeperProcess {
  public:
-  // `folder` contains its configuration, its fault control file and its $TMPDIR. `initialFaults`: the faults
-  // that apply at start.
+  /// `folder` contains its configuration, its fault control file and its $TMPDIR. `initialFaults`: the faults
+  /// that apply at start.
   GatekeeperProcess(const std::string& folder, const json& config, const SystemFaults& initialFaults)
       : folder_(folder) {
     std::filesystem::create_directories(folder + "/state");
@@ -38,6 +38,7 @@
   GatekeeperProcess(const GatekeeperProcess&) = delete;
   GatekeeperProcess& operator=(const GatekeeperProcess&) = delete;
 
+  /// Starts the process, also again after `killProcess`.
   void start() {
     pid_ = fork();
     if (pid_ != 0) return;
@@ -56,22 +57,22 @@
     if (pid_ > 0) kill(pid_, SIGKILL), waitpid(pid_, nullptr, 0);
     pid_ = 0;
   }
-  // Whether the process has ended; `waitStatus` is then valid.
+  /// Whether the process has ended; `waitStatus` is then valid.
   bool hasEnded() {
     if (pid_ > 0 && waitpid(pid_, &waitStatus, WNOHANG) == pid_) pid_ = 0;
     return pid_ == 0;
   }
 
   std::optional<FaultFile> faults;
-  int waitStatus = 0;
+  int waitStatus = 0;  // as reported by waitpid
 
  private:
   const std::string folder_;
   pid_t pid_ = 0;
 };
 
-// A discovery agent and a worker, and the configuration of a program whose addresses are fixed before it
-// starts.
+/// Fixture with a discovery agent, a worker, and the configuration of a gatekeeper program. The program's
+/// addresses are chosen before it starts, so that they stay the same over a restart.
 class GatekeeperUnderFaults : public Loopback {
  protected:
   void SetUp() override {
@@ -80,7 +81,7 @@
   }
   void TearDown() override { std::filesystem::remove_all(folder); }
 
-  // A loopback address whose port is currently free.
+  /// A loopback address whose port is currently free.
   static tcp::endpoint freePort(asio::io_context& io) { return Listener(io).address(); }
 
   json config() {
@@ -91,7 +92,7 @@
     return configuration;
   }
 
-  // Sends a command to the operators' port and returns the answer; empty if the connection is refused.
+  /// Sends a command to the operators' port and returns the answer; empty if the connection is refused.
   std::string runOperatorCommand(const std::string& command) {
     tcp::socket socket(io);
     Error error;
--- a/tests/quota_test.cpp
+++ b/tests/quota_test.cpp
@@ -196,7 +196,7 @@
   EXPECT_TRUE(sendAndComplete(harness, 0, 1, -1, 1, 30));
 }
 
-// A customer whose requests come through thirty gateways sends few of them to this one. Readings of little
+// A customer whose requests come through thirty gateways sends few of them to this one. Readings of zero
 // use must not cause rejections; readings of three times the quota reduce admission.
 TEST(Quota, AdmissionOfRareRequestsFollowsTheReadings) {
   const auto admitted = [](int percent) {
--- a/tests/races_test.cpp
+++ b/tests/races_test.cpp
@@ -139,7 +139,7 @@
  protected:
   struct RecordingHandler : RequestHandler {
     bool ready() const override { return true; }
-    decision::RequestId nextRequestId() override { return ++lastId; }
+    decision::RequestId nextRequestId() override { return ++lastRequestId; }
     void onRequest(decision::RequestId, const ParsedRequest&, ClientMessage&&,
                    const std::shared_ptr<Responder>& responder) override {
       responders.push_back(responder);
@@ -147,9 +147,9 @@
     void onClientDisconnect(decision::RequestId) override { ++disconnects; }
     void onRequestRejected(unsigned) override {}
     void onClosedUnanswered(CloseReason reason) override {
-      ADD_FAILURE() << "connection closed without a response: " << static_cast<int>(reason);
+      ADD_FAILURE() << "connection closed with an unanswered request, reason " << static_cast<int>(reason);
     }
-    decision::RequestId lastId = 0;
+    decision::RequestId lastRequestId = 0;
     int disconnects = 0;
     std::vector<std::shared_ptr<Responder>> responders;
   };
@@ -315,14 +315,14 @@
 TEST_F(GatekeeperRaces, ARequestBeforeTheFirstEndpointListRetainsItsClassAndPlanAcrossAReload) {
   json configuration =
       configJson(discovery.addressText(), json::array({endpointEntryJson("s-1", worker.addressText())}));
-  Gatekeeper unlistedGatekeeper(io, parseConfig(configuration.dump()));
-  unlistedGatekeeper.start();
-  const auto client = connectTo(unlistedGatekeeper.address());
+  Gatekeeper gatekeeperWithoutList(io, parseConfig(configuration.dump()));
+  gatekeeperWithoutList.start();
+  const auto client = connectTo(gatekeeperWithoutList.address());
   client->send(TestRequest().text());
-  waitUntil([&] { return unlistedGatekeeper.requestsInFlight() == 1; }, "the request is in flight");
+  waitUntil([&] { return gatekeeperWithoutList.requestsInFlight() == 1; }, "the request is in flight");
   std::swap(configuration["settings"]["profiles"][0], configuration["settings"]["profiles"][2]);
   std::swap(configuration["settings"]["plans"][0], configuration["settings"]["plans"][1]);
-  unlistedGatekeeper.reload(parseConfig(configuration.dump()));
+  gatekeeperWithoutList.reload(parseConfig(configuration.dump()));
   waitUntil([&] { return worker.count("Req-Id: 00000000000000a1") == 1; }, "the attempt");
   worker.peers[0]->close();  // a retry is allowed, because its class is safe to repeat
   waitUntil([&] { return worker.count("Req-Id: 00000000000000a1") == 2; }, "another attempt");
--- a/tests/recorder.hpp
+++ b/tests/recorder.hpp
@@ -22,12 +22,12 @@
 /// answer.
 class Recorder : public Actions {
  public:
-  std::vector<StartedAttempt> startedAttempts;
-  std::map<RequestId, Time> rejected;
+  std::vector<StartedAttempt> startedAttempts;  ///< in the order of their start
+  std::map<RequestId, Time> rejected;           ///< time of Retry-After, in ms
   std::map<RequestId, unsigned> failed, finalAnswers, attemptCounts;
-  std::vector<std::pair<Time, std::uint64_t>> timers;
+  std::vector<std::pair<Time, std::uint64_t>> timers;  ///< wait in ms, and tag
   std::vector<std::string> logLines;
-  unsigned polls = 0;
+  unsigned polls = 0;  ///< requests to poll the endpoint list
 
   void startAttempt(RequestId id, WorkerId worker, Time timeoutMs) override {
     EXPECT_EQ(finalAnswers[id], 0u) << "attempt started after the final answer to request " << id;
@@ -47,8 +47,8 @@
   void log(const std::string& line) override { logLines.push_back(line); }
 };
 
-/// Request classes by index: idempotent, with an idempotency key, not idempotent. Plans by index: a rate, a
-/// concurrency cap, a rate with a hard ceiling.
+/// Settings of two gateways. Their request classes, by index: idempotent, with an idempotency key, not
+/// idempotent. Their plans, by index: a rate, a concurrency cap, a rate with a hard ceiling.
 inline Settings testSettings() {
   Settings out;
   out.gatewayCount = 2;
@@ -84,6 +84,7 @@
   return out;
 }
 
+/// A worker in an endpoint list, in the default phase. `started`: start of its process, in ms.
 inline Endpoint endpoint(WorkerId id, unsigned zone = 0, Time started = 0) {
   Endpoint out;
   out.worker = id;
@@ -102,13 +103,14 @@
                        EndpointUpdate kind = EndpointUpdate::snapshot) {
     gateway.onEndpoints(now, kind, endpoints);
   }
+  /// Sends a request whose deadline is in `deadlineMs`, and returns its id.
   RequestId sendRequest(unsigned requestClass = 0, unsigned planIndex = 0, CustomerId customer = 1,
                         double units = 1, unsigned customerGatewayCount = 2, Time deadlineMs = 3000) {
     gateway.onRequest(now, {++lastRequest, requestClass, planIndex, customer, now + deadlineMs, units,
                             customerGatewayCount});
     return lastRequest;
   }
-  /// Reports the outcome of the request's newest attempt.
+  /// Reports the outcome of the request's newest attempt. A successful attempt finishes the request.
   void endAttempt(RequestId id, AttemptResult result, Time latencyMs = 100, int quotaUsePercent = -1,
                   bool finished = false, double actualUnits = 0) {
     for (auto it = recorder.startedAttempts.rbegin(); it != recorder.startedAttempts.rend(); ++it) {
--- a/tests/stream_test.cpp
+++ b/tests/stream_test.cpp
@@ -1,5 +1,4 @@
-// Request and response bodies that are too long to be buffered and are streamed, and variants of HTTP
-// framing.
+// Streaming of request and response bodies that are too long to be buffered, and variants of HTTP framing.
 #include "loopback.hpp"
 
 namespace wingslip::test {
@@ -35,8 +34,8 @@
   void sendInPieces(const PeerPtr& from, const std::function<PeerPtr()>& to, std::size_t total) {
     for (std::size_t sent = 0; sent < total; sent += kPiece) {
       from->send(std::string(kPiece, static_cast<char>('a' + sent / kPiece % 26)));
-      const std::size_t had = sent;
-      waitUntil([&] { return to() && to()->received.size() >= had; }, "the pieces sent so far");
+      const std::size_t sentBefore = sent;
+      waitUntil([&] { return to() && to()->received.size() >= sentBefore; }, "the pieces sent so far");
     }
   }
   static constexpr std::size_t kPiece = 20000;
--- a/tests/upstream_pool_test.cpp
+++ b/tests/upstream_pool_test.cpp
@@ -101,7 +101,7 @@
   }
 }
 
-// Otherwise a connection established after the removal would still send its request to the removed worker.
+// The request must not be sent to a removed worker when its connection is established after the removal.
 TEST_F(UpstreamPoolTest, AnAttemptStillConnectingEndsWhenItsWorkerIsRemoved) {
   createPool({});
   startAttempt(1);
@@ -155,7 +155,8 @@
   EXPECT_EQ(pool->connections(), 0u);
 }
 
-// Applies across workers, independently of their order in the worker table.
+// The least recently used connection is selected among those of all workers, independently of the order of
+// the workers in the worker table.
 TEST_F(UpstreamPoolTest, AtTheLimitTheLeastRecentlyUsedIdleConnectionIsClosed) {
   UpstreamPool::Limits limits;
   limits.maxConnections = 8;
