--- a/tests/accept_cost_test.cpp
+++ b/tests/accept_cost_test.cpp
@@ -172,7 +172,7 @@
   }
   clients.push_back(connect());
   clients.push_back(connect());
-  waitUntil([&] { return first->closedByPeer && second->closedByPeer; }, "the eviction of both connections");
+  waitUntil([&] { return first->closedByPeer && second->closedByPeer; }, "room");
   EXPECT_EQ(server->connections(), 2u);
 }
 
--- a/tests/fault_test.cpp
+++ b/tests/fault_test.cpp
@@ -60,8 +60,7 @@
         << "poll " << poll;
   }
   program.faults->setDiskError(0);
-  waitUntil([&] { return runOperatorCommand("exclude s-1").rfind("200", 0) == 0; },
-            "the exclusion is stored");
+  waitUntil([&] { return runOperatorCommand("exclude s-1").rfind("200", 0) == 0; }, "kept");
   program.killProcess();
   program.start();
   waitUntilReady();
@@ -69,8 +68,7 @@
   program.faults->setDiskError(EIO);
   EXPECT_EQ(runOperatorCommand("include s-1").rfind("400", 0), 0u);
   program.faults->setDiskError(0);
-  waitUntil([&] { return runOperatorCommand("include s-1").rfind("200", 0) == 0; },
-            "the inclusion is stored");
+  waitUntil([&] { return runOperatorCommand("include s-1").rfind("200", 0) == 0; }, "kept");
   program.killProcess();
   program.start();
   waitUntilReady();
--- a/tests/loopback.hpp
+++ b/tests/loopback.hpp
@@ -24,8 +24,8 @@
 class Peer : public std::enable_shared_from_this<Peer> {
  public:
   explicit Peer(tcp::socket socket) : socket_(std::move(socket)) {}
-  std::string received;       // all bytes received
-  bool closedByPeer = false;  // the other side has closed the connection, or a read or write has failed
+  std::string received;       ///< all bytes received
+  bool closedByPeer = false;  ///< the other side has closed the connection, or a read or write has failed
 
   /// Pauses reading until `resumeReading`; a read that is already pending still completes.
   void pauseReading() { readPaused_ = true; }
@@ -105,7 +105,7 @@
       : acceptor_(io, tcp::endpoint(asio::ip::address_v4::loopback(), 0)) {
     accept();
   }
-  std::vector<PeerPtr> peers;  // all accepted connections, oldest first
+  std::vector<PeerPtr> peers;  ///< all accepted connections, oldest first
 
   tcp::endpoint address() const { return acceptor_.local_endpoint(); }
   std::string addressText() const { return "127.0.0.1:" + std::to_string(address().port()); }
@@ -173,15 +173,15 @@
   return out;
 }
 
-/// A client's HTTP request. The members are the texts of its fields, so that tests can send malformed values.
+/// A client's HTTP request. All members are texts, so that tests can send malformed values.
 struct TestRequest {
   std::string requestClass = "look";
   std::string plan = "large";
   std::string id = "00000000000000a1";
   std::string query = "client=00000000b4d65521";
-  std::string deadline = "60000";  // in ms
+  std::string deadline = "60000";  ///< in ms
   std::string callTerms = "units=1,spread=2,first=1";
-  std::string extra;  // additional header lines, each terminated by CRLF
+  std::string extra;  ///< additional header lines, each terminated by CRLF
   std::string body;
 
   std::string text() const {
--- a/tests/overflow_connections_test.cpp
+++ b/tests/overflow_connections_test.cpp
@@ -81,7 +81,7 @@
   const auto lateClient = connectTo(server->address());
   waitUntil([&] { return server->connections() == 31; }, "an overflow connection");
   busy.front()->close();
-  waitUntil([&] { return server->connections() == 30; }, "a free regular connection");
+  waitUntil([&] { return server->connections() == 30; }, "room");
   lateClient->send(TestRequest().text());
   waitUntil([&] { return handler.responders.size() == 31; }, "the admission of the request");
   EXPECT_EQ(handler.rejections, 0);
--- a/tests/program_under_faults.hpp
+++ b/tests/program_under_faults.hpp
@@ -64,7 +64,7 @@
   }
 
   std::optional<FaultFile> faults;
-  int waitStatus = 0;  // as reported by waitpid
+  int waitStatus = 0;  ///< as reported by waitpid
 
  private:
   const std::string folder_;
--- a/tests/recorder.hpp
+++ b/tests/recorder.hpp
@@ -23,7 +23,7 @@
 class Recorder : public Actions {
  public:
   std::vector<StartedAttempt> startedAttempts;  ///< in the order of their start
-  std::map<RequestId, Time> rejected;           ///< time of Retry-After, in ms
+  std::map<RequestId, Time> rejected;           ///< by request: the retry-after time, in ms
   std::map<RequestId, unsigned> failed, finalAnswers, attemptCounts;
   std::vector<std::pair<Time, std::uint64_t>> timers;  ///< wait in ms, and tag
   std::vector<std::string> logLines;
@@ -47,8 +47,8 @@
   void log(const std::string& line) override { logLines.push_back(line); }
 };
 
-/// Settings of two gateways. Their request classes, by index: idempotent, with an idempotency key, not
-/// idempotent. Their plans, by index: a rate, a concurrency cap, a rate with a hard ceiling.
+/// Settings of a fleet of two gateways. Their request classes, by index: idempotent, with an idempotency key,
+/// not idempotent. Their plans, by index: a rate, a concurrency cap, a rate with a hard ceiling.
 inline Settings testSettings() {
   Settings out;
   out.gatewayCount = 2;
@@ -103,7 +103,7 @@
                        EndpointUpdate kind = EndpointUpdate::snapshot) {
     gateway.onEndpoints(now, kind, endpoints);
   }
-  /// Sends a request whose deadline is in `deadlineMs`, and returns its id.
+  /// Sends a request with a deadline `deadlineMs` from now, and returns its id.
   RequestId sendRequest(unsigned requestClass = 0, unsigned planIndex = 0, CustomerId customer = 1,
                         double units = 1, unsigned customerGatewayCount = 2, Time deadlineMs = 3000) {
     gateway.onRequest(now, {++lastRequest, requestClass, planIndex, customer, now + deadlineMs, units,
--- a/tests/start_times_test.cpp
+++ b/tests/start_times_test.cpp
@@ -6,7 +6,7 @@
 namespace wingslip {
 namespace {
 
-// Difference between the true Unix time and the monotonic clock.
+// `kUnixOffsetMs`: how far the true Unix time is ahead of the monotonic clock.
 constexpr double kUnixOffsetMs = 1.7e12, kHourMs = 3600 * 1000;
 
 TEST(StartTimes, StartsInUpdatesCountFromTheirReceiptAtAnyWallClockError) {
--- a/tests/upstream_pool_fixture.hpp
+++ b/tests/upstream_pool_fixture.hpp
@@ -27,7 +27,8 @@
     pool->setWorkerAddress(1, {worker.address()});
   }
 
-  // Starts the first attempt of request `id` at worker 1, as `bufferedRequest` describes it.
+  // Starts the first attempt of request `id` at worker 1. The request is sent only if `wanted` is null or
+  // returns true.
   void startAttempt(decision::RequestId id, std::optional<Duration> timeout = {},
                     std::function<bool()> wanted = nullptr) {
     insideStartAttempt = true;
