--- a/tests/overflow_connections_test.cpp
+++ b/tests/overflow_connections_test.cpp
@@ -25,7 +25,7 @@
     void onClientDisconnect(decision::RequestId) override {}
     void onRequestRejected(unsigned) override { ++rejections; }
     void onClosedUnanswered(CloseReason reason) override {
-      ADD_FAILURE() << "closed over a request: " << static_cast<int>(reason);
+      ADD_FAILURE() << "connection closed with an unanswered request, reason " << static_cast<int>(reason);
     }
     decision::RequestId lastRequestId = 0;
     int rejections = 0;
