--- a/include/wingslip/decision/gateway.hpp
+++ b/include/wingslip/decision/gateway.hpp
@@ -88,7 +88,7 @@
  public:
   virtual ~Actions() = default;
   /// Sends the request to `worker`. The host reports the outcome with Gateway::onAttemptOutcome.
-  /// @param timeoutMs time-out of the attempt; 0: none before the request's deadline.
+  /// @param timeoutMs timeout of the attempt; 0: none before the request's deadline.
   virtual void startAttempt(RequestId id, WorkerId worker, Time timeoutMs) = 0;
   /// Sends the final answer that the client may resend the request after `retryAfterMs`. This is safe,
   /// because the request has not run or running it again has no further effect.
--- a/include/wingslip/decision/types.hpp
+++ b/include/wingslip/decision/types.hpp
@@ -32,7 +32,7 @@
   ok,
   error,          ///< the worker answered with an error
   overloaded,     ///< the worker rejected the attempt before running it
-  timeout,        ///< there was no answer within the time-out of the attempt
+  timeout,        ///< there was no answer within the timeout of the attempt
   connectFailed,  ///< the worker cannot have received the complete request: there was no connection, or the
                   ///< last byte was not written
   reset,          ///< the connection closed during the attempt
--- a/src/decision/outlier_detection.cpp
+++ b/src/decision/outlier_detection.cpp
@@ -29,7 +29,7 @@
 void OutlierDetection::recordLatency(UpstreamWorker& worker, Time now, AttemptResult result, Time latencyMs,
                                      Time usualLatencyMs) {
   const double ratio = std::min(kMaxLatencyRatio, latencyMs / usualLatencyMs);
-  // An error may be answered quickly, so its latency is not used. A time-out is only a lower bound on the
+  // An error may be answered quickly, so its latency is not used. A timeout is only a lower bound on the
   // latency, so it is used only where it exceeds the present estimate.
   const bool hasLatencySample =
       result == AttemptResult::ok || (result == AttemptResult::timeout && ratio > slowness(worker));
--- a/src/decision/outlier_detection.hpp
+++ b/src/decision/outlier_detection.hpp
@@ -32,7 +32,7 @@
            isUnresponsive(worker, now);
   }
 
-  /// Processes the latency of an attempt. Only a successful answer, or a time-out whose latency ratio exceeds
+  /// Processes the latency of an attempt. Only a successful answer, or a timeout whose latency ratio exceeds
   /// the worker's slowness, has an effect.
   /// @param latencyMs latency of the answer, or the duration after which the attempt timed out.
   /// @param usualLatencyMs usual latency of the request class.
--- a/src/decision/retry_policy.cpp
+++ b/src/decision/retry_policy.cpp
@@ -7,9 +7,9 @@
 namespace {
 
 constexpr unsigned kMaxAttempts = 4;             // per request; more attempts only add load
-constexpr double kTimeoutUsualLatencies = 5;     // attempt time-out, in usual latencies of the class
-constexpr double kMinTimeoutObjectiveShare = 1;  // lower bound of the time-out, in latency objectives
-// Time-outs added to the budget per success; bounds the load that retries add.
+constexpr double kTimeoutUsualLatencies = 5;     // attempt timeout, in usual latencies of the class
+constexpr double kMinTimeoutObjectiveShare = 1;  // lower bound of the timeout, in latency objectives
+// Timeouts added to the budget per success; bounds the load that retries add.
 constexpr double kBudgetPerSuccess = 0.05;
 
 unsigned attemptsAllowed(const PendingRequest& pending) {
--- a/src/decision/retry_policy.hpp
+++ b/src/decision/retry_policy.hpp
@@ -27,25 +27,25 @@
 /// window. Otherwise the final answer is a failure.
 [[nodiscard]] bool isSafeToReject(const PendingRequest& pending);
 
-/// Rules for attempts and retries, with one budget of time-outs for all requests of the gateway. Each attempt
+/// Rules for attempts and retries, with one budget of timeouts for all requests of the gateway. Each attempt
 /// that times out, even at the request's deadline, takes 1 from the budget; a successful attempt adds a
-/// fraction. While the budget is below 1, new attempts have no time-out before the deadline, and a request
+/// fraction. While the budget is below 1, new attempts have no timeout before the deadline, and a request
 /// that may have run is not retried.
 class RetryPolicy {
  public:
   /// Updates the budget at the outcome of an attempt.
   void recordResult(AttemptResult result);
-  /// Time-out of the attempt about to start, which leaves time for a retry; 0: none before the request's
+  /// Timeout of the attempt about to start, which leaves time for a retry; 0: none before the request's
   /// deadline.
   Time attemptTimeoutMs(const PendingRequest& pending, Time now) const;
   /// Whether another attempt may start now.
   [[nodiscard]] bool mayRetry(const PendingRequest& pending, Time now) const;
 
  private:
-  static constexpr double kMaxBudget = 5;  ///< upper bound of the budget, as a number of time-outs
+  static constexpr double kMaxBudget = 5;  ///< upper bound of the budget, as a number of timeouts
   bool hasBudget() const { return budget_ >= 1; }
 
-  // Remaining time-outs.
+  // Remaining timeouts.
   double budget_ = kMaxBudget;
 };
 
--- a/src/gatekeeper/client_server.hpp
+++ b/src/gatekeeper/client_server.hpp
@@ -26,7 +26,7 @@
 /// Owns the listener and all client connections. Not thread-safe: runs on the event loop only.
 class ClientServer {
  public:
-  /// Connection limit and time-outs of the server.
+  /// Connection limit and timeouts of the server.
   struct Limits {
     /// Maximum number of open client connections, including the overflow connections.
     std::size_t maxConnections = 480;
@@ -41,7 +41,7 @@
     std::chrono::milliseconds minIdleTime{2000};   ///< idle time from which overload may close a connection
     std::chrono::milliseconds idleTimeout{75000};  ///< between two requests of a connection
     // A peer that sends no complete request must get an error or a close within 3 s of connecting; the
-    // time-out runs only from the accept.
+    // timeout runs only from the accept.
     std::chrono::milliseconds firstRequestTimeout{2500};  ///< from the accept to the end of the header
     std::chrono::milliseconds headerTimeout{2500};        ///< for later requests, from their first byte
     std::chrono::milliseconds bodyReadTimeout{1500};      ///< between two reads of a request body
--- a/src/gatekeeper/close_reason.hpp
+++ b/src/gatekeeper/close_reason.hpp
@@ -14,12 +14,12 @@
 enum class CloseReason : std::uint8_t {
   peerClosed,              ///< the client closed the connection or its sending side
   peerReset,               ///< reset by the client, or another network error
-  idleTimeout,             ///< closed before its first request: time-out, drain or overload
+  idleTimeout,             ///< closed before its first request: timeout, drain or overload
   evicted,                 ///< idle or lingering, closed to free a connection slot, descriptor or memory
   overflowEvicted,         ///< an overflow connection without a request, closed to free its slot
   lastResponse,            ///< the client did not close within the lingering close after its last response
   sendsAfterLastResponse,  ///< the client sent too much input after its last response
-  writeTimeout,            ///< the client did not read its response within the write time-out
+  writeTimeout,            ///< the client did not read its response within the write timeout
   bodyTimeout,             ///< the remaining body of an answered request timed out
   malformedBody,           ///< the remaining body of an answered request is malformed
   responseTruncated,       ///< a streamed response could not be completed
--- a/src/gatekeeper/gatekeeper_limits.cpp
+++ b/src/gatekeeper/gatekeeper_limits.cpp
@@ -19,7 +19,7 @@
 // together stay below the limit.
 constexpr double kClientShare = 0.27;
 constexpr double kWorkerShare = 0.13;
-// Share of the workers' idle time-out, so that the gatekeeper closes an idle connection first.
+// Share of the workers' idle timeout, so that the gatekeeper closes an idle connection first.
 constexpr double kIdleTimeoutShare = 0.8;
 constexpr std::size_t kMinConnections = 8;
 
--- a/src/gatekeeper/upstream_attempt.hpp
+++ b/src/gatekeeper/upstream_attempt.hpp
@@ -41,10 +41,10 @@
   bool chunkedBody = false;  ///< the streamed body is sent with chunked transfer encoding
 };
 
-/// Connection limits and time-outs of the upstream pool.
+/// Connection limits and timeouts of the upstream pool.
 struct UpstreamLimits {
   std::chrono::milliseconds connectTimeout{250};
-  std::chrono::milliseconds idleTimeout{24000};  ///< shorter than the workers' own idle time-out
+  std::chrono::milliseconds idleTimeout{24000};  ///< shorter than the workers' own idle timeout
   std::size_t maxConnections = 480;              ///< to all workers in total
   std::size_t maxIdlePerWorker = 64;
   /// Longest time without progress by the worker while a request body or a response is streamed.
--- a/src/gatekeeper/upstream_connection.cpp
+++ b/src/gatekeeper/upstream_connection.cpp
@@ -228,7 +228,7 @@
   });
 }
 
-// No time-out runs while waiting for the client's next piece. The time-out for the response starts when the
+// No timeout runs while waiting for the client's next piece. The timeout for the response starts when the
 // last piece has arrived.
 void UpstreamConnection::requestBodyPiece() {
   timer_.cancel();
@@ -268,7 +268,7 @@
                           }));
 }
 
-// Until memory is available the response stays in the kernel's receive buffer. The attempt's time-out
+// Until memory is available the response stays in the kernel's receive buffer. The attempt's timeout
 // continues running.
 void UpstreamConnection::waitForMemory() {
   const auto retry = [this] {
@@ -296,7 +296,7 @@
 }
 
 // If an attempt has started since the wait began and is not in quarantine, the bytes are its response. They
-// are read synchronously, so that the response takes precedence over a time-out that expires in the same
+// are read synchronously, so that the response takes precedence over a timeout that expires in the same
 // iteration of the event loop.
 void UpstreamConnection::onReadableWhileIdle() {
   if (!busy_) return owner_.closeConnection(*this);
@@ -324,7 +324,7 @@
   if (!streaming_) return read();
   std::string piece = response_.takeBody();
   if (piece.empty()) return read();
-  timer_.cancel();  // no time-out runs while the consumer handles the piece
+  timer_.cancel();  // no timeout runs while the consumer handles the piece
   context_.streams.onBodyPiece(outcome_.id, std::move(piece));
 }
 
--- a/src/gatekeeper/upstream_connection.hpp
+++ b/src/gatekeeper/upstream_connection.hpp
@@ -93,7 +93,7 @@
   /// Whether the worker has closed this idle connection or sent unexpected bytes on it.
   bool isStale();
 
-  /// Makes the connection idle until a new attempt starts or the idle time-out closes it.
+  /// Makes the connection idle until a new attempt starts or the idle timeout closes it.
   void becomeIdle();
   /// Closes the socket, cancels all waits and releases the memory. Does not notify the owner.
   void close();
--- a/src/gatekeeper/upstream_pool.cpp
+++ b/src/gatekeeper/upstream_pool.cpp
@@ -179,7 +179,7 @@
 }
 
 // Returns the most recently used idle connection past its quarantine, so that surplus connections stay unused
-// until their idle time-out; if there is none, the connection whose quarantine ends first; null if none is
+// until their idle timeout; if there is none, the connection whose quarantine ends first; null if none is
 // idle.
 UpstreamPool::ConnectionPtr UpstreamPool::takeIdle(Worker& worker) {
   auto& idle = worker.idle;
--- a/src/leader_election/election_types.hpp
+++ b/src/leader_election/election_types.hpp
@@ -22,8 +22,8 @@
   Time ttlMs = 10000;
   /// The store refuses to grant a lock for this long after the session of its owner ended.
   Time lockDelayMs = 1000;
-  /// Time-out of a call that does not block. The election assumes that a call takes effect within this
-  /// time or never.
+  /// Timeout of a call that does not block. The election assumes that a call takes effect within this time or
+  /// never.
   Time callTimeoutMs = 1000;
   /// Time for which a blocking read waits for a change.
   Time blockingReadMs = 30000;
@@ -33,7 +33,7 @@
   unsigned candidates = 1;
 
   /// Duration of the lease from the moment the last successful renewal was sent. Shorter than the TTL by the
-  /// clock drift and the call time-out: a write sent just before the lease expires may take effect that much
+  /// clock drift and the call timeout: a write sent just before the lease expires may take effect that much
   /// later.
   [[nodiscard]] Time leaseMs() const { return ttlMs * (1 - clockDrift) - callTimeoutMs; }
   /// Candidates spread their attempts to acquire a free lock over this interval, which avoids a thundering
@@ -41,8 +41,8 @@
   [[nodiscard]] Time maxJitterMs() const { return std::max(100.0, 20.0 * candidates); }
 };
 
-/// Returns the timing for the configured values, with the call time-out and the wait of blocking reads
-/// derived from the TTL.
+/// Returns the timing for the configured values, with the call timeout and the wait of blocking reads derived
+/// from the TTL.
 [[nodiscard]] Timing timingFor(Time ttlMs, Time lockDelayMs, unsigned candidates);
 
 /// Operations of the coordination store.
--- a/src/leader_election/leader_election.hpp
+++ b/src/leader_election/leader_election.hpp
@@ -13,7 +13,7 @@
 /// partition that reaches the store has the leader, however many gatekeepers are on each side. A side that
 /// does not reach the store has none.
 ///
-/// This requires that a call takes effect within its time-out or never, and that the rates of the processes'
+/// This requires that a call takes effect within its timeout or never, and that the rates of the processes'
 /// clocks differ by at most `clockDrift`. If that is violated (by a pause between check and send, or a
 /// restored store), two processes may believe that they lead. The fencing token then decides: the older
 /// leader's writes fail at the compare-and-set, and readers reject a record under a lower token.
--- a/src/leader_election/store_calls.cpp
+++ b/src/leader_election/store_calls.cpp
@@ -5,7 +5,7 @@
 namespace wingslip::leader_election {
 namespace {
 
-// The store extends the wait of a blocking read by up to a sixteenth; the time-out allows for a tenth.
+// The store extends the wait of a blocking read by up to a sixteenth; the timeout allows for a tenth.
 constexpr double kBlockingReadTimeoutFactor = 1.1;
 
 }  // namespace
--- a/src/leader_election/store_calls.hpp
+++ b/src/leader_election/store_calls.hpp
@@ -27,13 +27,13 @@
   Time sentAt = 0;
 };
 
-/// Assigns ids and time-outs to calls and matches replies to them. Owned by `ElectionContext`; the timing and
+/// Assigns ids and timeouts to calls and matches replies to them. Owned by `ElectionContext`; the timing and
 /// the host must outlive it.
 class StoreCalls {
  public:
   StoreCalls(const Timing& timing, ElectionHost& host) : timing_(timing), host_(host) {}
 
-  /// Assigns the call its id and time-out and sends it. Returns the id, which is never 0.
+  /// Assigns the call its id and timeout and sends it. Returns the id, which is never 0.
   std::uint64_t send(Time now, StoreCall call, CallPurpose purpose, std::size_t taskIndex = 0);
   /// Cancels a call; a reply to it is ignored. Has no effect for id 0.
   void cancel(std::uint64_t callId);
--- a/tests/attempts_test.cpp
+++ b/tests/attempts_test.cpp
@@ -42,7 +42,7 @@
     GatewayHarness harness;
     harness.updateEndpoints({endpoint(1), endpoint(2)});
     const RequestId id = harness.sendRequest(2);
-    // An early time-out would end the request without a retry.
+    // An early timeout would end the request without a retry.
     EXPECT_EQ(harness.recorder.startedAttempts.back().timeoutMs, 0);
     harness.endAttempt(id, result);
     EXPECT_TRUE(harness.hasFailed(id));
--- a/tests/guards_test.cpp
+++ b/tests/guards_test.cpp
@@ -239,7 +239,7 @@
 }
 
 // Memory must not grow with a long stream of new customers, including requests that are never answered and
-// end by a time-out.
+// end by a timeout.
 TEST(Memory, IsBoundedForALongStreamOfNewCustomers) {
   GatewayHarness harness;
   harness.updateEndpoints({endpoint(1), endpoint(2)});
--- a/tests/leader_election_simulation.hpp
+++ b/tests/leader_election_simulation.hpp
@@ -24,7 +24,7 @@
 
 // The faults of a schedule.
 struct Faults {
-  bool withinAssumptions = true;  // else calls may take effect long after their time-out
+  bool withinAssumptions = true;  // else calls may take effect long after their timeout
   double messageLossRate = 0;     // probability of loss, in each direction, while faults are active
   Time activeUntil = 40000;       // no faults from then on
   bool pauses = false;            // processes pause at random times
--- a/tests/leader_election_test.cpp
+++ b/tests/leader_election_test.cpp
@@ -50,7 +50,7 @@
 }
 
 // Guards against stale writes if the timing assumptions are violated: calls take effect seconds after their
-// time-out, or the store restarts empty or with an old state, so that two processes may believe that they
+// timeout, or the store restarts empty or with an old state, so that two processes may believe that they
 // lead. No write under a lower token takes effect, and no token has two leaders. A restored store cannot
 // reject calls in flight that match its old state; in that case, readers reject the record.
 TEST(LeaderElectionFaultSchedules, StaleWritesAreFencedWhenAssumptionsAreViolated) {
--- a/tests/races_test.cpp
+++ b/tests/races_test.cpp
@@ -37,7 +37,7 @@
   waitUntil([&] { return requestsReceived() == 2; }, "the request at the worker");
 }
 
-// The response is readable and the time-out has expired when the event loop starts its next iteration, as
+// The response is readable and the timeout has expired when the event loop starts its next iteration, as
 // after a pause of the process.
 TEST_F(UpstreamPoolRaces, AResponseTakesPrecedenceOverATimeoutOfTheSameLoopIteration) {
   makeIdleConnection();
--- a/tests/stream_test.cpp
+++ b/tests/stream_test.cpp
@@ -159,7 +159,7 @@
   const auto stalled =
       sendRequest(requestHead("edit", "Content-Length: 200000\r\n") + std::string(20000, 'x'));
   waitUntil([&] { return stalled->has("HTTP/1.1 408") && stalled->closedByPeer; },
-            "a time-out response and the close");
+            "a timeout response and the close");
   EXPECT_EQ(gatekeeper->requestsInFlight(), 0u);
   waitUntil([&] { return !worker.peers.empty() && worker.peers[0]->closedByPeer; }, "the end of the attempt");
 }
--- a/tools/lab/load_balancer.hpp
+++ b/tools/lab/load_balancer.hpp
@@ -11,7 +11,7 @@
 
 namespace wingslip::lab {
 
-/// Period of the health checks of one gatekeeper, and the time-out of a check.
+/// Period of the health checks of one gatekeeper, and the timeout of a check.
 constexpr auto kHealthCheckPeriod = std::chrono::milliseconds(250);
 
 /// Maintains `Gatekeeper::inRotation`: a gatekeeper enters the rotation at the first answer 200 and leaves it
--- a/tools/lab/process.hpp
+++ b/tools/lab/process.hpp
@@ -78,7 +78,7 @@
 void killOrphans(const std::filesystem::path& pids);
 
 /// Makes one call to the operators' listener on the port. `then` gets the complete answer, or "" on an error
-/// or after a time-out of 1 s.
+/// or after a timeout of 1 s.
 void callOperatorsPort(boost::asio::io_context& io, unsigned short port, const std::string& call,
                        std::function<void(const std::string&)> then);
 
--- a/tools/lab/run_verifier.hpp
+++ b/tools/lab/run_verifier.hpp
@@ -23,7 +23,7 @@
   failed,             ///< answered with any other status
   closed,             ///< the connection was closed before a complete answer
   unreachable,        ///< the client could not connect or could not write the request
-  timedOut,           ///< no answer within the client's time-out
+  timedOut,           ///< no answer within the client's timeout
   wrongBody,          ///< answered 200 with a body that no worker produced for it
   closedUndelivered,  ///< sent while the gatekeeper was closing the connection, and not read by it
   clientDisconnected  ///< the client closed the connection before the answer
--- a/tools/lab/scale_cases_process.cpp
+++ b/tools/lab/scale_cases_process.cpp
@@ -236,7 +236,7 @@
   }
   RealGatekeeper& observed = *real.front();
   if (!observed.waitForMetric("replica.members_alive", static_cast<double>(members - 1), kReadyTimeout))
-    throw std::runtime_error("the gatekeeper did not see all members as alive before the time-out");
+    throw std::runtime_error("the gatekeeper did not see all members as alive before the timeout");
   io.run_for(kMembersSettleTime);
   const std::string before = observed.telemetry();
   const double processorBefore = observed.processorSeconds();
--- a/tools/lab/simulated_candidates.cpp
+++ b/tools/lab/simulated_candidates.cpp
@@ -112,7 +112,7 @@
   ++traffic_.calls;
   traffic_.bytes += bytesOf(call);
   from.unanswered.insert(call.id);
-  // A call gets one reply, the store's or a failure at the time-out, or none if it is cancelled.
+  // A call gets one reply, the store's or a failure at the timeout, or none if it is cancelled.
   at(events_.now() + call.timeoutMs, [this, &from, id = call.id] { reply(from, id, {}); });
   at(events_.now() + delayMs(), [this, &from, call] { execute(from, call); });
 }
@@ -143,7 +143,7 @@
       break;
     case StoreOperation::acquire: {
       const std::optional<bool> acquired = store_.acquire(events_.now(), call.key, call.session, call.value);
-      if (!acquired) return;  // an error at the store: the call fails at its time-out
+      if (!acquired) return;  // an error at the store: the call fails at its timeout
       reply.succeeded = *acquired;
       break;
     }
--- a/tools/lab/simulated_candidates.hpp
+++ b/tools/lab/simulated_candidates.hpp
@@ -48,7 +48,7 @@
     wingslip::leader_election::StoreCall call;
   };
   void at(Time when, std::function<void()> action);
-  // Sends a call to the store; it arrives after a delay and fails at its time-out.
+  // Sends a call to the store; it arrives after a delay and fails at its timeout.
   void call(Candidate& from, const wingslip::leader_election::StoreCall& call);
   // Executes a call at the store and schedules the reply.
   void execute(Candidate& from, const wingslip::leader_election::StoreCall& call);
--- a/tools/lab/store.hpp
+++ b/tools/lab/store.hpp
@@ -54,7 +54,7 @@
  private:
   struct Client;
   struct Target;  ///< a request's path and query
-  /// A blocking query that waits for a change or its time-out.
+  /// A blocking query that waits for a change or its timeout.
   struct Waiting {
     std::shared_ptr<Client> client;
     std::string key;
