--- a/include/wingslip/decision/gateway.hpp
+++ b/include/wingslip/decision/gateway.hpp
@@ -41,10 +41,10 @@
 /// Overload of the host: it is short of memory, file descriptors or processing time.
 struct OverloadSignal {
   bool active = false;
-  bool isMemoryShort = false;   ///< new requests that use more than 16 KiB must be rejected
-  double shedFraction = 0;      ///< share of new requests to shed, from 0 to 1
-  double excessBytes = 0;       ///< bytes to release now by ending requests in flight
-  Time expectedDurationMs = 0;  ///< expected remaining duration of the overload
+  bool isMemoryOverloaded = false;  ///< new requests that use more than 16 KiB must be rejected
+  double shedFraction = 0;          ///< share of new requests to shed, from 0 to 1
+  double excessBytes = 0;           ///< bytes to release now by ending requests in flight
+  Time expectedDurationMs = 0;      ///< expected remaining duration of the overload
 };
 
 /// The outcome of an attempt.
--- a/src/decision/load_shedding.cpp
+++ b/src/decision/load_shedding.cpp
@@ -19,7 +19,7 @@
 
 bool LoadShedding::shouldReject(const Request& request, const ClassSettings& requestClass,
                                 const PlanSettings& plan) {
-  if (signal_.isMemoryShort && request.memoryBytes > kMinWeighedBytes) return true;
+  if (signal_.isMemoryOverloaded && request.memoryBytes > kMinWeighedBytes) return true;
   if (!(signal_.shedFraction > 0)) return false;
   return shouldShed(valuePerByte(request, requestClass, plan) * (1 + kValueJitter * random_.next()));
 }
--- a/src/gatekeeper/client_connection_reading.cpp
+++ b/src/gatekeeper/client_connection_reading.cpp
@@ -119,7 +119,7 @@
     requestStarted_ = true;
     if (!overflow_) leaveOrder();
     recordWait(WaitQueue::incompleteRequest);
-    server_.overloadManager_.onDescriptorUseChanged();
+    server_.overloadManager_.onDescriptorUsageChanged();
     if (!awaitingFirstRequest_) armTimer(server_.limits_.headerTimeout);
   }
   Error error;
--- a/src/gatekeeper/client_server.cpp
+++ b/src/gatekeeper/client_server.cpp
@@ -256,7 +256,7 @@
   connections_.erase(connection);
   overflowCount_ -= connection->isOverflow();
   reserveOverflowMemory();
-  overloadManager_.onDescriptorUseChanged();
+  overloadManager_.onDescriptorUsageChanged();
   accept();
   if (connections_.empty() && !acceptor_.is_open() && done_) done_();
 }
--- a/src/net/overload_manager.cpp
+++ b/src/net/overload_manager.cpp
@@ -87,7 +87,7 @@
   if (!wasNormal || !state_.isNormal()) evaluate();
 }
 
-void OverloadManager::onDescriptorUseChanged() {
+void OverloadManager::onDescriptorUsageChanged() {
   const bool aboveMark = descriptorUsage_ && descriptorUsage_() >= state_.limits().descriptors.high;
   if (aboveMark != areDescriptorsOverloaded()) postEvaluation();
 }
--- a/src/net/overload_manager.hpp
+++ b/src/net/overload_manager.hpp
@@ -79,7 +79,7 @@
   void onActivity();
   /// To be called when a connection has become busy or has ended. Posts an evaluation if the descriptor
   /// overload may have started or ended.
-  void onDescriptorUseChanged();
+  void onDescriptorUsageChanged();
 
   /// Pauses a read until memory is available. A read that is already paused retains its position. Neither
   /// callback is called before this function returns, nor after the owner is destroyed.
--- a/tests/decision_modules_test.cpp
+++ b/tests/decision_modules_test.cpp
@@ -181,7 +181,7 @@
   EXPECT_EQ(reason(2, 1), RejectionReason::hardCeiling);
 }
 
-TEST(UnknownCustomers, ReachIsWithinItsMinimumAndMaximum) {
+TEST(UnknownCustomers, AssumedBurstShareIsWithinItsMinimumAndMaximum) {
   Settings settings = testSettings();
   MeanRequestSize meanSize;
   meanSize.record(1);
--- a/tests/decision_replay_test.cpp
+++ b/tests/decision_replay_test.cpp
@@ -284,7 +284,7 @@
     OverloadSignal signal;
     signal.active = random_.chance(0.3);
     if (signal.active) {
-      signal.isMemoryShort = random_.chance(0.5);
+      signal.isMemoryOverloaded = random_.chance(0.5);
       signal.shedFraction = random_.chance(0.5) ? random_.uniform() : 0;
       signal.excessBytes = random_.chance(0.3) ? random_.between(0, 1e6) : 0;
       signal.expectedDurationMs = random_.between(0, 3000);
