--- a/tools/lab/fleet_run.hpp
+++ b/tools/lab/fleet_run.hpp
@@ -139,7 +139,7 @@
   RunRecord runRecord_;
   std::vector<Claim> claims_;
   std::uint64_t rosterVersion_ = 0;
-  int leader_ = 0;      ///< the last gatekeeper that claimed the duty; also 0 if unknown
+  int leader_ = 0;      ///< the last gatekeeper that claimed the leader task; also 0 if unknown
   int roleTarget_ = 0;  ///< the gatekeeper that the last step with the role "holder" resolved to
   bool runIsEnding_ = false;
 };
--- a/tools/lab/run_report.hpp
+++ b/tools/lab/run_report.hpp
@@ -23,7 +23,7 @@
   int line = 0;      ///< in the scenario's file
 };
 
-/// A gatekeeper's claim of the duty: its first record under a new token.
+/// A gatekeeper's claim of the leader task: its first record under a new token.
 struct Claim {
   double atMs = 0;  ///< milliseconds from the start of the load
   int gatekeeper = 0;
--- a/tools/lab/run_verifier.hpp
+++ b/tools/lab/run_verifier.hpp
@@ -107,8 +107,8 @@
   void gatekeeperDown(int gatekeeper, double fromMs);
   void gatekeeperUp(int gatekeeper, double atMs);
 
-  /// `holder` has written the record of a duty under `token`. Tokens only increase, and each has one holder.
-  /// Returns true for the first write under this token.
+  /// `holder` has written the record of a leader task under `token`. Tokens only increase, and each has one
+  /// leader. Returns true for the first write under this token.
   bool dutyRecordWritten(std::uint64_t token, const std::string& holder, double atMs);
 
   /// Ends the run: pending requests become timedOut. The counts and violations below are final after this
--- a/tools/lab/scenario.hpp
+++ b/tools/lab/scenario.hpp
@@ -93,7 +93,7 @@
 ///   [afterS, beforeS), at one gatekeeper or all;
 /// - attempts: attempts that arrived at a worker, or at the workers of a zone, in [afterS, beforeS);
 /// - upgrades: upgrades whose old process exited with status 0;
-/// - claims: new tokens recorded for the duty;
+/// - claims: new tokens recorded for the leader task;
 /// - roster_here, roster_draining, roster_left, roster_missing: names in that state in the last roster
 ///   recorded before beforeS;
 /// - roster_agreed: gatekeepers that report that roster to operators at the end;
