--- a/include/wingslip/decision/gateway.hpp
+++ b/include/wingslip/decision/gateway.hpp
@@ -41,10 +41,10 @@
 /// Overload of the host: it is short of memory, file descriptors or processing time.
 struct OverloadSignal {
   bool active = false;
-  bool isMemoryShort = false;   ///< new requests that use more than 16 KiB must be rejected
-  double shedFraction = 0;      ///< share of new requests to shed, from 0 to 1
-  double excessBytes = 0;       ///< bytes to release now by ending requests in flight
-  Time expectedDurationMs = 0;  ///< expected remaining duration of the overload
+  bool isMemoryOverloaded = false;  ///< new requests that use more than 16 KiB must be rejected
+  double shedFraction = 0;          ///< share of new requests to shed, from 0 to 1
+  double excessBytes = 0;           ///< bytes to release now by ending requests in flight
+  Time expectedDurationMs = 0;      ///< expected remaining duration of the overload
 };
 
 /// The outcome of an attempt.
@@ -88,7 +88,7 @@
  public:
   virtual ~Actions() = default;
   /// Sends the request to `worker`. The host reports the outcome with Gateway::onAttemptOutcome.
-  /// @param timeoutMs time-out of the attempt; 0: none before the request's deadline.
+  /// @param timeoutMs timeout of the attempt; 0: none before the request's deadline.
   virtual void startAttempt(RequestId id, WorkerId worker, Time timeoutMs) = 0;
   /// Sends the final answer that the client may resend the request after `retryAfterMs`. This is safe,
   /// because the request has not run or running it again has no further effect.
--- a/tools/lab/run_verifier.hpp
+++ b/tools/lab/run_verifier.hpp
@@ -23,7 +23,7 @@
   failed,             ///< answered with any other status
   closed,             ///< the connection was closed before a complete answer
   unreachable,        ///< the client could not connect or could not write the request
-  timedOut,           ///< no answer within the client's time-out
+  timedOut,           ///< no answer within the client's timeout
   wrongBody,          ///< answered 200 with a body that no worker produced for it
   closedUndelivered,  ///< sent while the gatekeeper was closing the connection, and not read by it
   clientDisconnected  ///< the client closed the connection before the answer
@@ -107,8 +107,8 @@
   void gatekeeperDown(int gatekeeper, double fromMs);
   void gatekeeperUp(int gatekeeper, double atMs);
 
-  /// `holder` has written the record of a duty under `token`. Tokens only increase, and each has one holder.
-  /// Returns true for the first write under this token.
+  /// `holder` has written the record of a leader task under `token`. Tokens only increase, and each has one
+  /// leader. Returns true for the first write under this token.
   bool dutyRecordWritten(std::uint64_t token, const std::string& holder, double atMs);
 
   /// Ends the run: pending requests become timedOut. The counts and violations below are final after this
